--- a/include/coppervalve/gateway/caller_connection.h
+++ b/include/coppervalve/gateway/caller_connection.h
@@ -29,8 +29,8 @@
   core::TimePoint arrived;  ///< its last byte
 };
 
-/// @brief An answer that is made here, as a whole.
-struct LocalAnswer {
+/// @brief An response that is made here, as a whole.
+struct LocalResponse {
   int status = 200;
   std::string reason = "OK";
   http1::HeaderList headers;
@@ -39,7 +39,7 @@
 
 /// @brief One connection of a caller: reads requests one after the other and
 /// writes their answers. A request that was read always ends with a whole
-/// answer or an abrupt end of the connection.
+/// response or an abrupt end of the connection.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
   struct Hooks {
@@ -47,7 +47,7 @@
     /// A request that makes no sense was answered.
     std::function<void(const core::Error&)> on_bad_request;
     std::function<entry::CallerBounds()> bounds;
-    /// Whether connections should be closed after their present answer.
+    /// Whether connections should be closed after their present response.
     std::function<bool()> leaving;
     std::function<void()> on_closed;
   };
@@ -58,23 +58,23 @@
   void Start();
 
   /// @return whether the caller has closed the connection
-  bool HasLeft() { return m_closed || m_stream->AtEnd(); }
-  /// @brief Called once when the caller goes before its answer has ended.
-  void WatchLeaving(std::function<void()> on_left);
+  bool HasDisconnected() { return m_closed || m_stream->PeerHasClosed(); }
+  /// @brief Called once when the caller goes before its response has ended.
+  void SetDisconnectHandler(std::function<void()> on_disconnect);
   /// @brief Called when all that was sent is in the kernel.
-  void WatchDrained(std::function<void()> on_drained);
+  void SetDrainedHandler(std::function<void()> on_drained);
 
-  void Answer(const LocalAnswer& answer);
-  /// @brief Begins an answer. @param head without framing headers
+  void Respond(const LocalResponse& response);
+  /// @brief Begins an response. @param head without framing headers
   /// @param length of the body; none = chunked
-  void BeginAnswer(int status,
-                   const std::string& reason,
-                   const http1::HeaderList& headers,
-                   std::optional<uint64_t> length);
+  void BeginResponse(int status,
+                     const std::string& reason,
+                     const http1::HeaderList& headers,
+                     std::optional<uint64_t> length);
   void SendBody(std::string_view bytes);
-  /// @brief The answer is whole. The connection goes on to the next request.
-  void EndAnswer();
-  /// @brief Ends the connection so that the answer can't look complete.
+  /// @brief The response is whole. The connection goes on to the next request.
+  void EndResponse();
+  /// @brief Ends the connection so that the response can't look complete.
   void Abort();
 
   size_t unsent() const { return m_stream->unsent(); }
@@ -98,8 +98,8 @@
   std::shared_ptr<const Hooks> m_hooks;
   std::unique_ptr<http1::RequestReader> m_reader;
   std::string m_unread;
-  std::string m_head_text;  ///< of an answer of which nothing was sent yet
-  std::function<void()> m_on_left;
+  std::string m_head_text;  ///< of an response of which nothing was sent yet
+  std::function<void()> m_on_disconnect;
   std::function<void()> m_on_drained;
   bool m_busy = false;
   bool m_chunked = false;
--- a/include/coppervalve/gateway/crash_watch.h
+++ b/include/coppervalve/gateway/crash_monitor.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_GATEWAY_CRASH_WATCH_H_
-#define COPPERVALVE_GATEWAY_CRASH_WATCH_H_
+#ifndef COPPERVALVE_GATEWAY_CRASH_MONITOR_H_
+#define COPPERVALVE_GATEWAY_CRASH_MONITOR_H_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>   // function
@@ -14,14 +14,14 @@
 
 /// @brief Feeds the record of crashes with what really ended: upstreams that
 /// are well break connections too.
-class CrashWatch {
+class CrashMonitor {
  public:
   struct Hooks {
     /// Other routers should hear soon of what changed.
-    std::function<void()> tell;
+    std::function<void()> on_change;
   };
 
-  CrashWatch(boost::asio::io_context& io, EventLog& log, Hooks hooks);
+  CrashMonitor(boost::asio::io_context& io, EventLog& log, Hooks hooks);
 
   /// @brief An answer broke off, or nothing came in time.
   void OnBroken(const entry::UpstreamRef& upstream,
@@ -37,7 +37,7 @@
   entry::CrashRecord& record() { return m_record; }
 
  private:
-  void TellQuarantined(const entry::RequestPrint& request, std::string_view by);
+  void LogQuarantined(const entry::RequestPrint& request, std::string_view by);
 
   EventLog& m_log;
   Hooks m_hooks;
@@ -47,4 +47,4 @@
 
 }  // namespace coppervalve::gateway
 
-#endif  // COPPERVALVE_GATEWAY_CRASH_WATCH_H_
+#endif  // COPPERVALVE_GATEWAY_CRASH_MONITOR_H_
--- a/include/coppervalve/gateway/dialect.h
+++ b/include/coppervalve/gateway/dialect.h
@@ -56,14 +56,15 @@
       upstream_headers;
   std::function<AnswerFacts(const http1::ResponseHead&)> read_answer;
   /// A refusal or failure of the router's own.
-  std::function<LocalAnswer(const core::Error&, std::optional<core::Duration>)>
+  std::function<LocalResponse(const core::Error&,
+                              std::optional<core::Duration>)>
       refusal;
   /// The answer to "where to connect"; no addresses = not known.
-  std::function<LocalAnswer(const http1::RequestHead&,
-                            const std::vector<std::string>&,
-                            core::Duration lifetime)>
+  std::function<LocalResponse(const http1::RequestHead&,
+                              const std::vector<std::string>&,
+                              core::Duration lifetime)>
       addresses;
-  std::function<LocalAnswer(const http1::RequestHead&, bool ready)> readiness;
+  std::function<LocalResponse(const http1::RequestHead&, bool ready)> readiness;
   std::function<core::Result<entry::Configuration>(const std::string& document)>
       read_configuration;
   std::function<core::Result<entry::UpstreamEntry>(const std::string& key,
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -23,11 +23,11 @@
 #include "coppervalve/entry/upstream_directory.h"
 #include "coppervalve/entry/upstream_gate.h"
 #include "coppervalve/gateway/caller_connection.h"
-#include "coppervalve/gateway/crash_watch.h"
+#include "coppervalve/gateway/crash_monitor.h"
 #include "coppervalve/gateway/dialect.h"
 #include "coppervalve/gateway/event_log.h"
 #include "coppervalve/gateway/gateway_metrics.h"
-#include "coppervalve/gateway/unknown_words.h"
+#include "coppervalve/gateway/unknown_headers.h"
 #include "coppervalve/gateway/upstream_pool.h"
 #include "coppervalve/http1/event_cutter.h"
 
@@ -48,8 +48,8 @@
   const entry::PeerContact& peers;
   const entry::StoreContact& contact;
   UpstreamPool& pool;
-  UnknownWords& unknown_words;
-  CrashWatch& crashes;
+  UnknownHeaders& unknown_headers;
+  CrashMonitor& crash_monitor;
   EventLog& log;
   GatewayMetrics& metrics;
   routing::RandomHook random;
@@ -61,13 +61,13 @@
       bool(const core::AccountId&, core::Tokens, std::function<void()> on_done)>
       borrow;
   /// Time in which a request that comes now must have ended; none = no bound.
-  std::function<std::optional<core::Duration>()> time_to_stop;
+  std::function<std::optional<core::Duration>()> time_until_shutdown;
   /// Whether the table of upstreams is read here now.
-  std::function<bool()> knows_upstreams;
+  std::function<bool()> has_upstream_table;
   /// Asks routers that read it where a request goes.
   std::function<void(const entry::PlacementQuery&,
-                     std::function<void(const entry::Placement&)> on_told)>
-      ask_where;
+                     std::function<void(const entry::Placement&)> on_placement)>
+      request_placement;
 };
 
 /// @brief One request of a caller from its last byte to its final answer.
@@ -87,80 +87,82 @@
   struct Attempt {
     entry::UpstreamRef upstream;
     UpstreamConnectionRef connection;
-    core::TimePoint began;
+    core::TimePoint started_at;
     AnswerFacts answer;
-    double reading = 0;       ///< its part of the upstream's in_prefill
-    double to_read = 0;       ///< that and what waited, at usual pace
-    double cost = 0;          ///< expected when it was placed
-    bool passing_on = false;  ///< its bytes go to the caller
+    double prefill_cost = 0;   ///< its part of the upstream's in_prefill
+    double total_prefill = 0;  ///< that and what waited, at usual pace
+    double cost = 0;           ///< expected when it was placed
+    bool forwarding = false;   ///< its bytes go to the caller
     bool resumed = false;
   };
 
   void Admit();
-  void SetTokensAside();
+  void StartReservation();
   /// @brief Refuses the request when upstreams can't keep up. @return whether
-  bool ShedIfOverloaded();
+  bool RefuseIfOverloaded();
   void Reserve();
-  core::Tokens Most() const { return m_facts.prompt + m_facts.most_output; }
+  core::Tokens MaxTokens() const {
+    return m_facts.prompt + m_facts.most_output;
+  }
   void WaitForGrant();
-  bool TryGiven();
+  bool TryReserveTransferred();
   bool TryBorrow();
   void OnBorrowed();
-  void RefuseForWantOfTokens(core::TimePoint now);
+  void RefuseForLackOfTokens(core::TimePoint now);
   void OnGrant();
   void Place();
-  entry::PlacementQuery Query() const;
+  entry::PlacementQuery BuildQuery() const;
   entry::Placement ChoosePlacement() const;
-  void AskWhere();
-  void OnTold(const entry::Placement& placement);
-  void RefuseForWantOfUpstreams(const std::string& why);
-  core::Duration NextWithinLimits(core::TimePoint now) const;
+  void RequestPlacement();
+  void OnPlacementReply(const entry::Placement& placement);
+  void RefuseForLackOfUpstreams(const std::string& why);
+  core::Duration RateLimitRetryDelay(core::TimePoint now) const;
   void Send(const entry::Placement& placement);
   /// @brief The last question before bytes go out on a new connection.
-  bool PassGate(entry::Upstream& upstream) const;
+  bool MaySendNow(entry::Upstream& upstream) const;
   std::string RequestText(const SendFacts& facts) const;
 
-  void HeedUpstream();
-  void HeedLimit(const entry::UpstreamRef& speaker);
-  void TellUnknownWords(const core::UpstreamId& upstream);
+  void HandleUpstreamSignals();
+  void HandleRateLimit(const entry::UpstreamRef& sender);
+  void LogUnknownHeaders(const core::UpstreamId& upstream);
   void OnHead(const http1::ResponseHead& head);
   void OnBody(const std::string& body);
   void OnEnd(AttemptEnd end, std::string_view why);
-  void KeepConnection();
-  void OnWhole();
+  void ReturnConnection();
+  void OnComplete();
   void OnBroken(std::string_view why);
   void OnDeclined();
-  void PassOn(std::string_view bytes);
-  void EndReading();
-  void ForgetAnswer();
-  void CutAttempt(entry::AttemptOutcome outcome);
-  void LeaveUpstream(entry::AttemptOutcome outcome);
+  void ForwardToCaller(std::string_view bytes);
+  void EndPrefill();
+  void DiscardResponse();
+  void AbortAttempt(entry::AttemptOutcome outcome);
+  void RecordOutcome(entry::AttemptOutcome outcome);
 
   entry::RequestContent Content() const;
-  const entry::RequestPrint& Print();
-  bool MayHaveEndedUpstreams() const;
-  entry::Standing StandingNow();
+  const entry::RequestPrint& Fingerprint();
+  bool MayHaveCrashedUpstreams() const;
+  entry::Standing CurrentStanding();
   /// @brief Refuses what upstreams ended under. @return whether
-  bool RefuseIfItEndsUpstreams();
-  void TellSurvived();
+  bool RefuseIfCrashesUpstreams();
+  void ReportSurvived();
   bool IsStream() const;
-  bool Repeatable() const;
-  bool AfterAnEvent() const { return m_cutter.events() != 0; }
+  bool Retryable() const;
+  bool HasEvents() const { return m_cutter.events() != 0; }
   /// @brief Whether another upstream may be sent this request; takes the
   /// right to from the allowance.
-  bool TakeRepeat();
+  bool TakeRetry();
 
   void Refuse(const core::Error& error,
               std::optional<core::Duration> retry_after);
   void Fail(const core::Error& error);
-  void OnCallerLeft();
+  void OnCallerDisconnected();
   void Finish(std::string_view cause, int status);
   void Settle();
 
   void ArmTimer();
   void OnTimer();
-  std::optional<core::TimePoint> WatchTime() const;
-  core::Duration Left() const;
+  std::optional<core::TimePoint> UpstreamTimeoutAt() const;
+  core::Duration TimeLeft() const;
 
   const ExchangeContext& m_context;
   CallerRef m_caller;
@@ -168,9 +170,9 @@
   entry::RequestFacts m_facts;
   entry::Admitted m_admitted;
   boost::asio::steady_timer m_timer;
-  core::TimePoint m_limit_at;
+  core::TimePoint m_deadline;
   core::Tokens m_reserved{};
-  bool m_by_gift = false;  ///< reserved of what others gave
+  bool m_from_transfer = false;  ///< reserved of what others gave
   bool m_borrowing = false;
   bool m_borrowed = false;  ///< asked others once
   std::optional<core::TimePoint> m_waiting_since;
@@ -180,20 +182,21 @@
   std::optional<http1::ResponseHead> m_head;
   std::string m_body;
   http1::EventCutter m_cutter;
-  core::TimePoint m_watch_from;  ///< silence of the upstream counts from here
+  core::TimePoint
+      m_last_activity;  ///< silence of the upstream counts from here
   core::Duration m_first_byte{};
-  uint32_t m_sends = 0;         ///< upstreams that got some of it
-  uint32_t m_tries = 0;         ///< placements, sent or not
-  bool m_may_have_run = false;  ///< at some upstream
-  bool m_answer_begun = false;
+  uint32_t m_sent_attempts = 0;  ///< upstreams that got some of it
+  uint32_t m_placements = 0;     ///< placements, sent or not
+  bool m_may_have_run = false;   ///< at some upstream
+  bool m_response_begun = false;
   bool m_on_trial = false;  ///< holds the place of the one that is tried
   bool m_done = false;
   std::string m_last_failure;
-  std::optional<entry::RequestPrint> m_print;  ///< once it was needed
-  entry::Placement m_placed;                   ///< the last one
+  std::optional<entry::RequestPrint> m_fingerprint;  ///< once it was needed
+  entry::Placement m_last_placement;                 ///< the last one
   /// Chosen before tokens were set aside, and good until anything was waited
   /// for.
-  std::optional<entry::Placement> m_planned;
+  std::optional<entry::Placement> m_prepared_placement;
 };
 
 }  // namespace coppervalve::gateway
--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -24,7 +24,7 @@
 #include "coppervalve/entry/upstream_directory.h"
 #include "coppervalve/gateway/beat_writer.h"
 #include "coppervalve/gateway/borrower.h"
-#include "coppervalve/gateway/crash_watch.h"
+#include "coppervalve/gateway/crash_monitor.h"
 #include "coppervalve/gateway/dialect.h"
 #include "coppervalve/gateway/event_log.h"
 #include "coppervalve/gateway/exchange.h"
@@ -34,7 +34,7 @@
 #include "coppervalve/gateway/load_exchange.h"
 #include "coppervalve/gateway/place_asker.h"
 #include "coppervalve/gateway/topic_follower.h"
-#include "coppervalve/gateway/unknown_words.h"
+#include "coppervalve/gateway/unknown_headers.h"
 #include "coppervalve/gateway/upstream_pool.h"
 
 namespace coppervalve::gateway {
@@ -182,8 +182,8 @@
   entry::UpstreamGate m_gate;
   entry::Placer m_placer;
   UpstreamPool m_pool;
-  UnknownWords m_unknown_words;
-  CrashWatch m_crashes;
+  UnknownHeaders m_unknown_words;
+  CrashMonitor m_crashes;
   std::optional<ExchangeContext> m_context;
 
   entry::TableReaders m_table_readers;
--- a/include/coppervalve/gateway/http_caller.h
+++ b/include/coppervalve/gateway/http_client.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_GATEWAY_HTTP_CALLER_H_
-#define COPPERVALVE_GATEWAY_HTTP_CALLER_H_
+#ifndef COPPERVALVE_GATEWAY_HTTP_CLIENT_H_
+#define COPPERVALVE_GATEWAY_HTTP_CLIENT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -27,7 +27,7 @@
   std::string body;
   entry::CallPatience patience;
   /// Of the answer: one that says it is longer, or never ends, is not kept.
-  size_t most_bytes = 8 * 1024 * 1024;
+  size_t max_bytes = 8 * 1024 * 1024;
 };
 
 /// @brief Its whole answer.
@@ -40,12 +40,12 @@
 ///
 /// A call that got no answer leaves its connection unusable, and what it asked
 /// for may still be done: the next call opens a new one.
-class HttpCaller : public std::enable_shared_from_this<HttpCaller> {
+class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Handler = std::function<void(const core::Result<HttpReply>&)>;
 
   /// @param address "ip:port"
-  HttpCaller(boost::asio::io_context& io, std::string address);
+  HttpClient(boost::asio::io_context& io, std::string address);
 
   /// @brief Queues a call. @return through the handler: the reply, or
   /// kLogUnavailable when none came in time
@@ -81,4 +81,4 @@
 
 }  // namespace coppervalve::gateway
 
-#endif  // COPPERVALVE_GATEWAY_HTTP_CALLER_H_
+#endif  // COPPERVALVE_GATEWAY_HTTP_CLIENT_H_
--- a/include/coppervalve/gateway/listener.h
+++ b/include/coppervalve/gateway/listener.h
@@ -33,9 +33,9 @@
   boost::asio::io_context& m_io;
   std::shared_ptr<const CallerConnection::Hooks> m_hooks;
   boost::asio::ip::tcp::acceptor m_acceptor;
-  boost::asio::steady_timer m_pause;
+  boost::asio::steady_timer m_accept_pause;
   std::vector<std::weak_ptr<CallerConnection>> m_connections;
-  size_t m_cleaned_at = 0;
+  size_t m_accepted = 0;
 };
 
 }  // namespace coppervalve::gateway
--- a/include/coppervalve/gateway/stream.h
+++ b/include/coppervalve/gateway/stream.h
@@ -52,7 +52,7 @@
   bool open() const { return m_socket.is_open(); }
   /// @return whether the peer has closed and everything it sent was read;
   /// on_end may not have been called yet
-  bool AtEnd();
+  bool PeerHasClosed();
 
  private:
   void Read();
--- a/include/coppervalve/gateway/upstream_check.h
+++ b/include/coppervalve/gateway/upstream_check.h
@@ -17,11 +17,11 @@
   /// address is asked already.
   /// @param on_refused called only when nobody listens: no answer in time says
   /// nothing, as the link or the VM may be slow
-  void Ask(const std::string& address, std::function<void()> on_refused);
+  void Start(const std::string& address, std::function<void()> on_refused);
 
  private:
   boost::asio::io_context& m_io;
-  std::unordered_set<std::string> m_asking;
+  std::unordered_set<std::string> m_pending;
 };
 
 }  // namespace coppervalve::gateway
--- a/include/coppervalve/gateway/upstream_connection.h
+++ b/include/coppervalve/gateway/upstream_connection.h
@@ -18,7 +18,7 @@
 
 /// @brief How an attempt on a connection ended.
 enum class AttemptEnd : uint8_t {
-  kWhole,     ///< the answer is whole
+  kComplete,  ///< the answer is whole
   kNotSent,   ///< the kernel took no byte of the request
   kBroken,    ///< some of it was sent and no whole answer came
   kWithheld,  ///< may_send said no; no byte was sent
--- a/include/coppervalve/gateway/upstream_pool.h
+++ b/include/coppervalve/gateway/upstream_pool.h
@@ -19,20 +19,20 @@
  public:
   explicit UpstreamPool(boost::asio::io_context& io) : m_io(io) {}
 
-  /// @param careful the request must not meet a connection that closes: only
-  /// one that was used a moment ago, or a new one, is good enough
-  UpstreamConnectionRef Take(const entry::Upstream& upstream,
-                             bool careful,
-                             core::TimePoint now);
+  /// @param needs_fresh the request must not meet a connection that closes:
+  /// only one that was used a moment ago, or a new one, is good enough
+  UpstreamConnectionRef Acquire(const entry::Upstream& upstream,
+                                bool needs_fresh,
+                                core::TimePoint now);
   /// @brief Keeps a connection whose attempt ended whole, if it can be used
   /// again.
-  void Give(const core::UpstreamId& upstream,
-            const UpstreamConnectionRef& connection,
-            core::TimePoint now);
+  void Release(const core::UpstreamId& upstream,
+               const UpstreamConnectionRef& connection,
+               core::TimePoint now);
   /// @brief Closes connections that were idle for long. Call it now and then.
-  void CloseOld(core::TimePoint now);
+  void CloseExpired(core::TimePoint now);
   /// @brief Closes those to an upstream that takes no new work.
-  void Forget(const core::UpstreamId& upstream);
+  void CloseAll(const core::UpstreamId& upstream);
 
   uint64_t opened() const { return m_opened; }
 
@@ -41,7 +41,7 @@
     UpstreamConnectionRef connection;
     core::TimePoint since;
     core::TimePoint usable_until;
-    core::Duration kept_for{};  ///< by the upstream, as it stated or usual
+    core::Duration keep_time{};  ///< by the upstream, as it stated or usual
   };
   boost::asio::io_context& m_io;
   std::unordered_map<core::UpstreamId, std::vector<Idle>> m_idle;
--- a/src/gateway/caller_connection.cc
+++ b/src/gateway/caller_connection.cc
@@ -12,7 +12,7 @@
 
 // Pipelined bytes that are kept while a request is in progress; beyond it the
 // caller is not read, which also hides that it left.
-constexpr size_t kMostUnread = 65'536;
+constexpr size_t kMaxUnread = 65'536;
 
 bool HasNoBody(int status) {
   constexpr int kNoContent = 204;
@@ -65,17 +65,18 @@
   NextRequest();
 }
 
-void CallerConnection::WatchLeaving(std::function<void()> on_left) {
-  m_on_left = std::move(on_left);
+void CallerConnection::SetDisconnectHandler(
+    std::function<void()> on_disconnect) {
+  m_on_disconnect = std::move(on_disconnect);
 }
 
-void CallerConnection::WatchDrained(std::function<void()> on_drained) {
+void CallerConnection::SetDrainedHandler(std::function<void()> on_drained) {
   m_on_drained = std::move(on_drained);
 }
 
 void CallerConnection::NextRequest() {
   m_busy = false;
-  m_on_left = nullptr;
+  m_on_disconnect = nullptr;
   m_on_drained = nullptr;
   const entry::CallerBounds bounds = m_hooks->bounds();
   m_reader = std::make_unique<http1::RequestReader>(
@@ -93,7 +94,7 @@
     Parse();
     return;
   }
-  if (m_unread.size() > kMostUnread) {
+  if (m_unread.size() > kMaxUnread) {
     m_stream->PauseReading();
   }
 }
@@ -132,22 +133,23 @@
   m_keep_alive = false;
   m_head_request = false;
   const int status = core::Describe(error.id).http_status;
-  Answer({status,
-          std::string(ReasonOf(status)),
-          {},
-          core::ErrorCode(error.id) + "\n"});
+  Respond({status,
+           std::string(ReasonOf(status)),
+           {},
+           core::ErrorCode(error.id) + "\n"});
 }
 
-void CallerConnection::Answer(const LocalAnswer& answer) {
-  BeginAnswer(answer.status, answer.reason, answer.headers, answer.body.size());
-  SendBody(answer.body);
-  EndAnswer();
+void CallerConnection::Respond(const LocalResponse& response) {
+  BeginResponse(response.status, response.reason, response.headers,
+                response.body.size());
+  SendBody(response.body);
+  EndResponse();
 }
 
-void CallerConnection::BeginAnswer(int status,
-                                   const std::string& reason,
-                                   const http1::HeaderList& headers,
-                                   std::optional<uint64_t> length) {
+void CallerConnection::BeginResponse(int status,
+                                     const std::string& reason,
+                                     const http1::HeaderList& headers,
+                                     std::optional<uint64_t> length) {
   if (m_closed) {
     return;
   }
@@ -191,7 +193,7 @@
   }
 }
 
-void CallerConnection::EndAnswer() {
+void CallerConnection::EndResponse() {
   if (m_closed) {
     return;
   }
@@ -234,11 +236,11 @@
     return;
   }
   m_stream->Abort();
-  const auto on_left = std::exchange(m_on_left, nullptr);
+  const auto on_disconnect = std::exchange(m_on_disconnect, nullptr);
   m_busy = false;
   Close();
-  if (on_left) {
-    on_left();
+  if (on_disconnect) {
+    on_disconnect();
   }
 }
 
@@ -267,7 +269,7 @@
 void CallerConnection::Close() {
   m_closed = true;
   m_timer.cancel();
-  m_on_left = nullptr;
+  m_on_disconnect = nullptr;
   m_on_drained = nullptr;
   m_hooks->on_closed();
 }
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_monitor.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/gateway/crash_watch.h"
+#include "coppervalve/gateway/crash_monitor.h"
 
 #include <utility>  // move
 #include <vector>   // vector
@@ -7,20 +7,22 @@
 
 namespace coppervalve::gateway {
 
-CrashWatch::CrashWatch(boost::asio::io_context& io, EventLog& log, Hooks hooks)
+CrashMonitor::CrashMonitor(boost::asio::io_context& io,
+                           EventLog& log,
+                           Hooks hooks)
     : m_log(log), m_hooks(std::move(hooks)), m_check(io), m_record({}) {}
 
 // Entries lapse seconds after an end, and callers repeat at once: asking the
 // address tells at once.
-void CrashWatch::OnBroken(const entry::UpstreamRef& upstream,
-                          const entry::RequestPrint& request) {
+void CrashMonitor::OnBroken(const entry::UpstreamRef& upstream,
+                            const entry::RequestPrint& request) {
   m_record.OnBroken(request, entry::StartOf(upstream->entry), net::BootNow());
-  m_check.Ask(upstream->entry.address,
-              [this, upstream] { OnEnded(upstream->entry, "refused"); });
+  m_check.Start(upstream->entry.address,
+                [this, upstream] { OnEnded(upstream->entry, "refused"); });
 }
 
-void CrashWatch::OnEnded(const entry::UpstreamEntry& entry,
-                         std::string_view by) {
+void CrashMonitor::OnEnded(const entry::UpstreamEntry& entry,
+                           std::string_view by) {
   const std::vector<entry::RequestPrint> under =
       m_record.OnEnded(entry::StartOf(entry), net::BootNow());
   if (under.empty()) {
@@ -34,27 +36,27 @@
                   .Number("requests", static_cast<int64_t>(under.size())));
   for (const entry::RequestPrint& request : under) {
     if (m_record.StandingOf(request) == entry::Standing::kQuarantined) {
-      TellQuarantined(request, "this_router");
+      LogQuarantined(request, "this_router");
     }
   }
-  m_hooks.tell();
+  m_hooks.on_change();
 }
 
-void CrashWatch::OnSurvived(const entry::RequestPrint& request) {
+void CrashMonitor::OnSurvived(const entry::RequestPrint& request) {
   if (m_record.OnSurvived(request, net::BootNow())) {
-    m_hooks.tell();
+    m_hooks.on_change();
   }
 }
 
-void CrashWatch::OnBeat(const v1::RouterBeat& beat) {
+void CrashMonitor::OnBeat(const v1::RouterBeat& beat) {
   for (const entry::RequestPrint& request :
        m_record.OnBeat(beat, net::BootNow())) {
-    TellQuarantined(request, "another_router");
+    LogQuarantined(request, "another_router");
   }
 }
 
-void CrashWatch::TellQuarantined(const entry::RequestPrint& request,
-                                 std::string_view by) {
+void CrashMonitor::LogQuarantined(const entry::RequestPrint& request,
+                                  std::string_view by) {
   m_log.Write(
       LineKind::kLifecycle,
       LogLine("request_quarantined")
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -4,8 +4,8 @@
 #include <chrono>     // duration_cast
 #include <utility>    // move, exchange
 
-#include "come_back.h"
 #include "coppervalve/net/clock.h"
+#include "retry_after.h"
 
 namespace coppervalve::gateway {
 
@@ -15,24 +15,24 @@
 
 // Placements without a byte sent: an upstream that is gone costs a connection
 // attempt each.
-constexpr uint32_t kMostTries = 6;
-constexpr core::Duration kGrantWait{400'000};
+constexpr uint32_t kMaxPlacements = 6;
+constexpr core::Duration kMaxGrantWait{400'000};
 // Another router may have room sooner.
-constexpr core::Duration kMostWaitForLimits{1'000'000};
+constexpr core::Duration kMaxRateLimitWait{1'000'000};
 constexpr int64_t kMicrosPerMilli = 1'000;
 
 core::Duration RetryAfter(const core::Error& error) {
   switch (error.id) {
     case core::ErrorId::kNotReady:
     case core::ErrorId::kConfigurationStale:
-      return kAfterReading;
+      return kRetryAfterStoreUpdate;
     default:
-      return kSoon;
+      return kRetrySoon;
   }
 }
 
 // Uniform in [0, 1).
-double Fraction(const routing::RandomHook& random) {
+double RandomFraction(const routing::RandomHook& random) {
   constexpr uint64_t kSteps = 1'000'000;
   return static_cast<double>(routing::UniformBelow(random, kSteps)) / kSteps;
 }
@@ -48,7 +48,8 @@
       m_timer(context.io) {}
 
 void Exchange::Start() {
-  m_caller->WatchLeaving([self = shared_from_this()] { self->OnCallerLeft(); });
+  m_caller->SetDisconnectHandler(
+      [self = shared_from_this()] { self->OnCallerDisconnected(); });
   Admit();
 }
 
@@ -56,14 +57,14 @@
   return m_admitted.route->kind == RouteKind::kStream;
 }
 
-bool Exchange::Repeatable() const {
+bool Exchange::Retryable() const {
   const entry::Route& route = *m_admitted.route;
   return route.kind == RouteKind::kIdempotent ||
          (route.kind == RouteKind::kStream && route.resumable);
 }
 
-core::Duration Exchange::Left() const {
-  return m_limit_at - net::BootNow();
+core::Duration Exchange::TimeLeft() const {
+  return m_deadline - net::BootNow();
 }
 
 void Exchange::Admit() {
@@ -76,8 +77,8 @@
   m_facts = core::Value(facts);
   // A request that waited long to be read may come together with the end of its
   // connection: sent on, it would be run for nobody.
-  if (m_caller->HasLeft()) {
-    OnCallerLeft();
+  if (m_caller->HasDisconnected()) {
+    OnCallerDisconnected();
     return;
   }
   core::Result<entry::Admitted> admitted =
@@ -88,72 +89,74 @@
     return;
   }
   m_admitted = core::TakeValue(std::move(admitted));
-  const auto time_to_stop = m_context.time_to_stop();
-  if (time_to_stop && m_admitted.limit > *time_to_stop) {
+  const auto time_until_shutdown = m_context.time_until_shutdown();
+  if (time_until_shutdown && m_admitted.limit > *time_until_shutdown) {
     // Taken now, it would be cut off when the process ends.
-    Refuse({core::ErrorId::kDraining, "router", "leaving"}, kSoon);
+    Refuse({core::ErrorId::kDraining, "router", "leaving"}, kRetrySoon);
     return;
   }
-  m_limit_at = m_request.arrived + m_admitted.limit;
-  if (RefuseIfItEndsUpstreams()) {
+  m_deadline = m_request.arrived + m_admitted.limit;
+  if (RefuseIfCrashesUpstreams()) {
     return;
   }
   m_context.retries.OnRequest(m_admitted.service, m_request.arrived);
-  if (ShedIfOverloaded()) {
+  if (RefuseIfOverloaded()) {
     return;
   }
   ArmTimer();
-  SetTokensAside();
+  StartReservation();
 }
 
-bool Exchange::ShedIfOverloaded() {
+bool Exchange::RefuseIfOverloaded() {
   const entry::Service* service =
       m_admitted.in_force->FindService(m_admitted.service);
-  if (service == nullptr || !service->engine || !m_context.knows_upstreams()) {
+  if (service == nullptr || !service->engine ||
+      !m_context.has_upstream_table()) {
     return false;
   }
-  m_planned = ChoosePlacement();
+  m_prepared_placement = ChoosePlacement();
   entry::Backlog backlog;
-  backlog.wait = m_context.pace.ToRead(m_admitted.service, m_planned->waiting);
+  backlog.wait =
+      m_context.pace.ToRead(m_admitted.service, m_prepared_placement->waiting);
   backlog.objective = m_admitted.in_force->ObjectiveOf(
       m_admitted.service, m_admitted.route->priority);
   backlog.rank = m_admitted.route->priority;
-  const std::optional<core::Duration> come_back = entry::Shed(
-      m_context.policy.shedding, backlog, Fraction(m_context.random));
-  if (!come_back) {
+  const std::optional<core::Duration> retry_delay = entry::Shed(
+      m_context.policy.shedding, backlog, RandomFraction(m_context.random));
+  if (!retry_delay) {
     return false;
   }
-  m_placed = *m_planned;
+  m_last_placement = *m_prepared_placement;
   Refuse({core::ErrorId::kBacklogFull, m_admitted.service.value(),
           "work that waits for " +
               std::to_string(backlog.wait.count() / kMicrosPerMilli) + " ms"},
-         come_back);
+         retry_delay);
   return true;
 }
 
-void Exchange::SetTokensAside() {
-  if (m_admitted.account == nullptr || Most() == core::Tokens(0)) {
+void Exchange::StartReservation() {
+  if (m_admitted.account == nullptr || MaxTokens() == core::Tokens(0)) {
     Place();
     return;
   }
-  m_context.book.OnDemand(m_admitted.account->name, Most(), m_request.arrived,
-                          m_admitted.route->priority);
+  m_context.book.OnDemand(m_admitted.account->name, MaxTokens(),
+                          m_request.arrived, m_admitted.route->priority);
   Reserve();
 }
 
 void Exchange::Reserve() {
   const core::AccountId& account = m_admitted.account->name;
-  switch (m_context.book.Reserve(account, Most(), net::BootNow(),
+  switch (m_context.book.Reserve(account, MaxTokens(), net::BootNow(),
                                  m_admitted.route->priority)) {
     case entry::Reservation::kHeld:
-      m_reserved = Most();
+      m_reserved = MaxTokens();
       Place();
       return;
     case entry::Reservation::kUnlimited:
       Place();
       return;
     case entry::Reservation::kExhausted:
-      if (TryGiven()) {
+      if (TryReserveTransferred()) {
         return;
       }
       // The total may have grown by a configuration that this router missed.
@@ -165,38 +168,38 @@
       }
       Refuse({core::ErrorId::kBudgetBusy, account.value(),
               "the total may have grown"},
-             kAfterACut);
+             kRetryAfterOutage);
       return;
     case entry::Reservation::kShort:
       WaitForGrant();
       return;
     case entry::Reservation::kLeftToUrgent:
-      if (!TryGiven()) {
+      if (!TryReserveTransferred()) {
         Refuse({core::ErrorId::kBudgetBusy, account.value(),
                 "left to more urgent requests"},
-               kAfterACut);
+               kRetryAfterOutage);
       }
       return;
   }
 }
 
 void Exchange::WaitForGrant() {
-  if (TryGiven()) {
+  if (TryReserveTransferred()) {
     return;
   }
   const core::TimePoint now = net::BootNow();
-  const bool waited_out = m_wait_until && now >= *m_wait_until;
-  if (!m_context.contact.up() || waited_out ||
-      !m_context.book.MayBeCovered(m_admitted.account->name, Most())) {
+  const bool wait_expired = m_wait_until && now >= *m_wait_until;
+  if (!m_context.contact.up() || wait_expired ||
+      !m_context.book.MayBeCovered(m_admitted.account->name, MaxTokens())) {
     if (!TryBorrow()) {
-      RefuseForWantOfTokens(now);
+      RefuseForLackOfTokens(now);
     }
     return;
   }
-  m_planned.reset();
+  m_prepared_placement.reset();
   if (!m_wait_until) {
     m_waiting_since = now;
-    m_wait_until = now + std::min(kGrantWait, m_admitted.limit / 4);
+    m_wait_until = now + std::min(kMaxGrantWait, m_admitted.limit / 4);
     ArmTimer();
   }
   m_context.wait_for_grant([weak = weak_from_this()] {
@@ -206,12 +209,12 @@
   });
 }
 
-bool Exchange::TryGiven() {
-  if (!m_context.book.ReserveGiven(m_admitted.account->name, Most())) {
+bool Exchange::TryReserveTransferred() {
+  if (!m_context.book.ReserveGiven(m_admitted.account->name, MaxTokens())) {
     return false;
   }
-  m_by_gift = true;
-  m_reserved = Most();
+  m_from_transfer = true;
+  m_reserved = MaxTokens();
   Place();
   return true;
 }
@@ -222,8 +225,8 @@
     return false;
   }
   m_borrowed = true;
-  m_planned.reset();
-  m_borrowing = m_context.borrow(m_admitted.account->name, Most(),
+  m_prepared_placement.reset();
+  m_borrowing = m_context.borrow(m_admitted.account->name, MaxTokens(),
                                  [weak = weak_from_this()] {
                                    if (const auto self = weak.lock()) {
                                      self->OnBorrowed();
@@ -237,45 +240,45 @@
   if (m_done || m_reserved != core::Tokens(0)) {
     return;
   }
-  if (!TryGiven()) {
-    RefuseForWantOfTokens(net::BootNow());
+  if (!TryReserveTransferred()) {
+    RefuseForLackOfTokens(net::BootNow());
   }
 }
 
 // A router that the store turned away hears from its peers whether they reach
 // it: they can raise their ceilings, so its callers are served there. With
 // nobody heard it can't tell, and says how long such a cut may last.
-void Exchange::RefuseForWantOfTokens(core::TimePoint now) {
+void Exchange::RefuseForLackOfTokens(core::TimePoint now) {
   const core::AccountId& account = m_admitted.account->name;
   core::Error error{core::ErrorId::kBudgetBusy, account.value(),
                     "others hold the rest"};
   if (m_context.contact.up()) {
     const auto figures = m_context.book.FiguresOf(account);
-    if (figures.paced && figures.free >= Most()) {
+    if (figures.paced && figures.free >= MaxTokens()) {
       error.detail = "the rest is claimed slowly after a loss";
     }
-    Refuse(error, kAfterReading);
+    Refuse(error, kRetryAfterStoreUpdate);
     return;
   }
   const uint32_t active = m_context.members.Active();
   if (m_context.peers.OthersReachStore(active, now)) {
     error.detail = "the store turned this router away, others reach it";
-    Refuse(error, kElsewhere);
+    Refuse(error, kRetryElsewhere);
     return;
   }
-  const auto covered = m_context.book.CoveredAt(account, Most(), now);
+  const auto covered = m_context.book.CoveredAt(account, MaxTokens(), now);
   if (covered) {
     error.detail = "held back while the store may still answer";
-    Refuse(error, std::max(*covered - now, kElsewhere));
+    Refuse(error, std::max(*covered - now, kRetryElsewhere));
     return;
   }
   error.detail = "the store can't be reached for more";
-  Refuse(error, kAfterACut);
+  Refuse(error, kRetryAfterOutage);
 }
 
 void Exchange::OnGrant() {
-  if (m_done || m_attempt || m_reserved != core::Tokens(0) || m_sends != 0 ||
-      m_borrowing) {
+  if (m_done || m_attempt || m_reserved != core::Tokens(0) ||
+      m_sent_attempts != 0 || m_borrowing) {
     return;
   }
   Reserve();
@@ -287,71 +290,74 @@
     m_waiting_since.reset();
     m_wait_until.reset();
   }
-  if (RefuseIfItEndsUpstreams()) {
+  if (RefuseIfCrashesUpstreams()) {
     return;
   }
-  if (!m_planned && !m_context.knows_upstreams()) {
-    AskWhere();
+  if (!m_prepared_placement && !m_context.has_upstream_table()) {
+    RequestPlacement();
     return;
   }
   const entry::Placement placement =
-      m_planned ? *std::exchange(m_planned, std::nullopt) : ChoosePlacement();
-  m_placed = placement;
-  if (placement.upstream == nullptr || ++m_tries > kMostTries) {
+      m_prepared_placement ? *std::exchange(m_prepared_placement, std::nullopt)
+                           : ChoosePlacement();
+  m_last_placement = placement;
+  if (placement.upstream == nullptr || ++m_placements > kMaxPlacements) {
     const std::string why = m_last_failure.empty()
                                 ? std::string(entry::ToString(placement.why))
                                 : m_last_failure;
     if (m_may_have_run) {
       Fail({core::ErrorId::kUpstreamFailed, m_admitted.service.value(), why});
     } else {
-      RefuseForWantOfUpstreams(why);
+      RefuseForLackOfUpstreams(why);
     }
     return;
   }
   Send(placement);
 }
 
-void Exchange::RefuseForWantOfUpstreams(const std::string& why) {
+void Exchange::RefuseForLackOfUpstreams(const std::string& why) {
   const auto refuse = [this](const std::string& reason,
-                             core::Duration come_back) {
+                             core::Duration retry_delay) {
     Refuse({core::ErrorId::kNoUpstream, m_admitted.service.value(), reason},
-           come_back);
+           retry_delay);
   };
-  if (m_placed.why == entry::PlacedBy::kEvacuated) {
-    refuse("all its failure domains are evacuated", kAfterACut);
+  if (m_last_placement.why == entry::PlacedBy::kEvacuated) {
+    refuse("all its failure domains are evacuated", kRetryAfterOutage);
     return;
   }
-  if (m_placed.why == entry::PlacedBy::kWarmingUp) {
-    refuse("those that are left are warming up", kAfterReading);
+  if (m_last_placement.why == entry::PlacedBy::kWarmingUp) {
+    refuse("those that are left are warming up", kRetryAfterStoreUpdate);
     return;
   }
   const core::TimePoint now = net::BootNow();
-  if (m_placed.why == entry::PlacedBy::kLimited) {
-    refuse("those that are left take no more for now", NextWithinLimits(now));
+  if (m_last_placement.why == entry::PlacedBy::kLimited) {
+    refuse("those that are left take no more for now",
+           RateLimitRetryDelay(now));
     return;
   }
   const auto hold = m_context.directory.AllHoldUntil(m_admitted.service, now);
   if (hold) {
     // The first pause to end says when to come.
-    refuse("all upstreams asked for a pause", std::max(*hold - now, kSoon));
+    refuse("all upstreams asked for a pause",
+           std::max(*hold - now, kRetrySoon));
     return;
   }
-  refuse(why, kSoon);
+  refuse(why, kRetrySoon);
 }
 
 // Callers that all came back as the next request may go out would be refused
 // again but for one, so their returns are spread.
-core::Duration Exchange::NextWithinLimits(core::TimePoint now) const {
+core::Duration Exchange::RateLimitRetryDelay(core::TimePoint now) const {
   const core::TimePoint next = m_context.gate.NextOfService(
       m_context.directory.Of(m_admitted.service), now);
   const core::Duration wait =
-      std::clamp(next - now, kElsewhere, kMostWaitForLimits);
-  const double spread = Fraction(m_context.random);
-  return wait +
-         std::chrono::duration_cast<core::Duration>(kAfterReading * spread);
+      std::clamp(next - now, kRetryElsewhere, kMaxRateLimitWait);
+  const double spread = RandomFraction(m_context.random);
+  return wait + std::chrono::duration_cast<core::Duration>(
+                    kRetryAfterStoreUpdate * spread);
 }
 
-entry::PlacementQuery Exchange::Query() const {
+entry::PlacementQuery Exchange::BuildQuery() const {
   const entry::Service* service =
       m_admitted.in_force->FindService(m_admitted.service);
   entry::PlacementQuery query;
@@ -375,26 +381,27 @@
 }
 
 entry::Placement Exchange::ChoosePlacement() const {
-  return m_context.placer.Choose(m_context.directory, Query(), net::BootNow());
+  return m_context.placer.Choose(m_context.directory, BuildQuery(),
+                                 net::BootNow());
 }
 
 // What this router once read of the table may name upstreams that left since.
-void Exchange::AskWhere() {
-  if (++m_tries > kMostTries) {
-    OnTold({});
+void Exchange::RequestPlacement() {
+  if (++m_placements > kMaxPlacements) {
+    OnPlacementReply({});
     return;
   }
-  m_context.ask_where(Query(),
-                      [weak = weak_from_this()](const entry::Placement& told) {
-                        const auto self = weak.lock();
-                        if (self && !self->m_done) {
-                          self->OnTold(told);
-                        }
-                      });
+  m_context.request_placement(
+      BuildQuery(), [weak = weak_from_this()](const entry::Placement& told) {
+        const auto self = weak.lock();
+        if (self && !self->m_done) {
+          self->OnPlacementReply(told);
+        }
+      });
 }
 
-void Exchange::OnTold(const entry::Placement& placement) {
-  m_placed = placement;
+void Exchange::OnPlacementReply(const entry::Placement& placement) {
+  m_last_placement = placement;
   if (placement.upstream) {
     Send(placement);
     return;
@@ -405,7 +412,7 @@
     Fail({core::ErrorId::kUpstreamFailed, m_admitted.service.value(),
           m_last_failure});
   } else {
-    Refuse(error, kElsewhere);
+    Refuse(error, kRetryElsewhere);
   }
 }
 
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -2,9 +2,9 @@
 
 #include <utility>  // move, exchange
 
-#include "come_back.h"
 #include "coppervalve/core/hash.h"
 #include "coppervalve/net/clock.h"
+#include "retry_after.h"
 
 namespace coppervalve::gateway {
 
@@ -14,11 +14,11 @@
 
 // An answer of a plain service is held until it is whole, up to this size, so
 // that a broken one can be replaced by the truth.
-constexpr size_t kHeldAnswer = 262'144;
-constexpr size_t kMostUnsent = 262'144;
+constexpr size_t kMaxBufferedResponse = 262'144;
+constexpr size_t kMaxUnsent = 262'144;
 constexpr int kServerError = 500;
 // What any request costs an upstream, so that paces of small ones compare.
-constexpr double kCostOfAny = 1;
+constexpr double kBaseRequestCost = 1;
 
 bool IsSuccess(int status) {
   return status >= 200 && status < 300;
@@ -46,7 +46,7 @@
   return "misaddressed";
 }
 
-http1::HeaderList ForCaller(const http1::ResponseHead& head) {
+http1::HeaderList CallerHeaders(const http1::ResponseHead& head) {
   http1::HeaderList headers;
   for (const http1::Header& header : head.headers) {
     if (!http1::IsHopByHop(head.headers, header.name)) {
@@ -79,32 +79,31 @@
   const core::TimePoint now = net::BootNow();
   const entry::UpstreamRef& upstream = placement.upstream;
   SendFacts facts;
-  facts.left = m_limit_at - now;
+  facts.left = m_deadline - now;
   facts.upstream = upstream->entry.id;
   facts.has_accounts = m_admitted.in_force->has_accounts();
   if (m_admitted.account != nullptr) {
     facts.account = m_admitted.account->name;
   }
   facts.priority = m_admitted.priority;
-  facts.resume_after =
-      AfterAnEvent() ? m_cutter.last_id() : m_facts.resume_after;
+  facts.resume_after = HasEvents() ? m_cutter.last_id() : m_facts.resume_after;
   m_tried.push_back(upstream->entry.id);
 
   Attempt attempt;
   attempt.upstream = upstream;
-  attempt.began = now;
-  attempt.resumed = AfterAnEvent();
-  attempt.connection = m_context.pool.Take(*upstream, !Repeatable(), now);
+  attempt.started_at = now;
+  attempt.resumed = HasEvents();
+  attempt.connection = m_context.pool.Acquire(*upstream, !Retryable(), now);
   m_attempt = attempt;
-  m_attempt->reading = placement.own_reading;
-  m_attempt->to_read = placement.to_read;
+  m_attempt->prefill_cost = placement.own_reading;
+  m_attempt->total_prefill = placement.to_read;
   m_attempt->cost = placement.cost;
   ++upstream->in_flight;
-  upstream->in_prefill += m_attempt->reading;
+  upstream->in_prefill += m_attempt->prefill_cost;
   if (!m_facts.shared_prefix.empty()) {
     upstream->prefixes.Remember(core::Hash64(m_facts.shared_prefix), now);
   }
-  m_watch_from = now;
+  m_last_activity = now;
   if (attempt.connection->connected()) {
     m_context.gate.OnSend(*upstream, now);
   }
@@ -125,13 +124,13 @@
        [self = shared_from_this()](AttemptEnd end, std::string_view why) {
          self->OnEnd(end, why);
        },
-       [this, upstream] { return PassGate(*upstream); }});
+       [this, upstream] { return MaySendNow(*upstream); }});
   ArmTimer();
 }
 
 // While the connection was opened the upstream may have left, or its failure
 // domain may have been evacuated.
-bool Exchange::PassGate(entry::Upstream& upstream) const {
+bool Exchange::MaySendNow(entry::Upstream& upstream) const {
   const core::TimePoint now = net::BootNow();
   if (upstream.entry.leaving ||
       m_context.gate.Of(upstream, now) != entry::Passage::kOpen) {
@@ -144,22 +143,22 @@
 void Exchange::OnHead(const http1::ResponseHead& head) {
   Attempt& attempt = *m_attempt;
   attempt.answer = m_context.dialect.read_answer(head);
-  m_watch_from = net::BootNow();
-  HeedUpstream();
-  EndReading();
-  attempt.upstream->health.OnFirstByte(m_watch_from - attempt.began,
-                                       attempt.cost + kCostOfAny);
-  if (attempt.to_read > 0 && IsSuccess(head.status)) {
-    m_context.pace.OnFirstPiece(m_admitted.service, attempt.to_read,
-                                m_watch_from - attempt.began);
+  m_last_activity = net::BootNow();
+  HandleUpstreamSignals();
+  EndPrefill();
+  attempt.upstream->health.OnFirstByte(m_last_activity - attempt.started_at,
+                                       attempt.cost + kBaseRequestCost);
+  if (attempt.total_prefill > 0 && IsSuccess(head.status)) {
+    m_context.pace.OnFirstPiece(m_admitted.service, attempt.total_prefill,
+                                m_last_activity - attempt.started_at);
   }
   const std::string& echoed = attempt.answer.request_id;
-  const bool of_another = !echoed.empty() && echoed != m_facts.id;
-  if (of_another || (IsSuccess(head.status) && !attempt.answer.genuine)) {
+  const bool wrong_request = !echoed.empty() && echoed != m_facts.id;
+  if (wrong_request || (IsSuccess(head.status) && !attempt.answer.genuine)) {
     // A late answer to an earlier request, or no answer of this upstream.
-    CutAttempt(AttemptOutcome::kBroken);
-    OnBroken(of_another ? "the answer of another request"
-                        : "an answer without its signature");
+    AbortAttempt(AttemptOutcome::kBroken);
+    OnBroken(wrong_request ? "the answer of another request"
+                           : "an answer without its signature");
     return;
   }
   if (attempt.resumed && !IsSuccess(head.status)) {
@@ -168,20 +167,20 @@
   if (!attempt.resumed) {
     m_head = head;
   }
-  attempt.passing_on = IsStream() && IsSuccess(head.status);
+  attempt.forwarding = IsStream() && IsSuccess(head.status);
 }
 
 void Exchange::OnBody(const std::string& body) {
   Attempt& attempt = *m_attempt;
-  m_watch_from = net::BootNow();
-  if (attempt.passing_on && !IsStream()) {
-    PassOn(body);
+  m_last_activity = net::BootNow();
+  if (attempt.forwarding && !IsStream()) {
+    ForwardToCaller(body);
     return;
   }
-  if (attempt.passing_on) {
+  if (attempt.forwarding) {
     const std::string whole = m_cutter.Feed(body);
     if (!whole.empty()) {
-      PassOn(whole);
+      ForwardToCaller(whole);
     }
     return;
   }
@@ -189,27 +188,28 @@
     return;
   }
   m_body += body;
-  if (m_body.size() > kHeldAnswer) {
-    attempt.passing_on = true;
-    PassOn(std::exchange(m_body, {}));
+  if (m_body.size() > kMaxBufferedResponse) {
+    attempt.forwarding = true;
+    ForwardToCaller(std::exchange(m_body, {}));
   }
 }
 
-void Exchange::PassOn(std::string_view bytes) {
-  if (!m_answer_begun) {
-    m_answer_begun = true;
+void Exchange::ForwardToCaller(std::string_view bytes) {
+  if (!m_response_begun) {
+    m_response_begun = true;
     m_first_byte = net::BootNow() - m_request.arrived;
     m_context.metrics.OnFirstByte(m_admitted.route->kind, m_first_byte);
     const bool known_length = !IsStream() && m_head->length;
-    m_caller->BeginAnswer(m_head->status, m_head->reason, ForCaller(*m_head),
-                          known_length ? m_head->length : std::nullopt);
+    m_caller->BeginResponse(m_head->status, m_head->reason,
+                            CallerHeaders(*m_head),
+                            known_length ? m_head->length : std::nullopt);
   }
   m_caller->SendBody(bytes);
-  if (m_done || !m_attempt || m_caller->unsent() <= kMostUnsent) {
+  if (m_done || !m_attempt || m_caller->unsent() <= kMaxUnsent) {
     return;
   }
   m_attempt->connection->PauseReading();
-  m_caller->WatchDrained([weak = weak_from_this()] {
+  m_caller->SetDrainedHandler([weak = weak_from_this()] {
     const auto self = weak.lock();
     if (self && self->m_attempt) {
       self->m_attempt->connection->ResumeReading();
@@ -217,14 +217,14 @@
   });
 }
 
-void Exchange::EndReading() {
-  m_attempt->upstream->in_prefill -= std::exchange(m_attempt->reading, 0);
+void Exchange::EndPrefill() {
+  m_attempt->upstream->in_prefill -= std::exchange(m_attempt->prefill_cost, 0);
 }
 
-void Exchange::LeaveUpstream(AttemptOutcome outcome) {
+void Exchange::RecordOutcome(AttemptOutcome outcome) {
   entry::Upstream& upstream = *m_attempt->upstream;
   --upstream.in_flight;
-  EndReading();
+  EndPrefill();
   upstream.health.On(outcome, net::BootNow());
   m_context.gate.OnOutcome(upstream, outcome, net::BootNow());
   m_context.metrics.OnAttempt(NameOf(outcome));
@@ -234,15 +234,15 @@
   }
 }
 
-void Exchange::CutAttempt(AttemptOutcome outcome) {
+void Exchange::AbortAttempt(AttemptOutcome outcome) {
   const bool sent = m_attempt->connection->sent_any();
-  m_sends += sent ? 1 : 0;
+  m_sent_attempts += sent ? 1 : 0;
   m_may_have_run = m_may_have_run || sent;
   if (sent && outcome == AttemptOutcome::kSilent) {
-    m_context.crashes.OnBroken(m_attempt->upstream, Print());
+    m_context.crash_monitor.OnBroken(m_attempt->upstream, Fingerprint());
   }
   m_attempt->connection->Cancel();
-  LeaveUpstream(outcome);
+  RecordOutcome(outcome);
   m_attempt.reset();
 }
 
@@ -251,39 +251,39 @@
     return;
   }
   if (end == AttemptEnd::kNotSent || end == AttemptEnd::kWithheld) {
-    LeaveUpstream(end == AttemptEnd::kNotSent ? AttemptOutcome::kUnreachable
+    RecordOutcome(end == AttemptEnd::kNotSent ? AttemptOutcome::kUnreachable
                                               : AttemptOutcome::kWithheld);
     m_attempt.reset();
     // Nothing left this router: any other upstream may have it.
     Place();
     return;
   }
-  ++m_sends;
+  ++m_sent_attempts;
   if (end == AttemptEnd::kBroken) {
     m_may_have_run = true;
-    m_context.crashes.OnBroken(m_attempt->upstream, Print());
-    LeaveUpstream(AttemptOutcome::kBroken);
+    m_context.crash_monitor.OnBroken(m_attempt->upstream, Fingerprint());
+    RecordOutcome(AttemptOutcome::kBroken);
     m_attempt.reset();
     OnBroken(why);
     return;
   }
-  KeepConnection();
+  ReturnConnection();
   if (m_attempt->answer.not_run) {
     OnDeclined();
     return;
   }
   m_may_have_run = true;
-  OnWhole();
+  OnComplete();
 }
 
 // The upstream may have started again, or left, while it answered: what is kept
 // under its id then belongs to another start.
-void Exchange::KeepConnection() {
+void Exchange::ReturnConnection() {
   const core::UpstreamId& id = m_attempt->upstream->entry.id;
-  const bool of_use = !m_attempt->upstream->entry.leaving &&
-                      m_context.directory.Find(id) == m_attempt->upstream;
-  if (of_use) {
-    m_context.pool.Give(id, m_attempt->connection, net::BootNow());
+  const bool reusable = !m_attempt->upstream->entry.leaving &&
+                        m_context.directory.Find(id) == m_attempt->upstream;
+  if (reusable) {
+    m_context.pool.Release(id, m_attempt->connection, net::BootNow());
   } else {
     m_attempt->connection->Close();
   }
@@ -293,13 +293,14 @@
 // run.
 void Exchange::OnDeclined() {
   if (m_attempt->answer.other_upstream) {
-    m_context.crashes.OnEnded(m_attempt->upstream->entry, "address_taken");
+    m_context.crash_monitor.OnEnded(m_attempt->upstream->entry,
+                                    "address_taken");
   }
-  LeaveUpstream(m_attempt->answer.other_upstream ? AttemptOutcome::kMisaddressed
+  RecordOutcome(m_attempt->answer.other_upstream ? AttemptOutcome::kMisaddressed
                                                  : AttemptOutcome::kDeclined);
   m_attempt.reset();
-  ForgetAnswer();
-  if (TakeRepeat()) {
+  DiscardResponse();
+  if (TakeRetry()) {
     Place();
     return;
   }
@@ -308,41 +309,41 @@
           m_last_failure});
     return;
   }
-  RefuseForWantOfUpstreams(m_last_failure);
+  RefuseForLackOfUpstreams(m_last_failure);
 }
 
-void Exchange::OnWhole() {
+void Exchange::OnComplete() {
   const bool resumed = m_attempt->resumed;
   const bool failed =
-      resumed ? !m_attempt->passing_on : m_head->status >= kServerError;
-  LeaveUpstream(failed ? AttemptOutcome::kOwnFailure
+      resumed ? !m_attempt->forwarding : m_head->status >= kServerError;
+  RecordOutcome(failed ? AttemptOutcome::kOwnFailure
                        : AttemptOutcome::kAnswered);
-  const bool streamed = m_attempt->passing_on;
+  const bool streamed = m_attempt->forwarding;
   m_attempt.reset();
-  TellSurvived();
+  ReportSurvived();
   if (failed && resumed) {
     OnBroken("the stream could not be resumed");
     return;
   }
-  if (failed && Repeatable() && TakeRepeat()) {
-    ForgetAnswer();
+  if (failed && Retryable() && TakeRetry()) {
+    DiscardResponse();
     Place();
     return;
   }
   const int status = m_head->status;
   if (streamed) {
     // Bytes behind the last event: the upstream ended its stream with them.
-    PassOn(m_cutter.TakeTail());
-    m_caller->EndAnswer();
+    ForwardToCaller(m_cutter.TakeTail());
+    m_caller->EndResponse();
   } else {
     m_first_byte = net::BootNow() - m_request.arrived;
     m_context.metrics.OnFirstByte(m_admitted.route->kind, m_first_byte);
     const bool head_only = m_request.head.method == "HEAD";
-    m_caller->BeginAnswer(
-        status, m_head->reason, ForCaller(*m_head),
+    m_caller->BeginResponse(
+        status, m_head->reason, CallerHeaders(*m_head),
         head_only && m_head->length ? *m_head->length : m_body.size());
     m_caller->SendBody(m_body);
-    m_caller->EndAnswer();
+    m_caller->EndResponse();
   }
   m_context.metrics.OnServed(m_admitted.route->kind,
                              net::BootNow() - m_request.arrived);
@@ -350,10 +351,10 @@
 }
 
 void Exchange::OnBroken(std::string_view why) {
-  ForgetAnswer();
+  DiscardResponse();
   const bool can_go_on =
-      Repeatable() && (!m_answer_begun || (IsStream() && AfterAnEvent()));
-  if (can_go_on && TakeRepeat()) {
+      Retryable() && (!m_response_begun || (IsStream() && HasEvents()));
+  if (can_go_on && TakeRetry()) {
     Place();
     return;
   }
@@ -361,21 +362,21 @@
 }
 
 // What was not passed on of a broken answer is never joined with another.
-void Exchange::ForgetAnswer() {
+void Exchange::DiscardResponse() {
   m_cutter.TakeTail();
-  if (!m_answer_begun) {
+  if (!m_response_begun) {
     m_head.reset();
     m_body.clear();
   }
 }
 
-bool Exchange::TakeRepeat() {
-  if (m_sends >= m_admitted.route->max_attempts ||
-      Left() <= core::Duration::zero()) {
+bool Exchange::TakeRetry() {
+  if (m_sent_attempts >= m_admitted.route->max_attempts ||
+      TimeLeft() <= core::Duration::zero()) {
     return false;
   }
   // One arrival of what ends its upstreams costs one of them, not two.
-  if (StandingNow() != entry::Standing::kClear) {
+  if (CurrentStanding() != entry::Standing::kClear) {
     return false;
   }
   return m_context.retries.Take(m_admitted.service, m_context.members.Live(),
--- a/src/gateway/exchange_end.cc
+++ b/src/gateway/exchange_end.cc
@@ -3,8 +3,8 @@
 #include <algorithm>  // min, max
 #include <utility>    // move, exchange
 
-#include "come_back.h"
 #include "coppervalve/net/clock.h"
+#include "retry_after.h"
 
 namespace coppervalve::gateway {
 
@@ -13,9 +13,9 @@
 using entry::AttemptOutcome;
 using entry::RouteKind;
 
-constexpr core::Duration kLeastFirstByteWatch{250'000};
-constexpr core::Duration kLeastGapWatch{700'000};
-constexpr int kWatchFactor = 4;
+constexpr core::Duration kMinFirstByteTimeout{250'000};
+constexpr core::Duration kMinGapTimeout{700'000};
+constexpr int kTimeoutFactor = 4;
 
 }  // namespace
 
@@ -23,25 +23,25 @@
                       std::optional<core::Duration> retry_after) {
   const core::ErrorInfo& info = core::Describe(error.id);
   m_last_failure = error.subject + ": " + error.detail;
-  m_caller->Answer(m_context.dialect.refusal(error, retry_after));
+  m_caller->Respond(m_context.dialect.refusal(error, retry_after));
   Finish(info.name, info.http_status);
 }
 
 // After the point of no return nothing is promised: the status says neither
-// "not run" nor "ran", and an answer that began must not look complete.
+// "not run" nor "ran", and an answer that started_at must not look complete.
 void Exchange::Fail(const core::Error& error) {
   const core::ErrorInfo& info = core::Describe(error.id);
   m_last_failure = error.subject + ": " + error.detail;
-  if (m_answer_begun) {
+  if (m_response_begun) {
     m_caller->Abort();
     Finish("answer_cut", 0);
     return;
   }
-  m_caller->Answer(m_context.dialect.refusal(error, std::nullopt));
+  m_caller->Respond(m_context.dialect.refusal(error, std::nullopt));
   Finish(info.name, info.http_status);
 }
 
-void Exchange::OnCallerLeft() {
+void Exchange::OnCallerDisconnected() {
   if (m_done) {
     return;
   }
@@ -50,7 +50,7 @@
     m_may_have_run = m_may_have_run || sent;
     m_attempt->connection->Cancel();
     --m_attempt->upstream->in_flight;
-    EndReading();
+    EndPrefill();
     m_attempt.reset();
   }
   Finish("caller_left", 0);
@@ -73,7 +73,7 @@
                     m_facts.prompt + std::min(output, m_facts.most_output));
   }
   const core::AccountId& account = m_admitted.account->name;
-  if (m_by_gift) {
+  if (m_from_transfer) {
     m_context.book.SettleGiven(account, m_reserved, used);
   } else {
     m_context.book.Settle(account, m_reserved, used, net::BootNow());
@@ -88,7 +88,7 @@
   m_done = true;
   m_timer.cancel();
   if (m_on_trial) {
-    m_context.crashes.record().EndTrial(Print());
+    m_context.crash_monitor.record().EndTrial(Fingerprint());
   }
   Settle();
   const bool admitted = m_admitted.route != nullptr;
@@ -115,18 +115,18 @@
         .Number("ceiling", figures.ceiling.value())
         .Number("spent", figures.spent.value())
         .Number("reserved", figures.reserved.value())
-        .Flag("by_gift", m_by_gift);
+        .Flag("by_gift", m_from_transfer);
   }
   if (!m_tried.empty()) {
     line.Text("upstream", m_tried.back().value())
-        .Text("placed_by", entry::ToString(m_placed.why))
-        .Number("cost", static_cast<int64_t>(m_placed.cost))
-        .Number("candidates", m_placed.candidates)
-        .Number("reporting", m_placed.reporting)
-        .Number("sends", m_sends);
+        .Text("placed_by", entry::ToString(m_last_placement.why))
+        .Number("cost", static_cast<int64_t>(m_last_placement.cost))
+        .Number("candidates", m_last_placement.candidates)
+        .Number("reporting", m_last_placement.reporting)
+        .Number("sends", m_sent_attempts);
   }
-  if (m_print) {
-    line.Text("content", m_print->Short());
+  if (m_fingerprint) {
+    line.Text("content", m_fingerprint->Short());
   }
   if (!m_last_failure.empty()) {
     line.Text("why", m_last_failure);
@@ -139,30 +139,30 @@
       cause == "served" ? LineKind::kRoutine : LineKind::kTrouble, line);
 }
 
-std::optional<core::TimePoint> Exchange::WatchTime() const {
-  if (!m_attempt || !Repeatable() ||
-      m_sends + 1 >= m_admitted.route->max_attempts) {
+std::optional<core::TimePoint> Exchange::UpstreamTimeoutAt() const {
+  if (!m_attempt || !Retryable() ||
+      m_sent_attempts + 1 >= m_admitted.route->max_attempts) {
     return std::nullopt;
   }
   const entry::Route& route = *m_admitted.route;
-  if (!m_answer_begun) {
-    return m_watch_from +
-           std::max(route.target_latency * kWatchFactor, kLeastFirstByteWatch);
+  if (!m_response_begun) {
+    return m_last_activity + std::max(route.target_latency * kTimeoutFactor,
+                                      kMinFirstByteTimeout);
   }
   if (!IsStream()) {
     return std::nullopt;
   }
-  return m_watch_from +
-         std::max(route.target_gap * kWatchFactor, kLeastGapWatch);
+  return m_last_activity +
+         std::max(route.target_gap * kTimeoutFactor, kMinGapTimeout);
 }
 
 void Exchange::ArmTimer() {
-  core::TimePoint next = m_limit_at;
+  core::TimePoint next = m_deadline;
   if (m_wait_until && !m_borrowing) {
     next = std::min(next, *m_wait_until);
   }
-  if (const auto watch = WatchTime()) {
-    next = std::min(next, *watch);
+  if (const auto timeout_at = UpstreamTimeoutAt()) {
+    next = std::min(next, *timeout_at);
   }
   const core::Duration wait = next - net::BootNow();
   m_timer.expires_after(std::max(wait, core::Duration(1'000)));
@@ -177,11 +177,11 @@
 
 void Exchange::OnTimer() {
   const core::TimePoint now = net::BootNow();
-  if (now >= m_limit_at) {
+  if (now >= m_deadline) {
     const bool sent = m_attempt && m_attempt->connection->sent_any();
     if (m_attempt) {
-      CutAttempt(m_answer_begun ? AttemptOutcome::kBroken
-                                : AttemptOutcome::kSilent);
+      AbortAttempt(m_response_begun ? AttemptOutcome::kBroken
+                                    : AttemptOutcome::kSilent);
     }
     if (sent || m_may_have_run) {
       Fail({core::ErrorId::kUpstreamSilent, m_last_failure,
@@ -189,7 +189,7 @@
     } else {
       Refuse({core::ErrorId::kQueueTimeout, m_admitted.service.value(),
               "not sent within the limit"},
-             kSoon);
+             kRetrySoon);
     }
     return;
   }
@@ -197,16 +197,16 @@
     WaitForGrant();
     return;
   }
-  const auto watch = WatchTime();
-  if (watch && now >= *watch && TakeRepeat()) {
-    CutAttempt(AttemptOutcome::kSilent);
-    ForgetAnswer();
+  const auto timeout_at = UpstreamTimeoutAt();
+  if (timeout_at && now >= *timeout_at && TakeRetry()) {
+    AbortAttempt(AttemptOutcome::kSilent);
+    DiscardResponse();
     Place();
     return;
   }
-  if (watch && now >= *watch) {
+  if (timeout_at && now >= *timeout_at) {
     // No right to repeat now; look again a little later.
-    m_watch_from = now;
+    m_last_activity = now;
   }
   ArmTimer();
 }
--- a/src/gateway/exchange_quarantine.cc
+++ b/src/gateway/exchange_quarantine.cc
@@ -1,7 +1,7 @@
 // A request that ends the upstreams that run it is told by its content.
-#include "come_back.h"
 #include "coppervalve/gateway/exchange.h"
 #include "coppervalve/net/clock.h"
+#include "retry_after.h"
 
 namespace coppervalve::gateway {
 
@@ -16,60 +16,61 @@
   return content;
 }
 
-const entry::RequestPrint& Exchange::Print() {
-  if (!m_print) {
-    m_print = entry::PrintOf(Content());
+const entry::RequestPrint& Exchange::Fingerprint() {
+  if (!m_fingerprint) {
+    m_fingerprint = entry::PrintOf(Content());
   }
-  return *m_print;
+  return *m_fingerprint;
 }
 
 // Hardly any request is known, and most of the others are told apart by the
 // sketch: their bodies are not hashed.
-bool Exchange::MayHaveEndedUpstreams() const {
-  const entry::CrashRecord& record = m_context.crashes.record();
+bool Exchange::MayHaveCrashedUpstreams() const {
+  const entry::CrashRecord& record = m_context.crash_monitor.record();
   return !record.empty() && record.MayKnow(entry::SketchOf(Content()));
 }
 
-entry::Standing Exchange::StandingNow() {
-  return MayHaveEndedUpstreams()
-             ? m_context.crashes.record().StandingOf(Print())
+entry::Standing Exchange::CurrentStanding() {
+  return MayHaveCrashedUpstreams()
+             ? m_context.crash_monitor.record().StandingOf(Fingerprint())
              : entry::Standing::kClear;
 }
 
 // Isolating upstreams alone gives a request that ends its upstreams one after
 // another, with all that they were running; so it is judged by its content,
 // before every send.
-bool Exchange::RefuseIfItEndsUpstreams() {
-  const entry::Standing standing = StandingNow();
+bool Exchange::RefuseIfCrashesUpstreams() {
+  const entry::Standing standing = CurrentStanding();
   if (standing == entry::Standing::kClear) {
     return false;
   }
-  core::Error error{core::ErrorId::kEndsUpstreams, Print().Short(),
+  core::Error error{core::ErrorId::kEndsUpstreams, Fingerprint().Short(),
                     "upstreams ended under it"};
-  core::Duration come_back =
-      m_context.crashes.record().RefusedFor(Print(), net::BootNow());
+  core::Duration retry_delay = m_context.crash_monitor.record().RefusedFor(
+      Fingerprint(), net::BootNow());
   if (standing == entry::Standing::kSuspect) {
     // Copies that come at once, to many routers, would end an upstream each.
-    m_on_trial = m_on_trial || (m_context.members.SelfOwns(Print().digest) &&
-                                m_context.crashes.record().BeginTrial(Print()));
+    m_on_trial = m_on_trial ||
+                 (m_context.members.SelfOwns(Fingerprint().digest) &&
+                  m_context.crash_monitor.record().BeginTrial(Fingerprint()));
     if (m_on_trial) {
       return false;
     }
     error.detail = "tried by one router, one at a time";
-    come_back = kAfterATrial;
+    retry_delay = kRetryAfterTrial;
   }
   if (m_may_have_run) {
     error.id = core::ErrorId::kUpstreamFailed;
     Fail(error);
   } else {
-    Refuse(error, come_back);
+    Refuse(error, retry_delay);
   }
   return true;
 }
 
-void Exchange::TellSurvived() {
-  if (MayHaveEndedUpstreams()) {
-    m_context.crashes.OnSurvived(Print());
+void Exchange::ReportSurvived() {
+  if (MayHaveCrashedUpstreams()) {
+    m_context.crash_monitor.OnSurvived(Fingerprint());
   }
 }
 
--- a/src/gateway/exchange_heed.cc
+++ b/src/gateway/exchange_signals.cc
@@ -8,27 +8,27 @@
 
 // The record in the store tells the same later, and not at all while the store
 // is away; the upstream itself knows first.
-void Exchange::HeedUpstream() {
+void Exchange::HandleUpstreamSignals() {
   const AnswerFacts& answer = m_attempt->answer;
-  const entry::UpstreamRef speaker =
+  const entry::UpstreamRef sender =
       answer.other_upstream
           ? m_context.directory.OtherAtAddress(*m_attempt->upstream)
           : m_attempt->upstream;
-  if (!speaker) {
+  if (!sender) {
     return;
   }
-  HeedLimit(speaker);
-  TellUnknownWords(speaker->entry.id);
+  HandleRateLimit(sender);
+  LogUnknownHeaders(sender->entry.id);
   if (!answer.leaving && !answer.wait) {
     return;
   }
-  const bool known_to_leave = speaker->entry.leaving;
-  if (answer.leaving && m_context.directory.OnLeavingWord(speaker)) {
-    m_context.pool.Forget(speaker->entry.id);
+  const bool known_to_leave = sender->entry.leaving;
+  if (answer.leaving && m_context.directory.OnLeavingWord(sender)) {
+    m_context.pool.CloseAll(sender->entry.id);
   }
   if (answer.wait) {
-    speaker->hold_until =
-        std::max(speaker->hold_until, net::BootNow() + *answer.wait);
+    sender->hold_until =
+        std::max(sender->hold_until, net::BootNow() + *answer.wait);
   }
   if (known_to_leave && !answer.wait) {
     return;  // told already
@@ -36,15 +36,15 @@
   m_context.log.Write(
       LineKind::kLifecycle,
       LogLine("upstream_says")
-          .Text("upstream", speaker->entry.id.value())
+          .Text("upstream", sender->entry.id.value())
           .Flag("leaving", answer.leaving)
           .Flag("known_to_leave", known_to_leave)
           .Millis("wait_ms", answer.wait.value_or(core::Duration::zero())));
 }
 
-void Exchange::TellUnknownWords(const core::UpstreamId& upstream) {
+void Exchange::LogUnknownHeaders(const core::UpstreamId& upstream) {
   for (const std::string& name : m_attempt->answer.unknown) {
-    if (m_context.unknown_words.IsNew(name)) {
+    if (m_context.unknown_headers.IsNew(name)) {
       m_context.log.Write(LineKind::kLifecycle,
                           LogLine("upstream_word_unknown")
                               .Text("upstream", upstream.value())
@@ -55,24 +55,24 @@
 
 // Only the upstream's own answer to this very request shows that it names no
 // limit any more.
-void Exchange::HeedLimit(const entry::UpstreamRef& speaker) {
+void Exchange::HandleRateLimit(const entry::UpstreamRef& sender) {
   const AnswerFacts& answer = m_attempt->answer;
   const bool own_answer = answer.request_id == m_facts.id &&
                           !answer.other_upstream &&
                           (answer.genuine || answer.not_run);
-  bool news = false;
+  bool changed = false;
   if (answer.limit_unreadable) {
-    news = speaker->limit.OnUnreadable();
+    changed = sender->limit.OnUnreadable();
   } else if (answer.limit || own_answer) {
-    news = m_context.directory.OnLimitWord(speaker, answer.limit,
-                                           m_attempt->began, net::BootNow());
+    changed = m_context.directory.OnLimitWord(
+        sender, answer.limit, m_attempt->started_at, net::BootNow());
   }
-  if (!news) {
+  if (!changed) {
     return;
   }
   m_context.log.Write(LineKind::kLifecycle,
                       LogLine("upstream_limit")
-                          .Text("upstream", speaker->entry.id.value())
+                          .Text("upstream", sender->entry.id.value())
                           .Flag("limited", answer.limit.has_value())
                           .Decimal("per_s", answer.limit.value_or(0))
                           .Flag("unreadable", answer.limit_unreadable));
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -154,7 +154,7 @@
   const core::TimePoint now = net::BootNow();
   for (const core::UpstreamId& id :
        m_directory.DropLapsed(m_upstream_contact, now)) {
-    m_pool.Forget(id);
+    m_pool.CloseAll(id);
     Lifecycle(LogLine("upstream_gone").Text("upstream", id.value()));
   }
   m_members.Advance(m_beat_contact, now);
@@ -163,7 +163,7 @@
   TellActive();
   m_peer_loads.Advance(now);
   m_crashes.record().Advance(now);
-  m_pool.CloseOld(now);
+  m_pool.CloseExpired(now);
   if (Ready() != m_was_ready) {
     m_was_ready = Ready();
     Lifecycle(LogLine("readiness").Flag("ready", m_was_ready));
--- a/src/gateway/gateway_serve.cc
+++ b/src/gateway/gateway_serve.cc
@@ -112,12 +112,12 @@
        }},
       {m_settings.readiness_address,
        [this](const CallerRef& caller, const CallerRequest& request) {
-         caller->Answer(m_dialect.readiness(request.head, Ready()));
+         caller->Respond(m_dialect.readiness(request.head, Ready()));
        }},
       {m_settings.directory_address,
        [this](const CallerRef& caller, const CallerRequest& request) {
-         caller->Answer(m_dialect.addresses(request.head, m_members.Addresses(),
-                                            m_settings.address_lifetime));
+         caller->Respond(m_dialect.addresses(
+             request.head, m_members.Addresses(), m_settings.address_lifetime));
        }},
       {m_settings.metrics_address,
        [this](const CallerRef& caller, const CallerRequest& /*request*/) {
@@ -164,10 +164,10 @@
   figures.evacuation_known_within = m_evacuation_known_within;
   figures.held_ahead = m_book.HoldFactor();
   m_metrics.OnProcess(figures);
-  LocalAnswer answer;
+  LocalResponse answer;
   answer.headers.Add("Content-Type", "text/plain; version=0.0.4");
   answer.body = m_metrics.Text();
-  caller->Answer(answer);
+  caller->Respond(answer);
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -103,7 +103,7 @@
   if (record.value.empty()) {
     const bool gone = m_directory.Remove(id, m_upstream_contact, now);
     if (gone) {
-      m_pool.Forget(id);
+      m_pool.CloseAll(id);
     }
     Lifecycle(LogLine("upstream_entry_removed")
                   .Text("upstream", record.key)
@@ -118,7 +118,7 @@
   const entry::RecordWorth worth = entry::WorthOf(read);
   const bool new_start = change == entry::DirectoryChange::kNewStart;
   if (new_start || worth != entry::RecordWorth::kUsable) {
-    m_pool.Forget(id);
+    m_pool.CloseAll(id);
   }
   if (worth == entry::RecordWorth::kNone) {
     Lifecycle(LogLine("upstream_dropped").Text("upstream", record.key));
@@ -156,7 +156,7 @@
   }
   for (const core::UpstreamId& id :
        m_directory.ReplaceAll(read, m_upstream_contact, net::BootNow())) {
-    m_pool.Forget(id);
+    m_pool.CloseAll(id);
   }
   if (!m_upstreams_known) {
     m_upstreams_known = true;
--- a/src/gateway/http_caller.cc
+++ b/src/gateway/http_client.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/gateway/http_caller.h"
+#include "coppervalve/gateway/http_client.h"
 
 #include <algorithm>                  // max
 #include <boost/asio/ip/address.hpp>  // make_address
@@ -33,15 +33,15 @@
 
 }  // namespace
 
-HttpCaller::HttpCaller(boost::asio::io_context& io, std::string address)
+HttpClient::HttpClient(boost::asio::io_context& io, std::string address)
     : m_io(io), m_address(std::move(address)), m_timeout(io) {}
 
-void HttpCaller::Call(HttpCall call, Handler handler) {
+void HttpClient::Call(HttpCall call, Handler handler) {
   m_queue.push_back({std::move(call), std::move(handler)});
   Next();
 }
 
-void HttpCaller::Next() {
+void HttpClient::Next() {
   if (m_busy || m_queue.empty()) {
     return;
   }
@@ -63,7 +63,7 @@
 // it shows that the other end can't be reached, and how long a large answer
 // takes through a small link, are two things. Thrown away half read, it is
 // asked for again, by all readers at once, and none of them ever gets it.
-void HttpCaller::ArmTimeout() {
+void HttpClient::ArmTimeout() {
   const core::TimePoint give_up = GiveUpAt();
   m_timeout.expires_after(
       std::max(give_up - net::BootNow(), core::Duration::zero()));
@@ -81,11 +81,11 @@
   });
 }
 
-core::TimePoint HttpCaller::GiveUpAt() const {
+core::TimePoint HttpClient::GiveUpAt() const {
   return m_queue.front().call.patience.GiveUpAt(m_progress);
 }
 
-void HttpCaller::Connect() {
+void HttpClient::Connect() {
   const auto endpoint = net::ReadEndpoint(m_address);
   ErrorCode bad_address;
   const auto ip = boost::asio::ip::make_address(
@@ -108,7 +108,7 @@
         }
         self->m_progress.connected = true;
         self->m_stream = std::make_shared<Stream>(std::move(*socket));
-        std::weak_ptr<HttpCaller> weak = self;
+        std::weak_ptr<HttpClient> weak = self;
         self->m_stream->Start({[weak](std::string_view bytes) {
                                  if (const auto caller = weak.lock()) {
                                    caller->OnBytes(bytes);
@@ -124,11 +124,11 @@
       });
 }
 
-void HttpCaller::SendCurrent() {
+void HttpClient::SendCurrent() {
   m_stream->Send(TextOf(m_queue.front().call, m_address));
 }
 
-void HttpCaller::OnBytes(std::string_view bytes) {
+void HttpClient::OnBytes(std::string_view bytes) {
   if (!m_busy) {
     // Bytes that nobody asked for would be read as the next call's answer.
     m_stream->Abort();
@@ -137,7 +137,7 @@
   }
   m_progress.last_part = net::BootNow();
   m_received += bytes.size();
-  if (m_received > m_queue.front().call.most_bytes) {
+  if (m_received > m_queue.front().call.max_bytes) {
     Finish(NoAnswer("the answer is too long"), false);
     return;
   }
@@ -154,7 +154,7 @@
   }
 }
 
-void HttpCaller::OnEnd() {
+void HttpClient::OnEnd() {
   if (m_busy) {
     Finish(NoAnswer("the connection ended"), false);
     return;
@@ -165,7 +165,7 @@
   }
 }
 
-void HttpCaller::Finish(core::Result<HttpReply> result, bool keep_connection) {
+void HttpClient::Finish(core::Result<HttpReply> result, bool keep_connection) {
   m_timeout.cancel();
   ++m_call_number;
   if (m_connecting) {
--- a/src/gateway/listener.cc
+++ b/src/gateway/listener.cc
@@ -14,12 +14,12 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr int kBacklog = 1'024;
-constexpr size_t kCleanEvery = 64;
+constexpr size_t kCleanupInterval = 64;
 // After a failed accept, for example for want of descriptors: not at once, or
 // the loop does nothing else.
 constexpr std::chrono::milliseconds kAcceptPause{50};
 
-core::Error Unfit(const std::string& address, const std::string& why) {
+core::Error ListenError(const std::string& address, const std::string& why) {
   return {core::ErrorId::kSettingBadValue, address, why};
 }
 
@@ -30,17 +30,17 @@
       m_hooks(
           std::make_shared<const CallerConnection::Hooks>(std::move(hooks))),
       m_acceptor(io),
-      m_pause(io) {}
+      m_accept_pause(io) {}
 
 core::Status Listener::Listen(const std::string& address) {
   const auto endpoint = net::ReadEndpoint(address);
   if (!endpoint) {
-    return Unfit(address, "not an address");
+    return ListenError(address, "not an address");
   }
   ErrorCode code;
   const auto ip = boost::asio::ip::make_address(endpoint->ip, code);
   if (code) {
-    return Unfit(address, code.message());
+    return ListenError(address, code.message());
   }
   const tcp::endpoint local(ip, endpoint->port);
   m_acceptor.open(local.protocol(), code);
@@ -52,7 +52,7 @@
     m_acceptor.listen(kBacklog, code);
   }
   if (code) {
-    return Unfit(address, code.message());
+    return ListenError(address, code.message());
   }
   Accept();
   return core::Ok();
@@ -65,14 +65,14 @@
           return;
         }
         if (code) {
-          self->m_pause.expires_after(kAcceptPause);
-          self->m_pause.async_wait(
+          self->m_accept_pause.expires_after(kAcceptPause);
+          self->m_accept_pause.async_wait(
               [self](const ErrorCode& /*code*/) { self->Accept(); });
           return;
         }
         const auto connection = std::make_shared<CallerConnection>(
             self->m_io, std::move(socket), self->m_hooks);
-        if (++self->m_cleaned_at % kCleanEvery == 0) {
+        if (++self->m_accepted % kCleanupInterval == 0) {
           std::erase_if(self->m_connections,
                         [](const auto& weak) { return weak.expired(); });
         }
--- a/src/gateway/stream.cc
+++ b/src/gateway/stream.cc
@@ -20,8 +20,8 @@
 constexpr size_t kReadChunk = 65'536;
 // Sent bytes that nobody acknowledges for this long end the connection: it
 // may have gone silent for good while new ones work.
-constexpr int kUnacknowledgedMs = 3'000;
-constexpr std::chrono::milliseconds kLingerTime{1'000};
+constexpr int kUserTimeoutMs = 3'000;
+constexpr std::chrono::milliseconds kLingerTimeout{1'000};
 
 // One buffer for all connections: they are read on one thread, and nothing
 // keeps a view of it past its handler.
@@ -39,7 +39,7 @@
   ErrorCode ignored;
   socket.non_blocking(true, ignored);
   socket.set_option(tcp::no_delay(true), ignored);
-  const int timeout = kUnacknowledgedMs;
+  const int timeout = kUserTimeoutMs;
   setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout,
              sizeof(timeout));
 }
@@ -100,7 +100,7 @@
   Read();
 }
 
-bool Stream::AtEnd() {
+bool Stream::PeerHasClosed() {
   char next = 0;
   return !open() || m_ended ||
          recv(m_socket.native_handle(), &next, sizeof(next),
@@ -211,7 +211,7 @@
   m_socket.shutdown(tcp::socket::shutdown_send, ignored);
   m_paused = false;
   Read();
-  m_linger.expires_after(kLingerTime);
+  m_linger.expires_after(kLingerTimeout);
   m_linger.async_wait([self = shared_from_this()](const ErrorCode& code) {
     if (!code) {
       self->Close();
--- a/src/gateway/upstream_check.cc
+++ b/src/gateway/upstream_check.cc
@@ -17,42 +17,43 @@
 using boost::asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-constexpr std::chrono::milliseconds kCheckTime{500};
+constexpr std::chrono::milliseconds kConnectTimeout{500};
 
-/// What one question needs until it is answered.
-struct Question {
-  explicit Question(boost::asio::io_context& io) : socket(io), timer(io) {}
+/// What one attempt needs until it is answered.
+struct ConnectAttempt {
+  explicit ConnectAttempt(boost::asio::io_context& io)
+      : socket(io), timer(io) {}
   tcp::socket socket;
   boost::asio::steady_timer timer;
 };
 
 }  // namespace
 
-void UpstreamCheck::Ask(const std::string& address,
-                        std::function<void()> on_refused) {
+void UpstreamCheck::Start(const std::string& address,
+                          std::function<void()> on_refused) {
   const auto endpoint = net::ReadEndpoint(address);
   ErrorCode bad_address;
   const auto ip = boost::asio::ip::make_address(
       endpoint ? endpoint->ip : std::string(), bad_address);
-  if (!endpoint || bad_address || !m_asking.insert(address).second) {
+  if (!endpoint || bad_address || !m_pending.insert(address).second) {
     return;
   }
-  const auto question = std::make_shared<Question>(m_io);
-  question->timer.expires_after(kCheckTime);
-  question->timer.async_wait([question](const ErrorCode& code) {
+  const auto attempt = std::make_shared<ConnectAttempt>(m_io);
+  attempt->timer.expires_after(kConnectTimeout);
+  attempt->timer.async_wait([attempt](const ErrorCode& code) {
     if (!code) {
       ErrorCode ignored;
-      question->socket.close(ignored);
+      attempt->socket.close(ignored);
     }
   });
-  question->socket.async_connect(
+  attempt->socket.async_connect(
       tcp::endpoint(ip, endpoint->port),
-      [this, question, address,
+      [this, attempt, address,
        on_refused = std::move(on_refused)](const ErrorCode& code) {
-        question->timer.cancel();
+        attempt->timer.cancel();
         ErrorCode ignored;
-        question->socket.close(ignored);
-        m_asking.erase(address);
+        attempt->socket.close(ignored);
+        m_pending.erase(address);
         if (code == boost::asio::error::connection_refused) {
           on_refused();
         }
--- a/src/gateway/upstream_connection.cc
+++ b/src/gateway/upstream_connection.cc
@@ -17,7 +17,7 @@
 
 // A first packet that is dropped is sent again only after a second: by then
 // another upstream has answered.
-constexpr std::chrono::milliseconds kConnectTime{350};
+constexpr std::chrono::milliseconds kConnectTimeout{350};
 
 core::Duration KeepAliveOf(const http1::ResponseHead& head) {
   constexpr std::string_view kTimeout = "timeout=";
@@ -71,7 +71,7 @@
     return;
   }
   m_connecting = std::make_shared<tcp::socket>(m_io);
-  m_connect_timer.expires_after(kConnectTime);
+  m_connect_timer.expires_after(kConnectTimeout);
   m_connect_timer.async_wait(
       [self = shared_from_this()](const ErrorCode& code) {
         if (!code && self->m_connecting) {
@@ -162,7 +162,7 @@
     // take the rest of it for the next one.
     m_reusable = m_reader->head().keep_alive && m_unread.empty() &&
                  m_stream->unsent() == 0;
-    Finish(AttemptEnd::kWhole, {});
+    Finish(AttemptEnd::kComplete, {});
   }
 }
 
--- a/src/gateway/upstream_pool.cc
+++ b/src/gateway/upstream_pool.cc
@@ -7,25 +7,25 @@
 namespace {
 
 // Unless the upstream says how long it keeps an idle connection.
-constexpr core::Duration kUnsaidKeepAlive{4'000'000};
+constexpr core::Duration kDefaultKeepAlive{4'000'000};
 // The upstream's time is in whole seconds and counts from its own last byte.
-constexpr core::Duration kCloseAhead{700'000};
-constexpr core::Duration kLeastIdle{300'000};
+constexpr core::Duration kKeepAliveMargin{700'000};
+constexpr core::Duration kMinIdleTime{300'000};
 // An idle connection may be closing when a request is sent; what must not run
 // twice is lost then. The first half of the time that the upstream stated is
 // far enough from its end.
-constexpr int kCarefulPart = 2;
+constexpr int kFreshDivisor = 2;
 
 }  // namespace
 
-UpstreamConnectionRef UpstreamPool::Take(const entry::Upstream& upstream,
-                                         bool careful,
-                                         core::TimePoint now) {
+UpstreamConnectionRef UpstreamPool::Acquire(const entry::Upstream& upstream,
+                                            bool needs_fresh,
+                                            core::TimePoint now) {
   std::vector<Idle>& idle = m_idle[upstream.entry.id];
   while (!idle.empty()) {
     // The one used last: it is the least likely to be closing.
     const Idle last = idle.back();
-    if (careful && now - last.since > last.kept_for / kCarefulPart) {
+    if (needs_fresh && now - last.since > last.keep_time / kFreshDivisor) {
       break;
     }
     idle.pop_back();
@@ -38,21 +38,22 @@
   return std::make_shared<UpstreamConnection>(m_io, upstream.entry.address);
 }
 
-void UpstreamPool::Give(const core::UpstreamId& upstream,
-                        const UpstreamConnectionRef& connection,
-                        core::TimePoint now) {
+void UpstreamPool::Release(const core::UpstreamId& upstream,
+                           const UpstreamConnectionRef& connection,
+                           core::TimePoint now) {
   if (!connection->reusable()) {
     return;
   }
   core::Duration keep = connection->keep_alive();
   if (keep == core::Duration::zero()) {
-    keep = kUnsaidKeepAlive;
+    keep = kDefaultKeepAlive;
   }
   m_idle[upstream].push_back(
-      {connection, now, now + std::max(keep - kCloseAhead, kLeastIdle), keep});
+      {connection, now, now + std::max(keep - kKeepAliveMargin, kMinIdleTime),
+       keep});
 }
 
-void UpstreamPool::CloseOld(core::TimePoint now) {
+void UpstreamPool::CloseExpired(core::TimePoint now) {
   for (auto& [upstream, idle] : m_idle) {
     std::erase_if(idle, [now](const Idle& one) {
       const bool old = !one.connection->reusable() || now >= one.usable_until;
@@ -64,7 +65,7 @@
   }
 }
 
-void UpstreamPool::Forget(const core::UpstreamId& upstream) {
+void UpstreamPool::CloseAll(const core::UpstreamId& upstream) {
   const auto found = m_idle.find(upstream);
   if (found == m_idle.end()) {
     return;
--- a/tests/gateway/gateway_fixture.cc
+++ b/tests/gateway/gateway_fixture.cc
@@ -126,7 +126,7 @@
     entry::UpstreamEntry entry;
     entry.id = core::UpstreamId(key);
     words >> service >> entry.address;
-    if (service == kNamesNoUpstream) {
+    if (service == kInvalidService) {
       return core::Error{core::ErrorId::kConfigSyntax, key, document};
     }
     int64_t born = 0;
@@ -142,7 +142,7 @@
   };
   dialect.refusal = [](const core::Error& error,
                        std::optional<core::Duration> retry_after) {
-    LocalAnswer answer;
+    LocalResponse answer;
     answer.status = core::Describe(error.id).http_status;
     answer.reason = "Refused";
     if (retry_after) {
@@ -155,14 +155,14 @@
   dialect.addresses = [](const http1::RequestHead&,
                          const std::vector<std::string>& addresses,
                          core::Duration) {
-    LocalAnswer answer;
+    LocalResponse answer;
     for (const std::string& address : addresses) {
       answer.body += address + "\n";
     }
     return answer;
   };
   dialect.readiness = [](const http1::RequestHead&, bool ready) {
-    LocalAnswer answer;
+    LocalResponse answer;
     answer.status = ready ? 200 : 503;
     return answer;
   };
@@ -236,11 +236,11 @@
   m_stream->Send(text);
 }
 
-void TestCaller::Leave() {
+void TestCaller::Disconnect() {
   m_stream->Abort();
 }
 
-void TestCaller::GiveUp() {
+void TestCaller::CloseAfterSend() {
   m_stream->CloseWhenSent();
 }
 
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -26,7 +26,7 @@
                   const std::string& bytes);
 
 /// @brief A word in the place of the service: the record can't be read.
-inline constexpr const char* kNamesNoUpstream = "?";
+inline constexpr const char* kInvalidService = "?";
 
 /// @brief An upstream that answers as the test says.
 class ScriptedUpstream {
@@ -57,9 +57,9 @@
   TestCaller(boost::asio::io_context& io, const std::string& address);
   ~TestCaller();
   void Send(const std::string& text);
-  void Leave();
+  void Disconnect();
   /// Ends the connection after what was sent, as a caller that gave up does.
-  void GiveUp();
+  void CloseAfterSend();
 
   std::string received;
   bool ended = false;
--- a/tests/gateway/unit-exchange.cc
+++ b/tests/gateway/unit-exchange.cc
@@ -175,7 +175,7 @@
   const auto caller = router.Caller();
   caller->Send(Router::RequestText("/hold/x", {}, "r-1"));
   CHECK(router.Until([&] { return one.requests.size() == 1; }));
-  caller->Leave();
+  caller->Disconnect();
   CHECK(router.Until([&] { return one.closed == 1; }));
 }
 
@@ -188,7 +188,7 @@
   router.Start(10'000);
   const auto caller = router.Caller();
   caller->Send(Router::RequestText("/chat/x", "X-Tokens: 50\r\n", "r-1"));
-  caller->GiveUp();
+  caller->CloseAfterSend();
   const auto next = router.Caller();
   next->Send(Router::RequestText("/chat/x", "X-Tokens: 50\r\n", "r-2"));
   CHECK(router.Until([&] { return !one.requests.empty(); }));
--- a/tests/gateway/unit-http-caller.cc
+++ b/tests/gateway/unit-http-client.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/gateway/http_caller.h"
+#include "coppervalve/gateway/http_client.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -39,11 +39,11 @@
 }  // namespace
 
 // clang-format off
-TEST_GROUP(HttpCaller) {
+TEST_GROUP(HttpClient) {
   boost::asio::io_context io;
   ScriptedUpstream store{io};
-  std::shared_ptr<HttpCaller> caller =
-      std::make_shared<HttpCaller>(io, store.address());
+  std::shared_ptr<HttpClient> caller =
+      std::make_shared<HttpClient>(io, store.address());
   std::optional<core::Result<HttpReply>> result;
 
   HttpCall Get() {
@@ -68,7 +68,7 @@
 };
 // clang-format on
 
-TEST(HttpCaller, an_answer_that_is_coming_is_waited_for) {
+TEST(HttpClient, an_answer_that_is_coming_is_waited_for) {
   // A router on a small link never gets the configuration: what is read of it
   // in the time of a call is thrown away, and asked for again.
   const std::string body(1'000, 'x');
@@ -81,13 +81,13 @@
   CHECK_EQUAL(body.size(), core::Value(*result).body.size());
 }
 
-TEST(HttpCaller, an_answer_that_never_begins_is_given_up_soon) {
+TEST(HttpClient, an_answer_that_never_begins_is_given_up_soon) {
   store.Answer([](const StreamRef& /*stream*/, const std::string& /*text*/) {});
   Make(Get());
   CHECK_FALSE(core::IsOk(*result));
 }
 
-TEST(HttpCaller, an_answer_that_stops_midway_is_given_up) {
+TEST(HttpClient, an_answer_that_stops_midway_is_given_up) {
   store.Answer([](const StreamRef& stream, const std::string& /*text*/) {
     stream->Send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nx");
   });
@@ -98,13 +98,13 @@
   CHECK(core::ErrorId::kLogUnavailable == core::Failure(*result).id);
 }
 
-TEST(HttpCaller, an_answer_without_an_end_is_not_kept) {
+TEST(HttpClient, an_answer_without_an_end_is_not_kept) {
   store.Answer([](const StreamRef& stream, const std::string& /*text*/) {
     stream->Send("HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n" +
                  std::string(100'000, 'x'));
   });
   HttpCall call = Get();
-  call.most_bytes = 50'000;
+  call.max_bytes = 50'000;
   Make(call);
   CHECK_FALSE(core::IsOk(*result));
   STRCMP_EQUAL("the answer is too long", core::Failure(*result).detail.c_str());
--- a/tests/gateway/unit-lifecycle.cc
+++ b/tests/gateway/unit-lifecycle.cc
@@ -197,7 +197,7 @@
   });
   router.Start();
   CHECK(Has(router.Ask("/hold/x", {}, "r-1"), "held"));
-  router.SetUpstream("one", kNamesNoUpstream);
+  router.SetUpstream("one", kInvalidService);
   CHECK(router.Until([&] { return one.closed == 1; }));
   CHECK(Has(router.Ask("/hold/x", {}, "r-2"), "HTTP/1.1 503"));
 }
--- a/tests/gateway/unit-limit.cc
+++ b/tests/gateway/unit-limit.cc
@@ -38,7 +38,7 @@
     }
     return one.requests.size();
   }
-  void TellOfLimit(std::optional<double> per_second, uint64_t sequence) {
+  void ReportLimit(std::optional<double> per_second, uint64_t sequence) {
     v1::PeerDatagram datagram;
     v1::LoadReport& report = *datagram.mutable_load();
     report.set_router("router-2");
@@ -84,9 +84,9 @@
   router.settings.load_address = FreeAddress(router.io);
   router.Start();
   CHECK(AskOften(30) > 5);
-  TellOfLimit(0.5, 1);
+  ReportLimit(0.5, 1);
   CHECK(AskOften(30) <= 1);
-  TellOfLimit(std::nullopt, 2);
+  ReportLimit(std::nullopt, 2);
   CHECK(AskOften(30) > 5);
 }
 
--- a/tests/platform/unit-dialect.cc
+++ b/tests/platform/unit-dialect.cc
@@ -100,7 +100,7 @@
 }
 
 TEST(Dialect, a_refusal_says_when_to_come_back) {
-  const gateway::LocalAnswer answer = dialect.refusal(
+  const gateway::LocalResponse answer = dialect.refusal(
       {core::ErrorId::kBudgetBusy, "t", "x"}, core::Duration(1'500'000));
   CHECK_EQUAL(503, answer.status);
   STRCMP_EQUAL("1.500", answer.headers.Find("Retry-After")->c_str());
@@ -112,7 +112,7 @@
   question.method = "GET";
   question.target = "/api/resolve?name=desk.example&zone=a";
   CHECK_EQUAL(503, dialect.addresses(question, {}, {}).status);
-  const gateway::LocalAnswer answer =
+  const gateway::LocalResponse answer =
       dialect.addresses(question, {"10.0.0.1:80"}, std::chrono::seconds(2));
   STRCMP_EQUAL(R"({"addresses":["10.0.0.1:80"],"ttlS":2})",
                answer.body.c_str());
