--- a/include/coppervalve/gateway/caller_connection.h
+++ b/include/coppervalve/gateway/caller_connection.h
@@ -22,14 +22,14 @@
 class CallerConnection;
 using CallerRef = std::shared_ptr<CallerConnection>;
 
-/// @brief A whole request of a caller.
+/// @brief A complete request of a caller.
 struct CallerRequest {
   http1::RequestHead head;
   std::string body;
-  core::TimePoint arrived;  ///< its last byte
+  core::TimePoint arrived;  ///< when the last byte was received
 };
 
-/// @brief An response that is made here, as a whole.
+/// @brief A complete response that the router generates itself.
 struct LocalResponse {
   int status = 200;
   std::string reason = "OK";
@@ -37,17 +37,18 @@
   std::string body;
 };
 
-/// @brief One connection of a caller: reads requests one after the other and
-/// writes their answers. A request that was read always ends with a whole
-/// response or an abrupt end of the connection.
+/// @brief Server side of one HTTP/1.1 connection of a caller. Handles one
+/// request at a time. Each request that was read ends either with a complete
+/// response or with a reset of the connection.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
   struct Hooks {
     std::function<void(const CallerRef&, CallerRequest)> on_request;
-    /// A request that makes no sense was answered.
+    /// A malformed, too large or too slow request is about to be rejected.
     std::function<void(const core::Error&)> on_bad_request;
     std::function<entry::CallerBounds()> bounds;
-    /// Whether connections should be closed after their present response.
+    /// Whether the router is draining: connections are closed after the
+    /// current response.
     std::function<bool()> leaving;
     std::function<void()> on_closed;
   };
@@ -59,28 +60,32 @@
 
   /// @return whether the caller has closed the connection
   bool HasDisconnected() { return m_closed || m_stream->PeerHasClosed(); }
-  /// @brief Called once when the caller goes before its response has ended.
+  /// @brief Sets a handler that is called once if the caller disconnects before
+  /// the response is complete.
   void SetDisconnectHandler(std::function<void()> on_disconnect);
-  /// @brief Called when all that was sent is in the kernel.
+  /// @brief Sets a handler that is called when the kernel has taken all bytes
+  /// sent so far.
   void SetDrainedHandler(std::function<void()> on_drained);
 
   void Respond(const LocalResponse& response);
-  /// @brief Begins an response. @param head without framing headers
-  /// @param length of the body; none = chunked
+  /// @brief Starts a response.
+  /// @param headers without framing headers
+  /// @param length of the body; none: chunked transfer encoding
   void BeginResponse(int status,
                      const std::string& reason,
                      const http1::HeaderList& headers,
                      std::optional<uint64_t> length);
   void SendBody(std::string_view bytes);
-  /// @brief The response is whole. The connection goes on to the next request.
+  /// @brief Completes the response; the connection reads the next request.
   void EndResponse();
-  /// @brief Ends the connection so that the response can't look complete.
+  /// @brief Resets the connection, so that the caller can't take the response
+  /// for complete.
   void Abort();
 
   size_t unsent() const { return m_stream->unsent(); }
-  /// @return whether a request has begun and not been answered to its end
+  /// @return whether a request is in progress or waits to be parsed
   bool busy() const { return !m_closed && (m_busy || !m_unread.empty()); }
-  /// @brief Closes now unless a request is in progress.
+  /// @brief Closes the connection unless a request is in progress.
   void CloseIfIdle();
 
  private:
@@ -98,7 +103,7 @@
   std::shared_ptr<const Hooks> m_hooks;
   std::unique_ptr<http1::RequestReader> m_reader;
   std::string m_unread;
-  std::string m_head_text;  ///< of an response of which nothing was sent yet
+  std::string m_head_text;  ///< response head that was not sent yet
   std::function<void()> m_on_disconnect;
   std::function<void()> m_on_drained;
   bool m_busy = false;
--- a/include/coppervalve/gateway/crash_monitor.h
+++ b/include/coppervalve/gateway/crash_monitor.h
@@ -12,26 +12,26 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Feeds the record of crashes with what really ended: upstreams that
-/// are well break connections too.
+/// @brief Reports crashes of upstreams to the crash record. Healthy upstreams
+/// drop connections too, so a crash counts only once it is confirmed.
 class CrashMonitor {
  public:
   struct Hooks {
-    /// Other routers should hear soon of what changed.
+    /// The record changed; other routers should be told soon.
     std::function<void()> on_change;
   };
 
   CrashMonitor(boost::asio::io_context& io, EventLog& log, Hooks hooks);
 
-  /// @brief An answer broke off, or nothing came in time.
+  /// @brief A response was cut off, or did not come in time.
   void OnBroken(const entry::UpstreamRef& upstream,
                 const entry::RequestPrint& request);
-  /// @brief A start of an upstream is known to have ended.
-  /// @param by what showed it
+  /// @brief An instance of an upstream is known to have ended.
+  /// @param by how this was detected, for the log
   void OnEnded(const entry::UpstreamEntry& entry, std::string_view by);
-  /// @brief An upstream ran a request to its end.
+  /// @brief An upstream ran the request to completion.
   void OnSurvived(const entry::RequestPrint& request);
-  /// @brief Another router's beat was read.
+  /// @brief Another router's heartbeat was read.
   void OnBeat(const v1::RouterBeat& beat);
 
   entry::CrashRecord& record() { return m_record; }
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -33,7 +33,7 @@
 
 namespace coppervalve::gateway {
 
-/// @brief What requests share; outlives all of them.
+/// @brief Objects that all exchanges share; outlives them.
 struct ExchangeContext {
   boost::asio::io_context& io;
   const Dialect& dialect;
@@ -54,27 +54,30 @@
   GatewayMetrics& metrics;
   routing::RandomHook random;
   std::function<entry::ConfigurationView()> configuration;
-  /// Asks for a higher ceiling soon; the exchange is told when it is there.
+  /// Requests a higher ceiling; calls the handler when it is granted.
   std::function<void(std::function<void()> on_grant)> wait_for_grant;
-  /// Asks other routers for tokens. @return false when there is nobody to ask
+  /// Asks other routers for tokens. @return false if there is none to ask
   std::function<
       bool(const core::AccountId&, core::Tokens, std::function<void()> on_done)>
       borrow;
-  /// Time in which a request that comes now must have ended; none = no bound.
+  /// Time within which a request that arrives now must end, because the router
+  /// drains; none: no limit.
   std::function<std::optional<core::Duration>()> time_until_shutdown;
-  /// Whether the table of upstreams is read here now.
+  /// Whether this router currently reads the table of upstreams.
   std::function<bool()> has_upstream_table;
-  /// Asks routers that read it where a request goes.
+  /// Asks routers that read the table to place a request.
   std::function<void(const entry::PlacementQuery&,
                      std::function<void(const entry::Placement&)> on_placement)>
       request_placement;
 };
 
-/// @brief One request of a caller from its last byte to its final answer.
+/// @brief Processes one request of a caller, from the complete request to the
+/// end of its response.
 ///
-/// The point of no return is the first byte that the kernel takes for an
-/// upstream: before it, and after a statement of the upstream that it did not
-/// run, the request may be refused; after it an answer says nothing about it.
+/// Once the kernel has taken a byte for an upstream, the request may have run.
+/// Before that, or if the upstream states that it did not run the request, it
+/// may be refused as "not run"; afterwards an error response leaves open
+/// whether it ran.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(const ExchangeContext& context,
@@ -83,22 +86,23 @@
   void Start();
 
  private:
-  /// An attempt at one upstream.
+  /// One attempt to run the request at an upstream.
   struct Attempt {
     entry::UpstreamRef upstream;
     UpstreamConnectionRef connection;
     core::TimePoint started_at;
     AnswerFacts answer;
     double prefill_cost = 0;   ///< its part of the upstream's in_prefill
-    double total_prefill = 0;  ///< that and what waited, at usual pace
-    double cost = 0;           ///< expected when it was placed
-    bool forwarding = false;   ///< its bytes go to the caller
+    double total_prefill = 0;  ///< that and the work queued before it
+    double cost = 0;           ///< expected cost at placement
+    bool forwarding = false;   ///< the response is sent to the caller
     bool resumed = false;
   };
 
   void Admit();
   void StartReservation();
-  /// @brief Refuses the request when upstreams can't keep up. @return whether
+  /// @brief Refuses the request if the upstreams are overloaded.
+  /// @return whether it was refused
   bool RefuseIfOverloaded();
   void Reserve();
   core::Tokens MaxTokens() const {
@@ -118,7 +122,8 @@
   void RefuseForLackOfUpstreams(const std::string& why);
   core::Duration RateLimitRetryDelay(core::TimePoint now) const;
   void Send(const entry::Placement& placement);
-  /// @brief The last question before bytes go out on a new connection.
+  /// @brief Checks again, before bytes are sent on a new connection, whether
+  /// the upstream may get the request. Records the send if so.
   bool MaySendNow(entry::Upstream& upstream) const;
   std::string RequestText(const SendFacts& facts) const;
 
@@ -142,14 +147,15 @@
   const entry::RequestPrint& Fingerprint();
   bool MayHaveCrashedUpstreams() const;
   entry::Standing CurrentStanding();
-  /// @brief Refuses what upstreams ended under. @return whether
+  /// @brief Refuses a request that crashed upstreams.
+  /// @return whether it was refused
   bool RefuseIfCrashesUpstreams();
   void ReportSurvived();
   bool IsStream() const;
   bool Retryable() const;
   bool HasEvents() const { return m_cutter.events() != 0; }
-  /// @brief Whether another upstream may be sent this request; takes the
-  /// right to from the allowance.
+  /// @brief Consumes one retry of the retry allowance.
+  /// @return whether the request may be sent to another upstream
   bool TakeRetry();
 
   void Refuse(const core::Error& error,
@@ -172,9 +178,9 @@
   boost::asio::steady_timer m_timer;
   core::TimePoint m_deadline;
   core::Tokens m_reserved{};
-  bool m_from_transfer = false;  ///< reserved of what others gave
+  bool m_from_transfer = false;  ///< reserved from tokens of other routers
   bool m_borrowing = false;
-  bool m_borrowed = false;  ///< asked others once
+  bool m_borrowed = false;  ///< other routers were asked once
   std::optional<core::TimePoint> m_waiting_since;
   std::optional<core::TimePoint> m_wait_until;
   std::optional<Attempt> m_attempt;
@@ -182,20 +188,18 @@
   std::optional<http1::ResponseHead> m_head;
   std::string m_body;
   http1::EventCutter m_cutter;
-  core::TimePoint
-      m_last_activity;  ///< silence of the upstream counts from here
+  core::TimePoint m_last_activity;  ///< start of the upstream's timeout
   core::Duration m_first_byte{};
-  uint32_t m_sent_attempts = 0;  ///< upstreams that got some of it
+  uint32_t m_sent_attempts = 0;  ///< attempts of which bytes were sent
   uint32_t m_placements = 0;     ///< placements, sent or not
-  bool m_may_have_run = false;   ///< at some upstream
+  bool m_may_have_run = false;   ///< at any upstream
   bool m_response_begun = false;
-  bool m_on_trial = false;  ///< holds the place of the one that is tried
+  bool m_on_trial = false;  ///< occupies the trial slot of its fingerprint
   bool m_done = false;
   std::string m_last_failure;
-  std::optional<entry::RequestPrint> m_fingerprint;  ///< once it was needed
-  entry::Placement m_last_placement;                 ///< the last one
-  /// Chosen before tokens were set aside, and good until anything was waited
-  /// for.
+  std::optional<entry::RequestPrint> m_fingerprint;  ///< computed on first use
+  entry::Placement m_last_placement;                 ///< the latest one
+  /// Chosen before tokens were reserved; valid until the request has to wait.
   std::optional<entry::Placement> m_prepared_placement;
 };
 
--- a/include/coppervalve/gateway/http_client.h
+++ b/include/coppervalve/gateway/http_client.h
@@ -19,27 +19,29 @@
 
 namespace coppervalve::gateway {
 
-/// @brief One call of another program.
+/// @brief One HTTP request to another process.
 struct HttpCall {
   std::string method;
   std::string target;
-  std::string content_type;  ///< empty = no body type is sent
+  std::string content_type;  ///< empty: no Content-Type is sent
   std::string body;
   entry::CallPatience patience;
-  /// Of the answer: one that says it is longer, or never ends, is not kept.
+  /// Limit of the response's size, head included. Without it a response that
+  /// never ends would be buffered without bound.
   size_t max_bytes = 8 * 1024 * 1024;
 };
 
-/// @brief Its whole answer.
+/// @brief The complete response to an HttpCall.
 struct HttpReply {
   int status = 0;
   std::string body;
 };
 
-/// @brief Calls one address, one call at a time, on one kept connection.
+/// @brief HTTP client for one address: sends one request at a time on one
+/// persistent connection.
 ///
-/// A call that got no answer leaves its connection unusable, and what it asked
-/// for may still be done: the next call opens a new one.
+/// A request that got no response may still be executed. Its connection is
+/// closed, and the next request opens a new one.
 class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Handler = std::function<void(const core::Result<HttpReply>&)>;
@@ -47,8 +49,8 @@
   /// @param address "ip:port"
   HttpClient(boost::asio::io_context& io, std::string address);
 
-  /// @brief Queues a call. @return through the handler: the reply, or
-  /// kLogUnavailable when none came in time
+  /// @brief Queues a request.
+  /// @param handler gets the reply, or kLogUnavailable if none came in time
   void Call(HttpCall call, Handler handler);
 
  private:
@@ -73,8 +75,8 @@
   std::unique_ptr<http1::ResponseReader> m_reader;
   std::string m_unread;
   std::deque<Pending> m_queue;
-  entry::CallProgress m_progress;  ///< of the call that is made
-  size_t m_received = 0;           ///< bytes of its answer
+  entry::CallProgress m_progress;  ///< of the current call
+  size_t m_received = 0;           ///< bytes of the current response
   bool m_busy = false;
   uint64_t m_call_number = 0;
 };
--- a/include/coppervalve/gateway/listener.h
+++ b/include/coppervalve/gateway/listener.h
@@ -14,17 +14,17 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Accepts callers on one address.
+/// @brief Accepts connections of callers on one address.
 class Listener : public std::enable_shared_from_this<Listener> {
  public:
   Listener(boost::asio::io_context& io, CallerConnection::Hooks hooks);
 
   /// @param address "ip:port"
-  /// @return kSettingBadValue when it can't be listened on
+  /// @return kSettingBadValue if the address is invalid or can't be bound
   core::Status Listen(const std::string& address);
   /// @return connections with a request in progress
   size_t Busy() const;
-  /// @brief Closes connections on which nothing is in progress.
+  /// @brief Closes connections without a request in progress.
   void CloseIdle();
 
  private:
--- a/include/coppervalve/gateway/stream.h
+++ b/include/coppervalve/gateway/stream.h
@@ -12,46 +12,48 @@
 
 namespace coppervalve::gateway {
 
-/// @brief How the other end stopped sending.
+/// @brief How the peer stopped sending.
 enum class StreamEnd : uint8_t {
-  kOrderly,  ///< it closed
-  kReset,    ///< the connection broke
+  kOrderly,  ///< end of file
+  kReset,    ///< connection error
 };
 
-/// @brief One TCP connection on the traffic thread: reads when there is
-/// something, writes at once and queues what the kernel does not take.
+/// @brief One TCP connection on the traffic thread. Reads when data is
+/// available, writes immediately and buffers what the kernel does not accept.
 ///
-/// No handler is called any more after Close() or Abort().
+/// No handler is called after Close() or Abort().
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
   struct Handlers {
     std::function<void(std::string_view bytes)> on_bytes;
     std::function<void(StreamEnd end)> on_end;
-    /// All that was sent so far is in the kernel.
+    /// The kernel has taken all bytes sent so far.
     std::function<void()> on_drained;
   };
 
   explicit Stream(boost::asio::ip::tcp::socket socket);
 
-  /// @brief Sets the options of a connected socket and starts to read.
+  /// @brief Sets socket options and starts to read. The socket is connected.
   void Start(Handlers handlers);
-  /// @brief Sends in order. Nothing is sent after an end by reset.
+  /// @brief Sends bytes in order. Does nothing after a connection error.
   void Send(std::string_view bytes);
-  /// @return bytes that the kernel has not taken yet
+  /// @return number of bytes that the kernel has not taken yet
   size_t unsent() const { return m_out.size() - m_out_sent; }
-  /// @return bytes that the kernel took; a request of which it took none has
-  /// not been sent
+  /// @return number of bytes that the kernel took; a request of which it took
+  /// none was not sent
   uint64_t sent() const { return m_sent; }
 
   void PauseReading() { m_paused = true; }
   void ResumeReading();
-  /// @brief Closes once all is sent and the other end closed, or soon after.
+  /// @brief Sends the buffered bytes, shuts down the write side, and closes
+  /// when the peer has closed or after a timeout.
   void CloseWhenSent();
-  /// @brief Resets the connection: what was sent must not look complete.
+  /// @brief Resets the connection, so that the peer can't take the data for
+  /// complete.
   void Abort();
   bool open() const { return m_socket.is_open(); }
-  /// @return whether the peer has closed and everything it sent was read;
-  /// on_end may not have been called yet
+  /// @return whether the peer has closed and all its data was read; on_end may
+  /// not have been called yet
   bool PeerHasClosed();
 
  private:
@@ -65,7 +67,7 @@
 
   boost::asio::ip::tcp::socket m_socket;
   boost::asio::steady_timer m_linger;
-  /// Shared with a running handler, which may close the stream.
+  /// Shared, because a running handler may close the stream.
   std::shared_ptr<const Handlers> m_handlers;
   std::string m_out;
   size_t m_out_sent = 0;
--- a/include/coppervalve/gateway/unknown_headers.h
+++ b/include/coppervalve/gateway/unknown_headers.h
@@ -7,12 +7,13 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Headers of upstreams' answers that nothing here reads. One that is
-/// new may ask something of the routers: each is logged once.
+/// @brief Names of response headers from upstreams that the router does not
+/// interpret. Each is logged once, since a new header may carry a request to
+/// the routers.
 class UnknownHeaders {
  public:
-  /// @return whether a name comes for the first time; false for all once many
-  /// are known
+  /// @return whether the name is seen for the first time; always false once
+  /// kMaxNames names are known
   bool IsNew(const std::string& name) {
     return m_names.size() < kMaxNames && m_names.insert(name).second;
   }
--- a/include/coppervalve/gateway/upstream_check.h
+++ b/include/coppervalve/gateway/upstream_check.h
@@ -8,15 +8,15 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Tells whether anybody listens at an upstream's address.
+/// @brief Checks whether a process listens on an upstream's address.
 class UpstreamCheck {
  public:
   explicit UpstreamCheck(boost::asio::io_context& io) : m_io(io) {}
 
-  /// @brief Opens a connection and closes it. Does nothing while the same
-  /// address is asked already.
-  /// @param on_refused called only when nobody listens: no answer in time says
-  /// nothing, as the link or the VM may be slow
+  /// @brief Opens a connection and closes it. Does nothing while a check of the
+  /// same address is running.
+  /// @param on_refused called only if the connection is refused; a timeout
+  /// proves nothing, since the network or the VM may be slow
   void Start(const std::string& address, std::function<void()> on_refused);
 
  private:
--- a/include/coppervalve/gateway/upstream_connection.h
+++ b/include/coppervalve/gateway/upstream_connection.h
@@ -18,43 +18,46 @@
 
 /// @brief How an attempt on a connection ended.
 enum class AttemptEnd : uint8_t {
-  kComplete,  ///< the answer is whole
+  kComplete,  ///< the complete response was received
   kNotSent,   ///< the kernel took no byte of the request
-  kBroken,    ///< some of it was sent and no whole answer came
-  kWithheld,  ///< may_send said no; no byte was sent
+  kBroken,    ///< bytes were sent, but no complete response was received
+  kWithheld,  ///< may_send returned false; no byte was sent
 };
 
-/// @brief One connection to an upstream; carries one request at a time.
+/// @brief One HTTP/1.1 connection to an upstream; carries one request at a
+/// time.
 class UpstreamConnection
     : public std::enable_shared_from_this<UpstreamConnection> {
  public:
   struct Handlers {
     std::function<void(const http1::ResponseHead&)> on_head;
     std::function<void(const std::string& body)> on_body;
-    /// Last call of an attempt. @param why for logs, when it isn't whole
+    /// Last call of an attempt. @param why reason of a failure, for logs
     std::function<void(AttemptEnd end, std::string_view why)> on_end;
-    /// Asked when a new connection is there, before the first byte; none: yes.
+    /// Called when a new connection is open, before the first byte is sent;
+    /// null: always send.
     std::function<bool()> may_send = {};
   };
 
   UpstreamConnection(boost::asio::io_context& io, std::string address);
 
-  /// @brief Opens the connection and sends, or sends on the open one.
-  /// @param without_body of a HEAD request
+  /// @brief Sends a request, after opening the connection if necessary.
+  /// @param without_body the response has no body (HEAD request)
   void Send(std::string request, bool without_body, Handlers handlers);
-  /// @brief Gives the attempt up: nothing more is heard of it, and the
-  /// upstream sees the connection end.
+  /// @brief Aborts the attempt: no handler is called any more, and the
+  /// connection is reset.
   void Cancel();
 
   void PauseReading();
   void ResumeReading();
 
-  /// @return whether another request may be sent, while idle
+  /// @return whether an idle connection may carry another request
   bool reusable() const { return m_reusable && m_stream && m_stream->open(); }
-  /// @return whether a request would go out at once
+  /// @return whether the connection was opened, so that a request is sent
+  /// immediately
   bool connected() const { return m_stream != nullptr; }
   bool sent_any() const;
-  /// @return how long the upstream keeps an idle connection; zero: unknown
+  /// @return the upstream's idle timeout for connections; zero: unknown
   core::Duration keep_alive() const { return m_keep_alive; }
   /// @brief Closes an idle connection.
   void Close();
@@ -75,7 +78,7 @@
   std::string m_request;
   std::string m_unread;
   std::unique_ptr<http1::ResponseReader> m_reader;
-  /// Shared with a running handler, which may cancel the attempt.
+  /// Shared, because a running handler may cancel the attempt.
   std::shared_ptr<const Handlers> m_handlers;
   core::Duration m_keep_alive{};
   uint64_t m_sent_before = 0;
--- a/include/coppervalve/gateway/upstream_pool.h
+++ b/include/coppervalve/gateway/upstream_pool.h
@@ -13,25 +13,27 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Idle connections to upstreams. New connections are dear, and an old
-/// one may be closing at the other end just when a request is sent.
+/// @brief Pool of idle connections to upstreams. Opening a connection is
+/// expensive, but the upstream may close an idle one while a request is sent.
 class UpstreamPool {
  public:
   explicit UpstreamPool(boost::asio::io_context& io) : m_io(io) {}
 
-  /// @param needs_fresh the request must not meet a connection that closes:
-  /// only one that was used a moment ago, or a new one, is good enough
+  /// @param needs_fresh the request must not be lost to a closing connection:
+  /// reuse only a connection that was used recently
+  /// @return an idle connection, or a new one that is not open yet
   UpstreamConnectionRef Acquire(const entry::Upstream& upstream,
                                 bool needs_fresh,
                                 core::TimePoint now);
-  /// @brief Keeps a connection whose attempt ended whole, if it can be used
-  /// again.
+  /// @brief Returns a connection after a complete response; it is kept if it
+  /// can be reused.
   void Release(const core::UpstreamId& upstream,
                const UpstreamConnectionRef& connection,
                core::TimePoint now);
-  /// @brief Closes connections that were idle for long. Call it now and then.
+  /// @brief Closes connections that exceeded their idle time. Call it
+  /// periodically.
   void CloseExpired(core::TimePoint now);
-  /// @brief Closes those to an upstream that takes no new work.
+  /// @brief Closes all idle connections to an upstream that takes no new work.
   void CloseAll(const core::UpstreamId& upstream);
 
   uint64_t opened() const { return m_opened; }
@@ -41,7 +43,7 @@
     UpstreamConnectionRef connection;
     core::TimePoint since;
     core::TimePoint usable_until;
-    core::Duration keep_time{};  ///< by the upstream, as it stated or usual
+    core::Duration keep_time{};  ///< idle timeout of the upstream
   };
   boost::asio::io_context& m_io;
   std::unordered_map<core::UpstreamId, std::vector<Idle>> m_idle;
--- a/src/gateway/caller_connection.cc
+++ b/src/gateway/caller_connection.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Pipelined bytes that are kept while a request is in progress; beyond it the
-// caller is not read, which also hides that it left.
+// Limit of pipelined bytes buffered while a request is in progress. Beyond it,
+// reading is paused, so a disconnect of the caller is not noticed either.
 constexpr size_t kMaxUnread = 65'536;
 
 bool HasNoBody(int status) {
@@ -177,7 +177,8 @@
   if (m_closed) {
     return;
   }
-  // The head goes out with the first bytes of the body: one packet, one call.
+  // Sends the head together with the first body bytes, to save a packet and a
+  // system call.
   std::string text = std::exchange(m_head_text, {});
   if (!bytes.empty() && !m_head_request) {
     if (m_chunked) {
@@ -260,7 +261,8 @@
     return;
   }
   if (m_reader->begun()) {
-    Reject({core::ErrorId::kSlowSender, "request", "not sent in time"});
+    Reject({core::ErrorId::kSlowSender, "request",
+            "request was not received in time"});
     return;
   }
   CloseIfIdle();
--- a/src/gateway/crash_monitor.cc
+++ b/src/gateway/crash_monitor.cc
@@ -12,8 +12,8 @@
                            Hooks hooks)
     : m_log(log), m_hooks(std::move(hooks)), m_check(io), m_record({}) {}
 
-// Entries lapse seconds after an end, and callers repeat at once: asking the
-// address tells at once.
+// An upstream's entry expires only seconds after a crash, while callers retry
+// immediately. A connection attempt to its address shows the crash at once.
 void CrashMonitor::OnBroken(const entry::UpstreamRef& upstream,
                             const entry::RequestPrint& request) {
   m_record.OnBroken(request, entry::StartOf(upstream->entry), net::BootNow());
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -13,11 +13,11 @@
 
 using entry::RouteKind;
 
-// Placements without a byte sent: an upstream that is gone costs a connection
-// attempt each.
+// Limit of placements, including those without a byte sent: each upstream that
+// is gone costs a connection attempt.
 constexpr uint32_t kMaxPlacements = 6;
 constexpr core::Duration kMaxGrantWait{400'000};
-// Another router may have room sooner.
+// Upper limit of the stated delay: another router may have capacity sooner.
 constexpr core::Duration kMaxRateLimitWait{1'000'000};
 constexpr int64_t kMicrosPerMilli = 1'000;
 
@@ -75,8 +75,8 @@
     return;
   }
   m_facts = core::Value(facts);
-  // A request that waited long to be read may come together with the end of its
-  // connection: sent on, it would be run for nobody.
+  // A request that waited long to be read may be read together with the end of
+  // its connection. Its response would reach nobody.
   if (m_caller->HasDisconnected()) {
     OnCallerDisconnected();
     return;
@@ -91,8 +91,8 @@
   m_admitted = core::TakeValue(std::move(admitted));
   const auto time_until_shutdown = m_context.time_until_shutdown();
   if (time_until_shutdown && m_admitted.limit > *time_until_shutdown) {
-    // Taken now, it would be cut off when the process ends.
-    Refuse({core::ErrorId::kDraining, "router", "leaving"}, kRetrySoon);
+    // The process would end before the request completes.
+    Refuse({core::ErrorId::kDraining, "router", "shutting down"}, kRetrySoon);
     return;
   }
   m_deadline = m_request.arrived + m_admitted.limit;
@@ -128,7 +128,7 @@
   }
   m_last_placement = *m_prepared_placement;
   Refuse({core::ErrorId::kBacklogFull, m_admitted.service.value(),
-          "work that waits for " +
+          "estimated queueing delay of " +
               std::to_string(backlog.wait.count() / kMicrosPerMilli) + " ms"},
          retry_delay);
   return true;
@@ -159,7 +159,8 @@
       if (TryReserveTransferred()) {
         return;
       }
-      // The total may have grown by a configuration that this router missed.
+      // A configuration that this router has not read may have raised the
+      // total.
       if (m_context.configuration().fresh) {
         Refuse({core::ErrorId::kBudgetExhausted, account.value(),
                 "the rest does not cover the request"},
@@ -167,7 +168,7 @@
         return;
       }
       Refuse({core::ErrorId::kBudgetBusy, account.value(),
-              "the total may have grown"},
+              "a newer configuration may have raised the total"},
              kRetryAfterOutage);
       return;
     case entry::Reservation::kShort:
@@ -219,7 +220,8 @@
   return true;
 }
 
-// What this router can't claim may lie unused in the ceiling of another one.
+// Tokens that this router can't claim may be unused in another router's
+// ceiling.
 bool Exchange::TryBorrow() {
   if (m_borrowed) {
     return false;
@@ -245,13 +247,14 @@
   }
 }
 
-// A router that the store turned away hears from its peers whether they reach
-// it: they can raise their ceilings, so its callers are served there. With
-// nobody heard it can't tell, and says how long such a cut may last.
+// The load reports of peers tell whether they reach the store. If they do while
+// this router does not, they can raise their ceilings and serve its callers.
+// Without such reports the stated delay is the time until held-back tokens
+// become spendable, or else the expected length of a store outage.
 void Exchange::RefuseForLackOfTokens(core::TimePoint now) {
   const core::AccountId& account = m_admitted.account->name;
   core::Error error{core::ErrorId::kBudgetBusy, account.value(),
-                    "others hold the rest"};
+                    "other routers hold the remaining tokens"};
   if (m_context.contact.up()) {
     const auto figures = m_context.book.FiguresOf(account);
     if (figures.paced && figures.free >= MaxTokens()) {
@@ -262,13 +265,13 @@
   }
   const uint32_t active = m_context.members.Active();
   if (m_context.peers.OthersReachStore(active, now)) {
-    error.detail = "the store turned this router away, others reach it";
+    error.detail = "only other routers can reach the store";
     Refuse(error, kRetryElsewhere);
     return;
   }
   const auto covered = m_context.book.CoveredAt(account, MaxTokens(), now);
   if (covered) {
-    error.detail = "held back while the store may still answer";
+    error.detail = "held-back tokens are not spendable yet";
     Refuse(error, std::max(*covered - now, kRetryElsewhere));
     return;
   }
@@ -337,7 +340,7 @@
   }
   const auto hold = m_context.directory.AllHoldUntil(m_admitted.service, now);
   if (hold) {
-    // The first pause to end says when to come.
+    // The caller should retry when the first pause ends.
     refuse("all upstreams asked for a pause",
            std::max(*hold - now, kRetrySoon));
     return;
@@ -345,8 +348,8 @@
   refuse(why, kRetrySoon);
 }
 
-// Callers that all came back as the next request may go out would be refused
-// again but for one, so their returns are spread.
+// Adds jitter: if all refused callers retried when the limit admits the next
+// request, all but one would be refused again.
 core::Duration Exchange::RateLimitRetryDelay(core::TimePoint now) const {
   const core::TimePoint next = m_context.gate.NextOfService(
       m_context.directory.Of(m_admitted.service), now);
@@ -371,8 +374,8 @@
     query.shared_tokens = std::min(m_facts.shared_tokens, m_facts.prompt);
   }
   if (service != nullptr && service->max_connections != 0) {
-    // The upstream resets what comes beyond its own bound, which all routers
-    // share; a part stays free for routers that are not known yet.
+    // The upstream resets connections beyond its limit, which all routers
+    // share. A fifth of it stays free for routers that are not known yet.
     const uint32_t share =
         service->max_connections * 4 / 5 / m_context.members.Active();
     query.connection_bound = std::max(share, 2U);
@@ -385,17 +388,19 @@
                                  net::BootNow());
 }
 
-// What this router once read of the table may name upstreams that left since.
+// Used when this router does not follow the table: what it read of it earlier
+// may name upstreams that have left since.
 void Exchange::RequestPlacement() {
   if (++m_placements > kMaxPlacements) {
     OnPlacementReply({});
     return;
   }
   m_context.request_placement(
-      BuildQuery(), [weak = weak_from_this()](const entry::Placement& told) {
+      BuildQuery(),
+      [weak = weak_from_this()](const entry::Placement& placement) {
         const auto self = weak.lock();
         if (self && !self->m_done) {
-          self->OnPlacementReply(told);
+          self->OnPlacementReply(placement);
         }
       });
 }
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -12,12 +12,13 @@
 
 using entry::AttemptOutcome;
 
-// An answer of a plain service is held until it is whole, up to this size, so
-// that a broken one can be replaced by the truth.
+// Responses of plain services are buffered up to this size until they are
+// complete, so that a broken one can be replaced by a retry or an error.
 constexpr size_t kMaxBufferedResponse = 262'144;
 constexpr size_t kMaxUnsent = 262'144;
 constexpr int kServerError = 500;
-// What any request costs an upstream, so that paces of small ones compare.
+// Base cost of every request, so that response times of small requests are
+// comparable.
 constexpr double kBaseRequestCost = 1;
 
 bool IsSuccess(int status) {
@@ -120,7 +121,7 @@
            self->OnBody(body);
          }
        },
-       // Holds the exchange for as long as the attempt goes on.
+       // Keeps the exchange alive until the attempt ends.
        [self = shared_from_this()](AttemptEnd end, std::string_view why) {
          self->OnEnd(end, why);
        },
@@ -128,8 +129,8 @@
   ArmTimer();
 }
 
-// While the connection was opened the upstream may have left, or its failure
-// domain may have been evacuated.
+// The upstream may have left, or its failure domain may have been evacuated,
+// while the connection was being opened.
 bool Exchange::MaySendNow(entry::Upstream& upstream) const {
   const core::TimePoint now = net::BootNow();
   if (upstream.entry.leaving ||
@@ -155,14 +156,14 @@
   const std::string& echoed = attempt.answer.request_id;
   const bool wrong_request = !echoed.empty() && echoed != m_facts.id;
   if (wrong_request || (IsSuccess(head.status) && !attempt.answer.genuine)) {
-    // A late answer to an earlier request, or no answer of this upstream.
+    // A late response to an earlier request, or not from this upstream.
     AbortAttempt(AttemptOutcome::kBroken);
-    OnBroken(wrong_request ? "the answer of another request"
-                           : "an answer without its signature");
+    OnBroken(wrong_request ? "response to another request"
+                           : "response without a valid signature");
     return;
   }
   if (attempt.resumed && !IsSuccess(head.status)) {
-    return;  // judged when it is whole
+    return;  // handled in OnComplete()
   }
   if (!attempt.resumed) {
     m_head = head;
@@ -254,7 +255,7 @@
     RecordOutcome(end == AttemptEnd::kNotSent ? AttemptOutcome::kUnreachable
                                               : AttemptOutcome::kWithheld);
     m_attempt.reset();
-    // Nothing left this router: any other upstream may have it.
+    // No byte was sent, so any other upstream may get the request.
     Place();
     return;
   }
@@ -276,8 +277,8 @@
   OnComplete();
 }
 
-// The upstream may have started again, or left, while it answered: what is kept
-// under its id then belongs to another start.
+// The upstream may have restarted or left while it responded. Then the pooled
+// connections under its id belong to another instance.
 void Exchange::ReturnConnection() {
   const core::UpstreamId& id = m_attempt->upstream->entry.id;
   const bool reusable = !m_attempt->upstream->entry.leaving &&
@@ -289,7 +290,7 @@
   }
 }
 
-// An upstream's own word is the only proof that a request it was sent did not
+// Only the upstream's own statement proves that a request sent to it did not
 // run.
 void Exchange::OnDeclined() {
   if (m_attempt->answer.other_upstream) {
@@ -322,7 +323,7 @@
   m_attempt.reset();
   ReportSurvived();
   if (failed && resumed) {
-    OnBroken("the stream could not be resumed");
+    OnBroken("stream could not be resumed");
     return;
   }
   if (failed && Retryable() && TakeRetry()) {
@@ -332,7 +333,8 @@
   }
   const int status = m_head->status;
   if (streamed) {
-    // Bytes behind the last event: the upstream ended its stream with them.
+    // Bytes after the last event: the stream ended properly, so they belong to
+    // it.
     ForwardToCaller(m_cutter.TakeTail());
     m_caller->EndResponse();
   } else {
@@ -361,7 +363,8 @@
   Fail({core::ErrorId::kUpstreamFailed, m_last_failure, std::string(why)});
 }
 
-// What was not passed on of a broken answer is never joined with another.
+// Drops the unsent part of a broken response, so that it is never combined with
+// another response.
 void Exchange::DiscardResponse() {
   m_cutter.TakeTail();
   if (!m_response_begun) {
@@ -375,7 +378,7 @@
       TimeLeft() <= core::Duration::zero()) {
     return false;
   }
-  // One arrival of what ends its upstreams costs one of them, not two.
+  // A request that crashes upstreams must not crash two of them per arrival.
   if (CurrentStanding() != entry::Standing::kClear) {
     return false;
   }
--- a/src/gateway/exchange_end.cc
+++ b/src/gateway/exchange_end.cc
@@ -27,8 +27,8 @@
   Finish(info.name, info.http_status);
 }
 
-// After the point of no return nothing is promised: the status says neither
-// "not run" nor "ran", and an answer that started_at must not look complete.
+// The request may have run: the status claims neither "not run" nor "ran", and
+// a response that has begun must not look complete.
 void Exchange::Fail(const core::Error& error) {
   const core::ErrorInfo& info = core::Describe(error.id);
   m_last_failure = error.subject + ": " + error.detail;
@@ -188,7 +188,7 @@
             "no answer within the limit"});
     } else {
       Refuse({core::ErrorId::kQueueTimeout, m_admitted.service.value(),
-              "not sent within the limit"},
+              "not sent to an upstream within the limit"},
              kRetrySoon);
     }
     return;
@@ -205,7 +205,7 @@
     return;
   }
   if (timeout_at && now >= *timeout_at) {
-    // No right to repeat now; look again a little later.
+    // No retry is allowed now; check again after another timeout.
     m_last_activity = now;
   }
   ArmTimer();
--- a/src/gateway/exchange_quarantine.cc
+++ b/src/gateway/exchange_quarantine.cc
@@ -1,4 +1,4 @@
-// A request that ends the upstreams that run it is told by its content.
+// Recognizes requests that crash upstreams by their content, and refuses them.
 #include "coppervalve/gateway/exchange.h"
 #include "coppervalve/net/clock.h"
 #include "retry_after.h"
@@ -23,8 +23,8 @@
   return *m_fingerprint;
 }
 
-// Hardly any request is known, and most of the others are told apart by the
-// sketch: their bodies are not hashed.
+// Hardly any request is in the crash record. The sketch sorts out most of the
+// others, so that their bodies need not be hashed.
 bool Exchange::MayHaveCrashedUpstreams() const {
   const entry::CrashRecord& record = m_context.crash_monitor.record();
   return !record.empty() && record.MayKnow(entry::SketchOf(Content()));
@@ -36,27 +36,28 @@
              : entry::Standing::kClear;
 }
 
-// Isolating upstreams alone gives a request that ends its upstreams one after
-// another, with all that they were running; so it is judged by its content,
-// before every send.
+// Ejecting failed upstreams is not enough: a request that crashes them would
+// crash one after another, along with the other requests they run. So the
+// request's content is checked before every send.
 bool Exchange::RefuseIfCrashesUpstreams() {
   const entry::Standing standing = CurrentStanding();
   if (standing == entry::Standing::kClear) {
     return false;
   }
   core::Error error{core::ErrorId::kEndsUpstreams, Fingerprint().Short(),
-                    "upstreams ended under it"};
+                    "upstreams crashed while running it"};
   core::Duration retry_delay = m_context.crash_monitor.record().RefusedFor(
       Fingerprint(), net::BootNow());
   if (standing == entry::Standing::kSuspect) {
-    // Copies that come at once, to many routers, would end an upstream each.
+    // Copies that arrive at many routers at once would each crash an upstream.
+    // So only one router tries them, one at a time.
     m_on_trial = m_on_trial ||
                  (m_context.members.SelfOwns(Fingerprint().digest) &&
                   m_context.crash_monitor.record().BeginTrial(Fingerprint()));
     if (m_on_trial) {
       return false;
     }
-    error.detail = "tried by one router, one at a time";
+    error.detail = "suspect request, tried by one router, one at a time";
     retry_delay = kRetryAfterTrial;
   }
   if (m_may_have_run) {
--- a/src/gateway/exchange_signals.cc
+++ b/src/gateway/exchange_signals.cc
@@ -1,4 +1,4 @@
-// What upstreams say of themselves in their answers.
+// Handles state that upstreams report in their response headers.
 #include <algorithm>  // max
 
 #include "coppervalve/gateway/exchange.h"
@@ -6,8 +6,8 @@
 
 namespace coppervalve::gateway {
 
-// The record in the store tells the same later, and not at all while the store
-// is away; the upstream itself knows first.
+// The upstream's record in the store states the same later, and not at all
+// while the store is unreachable.
 void Exchange::HandleUpstreamSignals() {
   const AnswerFacts& answer = m_attempt->answer;
   const entry::UpstreamRef sender =
@@ -31,7 +31,7 @@
         std::max(sender->hold_until, net::BootNow() + *answer.wait);
   }
   if (known_to_leave && !answer.wait) {
-    return;  // told already
+    return;  // already logged
   }
   m_context.log.Write(
       LineKind::kLifecycle,
@@ -53,8 +53,8 @@
   }
 }
 
-// Only the upstream's own answer to this very request shows that it names no
-// limit any more.
+// A missing limit counts as its removal only in the upstream's own response to
+// this request.
 void Exchange::HandleRateLimit(const entry::UpstreamRef& sender) {
   const AnswerFacts& answer = m_attempt->answer;
   const bool own_answer = answer.request_id == m_facts.id &&
--- a/src/gateway/http_client.cc
+++ b/src/gateway/http_client.cc
@@ -59,10 +59,10 @@
   Connect();
 }
 
-// An answer that is coming is waited for longer than one that is not: how soon
-// it shows that the other end can't be reached, and how long a large answer
-// takes through a small link, are two things. Thrown away half read, it is
-// asked for again, by all readers at once, and none of them ever gets it.
+// A response that has begun to arrive gets a longer timeout than one that has
+// not: detecting an unreachable server must be fast, but a large response may
+// take long on a slow link. If readers gave up half-read responses, all of them
+// would request these again at once, and none would ever complete.
 void HttpClient::ArmTimeout() {
   const core::TimePoint give_up = GiveUpAt();
   m_timeout.expires_after(
@@ -72,7 +72,8 @@
     if (code || number != self->m_call_number || !self->m_busy) {
       return;
     }
-    // What came meanwhile doesn't set the timer anew each time.
+    // Bytes that arrive extend the deadline; the timer is re-armed only here
+    // instead of at each arrival.
     if (self->GiveUpAt() > give_up) {
       self->ArmTimeout();
       return;
@@ -91,7 +92,7 @@
   const auto ip = boost::asio::ip::make_address(
       endpoint ? endpoint->ip : std::string(), bad_address);
   if (!endpoint || bad_address) {
-    Finish(NoAnswer("not an address: " + m_address), false);
+    Finish(NoAnswer("invalid address: " + m_address), false);
     return;
   }
   m_connecting = std::make_shared<tcp::socket>(m_io);
@@ -103,7 +104,7 @@
           return;
         }
         if (code) {
-          self->Finish(NoAnswer("no connection: " + code.message()), false);
+          self->Finish(NoAnswer("connect failed: " + code.message()), false);
           return;
         }
         self->m_progress.connected = true;
@@ -130,7 +131,7 @@
 
 void HttpClient::OnBytes(std::string_view bytes) {
   if (!m_busy) {
-    // Bytes that nobody asked for would be read as the next call's answer.
+    // Unsolicited bytes would be parsed as the response to the next request.
     m_stream->Abort();
     m_stream.reset();
     return;
@@ -180,7 +181,7 @@
   Handler handler = std::move(m_queue.front().handler);
   m_queue.pop_front();
   m_busy = false;
-  // From the loop, so that a handler that calls again is not nested in this.
+  // Posted, so that a handler that makes another call does not recurse.
   boost::asio::post(m_io,
                     [self = shared_from_this(), handler = std::move(handler),
                      result = std::move(result)]() mutable {
--- a/src/gateway/listener.cc
+++ b/src/gateway/listener.cc
@@ -15,8 +15,8 @@
 
 constexpr int kBacklog = 1'024;
 constexpr size_t kCleanupInterval = 64;
-// After a failed accept, for example for want of descriptors: not at once, or
-// the loop does nothing else.
+// Delay after a failed accept, for example when file descriptors run out: an
+// immediate retry would keep the event loop busy.
 constexpr std::chrono::milliseconds kAcceptPause{50};
 
 core::Error ListenError(const std::string& address, const std::string& why) {
@@ -35,7 +35,7 @@
 core::Status Listener::Listen(const std::string& address) {
   const auto endpoint = net::ReadEndpoint(address);
   if (!endpoint) {
-    return ListenError(address, "not an address");
+    return ListenError(address, "invalid address");
   }
   ErrorCode code;
   const auto ip = boost::asio::ip::make_address(endpoint->ip, code);
--- a/src/gateway/retry_after.h
+++ b/src/gateway/retry_after.h
@@ -5,13 +5,13 @@
 
 namespace coppervalve::gateway {
 
-// When a caller should come back, by what is missing.
+// Delays that refusals state in Retry-After, by the reason of the refusal.
 constexpr core::Duration kRetrySoon{200'000};
 constexpr core::Duration kRetryAfterStoreUpdate{500'000};
 constexpr core::Duration kRetryAfterOutage{4'000'000};
-// A trial at an upstream has shown something by then.
+// By then a trial request at an upstream has shown a result.
 constexpr core::Duration kRetryAfterTrial{1'000'000};
-// To a caller that another router can serve: as soon as it may come.
+// Another router can serve the caller, so it may retry almost at once.
 constexpr core::Duration kRetryElsewhere{50'000};
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/stream.cc
+++ b/src/gateway/stream.cc
@@ -18,13 +18,13 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr size_t kReadChunk = 65'536;
-// Sent bytes that nobody acknowledges for this long end the connection: it
-// may have gone silent for good while new ones work.
+// TCP_USER_TIMEOUT: the connection ends if sent data stays unacknowledged for
+// this long. It may be dead while new connections work.
 constexpr int kUserTimeoutMs = 3'000;
 constexpr std::chrono::milliseconds kLingerTimeout{1'000};
 
-// One buffer for all connections: they are read on one thread, and nothing
-// keeps a view of it past its handler.
+// Shared by all connections: they are read on one thread, and no handler keeps
+// a view of the buffer after it returns.
 std::array<char, kReadChunk>& ReadBuffer() {
   thread_local std::array<char, kReadChunk> buffer;
   return buffer;
@@ -131,8 +131,8 @@
     const size_t taken = m_socket.write_some(
         boost::asio::buffer(bytes.data(), bytes.size()), code);
     if (code && !WouldBlock(code)) {
-      // The reader sees the same break; it is reported from there, so that no
-      // caller is re-entered from its own Send().
+      // The read path sees the same error and reports it, so that handlers are
+      // not called from within Send().
       Read();
       return;
     }
@@ -189,9 +189,10 @@
   }
 }
 
-// Closing a socket with unread bytes resets it, and the reset can overtake the
-// answer: the caller would lose an answer that was sent whole. So the write
-// side ends first, and the rest waits a moment for the other end to close.
+// Closing a socket with unread input sends a reset, which can make the peer
+// discard a complete response that it has not read yet. So only the write side
+// is shut down first, and the socket is closed when the peer closes or after a
+// short timeout.
 void Stream::CloseWhenSent() {
   if (!open() || m_closing) {
     return;
--- a/src/gateway/upstream_check.cc
+++ b/src/gateway/upstream_check.cc
@@ -19,7 +19,7 @@
 
 constexpr std::chrono::milliseconds kConnectTimeout{500};
 
-/// What one attempt needs until it is answered.
+/// State of one connection attempt.
 struct ConnectAttempt {
   explicit ConnectAttempt(boost::asio::io_context& io)
       : socket(io), timer(io) {}
--- a/src/gateway/upstream_connection.cc
+++ b/src/gateway/upstream_connection.cc
@@ -15,8 +15,8 @@
 using boost::asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-// A first packet that is dropped is sent again only after a second: by then
-// another upstream has answered.
+// TCP retransmits a lost SYN only after a second; trying another upstream is
+// faster.
 constexpr std::chrono::milliseconds kConnectTimeout{350};
 
 core::Duration KeepAliveOf(const http1::ResponseHead& head) {
@@ -66,7 +66,7 @@
       endpoint ? endpoint->ip : std::string(), bad_address);
   if (!endpoint || bad_address) {
     boost::asio::post(m_io, [self = shared_from_this()] {
-      self->Finish(AttemptEnd::kNotSent, "not an address");
+      self->Finish(AttemptEnd::kNotSent, "invalid address");
     });
     return;
   }
@@ -78,7 +78,7 @@
           ErrorCode ignored;
           self->m_connecting->close(ignored);
           self->m_connecting.reset();
-          self->Finish(AttemptEnd::kNotSent, "no connection in time");
+          self->Finish(AttemptEnd::kNotSent, "connect timed out");
         }
       });
   m_connecting->async_connect(tcp::endpoint(ip, endpoint->port),
@@ -115,7 +115,7 @@
                    {}});
   m_sent_before = 0;
   if (m_handlers->may_send && !m_handlers->may_send()) {
-    Finish(AttemptEnd::kWithheld, "no longer to be sent to");
+    Finish(AttemptEnd::kWithheld, "upstream no longer accepts requests");
     return;
   }
   m_stream->Send(m_request);
@@ -127,15 +127,15 @@
 
 void UpstreamConnection::OnBytes(std::string_view bytes) {
   if (!m_active) {
-    // Bytes that no request asked for: a late second answer. On a kept
-    // connection the next caller would get it for its own.
+    // Unsolicited bytes, such as a second response. On a reused connection
+    // they would be taken for the response to the next request.
     Close();
     return;
   }
   m_unread.append(bytes);
   const core::Result<size_t> used = m_reader->Feed(m_unread);
   if (!core::IsOk(used)) {
-    Finish(AttemptEnd::kBroken, "not an HTTP answer");
+    Finish(AttemptEnd::kBroken, "invalid HTTP response");
     return;
   }
   m_unread.erase(0, core::Value(used));
@@ -158,8 +158,8 @@
     handlers->on_body(body);
   }
   if (m_active && m_reader->done()) {
-    // An upstream that answers before it has read the whole request would
-    // take the rest of it for the next one.
+    // If the request was not sent completely, the upstream would read the rest
+    // of it as the next request.
     m_reusable = m_reader->head().keep_alive && m_unread.empty() &&
                  m_stream->unsent() == 0;
     Finish(AttemptEnd::kComplete, {});
@@ -171,8 +171,8 @@
     Close();
     return;
   }
-  // An answer without a length ends with its connection, but only with an
-  // orderly end: one that was reset on the way may lack its tail.
+  // A response without a length is complete when the upstream closes the
+  // connection. After a reset its end may be missing.
   if (end == StreamEnd::kOrderly && m_reader->FinishAtEnd()) {
     Deliver();
     return;
--- a/src/gateway/upstream_pool.cc
+++ b/src/gateway/upstream_pool.cc
@@ -6,14 +6,15 @@
 
 namespace {
 
-// Unless the upstream says how long it keeps an idle connection.
+// Used if the upstream does not state its idle timeout.
 constexpr core::Duration kDefaultKeepAlive{4'000'000};
-// The upstream's time is in whole seconds and counts from its own last byte.
+// Connections are closed this much before the upstream's idle timeout, which is
+// in whole seconds and starts at the last byte that the upstream sent.
 constexpr core::Duration kKeepAliveMargin{700'000};
 constexpr core::Duration kMinIdleTime{300'000};
-// An idle connection may be closing when a request is sent; what must not run
-// twice is lost then. The first half of the time that the upstream stated is
-// far enough from its end.
+// The upstream may close an idle connection while a request is sent; a request
+// that must not be retried is lost then. The first half of the idle
+// timeout is far enough from its end.
 constexpr int kFreshDivisor = 2;
 
 }  // namespace
@@ -23,7 +24,7 @@
                                             core::TimePoint now) {
   std::vector<Idle>& idle = m_idle[upstream.entry.id];
   while (!idle.empty()) {
-    // The one used last: it is the least likely to be closing.
+    // The most recently used one is the least likely to be closing.
     const Idle last = idle.back();
     if (needs_fresh && now - last.since > last.keep_time / kFreshDivisor) {
       break;
--- a/tests/gateway/gateway_fixture.cc
+++ b/tests/gateway/gateway_fixture.cc
@@ -43,7 +43,7 @@
   return route;
 }
 
-// "VERSION PREPAID": all else of the test's configuration is fixed.
+// Reads "VERSION PREPAID"; the rest of the test's configuration is fixed.
 core::Result<entry::Configuration> ReadConfiguration(
     const std::string& document) {
   std::istringstream words(document);
@@ -293,7 +293,7 @@
   gateway =
       std::make_unique<Gateway>(io, settings, TestDialect(), store.Calls());
   gateway->Start();
-  // The first claim is in the log and was read back.
+  // Waits until the first claim is in the store and was read back.
   Until([this] { return store.RecordsOf("routers") != 0; });
   io.run_for(std::chrono::milliseconds(20));
 }
@@ -307,7 +307,7 @@
       std::make_unique<Gateway>(io, other, TestDialect(), store.Calls());
   peer->Start();
   Until([&] { return !store.Newest("routers", name).empty(); });
-  // Both know what the other claims by now.
+  // Gives both routers time to read each other's claims.
   io.run_for(std::chrono::milliseconds(2'500));
   return peer;
 }
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -14,7 +14,7 @@
 
 namespace coppervalve::gateway::testing {
 
-/// @return whether a text has a part
+/// @return whether a text contains a part
 bool Has(const std::string& text, const std::string& part);
 
 /// @brief "127.0.0.1:PORT" with a port that was free a moment ago.
@@ -25,10 +25,10 @@
                   const std::string& address,
                   const std::string& bytes);
 
-/// @brief A word in the place of the service: the record can't be read.
+/// @brief Service name for which the test dialect rejects an upstream record.
 inline constexpr const char* kInvalidService = "?";
 
-/// @brief An upstream that answers as the test says.
+/// @brief An upstream whose responses the test scripts.
 class ScriptedUpstream {
  public:
   using OnRequest =
@@ -38,9 +38,9 @@
   void Answer(OnRequest on_request) { m_on_request = std::move(on_request); }
 
   const std::string& address() const { return m_address; }
-  std::vector<std::string> requests;  ///< as they came
+  std::vector<std::string> requests;  ///< as received
   int connections = 0;
-  int closed = 0;  ///< connections that the router ended
+  int closed = 0;  ///< connections that the router closed
 
  private:
   void Accept();
@@ -58,7 +58,8 @@
   ~TestCaller();
   void Send(const std::string& text);
   void Disconnect();
-  /// Ends the connection after what was sent, as a caller that gave up does.
+  /// Closes the connection after the sent bytes, as a caller that timed out
+  /// does.
   void CloseAfterSend();
 
   std::string received;
@@ -68,14 +69,14 @@
   StreamRef m_stream;
 };
 
-/// @brief A whole answer of an upstream, for the request that it got.
-/// @param request whose id is echoed
+/// @return a complete signed response of an upstream
+/// @param request whose id the response echoes
 std::string Signed(const std::string& request,
                    const std::string& body,
                    int status = 200);
-/// @brief The same from an upstream that takes so many requests a second.
+/// @return the same with a limit of requests per second
 std::string SignedWithLimit(const std::string& request, double per_second);
-/// @brief Head of a signed stream in chunks.
+/// @return head of a signed response in chunked encoding
 std::string SignedStreamHead(const std::string& request);
 std::string Chunk(const std::string& bytes);
 std::string Event(int id);
@@ -93,13 +94,16 @@
   std::unique_ptr<Gateway> StartPeer(const std::string& name);
   ScriptedUpstream& AddUpstream(const std::string& id,
                                 const std::string& service);
-  /// @brief Writes "SERVICE ADDRESS [BORN [FAILURE_DOMAIN]]", with a 0
-  /// for no BORN, under an upstream's id.
+  /// @brief Writes the record "SERVICE ADDRESS [BORN [FAILURE_DOMAIN]]" of an
+  /// upstream; 0 stands for no BORN.
   void SetUpstream(const std::string& id, const std::string& document);
   std::unique_ptr<TestCaller> Caller();
-  /// @brief Runs until a condition holds. @return false when it never did
+  /// @brief Runs the event loop until a condition holds.
+  /// @return false on a timeout
   bool Until(const std::function<bool()>& condition);
-  /// @brief Sends a request and waits for a whole answer or the end.
+  /// @brief Sends a request and waits for a complete response or the end of the
+  /// connection.
+  /// @return the bytes received
   std::string Ask(const std::string& path,
                   const std::string& extra_headers = {},
                   const std::string& id = "r-1");
--- a/tests/gateway/unit-evacuation.cc
+++ b/tests/gateway/unit-evacuation.cc
@@ -31,7 +31,7 @@
     router.store.Put("config", "evacuate/" + domain, "");
     Settle();
   }
-  // The record is deleted before the router can read it.
+  // Deletes the record before the router can read it.
   void WriteUnread(const std::string& value) {
     router.store.unreadable = "config";
     Settle();
@@ -53,7 +53,7 @@
 // clang-format on
 
 TEST(Evacuation, upstreams_of_an_evacuated_domain_get_no_request) {
-  // Kept connections count too: both upstreams have one by then.
+  // Must hold for kept connections too: both upstreams have one here.
   router.Start();
   AskOften();
   CHECK(!one.requests.empty() && !two.requests.empty());
@@ -78,14 +78,14 @@
   CHECK(one.requests.empty() && two.requests.empty());
 }
 
-TEST(Evacuation, a_router_that_starts_during_one_knows_it) {
+TEST(Evacuation, a_router_that_starts_during_an_evacuation_applies_it) {
   router.store.Put("config", "evacuate/fd-x", "{}");
   router.Start();
   AskOften();
   CHECK(one.requests.empty());
 }
 
-TEST(Evacuation, what_is_known_holds_while_the_store_is_away) {
+TEST(Evacuation, a_known_evacuation_holds_while_the_store_is_away) {
   router.Start();
   Evacuate("fd-x");
   router.store.away = true;
@@ -93,15 +93,17 @@
   CHECK(one.requests.empty());
 }
 
-TEST(Evacuation, records_that_were_deleted_before_they_were_read_are_listed) {
-  // An evacuation is missed, as its record is gone before it is read.
+TEST(Evacuation,
+     records_deleted_before_they_were_read_are_recovered_by_listing) {
+  // Failure: an evacuation is missed because its record is deleted before the
+  // router reads it.
   router.Start();
   WriteUnread("{}");
   CHECK(router.Until([&] {
     AskOften();
     return one.requests.empty();
   }));
-  // Taken back in the same way.
+  // The end of the evacuation is missed in the same way.
   WriteUnread("");
   CHECK(router.Until([&] {
     AskOften();
@@ -109,7 +111,7 @@
   }));
 }
 
-TEST(Evacuation, a_deleted_record_is_not_taken_back) {
+TEST(Evacuation, deletion_of_a_record_does_not_end_the_evacuation) {
   router.Start();
   Evacuate("fd-x");
   router.store.Put("config", "unrelated", "x");
@@ -119,7 +121,7 @@
   CHECK(one.requests.empty());
 }
 
-TEST(Evacuation, records_that_name_no_domain_or_an_unknown_one_do_no_harm) {
+TEST(Evacuation, records_without_a_known_domain_do_no_harm) {
   router.Start();
   Evacuate("");
   Evacuate("fd-nowhere");
@@ -130,8 +132,9 @@
   CHECK(one.requests.empty());
 }
 
-TEST(Evacuation, nothing_is_sent_on_a_connection_that_opened_too_late) {
-  // A domain is evacuated while a connection to its upstream is opened.
+TEST(Evacuation, nothing_is_sent_if_may_send_fails_after_connecting) {
+  // Failure: a request reaches an upstream whose failure domain was evacuated
+  // while the connection was being opened.
   ScriptedUpstream upstream(router.io);
   const auto connection =
       std::make_shared<UpstreamConnection>(router.io, upstream.address());
--- a/tests/gateway/unit-exchange.cc
+++ b/tests/gateway/unit-exchange.cc
@@ -28,7 +28,7 @@
 };
 // clang-format on
 
-TEST(Exchange, passes_an_answer_on_unchanged) {
+TEST(Exchange, forwards_a_response_unchanged) {
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(Signed(request, "seat 7", 201));
@@ -40,9 +40,9 @@
   CHECK(answer.ends_with("\r\n\r\nseat 7"));
 }
 
-TEST(Exchange, an_answer_of_another_request_is_not_passed_on) {
-  // A caller gets somebody else's answer. The upstream sends a late answer to
-  // an earlier request where the next one is expected; only the id tells.
+TEST(Exchange, a_response_to_another_request_is_not_forwarded) {
+  // Failure: a caller gets the response of another caller. The upstream sends a
+  // late response to an earlier request; only the id shows this.
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& /*request*/) {
     stream->Send(Signed("\r\nX-Id: r-0\r\n", "somebody's seat"));
@@ -53,9 +53,9 @@
   CHECK_FALSE(Has(answer, "somebody's seat"));
 }
 
-TEST(Exchange, a_second_answer_on_a_kept_connection_reaches_nobody) {
-  // The next caller gets the surplus answer of the request before: the
-  // connection was kept with bytes on it that nobody had asked for.
+TEST(Exchange, a_surplus_response_on_a_kept_connection_is_not_forwarded) {
+  // Failure: a caller gets the surplus response to an earlier request, because
+  // the connection was reused with unsolicited bytes on it.
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(Signed(request, "first") + Signed(request, "surplus"));
@@ -66,7 +66,7 @@
   CHECK_EQUAL(2, one.connections);
 }
 
-TEST(Exchange, a_success_without_signature_is_not_passed_on) {
+TEST(Exchange, a_success_without_signature_is_not_forwarded) {
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& /*request*/) {
     stream->Send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -75,7 +75,7 @@
   CHECK(Has(router.Ask("/hold/x"), "HTTP/1.1 502"));
 }
 
-TEST(Exchange, a_reset_answer_without_length_is_not_complete) {
+TEST(Exchange, a_reset_response_without_length_is_not_complete) {
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send("HTTP/1.1 200 OK\r\nX-Signed: 1\r\nX-Id: r-1\r\n\r\nhalf");
@@ -86,9 +86,10 @@
   CHECK(Has(router.Ask("/hold/x"), "HTTP/1.1 502"));
 }
 
-TEST(Exchange, work_that_may_have_run_is_not_sent_again_nor_called_not_run) {
-  // A seat is held twice, or a caller that was told "not run" holds another.
-  // The upstream ran the request and its answer was lost.
+TEST(Exchange,
+     a_request_that_may_have_run_is_not_retried_nor_reported_as_not_run) {
+  // Failure: a seat is held twice, by a retry or by a caller that was told "not
+  // run". The upstream ran the request and its response was lost.
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   ScriptedUpstream& two = router.AddUpstream("two", "hold");
   const auto lose = [](const StreamRef& stream, const std::string&) {
@@ -101,7 +102,7 @@
   CHECK_EQUAL(1, one.requests.size() + two.requests.size());
 }
 
-TEST(Exchange, idempotent_work_goes_to_another_upstream) {
+TEST(Exchange, an_idempotent_request_is_retried_at_another_upstream) {
   ScriptedUpstream& one = router.AddUpstream("one", "lookup");
   ScriptedUpstream& two = router.AddUpstream("two", "lookup");
   int sent = 0;
@@ -121,7 +122,8 @@
   CHECK_EQUAL(1, two.requests.size());
 }
 
-TEST(Exchange, what_an_upstream_declined_is_refused_with_a_time_to_come_back) {
+TEST(Exchange,
+     a_request_that_an_upstream_declined_is_refused_with_retry_after) {
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string&) {
     stream->Send(
@@ -133,9 +135,9 @@
   CHECK(Has(answer, "Retry-After"));
 }
 
-TEST(Exchange, a_stream_that_breaks_goes_on_at_another_upstream) {
-  // A reader of a chat answer sees a piece twice, or none of the rest. The
-  // engine dies after two events and a half; another goes on after the second.
+TEST(Exchange, a_broken_stream_is_resumed_at_another_upstream) {
+  // Failure: a caller gets an event twice, or loses the rest of the stream. The
+  // engine dies after two and a half events; another resumes after the second.
   const auto answer = [](const StreamRef& stream, const std::string& request) {
     if (!Has(request, "X-After")) {
       stream->Send(SignedStreamHead(request) +
@@ -158,7 +160,7 @@
   CHECK(stream.ends_with("0\r\n\r\n"));
 }
 
-TEST(Exchange, a_stream_that_can_not_go_on_does_not_look_complete) {
+TEST(Exchange, a_stream_that_can_not_be_resumed_does_not_look_complete) {
   router.AddUpstream("one", "chat")
       .Answer([](const StreamRef& stream, const std::string& request) {
         stream->Send(SignedStreamHead(request) + Chunk(Event(1)));
@@ -169,7 +171,7 @@
   CHECK_FALSE(stream.ends_with("0\r\n\r\n"));
 }
 
-TEST(Exchange, the_upstream_is_told_when_the_caller_leaves) {
+TEST(Exchange, the_upstream_connection_is_closed_when_the_caller_disconnects) {
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   router.Start();
   const auto caller = router.Caller();
@@ -179,11 +181,11 @@
   CHECK(router.Until([&] { return one.closed == 1; }));
 }
 
-TEST(Exchange, nothing_is_sent_for_a_caller_that_left_before_it_was_read) {
-  // All callers come to one router, after the others died, and wait to be read
-  // for longer than they wait for an answer. Their requests and the ends of
-  // their connections are read in the same moment; sent on, they take engines'
-  // time and tokens for nobody.
+TEST(Exchange,
+     no_request_is_sent_for_a_caller_that_disconnected_before_it_was_read) {
+  // Failure: after other routers died, all callers connect to one router, which
+  // reads their requests only after they timed out, together with the ends of
+  // their connections. Forwarded requests would waste engine time and tokens.
   ScriptedUpstream& one = router.AddUpstream("one", "chat");
   router.Start(10'000);
   const auto caller = router.Caller();
@@ -195,7 +197,7 @@
   CHECK(one.requests.front().find("r-2") != std::string::npos);
 }
 
-TEST(Exchange, tokens_are_billed_as_they_were_delivered) {
+TEST(Exchange, only_delivered_tokens_are_billed) {
   router.AddUpstream("one", "chat")
       .Answer([](const StreamRef& stream, const std::string& request) {
         stream->Send(SignedStreamHead(request) + Chunk(Event(1) + Event(2)) +
@@ -203,7 +205,7 @@
       });
   router.Start(10'000);
   router.Ask("/chat/x", "X-Tokens: 50\r\n");
-  // 50 of the prompt and two events of ten tokens.
+  // 50 tokens of the prompt and two events of ten tokens each.
   CHECK(router.Until([&] {
     v1::RouterBeat beat;
     beat.ParseFromString(router.store.Newest("routers", "router-1"));
@@ -212,10 +214,10 @@
 }
 
 TEST(Exchange,
-     work_is_refused_as_not_run_when_the_ceiling_is_reached_in_a_cut) {
-  // A caller is told that its budget is used up, and goes away for good, by a
-  // router that only can't reach the store. It serves up to its ceiling, and
-  // then says "not now".
+     requests_are_refused_as_not_run_at_the_ceiling_during_a_store_outage) {
+  // Failure: a router that merely can't reach the store reports an exhausted
+  // budget, and the caller never retries. It must serve up to its ceiling, and
+  // then refuse with Retry-After.
   ScriptedUpstream& one = router.AddUpstream("one", "chat");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(SignedStreamHead(request) + Chunk(Event(1)) + "0\r\n\r\n");
@@ -239,9 +241,9 @@
   CHECK(Has(answer, "Retry-After"));
 }
 
-TEST(Exchange, a_caller_is_sent_to_routers_that_reach_the_store) {
-  // The store turns one router away and serves the others. Its callers were
-  // told to come back after the whole cut, with tokens free a router further.
+TEST(Exchange, a_caller_is_directed_to_routers_that_reach_the_store) {
+  // Failure: only one router can't reach the store, and its callers are told to
+  // retry after the whole outage although other routers have free tokens.
   router.settings.load_address = FreeAddress(router.io);
   router.Start(10'000);
   router.store.away = true;
@@ -262,10 +264,10 @@
   CHECK(Has(answer, "Retry-After: 50000 us"));
 }
 
-TEST(Exchange, a_router_short_of_tokens_is_helped_while_the_store_is_away) {
-  // A tenant's callers all come to one router when the store goes away. It was
-  // refused at that router's ceiling, with tokens idle in another's; together
-  // both never spend more than the total.
+TEST(Exchange, a_router_borrows_tokens_while_the_store_is_away) {
+  // Failure: all callers of an account use one router during a store outage and
+  // are refused at its ceiling, although another router has unused tokens. Both
+  // together must never spend more than the total.
   ScriptedUpstream& one = router.AddUpstream("one", "chat");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(SignedStreamHead(request) + Chunk(Event(1)) + "0\r\n\r\n");
@@ -293,8 +295,8 @@
     }
   };
   serve_all();
-  // A part is held back for as long as the store may still answer; callers are
-  // told when it serves.
+  // A part of the ceiling is spendable only some time after its claim was
+  // written; callers are told when.
   router.io.run_for(std::chrono::milliseconds(2'600));
   serve_all();
   CHECK(served * kEach > ceiling + ceiling / 4);
--- a/tests/gateway/unit-http-client.cc
+++ b/tests/gateway/unit-http-client.cc
@@ -19,7 +19,7 @@
 
 constexpr std::chrono::milliseconds kStep{20};
 
-/// @brief Sends a text in parts, one each step, as a small link does.
+/// @brief Sends a text in parts, one each step, as over a slow link.
 void SendSlowly(boost::asio::io_context& io,
                 const StreamRef& stream,
                 std::string text,
@@ -68,9 +68,9 @@
 };
 // clang-format on
 
-TEST(HttpClient, an_answer_that_is_coming_is_waited_for) {
-  // A router on a small link never gets the configuration: what is read of it
-  // in the time of a call is thrown away, and asked for again.
+TEST(HttpClient, a_response_that_arrives_slowly_is_not_timed_out) {
+  // Failure: a router on a slow link never gets the configuration, because each
+  // call times out, drops what it has read, and starts over.
   const std::string body(1'000, 'x');
   store.Answer([&](const StreamRef& stream, const std::string& /*text*/) {
     SendSlowly(io, stream,
@@ -81,13 +81,13 @@
   CHECK_EQUAL(body.size(), core::Value(*result).body.size());
 }
 
-TEST(HttpClient, an_answer_that_never_begins_is_given_up_soon) {
+TEST(HttpClient, a_response_that_never_begins_times_out_soon) {
   store.Answer([](const StreamRef& /*stream*/, const std::string& /*text*/) {});
   Make(Get());
   CHECK_FALSE(core::IsOk(*result));
 }
 
-TEST(HttpClient, an_answer_that_stops_midway_is_given_up) {
+TEST(HttpClient, a_response_that_stalls_times_out) {
   store.Answer([](const StreamRef& stream, const std::string& /*text*/) {
     stream->Send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nx");
   });
@@ -98,7 +98,7 @@
   CHECK(core::ErrorId::kLogUnavailable == core::Failure(*result).id);
 }
 
-TEST(HttpClient, an_answer_without_an_end_is_not_kept) {
+TEST(HttpClient, a_too_long_response_is_rejected) {
   store.Answer([](const StreamRef& stream, const std::string& /*text*/) {
     stream->Send("HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n" +
                  std::string(100'000, 'x'));
--- a/tests/gateway/unit-limit.cc
+++ b/tests/gateway/unit-limit.cc
@@ -30,7 +30,7 @@
     });
     return upstream;
   }
-  // @return how many of them upstream "one" got
+  // @return number of the requests that upstream "one" got
   size_t AskOften(int count) {
     one.requests.clear();
     for (int i = 0; i < count; ++i) {
@@ -56,13 +56,13 @@
 };
 // clang-format on
 
-TEST(Limit, an_upstream_that_names_a_limit_gets_no_more_than_that) {
+TEST(Limit, an_upstream_gets_no_more_requests_than_its_stated_limit) {
   router.Start();
   CHECK(AskOften(30) <= 2);
   CHECK(Has(last, "HTTP/1.1 200"));
 }
 
-TEST(Limit, the_end_of_a_limit_is_found) {
+TEST(Limit, removal_of_a_limit_is_detected) {
   router.Start();
   AskOften(30);
   limit_of_one.reset();
@@ -79,7 +79,7 @@
   CHECK(one.requests.size() + two.requests.size() <= 4);
 }
 
-TEST(Limit, what_another_router_was_told_holds_here_too) {
+TEST(Limit, a_limit_reported_by_another_router_applies) {
   limit_of_one.reset();
   router.settings.load_address = FreeAddress(router.io);
   router.Start();
@@ -90,7 +90,7 @@
   CHECK(AskOften(30) > 5);
 }
 
-TEST(Limit, failures_and_refusals_name_limits_too) {
+TEST(Limit, limits_in_error_responses_apply) {
   one.Answer([](const StreamRef& stream, const std::string&) {
     stream->Send(
         "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nX-Limit: 0.5\r\n"
