--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -146,7 +146,7 @@
   entry::RequestContent Content() const;
   const entry::RequestPrint& Fingerprint();
   bool MayHaveCrashedUpstreams() const;
-  entry::Standing CurrentStanding();
+  entry::Standing CurrentQuarantineState();
   /// @brief Refuses a request that crashed upstreams.
   /// @return whether it was refused
   bool RefuseIfCrashesUpstreams();
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -379,7 +379,7 @@
     return false;
   }
   // A request that crashes upstreams must not crash two of them per arrival.
-  if (CurrentStanding() != entry::Standing::kClear) {
+  if (CurrentQuarantineState() != entry::Standing::kClear) {
     return false;
   }
   return m_context.retries.Take(m_admitted.service, m_context.members.Live(),
--- a/src/gateway/exchange_quarantine.cc
+++ b/src/gateway/exchange_quarantine.cc
@@ -23,14 +23,14 @@
   return *m_fingerprint;
 }
 
-// Hardly any request is in the crash record. The sketch sorts out most of the
-// others, so that their bodies need not be hashed.
+// Hardly any request is in the crash record. A cheap hash rules out most of the
+// others, so that the strong hash of their bodies is not needed.
 bool Exchange::MayHaveCrashedUpstreams() const {
   const entry::CrashRecord& record = m_context.crash_monitor.record();
   return !record.empty() && record.MayKnow(entry::SketchOf(Content()));
 }
 
-entry::Standing Exchange::CurrentStanding() {
+entry::Standing Exchange::CurrentQuarantineState() {
   return MayHaveCrashedUpstreams()
              ? m_context.crash_monitor.record().StandingOf(Fingerprint())
              : entry::Standing::kClear;
@@ -40,15 +40,15 @@
 // crash one after another, along with the other requests they run. So the
 // request's content is checked before every send.
 bool Exchange::RefuseIfCrashesUpstreams() {
-  const entry::Standing standing = CurrentStanding();
-  if (standing == entry::Standing::kClear) {
+  const entry::Standing quarantine_state = CurrentQuarantineState();
+  if (quarantine_state == entry::Standing::kClear) {
     return false;
   }
   core::Error error{core::ErrorId::kEndsUpstreams, Fingerprint().Short(),
                     "upstreams crashed while running it"};
   core::Duration retry_delay = m_context.crash_monitor.record().RefusedFor(
       Fingerprint(), net::BootNow());
-  if (standing == entry::Standing::kSuspect) {
+  if (quarantine_state == entry::Standing::kSuspect) {
     // Copies that arrive at many routers at once would each crash an upstream.
     // So only one router tries them, one at a time.
     m_on_trial = m_on_trial ||
