--- /dev/null
+++ b/include/coppervalve/gateway/crash_monitor.h
@@ -0,0 +1,50 @@
+#ifndef COPPERVALVE_GATEWAY_CRASH_MONITOR_H_
+#define COPPERVALVE_GATEWAY_CRASH_MONITOR_H_
+
+#include <boost/asio/io_context.hpp>
+#include <functional>   // function
+#include <string_view>  // string_view
+
+#include "coppervalve/entry/crash_record.h"
+#include "coppervalve/entry/upstream_directory.h"
+#include "coppervalve/gateway/event_log.h"
+#include "coppervalve/gateway/upstream_check.h"
+
+namespace coppervalve::gateway {
+
+/// @brief Reports crashes of upstreams to the crash record. Healthy upstreams
+/// drop connections too, so a crash counts only once it is confirmed.
+class CrashMonitor {
+ public:
+  struct Hooks {
+    /// The record changed; other routers should be told soon.
+    std::function<void()> on_change;
+  };
+
+  CrashMonitor(boost::asio::io_context& io, EventLog& log, Hooks hooks);
+
+  /// @brief A response was cut off, or did not come in time.
+  void OnBroken(const entry::UpstreamRef& upstream,
+                const entry::RequestPrint& request);
+  /// @brief An instance of an upstream is known to have ended.
+  /// @param by how this was detected, for the log
+  void OnEnded(const entry::UpstreamEntry& entry, std::string_view by);
+  /// @brief An upstream ran the request to completion.
+  void OnSurvived(const entry::RequestPrint& request);
+  /// @brief Another router's heartbeat was read.
+  void OnBeat(const v1::RouterBeat& beat);
+
+  entry::CrashRecord& record() { return m_record; }
+
+ private:
+  void LogQuarantined(const entry::RequestPrint& request, std::string_view by);
+
+  EventLog& m_log;
+  Hooks m_hooks;
+  UpstreamCheck m_check;
+  entry::CrashRecord m_record;
+};
+
+}  // namespace coppervalve::gateway
+
+#endif  // COPPERVALVE_GATEWAY_CRASH_MONITOR_H_
--- a/include/coppervalve/gateway/http_caller.h
+++ b/include/coppervalve/gateway/http_client.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_GATEWAY_HTTP_CALLER_H_
-#define COPPERVALVE_GATEWAY_HTTP_CALLER_H_
+#ifndef COPPERVALVE_GATEWAY_HTTP_CLIENT_H_
+#define COPPERVALVE_GATEWAY_HTTP_CLIENT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -19,36 +19,38 @@
 
 namespace coppervalve::gateway {
 
-/// @brief One call of another program.
+/// @brief One HTTP request to another process.
 struct HttpCall {
   std::string method;
   std::string target;
-  std::string content_type;  ///< empty = no body type is sent
+  std::string content_type;  ///< empty: no Content-Type is sent
   std::string body;
   entry::CallPatience patience;
-  /// Of the answer: one that says it is longer, or never ends, is not kept.
-  size_t most_bytes = 8 * 1024 * 1024;
+  /// Limit of the response's size, head included. Without it a response that
+  /// never ends would be buffered without bound.
+  size_t max_bytes = 8 * 1024 * 1024;
 };
 
-/// @brief Its whole answer.
+/// @brief The complete response to an HttpCall.
 struct HttpReply {
   int status = 0;
   std::string body;
 };
 
-/// @brief Calls one address, one call at a time, on one kept connection.
+/// @brief HTTP client for one address: sends one request at a time on one
+/// persistent connection.
 ///
-/// A call that got no answer leaves its connection unusable, and what it asked
-/// for may still be done: the next call opens a new one.
-class HttpCaller : public std::enable_shared_from_this<HttpCaller> {
+/// A request that got no response may still be executed. Its connection is
+/// closed, and the next request opens a new one.
+class HttpClient : public std::enable_shared_from_this<HttpClient> {
  public:
   using Handler = std::function<void(const core::Result<HttpReply>&)>;
 
   /// @param address "ip:port"
-  HttpCaller(boost::asio::io_context& io, std::string address);
+  HttpClient(boost::asio::io_context& io, std::string address);
 
-  /// @brief Queues a call. @return through the handler: the reply, or
-  /// kLogUnavailable when none came in time
+  /// @brief Queues a request.
+  /// @param handler gets the reply, or kLogUnavailable if none came in time
   void Call(HttpCall call, Handler handler);
 
  private:
@@ -73,12 +75,12 @@
   std::unique_ptr<http1::ResponseReader> m_reader;
   std::string m_unread;
   std::deque<Pending> m_queue;
-  entry::CallProgress m_progress;  ///< of the call that is made
-  size_t m_received = 0;           ///< bytes of its answer
+  entry::CallProgress m_progress;  ///< of the current call
+  size_t m_received = 0;           ///< bytes of the current response
   bool m_busy = false;
   uint64_t m_call_number = 0;
 };
 
 }  // namespace coppervalve::gateway
 
-#endif  // COPPERVALVE_GATEWAY_HTTP_CALLER_H_
+#endif  // COPPERVALVE_GATEWAY_HTTP_CLIENT_H_
--- a/src/gateway/caller_connection.cc
+++ b/src/gateway/caller_connection.cc
@@ -10,9 +10,9 @@
 
 namespace {
 
-// Pipelined bytes that are kept while a request is in progress; beyond it the
-// caller is not read, which also hides that it left.
-constexpr size_t kMostUnread = 65'536;
+// Limit of pipelined bytes buffered while a request is in progress. Beyond it,
+// reading is paused, so a disconnect of the caller is not noticed either.
+constexpr size_t kMaxUnread = 65'536;
 
 bool HasNoBody(int status) {
   constexpr int kNoContent = 204;
@@ -65,17 +65,18 @@
   NextRequest();
 }
 
-void CallerConnection::WatchLeaving(std::function<void()> on_left) {
-  m_on_left = std::move(on_left);
+void CallerConnection::SetDisconnectHandler(
+    std::function<void()> on_disconnect) {
+  m_on_disconnect = std::move(on_disconnect);
 }
 
-void CallerConnection::WatchDrained(std::function<void()> on_drained) {
+void CallerConnection::SetDrainedHandler(std::function<void()> on_drained) {
   m_on_drained = std::move(on_drained);
 }
 
 void CallerConnection::NextRequest() {
   m_busy = false;
-  m_on_left = nullptr;
+  m_on_disconnect = nullptr;
   m_on_drained = nullptr;
   const entry::CallerBounds bounds = m_hooks->bounds();
   m_reader = std::make_unique<http1::RequestReader>(
@@ -93,7 +94,7 @@
     Parse();
     return;
   }
-  if (m_unread.size() > kMostUnread) {
+  if (m_unread.size() > kMaxUnread) {
     m_stream->PauseReading();
   }
 }
@@ -132,22 +133,23 @@
   m_keep_alive = false;
   m_head_request = false;
   const int status = core::Describe(error.id).http_status;
-  Answer({status,
-          std::string(ReasonOf(status)),
-          {},
-          core::ErrorCode(error.id) + "\n"});
+  Respond({status,
+           std::string(ReasonOf(status)),
+           {},
+           core::ErrorCode(error.id) + "\n"});
 }
 
-void CallerConnection::Answer(const LocalAnswer& answer) {
-  BeginAnswer(answer.status, answer.reason, answer.headers, answer.body.size());
-  SendBody(answer.body);
-  EndAnswer();
+void CallerConnection::Respond(const LocalResponse& response) {
+  BeginResponse(response.status, response.reason, response.headers,
+                response.body.size());
+  SendBody(response.body);
+  EndResponse();
 }
 
-void CallerConnection::BeginAnswer(int status,
-                                   const std::string& reason,
-                                   const http1::HeaderList& headers,
-                                   std::optional<uint64_t> length) {
+void CallerConnection::BeginResponse(int status,
+                                     const std::string& reason,
+                                     const http1::HeaderList& headers,
+                                     std::optional<uint64_t> length) {
   if (m_closed) {
     return;
   }
@@ -175,7 +177,8 @@
   if (m_closed) {
     return;
   }
-  // The head goes out with the first bytes of the body: one packet, one call.
+  // Sends the head together with the first body bytes, to save a packet and a
+  // system call.
   std::string text = std::exchange(m_head_text, {});
   if (!bytes.empty() && !m_head_request) {
     if (m_chunked) {
@@ -191,7 +194,7 @@
   }
 }
 
-void CallerConnection::EndAnswer() {
+void CallerConnection::EndResponse() {
   if (m_closed) {
     return;
   }
@@ -234,11 +237,11 @@
     return;
   }
   m_stream->Abort();
-  const auto on_left = std::exchange(m_on_left, nullptr);
+  const auto on_disconnect = std::exchange(m_on_disconnect, nullptr);
   m_busy = false;
   Close();
-  if (on_left) {
-    on_left();
+  if (on_disconnect) {
+    on_disconnect();
   }
 }
 
@@ -258,7 +261,8 @@
     return;
   }
   if (m_reader->begun()) {
-    Reject({core::ErrorId::kSlowSender, "request", "not sent in time"});
+    Reject({core::ErrorId::kSlowSender, "request",
+            "request was not received in time"});
     return;
   }
   CloseIfIdle();
@@ -267,7 +271,7 @@
 void CallerConnection::Close() {
   m_closed = true;
   m_timer.cancel();
-  m_on_left = nullptr;
+  m_on_disconnect = nullptr;
   m_on_drained = nullptr;
   m_hooks->on_closed();
 }
--- a/src/gateway/http_caller.cc
+++ b/src/gateway/http_client.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/gateway/http_caller.h"
+#include "coppervalve/gateway/http_client.h"
 
 #include <algorithm>                  // max
 #include <boost/asio/ip/address.hpp>  // make_address
@@ -33,15 +33,15 @@
 
 }  // namespace
 
-HttpCaller::HttpCaller(boost::asio::io_context& io, std::string address)
+HttpClient::HttpClient(boost::asio::io_context& io, std::string address)
     : m_io(io), m_address(std::move(address)), m_timeout(io) {}
 
-void HttpCaller::Call(HttpCall call, Handler handler) {
+void HttpClient::Call(HttpCall call, Handler handler) {
   m_queue.push_back({std::move(call), std::move(handler)});
   Next();
 }
 
-void HttpCaller::Next() {
+void HttpClient::Next() {
   if (m_busy || m_queue.empty()) {
     return;
   }
@@ -59,11 +59,11 @@
   Connect();
 }
 
-// An answer that is coming is waited for longer than one that is not: how soon
-// it shows that the other end can't be reached, and how long a large answer
-// takes through a small link, are two things. Thrown away half read, it is
-// asked for again, by all readers at once, and none of them ever gets it.
-void HttpCaller::ArmTimeout() {
+// A response that has begun to arrive gets a longer timeout than one that has
+// not: detecting an unreachable server must be fast, but a large response may
+// take long on a slow link. If readers gave up half-read responses, all of them
+// would request these again at once, and none would ever complete.
+void HttpClient::ArmTimeout() {
   const core::TimePoint give_up = GiveUpAt();
   m_timeout.expires_after(
       std::max(give_up - net::BootNow(), core::Duration::zero()));
@@ -72,7 +72,8 @@
     if (code || number != self->m_call_number || !self->m_busy) {
       return;
     }
-    // What came meanwhile doesn't set the timer anew each time.
+    // Bytes that arrive extend the deadline; the timer is re-armed only here
+    // instead of at each arrival.
     if (self->GiveUpAt() > give_up) {
       self->ArmTimeout();
       return;
@@ -81,17 +82,17 @@
   });
 }
 
-core::TimePoint HttpCaller::GiveUpAt() const {
+core::TimePoint HttpClient::GiveUpAt() const {
   return m_queue.front().call.patience.GiveUpAt(m_progress);
 }
 
-void HttpCaller::Connect() {
+void HttpClient::Connect() {
   const auto endpoint = net::ReadEndpoint(m_address);
   ErrorCode bad_address;
   const auto ip = boost::asio::ip::make_address(
       endpoint ? endpoint->ip : std::string(), bad_address);
   if (!endpoint || bad_address) {
-    Finish(NoAnswer("not an address: " + m_address), false);
+    Finish(NoAnswer("invalid address: " + m_address), false);
     return;
   }
   m_connecting = std::make_shared<tcp::socket>(m_io);
@@ -103,12 +104,12 @@
           return;
         }
         if (code) {
-          self->Finish(NoAnswer("no connection: " + code.message()), false);
+          self->Finish(NoAnswer("connect failed: " + code.message()), false);
           return;
         }
         self->m_progress.connected = true;
         self->m_stream = std::make_shared<Stream>(std::move(*socket));
-        std::weak_ptr<HttpCaller> weak = self;
+        std::weak_ptr<HttpClient> weak = self;
         self->m_stream->Start({[weak](std::string_view bytes) {
                                  if (const auto caller = weak.lock()) {
                                    caller->OnBytes(bytes);
@@ -124,20 +125,20 @@
       });
 }
 
-void HttpCaller::SendCurrent() {
+void HttpClient::SendCurrent() {
   m_stream->Send(TextOf(m_queue.front().call, m_address));
 }
 
-void HttpCaller::OnBytes(std::string_view bytes) {
+void HttpClient::OnBytes(std::string_view bytes) {
   if (!m_busy) {
-    // Bytes that nobody asked for would be read as the next call's answer.
+    // Unsolicited bytes would be parsed as the response to the next request.
     m_stream->Abort();
     m_stream.reset();
     return;
   }
   m_progress.last_part = net::BootNow();
   m_received += bytes.size();
-  if (m_received > m_queue.front().call.most_bytes) {
+  if (m_received > m_queue.front().call.max_bytes) {
     Finish(NoAnswer("the answer is too long"), false);
     return;
   }
@@ -154,7 +155,7 @@
   }
 }
 
-void HttpCaller::OnEnd() {
+void HttpClient::OnEnd() {
   if (m_busy) {
     Finish(NoAnswer("the connection ended"), false);
     return;
@@ -165,7 +166,7 @@
   }
 }
 
-void HttpCaller::Finish(core::Result<HttpReply> result, bool keep_connection) {
+void HttpClient::Finish(core::Result<HttpReply> result, bool keep_connection) {
   m_timeout.cancel();
   ++m_call_number;
   if (m_connecting) {
@@ -180,7 +181,7 @@
   Handler handler = std::move(m_queue.front().handler);
   m_queue.pop_front();
   m_busy = false;
-  // From the loop, so that a handler that calls again is not nested in this.
+  // Posted, so that a handler that makes another call does not recurse.
   boost::asio::post(m_io,
                     [self = shared_from_this(), handler = std::move(handler),
                      result = std::move(result)]() mutable {
--- a/tests/gateway/gateway_fixture.cc
+++ b/tests/gateway/gateway_fixture.cc
@@ -43,7 +43,7 @@
   return route;
 }
 
-// "VERSION PREPAID": all else of the test's configuration is fixed.
+// Reads "VERSION PREPAID"; the rest of the test's configuration is fixed.
 core::Result<entry::Configuration> ReadConfiguration(
     const std::string& document) {
   std::istringstream words(document);
@@ -126,7 +126,7 @@
     entry::UpstreamEntry entry;
     entry.id = core::UpstreamId(key);
     words >> service >> entry.address;
-    if (service == kNamesNoUpstream) {
+    if (service == kInvalidService) {
       return core::Error{core::ErrorId::kConfigSyntax, key, document};
     }
     int64_t born = 0;
@@ -142,7 +142,7 @@
   };
   dialect.refusal = [](const core::Error& error,
                        std::optional<core::Duration> retry_after) {
-    LocalAnswer answer;
+    LocalResponse answer;
     answer.status = core::Describe(error.id).http_status;
     answer.reason = "Refused";
     if (retry_after) {
@@ -155,14 +155,14 @@
   dialect.addresses = [](const http1::RequestHead&,
                          const std::vector<std::string>& addresses,
                          core::Duration) {
-    LocalAnswer answer;
+    LocalResponse answer;
     for (const std::string& address : addresses) {
       answer.body += address + "\n";
     }
     return answer;
   };
   dialect.readiness = [](const http1::RequestHead&, bool ready) {
-    LocalAnswer answer;
+    LocalResponse answer;
     answer.status = ready ? 200 : 503;
     return answer;
   };
@@ -236,11 +236,11 @@
   m_stream->Send(text);
 }
 
-void TestCaller::Leave() {
+void TestCaller::Disconnect() {
   m_stream->Abort();
 }
 
-void TestCaller::GiveUp() {
+void TestCaller::CloseAfterSend() {
   m_stream->CloseWhenSent();
 }
 
@@ -293,7 +293,7 @@
   gateway =
       std::make_unique<Gateway>(io, settings, TestDialect(), store.Calls());
   gateway->Start();
-  // The first claim is in the log and was read back.
+  // Waits until the first claim is in the store and was read back.
   Until([this] { return store.RecordsOf("routers") != 0; });
   io.run_for(std::chrono::milliseconds(20));
 }
@@ -307,7 +307,7 @@
       std::make_unique<Gateway>(io, other, TestDialect(), store.Calls());
   peer->Start();
   Until([&] { return !store.Newest("routers", name).empty(); });
-  // Both know what the other claims by now.
+  // Gives both routers time to read each other's claims.
   io.run_for(std::chrono::milliseconds(2'500));
   return peer;
 }
