--- a/bench/capacity/changes.cc
+++ b/bench/capacity/changes.cc
@@ -11,7 +11,7 @@
 #include "bench/capacity/fleet_records.h"
 #include "bench/capacity/measures.h"
 #include "bench/capacity/sizes.h"
-#include "coppervalve/budget/book.h"
+#include "coppervalve/budget/holding_manager.h"
 #include "coppervalve/core/result.h"
 #include "coppervalve/ledger/fold.h"
 
@@ -92,7 +92,7 @@
 }
 
 void ReportStranded(Figures& figures, const CoreDriver& driver) {
-  const budget::Book& book = driver.core().book();
+  const budget::HoldingManager& book = driver.core().book();
   int64_t ahead = 0;
   int64_t held = 0;
   v1::QuarantineNarrowed narrowed;
@@ -106,7 +106,7 @@
     ceiling.set_budget(status.id());
     ceiling.set_tokens(status.ceiling());
   }
-  const budget::BookTotals& totals = book.Totals();
+  const budget::HoldingTotals& totals = book.Totals();
   figures.Inform("crash_strands_with_witness", static_cast<double>(ahead),
                  "tokens");
   figures.Inform("crash_strands_in_progress",
--- a/include/coppervalve/budget/witness_desk.h
+++ b/include/coppervalve/budget/ceiling_store.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_BUDGET_WITNESS_DESK_H_
-#define COPPERVALVE_BUDGET_WITNESS_DESK_H_
+#ifndef COPPERVALVE_BUDGET_CEILING_STORE_H_
+#define COPPERVALVE_BUDGET_CEILING_STORE_H_
 
 #include <cstdint>        // uint32_t
 #include <optional>       // optional
@@ -14,7 +14,7 @@
 namespace coppervalve::budget {
 
 /// @brief The ceilings that this router keeps for its peers.
-class WitnessDesk {
+class CeilingStore {
  public:
   /// @brief Remembers the ceilings of a peer, the larger of old and new.
   /// @return the answer to send back; refused once Close() was called
@@ -23,29 +23,31 @@
                                 const v1::CeilingRaise& raise);
 
   /// @brief Refuses all raises of an incarnation from now on, also when it
-  /// never sent one. Called when the log retires it, before StatementFor().
+  /// never sent one. Called when the log retires it, before
+  /// QuarantineNarrowedFor().
   void Close(const PeerRef& peer);
 
   /// @return the record that narrows a closed peer's quarantine; nothing while
   /// the peer is not closed, or when no complete list was ever received
-  std::optional<v1::QuarantineNarrowed> StatementFor(const PeerRef& peer) const;
+  std::optional<v1::QuarantineNarrowed> QuarantineNarrowedFor(
+      const PeerRef& peer) const;
 
   /// @brief Frees the ceilings of a closed peer; it stays closed.
   void ForgetCeilings(const PeerRef& peer);
 
  private:
-  struct Ward {
+  struct PeerEntry {
     bool complete = false;
     std::unordered_map<core::BudgetId, core::Tokens> ceilings;
     std::unordered_map<uint32_t, core::BudgetId> names;  ///< by number
     bool closed = false;
   };
 
-  static bool TakeNames(const v1::CeilingRaise& raise, Ward& ward);
+  static bool LearnNames(const v1::CeilingRaise& raise, PeerEntry& entry);
 
-  std::unordered_map<core::Incarnation, Ward> m_wards;
+  std::unordered_map<core::Incarnation, PeerEntry> m_peers;
 };
 
 }  // namespace coppervalve::budget
 
-#endif  // COPPERVALVE_BUDGET_WITNESS_DESK_H_
+#endif  // COPPERVALVE_BUDGET_CEILING_STORE_H_
--- a/include/coppervalve/budget/holding.h
+++ b/include/coppervalve/budget/holding.h
@@ -8,14 +8,14 @@
 /// @brief The tokens of one budget at one router incarnation. All amounts are
 /// cumulative except `reserved` and `gate_only`.
 struct Holding {
-  core::Tokens granted;                ///< folded
-  core::Tokens transferred_in;         ///< credited, folded or not
-  core::Tokens transferred_in_folded;  ///< part of transferred_in
-  core::Tokens returned;               ///< debited, folded or not
-  core::Tokens spent;                  ///< settled
-  core::Tokens reserved;               ///< by requests in progress
-  core::Tokens transferred_out;        ///< debited, folded or not
-  core::Tokens gate_only;              ///< spare that only GATE may reserve
+  core::Tokens granted;                 ///< applied
+  core::Tokens transferred_in;          ///< credited, applied or not
+  core::Tokens transferred_in_applied;  ///< part of transferred_in
+  core::Tokens returned;                ///< debited, applied or not
+  core::Tokens spent;                   ///< settled
+  core::Tokens reserved;                ///< by requests in progress
+  core::Tokens transferred_out;         ///< debited, applied or not
+  core::Tokens gate_only;               ///< spare that only GATE may reserve
 
   /// @return all that was ever received, less what was returned
   core::Tokens Received() const { return granted + transferred_in - returned; }
@@ -24,8 +24,8 @@
   /// @return held and not committed
   core::Tokens Spare() const { return Received() - Committed(); }
   /// @return the spare tokens that every fold already counts as held here
-  core::Tokens FoldedSpare() const {
-    return granted + transferred_in_folded - returned - Committed();
+  core::Tokens AppliedSpare() const {
+    return granted + transferred_in_applied - returned - Committed();
   }
 };
 
--- a/include/coppervalve/budget/book.h
+++ b/include/coppervalve/budget/holding_manager.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_BUDGET_BOOK_H_
-#define COPPERVALVE_BUDGET_BOOK_H_
+#ifndef COPPERVALVE_BUDGET_HOLDING_MANAGER_H_
+#define COPPERVALVE_BUDGET_HOLDING_MANAGER_H_
 
 #include <cstddef>        // size_t
 #include <cstdint>        // uint8_t, uint32_t, uint64_t
@@ -18,9 +18,9 @@
 #include "coppervalve/budget/peer_ref.h"
 #include "coppervalve/budget/peer_spares.h"
 #include "coppervalve/budget/sizing.h"
-#include "coppervalve/budget/spend_trail.h"
+#include "coppervalve/budget/spend_reporter.h"
 #include "coppervalve/budget/transfers.h"
-#include "coppervalve/budget/witnessing.h"
+#include "coppervalve/budget/witness_set.h"
 #include "coppervalve/config.pb.h"
 #include "coppervalve/core/hash.h"
 #include "coppervalve/core/ids.h"
@@ -48,8 +48,8 @@
   kTransfer,    ///< a peer's tokens
 };
 
-/// @brief No tokens now, but soon perhaps: try again once TakeWoken() names
-/// the budget, or when the request's queue time ends refuse it.
+/// @brief No tokens now, but soon perhaps: try again once TakeWokenBudgets()
+/// names the budget, or when the request's queue time ends refuse it.
 struct Wait {
   WaitReason reason;
 };
@@ -67,30 +67,31 @@
 /// @brief Most records that one call hands out.
 inline constexpr size_t kMaxRecordsPerTake = 256;
 /// @brief Settlements are reported in batches, this far apart.
-inline constexpr core::Duration kSpendReportEvery{1'000'000};  // microseconds
+inline constexpr core::Duration kSpendReportInterval{
+    1'000'000};  // microseconds
 /// @brief A budget without requests for this long is idle.
-inline constexpr core::Duration kIdleAfter{5'000'000};  // microseconds
-/// @brief After a denial the log isn't asked again for this long, unless the
-/// balance changes; nor after a grant, unless requests wait.
-inline constexpr core::Duration kAskAgainAfter{500'000};  // microseconds
+inline constexpr core::Duration kIdleTimeout{5'000'000};  // microseconds
+/// @brief After a denial the log isn't requested again for this long, unless
+/// the balance changes; nor after a grant, unless requests wait.
+inline constexpr core::Duration kGrantRequestInterval{500'000};  // microseconds
 /// @brief Requests that wait try again at least this often.
-inline constexpr core::Duration kRetryWaitingAfter{500'000};  // microseconds
-/// @brief A peer is asked for one budget's tokens at most this often.
-inline constexpr core::Duration kTransferAskEvery{250'000};  // microseconds
+inline constexpr core::Duration kRetryInterval{500'000};  // microseconds
+/// @brief A peer is requested for one budget's tokens at most this often.
+inline constexpr core::Duration kTransferAskInterval{250'000};  // microseconds
 /// @brief Tokens of one budget go back at most this often.
-inline constexpr core::Duration kReturnEvery{1'000'000};  // microseconds
-/// @brief A retired incarnation waits this long for its transfers to be folded
+inline constexpr core::Duration kReturnInterval{1'000'000};  // microseconds
+/// @brief A retired incarnation waits this long for its transfers to be applied
 /// before it makes its final report without them.
-inline constexpr core::Duration kFinalReportAfter{5'000'000};  // microseconds
+inline constexpr core::Duration kFinalReportDelay{5'000'000};  // microseconds
 /// @brief Budgets that other routers use are held on standby while this router
 /// knows fewer than so many.
 inline constexpr size_t kMaxStandbyBudgets = 1024;
 /// @brief Budgets that one heartbeat looks at, and advertises.
-inline constexpr size_t kSparesExamined = 1024;
-inline constexpr size_t kSparesAdvertised = 128;
+inline constexpr size_t kMaxSparesExamined = 1024;
+inline constexpr size_t kMaxSparesAdvertised = 128;
 
 /// @brief Sums over all budgets that this incarnation touched.
-struct BookTotals {
+struct HoldingTotals {
   core::Tokens received;
   core::Tokens spent;
   core::Tokens reserved;
@@ -101,16 +102,16 @@
 
 /// @brief How the book sees the fold: pulled when a decision needs it. Nothing
 /// for a budget that the fold doesn't have.
-using BalanceHook =
+using BalanceLookup =
     std::function<std::optional<BalanceView>(const core::BudgetId&)>;
 
 /// @brief Everything one router incarnation decides about its holdings.
 ///
 /// Invariants, per budget: spent + reserved + transferred out <= received, and
 /// <= the ceiling acknowledged by each witness that may be in force.
-class Book {
+class HoldingManager {
  public:
-  Book(PeerRef self, SizingPolicy policy, BalanceHook balance);
+  HoldingManager(PeerRef self, SizingPolicy policy, BalanceLookup balance);
 
   // ---- Requests ------------------------------------------------------------
 
@@ -138,7 +139,7 @@
 
   /// @return budgets whose waiting requests should try again, before the next
   /// TakeRecords(): until they do, nothing is known to wait
-  std::vector<core::BudgetId> TakeWoken();
+  std::vector<core::BudgetId> TakeWokenBudgets();
 
   // ---- Commands ------------------------------------------------------------
 
@@ -160,24 +161,24 @@
   void OnDenied(core::TimePoint now,
                 const core::BudgetId& budget,
                 core::Sequence sequence);
-  /// @brief This incarnation's report of a cumulative spend was folded.
+  /// @brief This incarnation's report of a cumulative spend was applied.
   /// To be called for each SpendReported of its own entries, in log order.
-  void OnSpendFolded(const core::BudgetId& budget, core::Tokens spent);
-  /// @brief Any transfer from or to this incarnation was folded.
-  void OnTransferFolded(core::TimePoint now,
-                        const v1::TransferRecorded& transfer);
-  /// @brief A WitnessChosen of this incarnation was folded; nothing: none.
+  void OnSpendApplied(const core::BudgetId& budget, core::Tokens spent);
+  /// @brief Any transfer from or to this incarnation was applied.
+  void OnTransferApplied(core::TimePoint now,
+                         const v1::TransferRecorded& transfer);
+  /// @brief A WitnessChosen of this incarnation was applied; nothing: none.
   void OnWitnessInForce(const std::optional<PeerRef>& peer);
   /// @brief The fold refused a WitnessChosen of this incarnation; choose
   /// another one.
   void OnWitnessRefused(const PeerRef& peer);
   /// @brief The log retired this incarnation.
   void OnRetired(core::TimePoint now);
-  /// @brief What BalanceHook answers for the budget changed. A budget that
+  /// @brief What BalanceLookup answers for the budget changed. A budget that
   /// others use may get a holding on standby.
   void OnBalanceChanged(core::TimePoint now, const core::BudgetId& budget);
   /// @brief How many routers share the budgets, this one included.
-  void OnFleet(uint32_t active_routers);
+  void OnActiveRouters(uint32_t active_routers);
   /// @brief Whether appends or reads have been failing for too long.
   void OnLogState(bool out);
 
@@ -228,12 +229,12 @@
   bool Retired() const { return m_retired; }
   /// @return whether a retired incarnation has handed out its final report
   bool Finalized() const { return m_finalized; }
-  uint64_t OpenReservations() const { return m_open.size(); }
+  uint64_t OpenReservations() const { return m_open_reservations.size(); }
   /// @return nothing for a budget that was never touched
   std::optional<v1::BudgetStatus> StatusOf(const core::BudgetId& budget) const;
   std::vector<v1::BudgetStatus> Statuses() const;
   /// @complexity constant
-  const BookTotals& Totals() const { return m_totals; }
+  const HoldingTotals& Totals() const { return m_totals; }
   /// @brief Checks the invariants of each touched budget.
   /// @return kConservationBroken with the first budget that breaks one
   core::Status CheckInvariants() const;
@@ -245,21 +246,21 @@
     core::BudgetId id;
     Holding holding;
     Demand demand;
-    SpendTrail trail;
+    SpendReporter spend_reporter;
     core::Tokens unmet;
     core::Tokens smallest_unmet;
     bool gate_waits = false;
-    std::optional<bool> grant_asked;  ///< outstanding; whether of class GATE
-    bool denied = false;              ///< by the last answer
-    core::Sequence last_answer;       ///< entry of the last grant or denial
-    core::TimePoint ask_again_at{};
-    core::TimePoint transfer_ask_at{};
-    core::TimePoint return_again_at{};
+    std::optional<bool> grant_pending;  ///< outstanding; whether of class GATE
+    bool denied = false;                ///< by the last answer
+    core::Sequence last_answer_sequence;  ///< entry of the last grant or denial
+    core::TimePoint next_grant_request_at{};
+    core::TimePoint next_transfer_ask_at{};
+    core::TimePoint next_return_at{};
     bool sizing_queued = false;
     bool spend_queued = false;
     bool review_queued = false;
   };
-  struct Open {
+  struct OpenReservation {
     Account* account = nullptr;
     core::Tokens bound;
     core::Tokens gate_part;  ///< taken from gate_only
@@ -267,24 +268,25 @@
 
   using WaitOrError = std::variant<Wait, core::Error>;
 
-  Account& Touch(const core::BudgetId& budget);
+  Account& FindOrCreate(const core::BudgetId& budget);
   Account* Find(const core::BudgetId& budget);
-  SizingView ViewOf(core::TimePoint now, const Account& account) const;
+  SizingView MakeSizingView(core::TimePoint now, const Account& account) const;
   core::Tokens Headroom(const Account& account) const;
   static core::Tokens SpareFor(const Account& account, bool gate);
 
   Reservation Commit(Account& account, core::Tokens bound, bool gate);
   void AddUnmet(Account& account, core::Tokens bound, bool gate);
-  WaitOrError WhyNot(core::TimePoint now,
-                     const Account& account,
-                     core::Tokens bound,
-                     bool gate) const;
-  std::optional<Open> TakeOpen(const Reservation& reservation);
+  WaitOrError ExplainShortage(core::TimePoint now,
+                              const Account& account,
+                              core::Tokens bound,
+                              bool gate) const;
+  std::optional<OpenReservation> RemoveOpenReservation(
+      const Reservation& reservation);
   void AfterRelease(core::TimePoint now, Account& account);
 
-  void KeepCeilingAhead(core::TimePoint now, Account& account);
-  void Wake(Account& account);
-  void WakeAll();
+  void RaiseCeilingIfLow(core::TimePoint now, Account& account);
+  void WakeWaiters(Account& account);
+  void WakeAllWaiters();
   void QueueSizing(Account& account);
   void QueueSpend(Account& account);
   void QueueReview(core::TimePoint at, Account& account);
@@ -298,13 +300,13 @@
   bool WantsStandby(const core::BudgetId& budget) const;
   void Credit(core::TimePoint now,
               const v1::TransferRecorded& transfer,
-              bool folded);
-  core::Tokens Giveable(core::TimePoint now, const Account& account) const;
-  core::Tokens GiveableTo(core::TimePoint now,
-                          const Account& account,
-                          const PeerRef& peer) const;
+              bool applied);
+  core::Tokens Transferable(core::TimePoint now, const Account& account) const;
+  core::Tokens TransferableTo(core::TimePoint now,
+                              const Account& account,
+                              const PeerRef& peer) const;
 
-  bool CandidateCovers(const CeilingLink& candidate);
+  bool CandidateCovers(const WitnessCeilings& candidate);
   void TakeWitnessRecord(std::vector<v1::Record>& out);
   void TakeAllotmentRequests(core::TimePoint now, std::vector<v1::Record>& out);
   void TakeSpendReports(core::TimePoint now, std::vector<v1::Record>& out);
@@ -313,9 +315,9 @@
 
   PeerRef m_self;
   SizingPolicy m_policy;
-  BalanceHook m_balance;
+  BalanceLookup m_balance;
   uint32_t m_active_routers = 1;
-  bool m_log_out = false;
+  bool m_log_unavailable = false;
   bool m_retired = false;
   bool m_draining = false;
   bool m_finalized = false;
@@ -324,20 +326,21 @@
   /// In order of first touch; stable addresses.
   std::deque<Account> m_accounts;
   std::unordered_map<core::BudgetId, Account*> m_by_id;
-  std::unordered_map<ReservationId, Open> m_open;
+  std::unordered_map<ReservationId, OpenReservation> m_open_reservations;
   uint64_t m_last_reservation = 0;
-  BookTotals m_totals;
+  HoldingTotals m_totals;
 
-  Witnessing m_witnessing;
+  WitnessSet m_witnesses;
   Transfers m_transfers;
   PeerSpares m_peer_spares;
 
-  std::deque<v1::Record> m_records;  ///< returns and transfers, in order
-  std::deque<Account*> m_sizing;     ///< may need another allotment
-  std::deque<Account*> m_spend;      ///< have settlements to report
-  core::TimePoint m_spend_due{};
+  std::deque<v1::Record>
+      m_pending_records;                ///< returns and transfers, in order
+  std::deque<Account*> m_sizing_queue;  ///< may need another allotment
+  std::deque<Account*> m_spend_queue;   ///< have settlements to report
+  core::TimePoint m_spend_report_due{};
   std::multimap<core::TimePoint, Account*> m_reviews;
-  std::set<core::BudgetId> m_hungry;  ///< with requests that wait
+  std::set<core::BudgetId> m_waiting;  ///< with requests that wait
   std::vector<core::BudgetId> m_woken;
   core::TimePoint m_retry_due{};
   size_t m_spares_cursor = 0;
@@ -345,4 +348,4 @@
 
 }  // namespace coppervalve::budget
 
-#endif  // COPPERVALVE_BUDGET_BOOK_H_
+#endif  // COPPERVALVE_BUDGET_HOLDING_MANAGER_H_
--- a/include/coppervalve/budget/peer_spares.h
+++ b/include/coppervalve/budget/peer_spares.h
@@ -14,7 +14,7 @@
 namespace coppervalve::budget {
 
 /// @brief An advertisement counts for this long after it was last heard.
-inline constexpr core::Duration kSpareFresh{3'000'000};  // microseconds
+inline constexpr core::Duration kSpareLifetime{3'000'000};  // microseconds
 
 /// @brief Past this many budgets the offers are dropped; heartbeats bring them
 /// again.
@@ -32,22 +32,23 @@
                    const PeerRef& peer,
                    const std::vector<v1::Spare>& spares);
   /// @return the largest fresh offer, if any is above zero
-  std::optional<Offer> Best(core::TimePoint now,
-                            const core::BudgetId& budget) const;
+  std::optional<Offer> BestOffer(core::TimePoint now,
+                                 const core::BudgetId& budget) const;
   /// @return the sum of the fresh offers
-  core::Tokens Sum(core::TimePoint now, const core::BudgetId& budget) const;
-  /// @brief Lowers an offer that was asked for, until it is heard again.
-  void Use(const core::BudgetId& budget,
-           const PeerRef& peer,
-           core::Tokens tokens);
+  core::Tokens TotalOffered(core::TimePoint now,
+                            const core::BudgetId& budget) const;
+  /// @brief Lowers an offer that was requested for, until it is heard again.
+  void Deduct(const core::BudgetId& budget,
+              const PeerRef& peer,
+              core::Tokens tokens);
 
  private:
-  struct Heard {
+  struct Advertisement {
     core::Tokens tokens;
     core::TimePoint at;
   };
 
-  std::unordered_map<core::BudgetId, std::map<PeerRef, Heard>> m_offers;
+  std::unordered_map<core::BudgetId, std::map<PeerRef, Advertisement>> m_offers;
 };
 
 }  // namespace coppervalve::budget
--- a/include/coppervalve/budget/sizing.h
+++ b/include/coppervalve/budget/sizing.h
@@ -29,8 +29,8 @@
   core::Tokens smallest_unmet;     ///< smallest of them; 0 when none waits
   bool gate_waits = false;         ///< a GATE request is among them
   core::Tokens gate_only;          ///< spare that only GATE may reserve
-  bool idle = false;               ///< no request asked for kIdleAfter
-  bool log_out = false;
+  bool idle = false;               ///< no request requested for kIdleTimeout
+  bool log_unavailable = false;
 
   /// @return what the requests that wait could reserve
   core::Tokens Spare() const {
@@ -40,7 +40,7 @@
 };
 
 /// @brief An allotment to ask the log for; `tokens` 0 means none.
-struct GrantAsk {
+struct GrantRequest {
   core::Tokens tokens;
   core::Tokens minimum;
   bool gate = false;  ///< draws on the held-back share
@@ -49,22 +49,23 @@
 /// @brief How large holdings and ceilings are. The functions must be pure.
 struct SizingPolicy {
   /// How much to ask for now.
-  std::function<GrantAsk(const SizingView&)> grant;
+  std::function<GrantRequest(const SizingView&)> grant;
   /// How much of the spare tokens to keep; more than that goes back.
   std::function<core::Tokens(const SizingView&)> keep;
   /// How far past the committed tokens the ceiling is raised.
   std::function<core::Tokens(const SizingView&)> ceiling_step;
   /// Whether holdings move back to the balance and between routers.
-  bool shares = true;
+  bool redistributes = true;
 };
 
 /// @brief The parameters of DefaultSizing.
 struct SizingOptions {
-  double ride_through_seconds = 600.0;    ///< demand held when there is plenty
-  double low_seconds = 4.0;               ///< demand asked for near exhaustion
-  double keep_low_seconds = 2.0;          ///< demand kept near exhaustion
-  double ceiling_seconds = 0.5;           ///< demand ahead of the ceiling
-  double ceiling_log_out_seconds = 10.0;  ///< the same while the log is out
+  double ride_through_seconds = 600.0;  ///< demand held when there is plenty
+  double low_seconds = 4.0;       ///< demand requested for near exhaustion
+  double keep_low_seconds = 2.0;  ///< demand kept near exhaustion
+  double ceiling_seconds = 0.5;   ///< demand ahead of the ceiling
+  double ceiling_log_unavailable_seconds =
+      10.0;                        ///< the same while the log is out
   int64_t held_permille = 900;     ///< of what is left, held by all together
   int64_t fair_share_divisor = 2;  ///< a queue asks at most free / (this * N)
   int64_t bounds_ahead = 4;        ///< smallest holding, in requests
@@ -78,7 +79,7 @@
 SizingPolicy DefaultSizing(SizingOptions options = {});
 
 /// @brief Baseline for benchmarks: an equal part of paid-in for each router,
-/// asked for when it is paid in, never returned or transferred, no ceiling
+/// requested for when it is paid in, never returned or transferred, no ceiling
 /// below it.
 SizingPolicy EqualSplit();
 
--- a/include/coppervalve/budget/spend_trail.h
+++ b/include/coppervalve/budget/spend_reporter.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_BUDGET_SPEND_TRAIL_H_
-#define COPPERVALVE_BUDGET_SPEND_TRAIL_H_
+#ifndef COPPERVALVE_BUDGET_SPEND_REPORTER_H_
+#define COPPERVALVE_BUDGET_SPEND_REPORTER_H_
 
 #include <deque>     // deque
 #include <optional>  // optional
@@ -30,9 +30,9 @@
 using Charge = std::variant<Unkeyed, Bill, WrittenOff>;
 
 /// @brief The settlements of one budget on their way into the log. Bills are
-/// kept until they are known to be folded, since the reports of an incarnation
+/// kept until they are known to be applied, since the reports of an incarnation
 /// that was retired meanwhile are not.
-class SpendTrail {
+class SpendReporter {
  public:
   /// @brief Counts tokens that were added to the cumulative spend.
   void Add(const Charge& charge, core::Tokens tokens);
@@ -40,12 +40,13 @@
   /// @return the next report; nothing when everything was reported
   std::optional<v1::SpendReported> NextReport(const core::BudgetId& budget,
                                               core::Tokens spent);
-  /// @brief A report was folded. @param spent the report's amount
-  void OnFolded(core::Tokens spent);
-  /// @return the final spend with every bill that isn't known to be folded
-  v1::FinalSpend Final(const core::BudgetId& budget, core::Tokens spent) const;
+  /// @brief A report was applied. @param spent the report's amount
+  void OnReportApplied(core::Tokens spent);
+  /// @return the final spend with every bill that isn't known to be applied
+  v1::FinalSpend FinalReport(const core::BudgetId& budget,
+                             core::Tokens spent) const;
   /// @return the cumulative spend of the last report
-  core::Tokens Reported() const { return m_reported; }
+  core::Tokens LastReported() const { return m_reported; }
 
  private:
   struct Report {
@@ -55,11 +56,11 @@
 
   std::deque<v1::Bill> m_unreported;
   core::Tokens m_unreported_tokens;
-  std::deque<Report> m_unfolded;
+  std::deque<Report> m_unapplied;
   core::Tokens m_reported;
   core::Tokens m_written_off;  ///< cumulative
 };
 
 }  // namespace coppervalve::budget
 
-#endif  // COPPERVALVE_BUDGET_SPEND_TRAIL_H_
+#endif  // COPPERVALVE_BUDGET_SPEND_REPORTER_H_
--- a/include/coppervalve/budget/transfers.h
+++ b/include/coppervalve/budget/transfers.h
@@ -17,9 +17,11 @@
 namespace coppervalve::budget {
 
 /// @brief An unacknowledged transfer is sent again after this time.
-inline constexpr core::Duration kTransferResendAfter{500'000};  // microseconds
+inline constexpr core::Duration kTransferResendInterval{
+    500'000};  // microseconds
 /// @brief After this time only the record in the log delivers a transfer.
-inline constexpr core::Duration kTransferResendFor{60'000'000};  // microseconds
+inline constexpr core::Duration kTransferResendPeriod{
+    60'000'000};  // microseconds
 
 struct TransferAskTo {
   PeerRef to;
@@ -44,36 +46,36 @@
                              core::Tokens tokens);
   std::vector<TransferSendTo> TakeSends(core::TimePoint now);
   void OnAck(const PeerRef& from, uint64_t transfer_id);
-  /// @return debited and not known to be folded
-  core::Tokens PendingOut(const core::BudgetId& budget) const;
-  bool AnyPendingOut() const { return !m_out.empty(); }
-  void OnOutFolded(uint64_t transfer_id);
+  /// @return debited and not known to be applied
+  core::Tokens PendingOutgoing(const core::BudgetId& budget) const;
+  bool HasPendingOutgoing() const { return !m_outgoing.empty(); }
+  void OnOutgoingApplied(uint64_t transfer_id);
 
   enum class Credit : uint8_t {
-    kNew,     ///< to be credited
-    kFolded,  ///< credited before, but folded only now
-    kKnown,   ///< nothing changes
+    kNew,        ///< to be credited
+    kApplied,    ///< credited before, but applied only now
+    kDuplicate,  ///< nothing changes
   };
   /// @brief A transfer to this incarnation arrived, by message or by the log.
-  Credit OnIn(const v1::TransferRecorded& transfer, bool folded);
+  Credit OnIncoming(const v1::TransferRecorded& transfer, bool applied);
   /// @brief The record of a transfer that a peer's message brought.
   v1::TransferRecorded RecordOf(const PeerRef& from,
                                 const v1::TransferSend& send) const;
 
  private:
-  struct Out {
+  struct OutgoingTransfer {
     TransferSendTo message;
     core::TimePoint next_send;
     core::TimePoint give_up;
     bool delivered = false;
   };
-  using InKey = std::pair<core::Incarnation, uint64_t>;
+  using IncomingKey = std::pair<core::Incarnation, uint64_t>;
 
   PeerRef m_self;
   uint64_t m_last_id = 0;
-  std::map<uint64_t, Out> m_out;  ///< not folded yet
-  std::unordered_map<core::BudgetId, core::Tokens> m_pending_out;
-  std::map<InKey, bool> m_in;  ///< credited; whether folded
+  std::map<uint64_t, OutgoingTransfer> m_outgoing;  ///< not applied yet
+  std::unordered_map<core::BudgetId, core::Tokens> m_pending_outgoing;
+  std::map<IncomingKey, bool> m_incoming;  ///< credited; whether applied
 };
 
 }  // namespace coppervalve::budget
--- a/include/coppervalve/budget/ceiling_link.h
+++ b/include/coppervalve/budget/witness_ceilings.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_BUDGET_CEILING_LINK_H_
-#define COPPERVALVE_BUDGET_CEILING_LINK_H_
+#ifndef COPPERVALVE_BUDGET_WITNESS_CEILINGS_H_
+#define COPPERVALVE_BUDGET_WITNESS_CEILINGS_H_
 
 #include <cstdint>        // uint32_t, uint64_t
 #include <optional>       // optional
@@ -14,24 +14,26 @@
 namespace coppervalve::budget {
 
 /// @brief An unacknowledged raise is sent again after this time.
-inline constexpr core::Duration kRaiseResendAfter{200'000};  // microseconds
+inline constexpr core::Duration kRaiseResendInterval{200'000};  // microseconds
 /// @brief Most ceilings in one raise that isn't a full list.
 inline constexpr size_t kMaxCeilingsPerRaise = 1024;
 
-/// @brief The ceilings that one witness was asked for and has acknowledged.
+/// @brief The ceilings that one witness was requested for and has acknowledged.
 /// One raise is outstanding at a time; the first one is the full list.
-class CeilingLink {
+class WitnessCeilings {
  public:
   /// @param peer the witness; nothing: no witness, so no ceiling binds
-  explicit CeilingLink(std::optional<PeerRef> peer);
+  explicit WitnessCeilings(std::optional<PeerRef> peer);
 
   const std::optional<PeerRef>& Peer() const { return m_peer; }
   /// @brief Wants the ceiling of a budget to be at least `ceiling`.
-  void Ask(const core::BudgetId& budget, core::Tokens ceiling);
+  void RequestCeiling(const core::BudgetId& budget, core::Tokens ceiling);
   /// @return the ceiling wanted so far; nothing when no ceiling binds
-  std::optional<core::Tokens> Asked(const core::BudgetId& budget) const;
+  std::optional<core::Tokens> RequestedCeiling(
+      const core::BudgetId& budget) const;
   /// @return the ceiling that binds; nothing when none does
-  std::optional<core::Tokens> Acked(const core::BudgetId& budget) const;
+  std::optional<core::Tokens> AcknowledgedCeiling(
+      const core::BudgetId& budget) const;
   /// @return whether the witness has acknowledged the full list
   bool Complete() const { return m_complete || !m_peer; }
   bool Refused() const { return m_refused; }
@@ -46,10 +48,11 @@
 
  private:
   struct Ceiling {
-    core::Tokens asked;
-    core::Tokens acked;
+    core::Tokens requested;
+    core::Tokens acknowledged;
     uint32_t number = 0;  ///< names the budget to this witness; 0 = not yet
-    bool named = false;   ///< the witness acknowledged name and number
+    bool name_acknowledged =
+        false;  ///< the witness acknowledged name and number
     bool queued = false;
   };
 
@@ -58,8 +61,8 @@
 
   std::optional<PeerRef> m_peer;
   std::unordered_map<core::BudgetId, Ceiling> m_ceilings;
-  std::vector<core::BudgetId> m_queue;     ///< asked for and not sent yet
-  std::vector<core::BudgetId> m_numbered;  ///< number n is at n - 1
+  std::vector<core::BudgetId> m_queue;  ///< requested for and not sent yet
+  std::vector<core::BudgetId> m_budget_by_number;  ///< number n is at n - 1
   std::optional<v1::CeilingRaise> m_outstanding;
   core::TimePoint m_sent_at{};
   bool m_complete = false;
@@ -68,4 +71,4 @@
 
 }  // namespace coppervalve::budget
 
-#endif  // COPPERVALVE_BUDGET_CEILING_LINK_H_
+#endif  // COPPERVALVE_BUDGET_WITNESS_CEILINGS_H_
--- a/include/coppervalve/router/core.h
+++ b/include/coppervalve/router/core.h
@@ -17,7 +17,7 @@
 }  // namespace coppervalve::ledger
 
 namespace coppervalve::budget {
-class Book;
+class HoldingManager;
 }  // namespace coppervalve::budget
 
 namespace coppervalve::router {
@@ -48,7 +48,7 @@
 
   /// @brief Read access for audits in tests and benchmarks.
   const ledger::Fold& fold() const;
-  const budget::Book& book() const;
+  const budget::HoldingManager& book() const;
 
  private:
   struct Session;
--- a/include/coppervalve/router/detail/budget_desk.h
+++ b/include/coppervalve/router/detail/budget_desk.h
@@ -4,8 +4,8 @@
 #include <optional>  // optional
 #include <vector>    // vector
 
-#include "coppervalve/budget/book.h"
-#include "coppervalve/budget/witness_desk.h"
+#include "coppervalve/budget/ceiling_store.h"
+#include "coppervalve/budget/holding_manager.h"
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/ledger/effects.h"
@@ -42,8 +42,8 @@
   /// @return whether nothing is held any more and all is reported
   bool Settled() const;
 
-  budget::Book& book() { return m_book; }
-  const budget::Book& book() const { return m_book; }
+  budget::HoldingManager& book() { return m_book; }
+  const budget::HoldingManager& book() const { return m_book; }
 
  private:
   bool IsSelf(const core::RouterId& router,
@@ -60,8 +60,8 @@
   budget::PeerRef m_self;
   LogDesk& m_log;
   PeerDesk& m_peers;
-  budget::Book m_book;
-  budget::WitnessDesk m_witness_desk;
+  budget::HoldingManager m_book;
+  budget::CeilingStore m_witness_desk;
   std::optional<core::TimePoint> m_witness_reviewed;
 };
 
--- a/include/coppervalve/router/detail/request_flow.h
+++ b/include/coppervalve/router/detail/request_flow.h
@@ -9,7 +9,7 @@
 #include <unordered_map>  // unordered_map
 #include <vector>         // vector
 
-#include "coppervalve/budget/book.h"
+#include "coppervalve/budget/holding_manager.h"
 #include "coppervalve/core/hash.h"
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/result.h"
@@ -36,7 +36,7 @@
   core::Incarnation incarnation;
   LogDesk& log;
   PeerDesk& peers;
-  budget::Book& book;
+  budget::HoldingManager& book;
   Configured& configured;
   Outbox& outbox;
 };
--- a/include/coppervalve/router/detail/work.h
+++ b/include/coppervalve/router/detail/work.h
@@ -6,7 +6,7 @@
 #include <string>    // string
 #include <vector>    // vector
 
-#include "coppervalve/budget/book.h"
+#include "coppervalve/budget/holding_manager.h"
 #include "coppervalve/core/hash.h"
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
--- a/src/budget/demand.cc
+++ b/src/budget/demand.cc
@@ -10,29 +10,29 @@
 
 /// Short enough that a burst is sized for within seconds, long enough that a
 /// single large request doesn't multiply the holding.
-constexpr double kMemorySeconds = 5.0;
+constexpr double kTimeConstantSeconds = 5.0;
 /// After a pause this long the request sizes of before say nothing.
-constexpr core::Duration kBoundForgottenAfter{60'000'000};  // microseconds
+constexpr core::Duration kLargestBoundExpiry{60'000'000};  // microseconds
 
 double Decay(core::TimePoint from, core::TimePoint to) {
   const double seconds = std::chrono::duration<double>(to - from).count();
-  return std::exp(-std::max(seconds, 0.0) / kMemorySeconds);
+  return std::exp(-std::max(seconds, 0.0) / kTimeConstantSeconds);
 }
 
 }  // namespace
 
 void Demand::Add(core::TimePoint now, core::Tokens tokens) {
-  m_per_second =
-      PerSecond(now) + static_cast<double>(tokens.value()) / kMemorySeconds;
+  m_per_second = PerSecond(now) +
+                 static_cast<double>(tokens.value()) / kTimeConstantSeconds;
   m_updated = std::max(m_updated, now);
 }
 
-void Demand::SeeBound(core::TimePoint now, core::Tokens bound) {
-  if (now - m_last_asked > kBoundForgottenAfter) {
+void Demand::RecordBound(core::TimePoint now, core::Tokens bound) {
+  if (now - m_last_request_at > kLargestBoundExpiry) {
     m_largest_bound = core::Tokens(0);
   }
   m_largest_bound = std::max(m_largest_bound, bound);
-  m_last_asked = std::max(m_last_asked, now);
+  m_last_request_at = std::max(m_last_request_at, now);
 }
 
 double Demand::PerSecond(core::TimePoint now) const {
--- a/src/budget/book.cc
+++ b/src/budget/holding_manager.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/budget/book.h"
+#include "coppervalve/budget/holding_manager.h"
 
 #include <algorithm>  // clamp, max, min
 #include <string>     // to_string
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr core::Tokens kNone{0};
+constexpr core::Tokens kNoTokens{0};
 
 core::Error Refusal(core::ErrorId id,
                     const core::BudgetId& budget,
@@ -18,7 +18,9 @@
 
 }  // namespace
 
-Book::Book(PeerRef self, SizingPolicy policy, BalanceHook balance)
+HoldingManager::HoldingManager(PeerRef self,
+                               SizingPolicy policy,
+                               BalanceLookup balance)
     : m_self(self),
       m_policy(std::move(policy)),
       m_balance(std::move(balance)),
@@ -26,7 +28,8 @@
 
 // ---- Accounts --------------------------------------------------------------
 
-Book::Account& Book::Touch(const core::BudgetId& budget) {
+HoldingManager::Account& HoldingManager::FindOrCreate(
+    const core::BudgetId& budget) {
   if (Account* known = Find(budget)) {
     return *known;
   }
@@ -36,12 +39,13 @@
   return account;
 }
 
-Book::Account* Book::Find(const core::BudgetId& budget) {
+HoldingManager::Account* HoldingManager::Find(const core::BudgetId& budget) {
   const auto found = m_by_id.find(budget);
   return found == m_by_id.end() ? nullptr : found->second;
 }
 
-SizingView Book::ViewOf(core::TimePoint now, const Account& account) const {
+SizingView HoldingManager::MakeSizingView(core::TimePoint now,
+                                          const Account& account) const {
   SizingView view;
   view.balance = m_balance(account.id).value_or(BalanceView{});
   view.active_routers = m_active_routers;
@@ -53,90 +57,95 @@
   view.smallest_unmet = account.smallest_unmet;
   view.gate_waits = account.gate_waits;
   view.gate_only = account.holding.gate_only;
-  view.idle = now - account.demand.LastAsked() > kIdleAfter;
-  view.log_out = m_log_out;
+  view.idle = now - account.demand.LastRequestAt() > kIdleTimeout;
+  view.log_unavailable = m_log_unavailable;
   return view;
 }
 
 /// What may still be committed under both the holding and the ceilings.
-core::Tokens Book::Headroom(const Account& account) const {
+core::Tokens HoldingManager::Headroom(const Account& account) const {
   const core::Tokens received = account.holding.Received();
-  const core::Tokens limit = m_witnessing.Limit(account.id).value_or(received);
+  const core::Tokens limit =
+      m_witnesses.EffectiveCeiling(account.id).value_or(received);
   return std::min(received, limit) - account.holding.Committed();
 }
 
 /// What a class may reserve when ceilings are left aside.
-core::Tokens Book::SpareFor(const Account& account, bool gate) {
+core::Tokens HoldingManager::SpareFor(const Account& account, bool gate) {
   const Holding& holding = account.holding;
   return gate ? holding.Spare() : holding.Spare() - holding.gate_only;
 }
 
 // ---- Requests --------------------------------------------------------------
 
-ReserveResult Book::Reserve(core::TimePoint now,
-                            const core::BudgetId& budget,
-                            core::Tokens upper_bound,
-                            v1::AdmissionClass admission_class) {
-  const core::Tokens bound = std::max(upper_bound, kNone);
+ReserveResult HoldingManager::Reserve(core::TimePoint now,
+                                      const core::BudgetId& budget,
+                                      core::Tokens upper_bound,
+                                      v1::AdmissionClass admission_class) {
+  const core::Tokens bound = std::max(upper_bound, kNoTokens);
   if (m_retired) {
     return Refusal(core::ErrorId::kRetiredInLog, budget, bound);
   }
   if (Find(budget) == nullptr && !m_balance(budget)) {
     return Refusal(core::ErrorId::kUnknownBudget, budget, bound);
   }
-  Account& account = Touch(budget);
-  account.demand.SeeBound(now, bound);
+  Account& account = FindOrCreate(budget);
+  account.demand.RecordBound(now, bound);
   QueueSizing(account);
-  QueueReview(now + kIdleAfter, account);
+  QueueReview(now + kIdleTimeout, account);
 
   const bool gate = admission_class == v1::GATE;
   if (bound <= Headroom(account) && bound <= SpareFor(account, gate)) {
     const Reservation reservation = Commit(account, bound, gate);
-    KeepCeilingAhead(now, account);
+    RaiseCeilingIfLow(now, account);
     return reservation;
   }
   AddUnmet(account, bound, gate);
-  KeepCeilingAhead(now, account);
-  const WaitOrError why = WhyNot(now, account, bound, gate);
+  RaiseCeilingIfLow(now, account);
+  const WaitOrError why = ExplainShortage(now, account, bound, gate);
   if (const auto* wait = std::get_if<Wait>(&why)) {
     return *wait;
   }
   return std::get<core::Error>(why);
 }
 
-Reservation Book::Commit(Account& account, core::Tokens bound, bool gate) {
+Reservation HoldingManager::Commit(Account& account,
+                                   core::Tokens bound,
+                                   bool gate) {
   Holding& holding = account.holding;
   const core::Tokens gate_part =
-      gate ? std::min(bound, holding.gate_only) : kNone;
+      gate ? std::min(bound, holding.gate_only) : kNoTokens;
   holding.gate_only -= gate_part;
   holding.reserved += bound;
   m_totals.reserved += bound;
   const ReservationId id(++m_last_reservation);
-  m_open.emplace(id, Open{&account, bound, gate_part});
-  m_totals.open_reservations = m_open.size();
+  m_open_reservations.emplace(id, OpenReservation{&account, bound, gate_part});
+  m_totals.open_reservations = m_open_reservations.size();
   return {id, bound};
 }
 
-void Book::AddUnmet(Account& account, core::Tokens bound, bool gate) {
-  account.smallest_unmet =
-      account.unmet == kNone ? bound : std::min(account.smallest_unmet, bound);
+void HoldingManager::AddUnmet(Account& account, core::Tokens bound, bool gate) {
+  account.smallest_unmet = account.unmet == kNoTokens
+                               ? bound
+                               : std::min(account.smallest_unmet, bound);
   account.unmet += bound;
   account.gate_waits = account.gate_waits || gate;
-  m_hungry.insert(account.id);
+  m_waiting.insert(account.id);
 }
 
-Book::WaitOrError Book::WhyNot(core::TimePoint now,
-                               const Account& account,
-                               core::Tokens bound,
-                               bool gate) const {
+HoldingManager::WaitOrError HoldingManager::ExplainShortage(
+    core::TimePoint now,
+    const Account& account,
+    core::Tokens bound,
+    bool gate) const {
   const core::Tokens spare = SpareFor(account, gate);
   if (bound <= spare) {
     return Wait{WaitReason::kCeiling};
   }
-  const SizingView view = ViewOf(now, account);
+  const SizingView view = MakeSizingView(now, account);
   const bool grant_possible =
-      account.grant_asked || m_policy.grant(view).tokens > kNone;
-  if (!m_log_out && grant_possible) {
+      account.grant_pending || m_policy.grant(view).tokens > kNoTokens;
+  if (!m_log_unavailable && grant_possible) {
     return Wait{WaitReason::kGrant};
   }
   // Requests reserve upper bounds and settle to less: near exhaustion most of
@@ -146,66 +155,71 @@
     return Wait{WaitReason::kSettlement};
   }
   core::Tokens elsewhere;
-  if (m_policy.shares) {
-    elsewhere = m_peer_spares.Sum(now, account.id);
+  if (m_policy.redistributes) {
+    elsewhere = m_peer_spares.TotalOffered(now, account.id);
   }
-  if (m_log_out) {
+  if (m_log_unavailable) {
     return bound <= here + elsewhere
                ? WaitOrError(Wait{WaitReason::kTransfer})
                : Refusal(core::ErrorId::kBudgetBusy, account.id, bound);
   }
   // Others hold what they may not need: they return it when the balance is low
-  // and transfer it when asked. Only when all of it together is too little is
-  // the budget exhausted for this request.
-  if (m_policy.shares) {
+  // and transfer it when requested. Only when all of it together is too little
+  // is the budget exhausted for this request.
+  if (m_policy.redistributes) {
     const BalanceView& balance = view.balance;
     elsewhere = std::max(elsewhere, balance.held_by_others) + balance.free -
-                (gate ? kNone : balance.gate_held_back);
+                (gate ? kNoTokens : balance.gate_held_back);
   }
   return bound <= here + elsewhere
              ? WaitOrError(Wait{WaitReason::kTransfer})
              : Refusal(core::ErrorId::kBudgetExhausted, account.id, bound);
 }
 
-std::optional<Book::Open> Book::TakeOpen(const Reservation& reservation) {
-  const auto found = m_open.find(reservation.id);
-  if (found == m_open.end()) {
+std::optional<HoldingManager::OpenReservation>
+HoldingManager::RemoveOpenReservation(const Reservation& reservation) {
+  const auto found = m_open_reservations.find(reservation.id);
+  if (found == m_open_reservations.end()) {
     return std::nullopt;
   }
-  const Open open = found->second;
-  m_open.erase(found);
+  const OpenReservation open = found->second;
+  m_open_reservations.erase(found);
   open.account->holding.reserved -= open.bound;
   m_totals.reserved -= open.bound;
-  m_totals.open_reservations = m_open.size();
+  m_totals.open_reservations = m_open_reservations.size();
   return open;
 }
 
-std::optional<Settlement> Book::Settle(core::TimePoint now,
-                                       const Reservation& reservation,
-                                       core::Tokens spent,
-                                       const Charge& charge) {
-  const std::optional<Open> open = TakeOpen(reservation);
+std::optional<Settlement> HoldingManager::Settle(core::TimePoint now,
+                                                 const Reservation& reservation,
+                                                 core::Tokens spent,
+                                                 const Charge& charge) {
+  const std::optional<OpenReservation> open =
+      RemoveOpenReservation(reservation);
   if (!open) {
     return std::nullopt;
   }
   Account& account = *open->account;
   Holding& holding = account.holding;
-  const core::Tokens used = std::max(spent, kNone);
+  const core::Tokens used = std::max(spent, kNoTokens);
   // An upstream that went past its bound is charged as far as tokens are held;
-  // charging the rest would break the budget, hiding it would hide the fault.
+  // charging the remaining would break the budget, hiding it would hide the
+  // fault.
   const core::Tokens charged = std::min(used, Headroom(account));
   holding.spent += charged;
   m_totals.spent += charged;
-  holding.gate_only += std::max(open->gate_part - charged, kNone);
+  holding.gate_only += std::max(open->gate_part - charged, kNoTokens);
   account.demand.Add(now, charged);
-  account.trail.Add(charge, charged);
+  account.spend_reporter.Add(charge, charged);
   QueueSpend(account);
   AfterRelease(now, account);
   return Settlement{charged, used - charged};
 }
 
-bool Book::Cancel(core::TimePoint now, const Reservation& reservation) {
-  const std::optional<Open> open = TakeOpen(reservation);
+bool HoldingManager::Cancel(core::TimePoint now,
+                            const Reservation& reservation) {
+  const std::optional<OpenReservation> open =
+      RemoveOpenReservation(reservation);
   if (!open) {
     return false;
   }
@@ -214,114 +228,116 @@
   return true;
 }
 
-void Book::AfterRelease(core::TimePoint now, Account& account) {
+void HoldingManager::AfterRelease(core::TimePoint now, Account& account) {
   Holding& holding = account.holding;
-  holding.gate_only = std::clamp(holding.gate_only, kNone, holding.Spare());
+  holding.gate_only = std::clamp(holding.gate_only, kNoTokens, holding.Spare());
   QueueSizing(account);
-  KeepCeilingAhead(now, account);
-  Wake(account);
+  RaiseCeilingIfLow(now, account);
+  WakeWaiters(account);
 }
 
 // ---- Upkeep ----------------------------------------------------------------
 
 /// Asks for a higher ceiling when less than half a step is left, so that a
 /// raise is acknowledged before requests need it.
-void Book::KeepCeilingAhead(core::TimePoint now, Account& account) {
-  const std::optional<core::Tokens> asked = m_witnessing.Asked(account.id);
-  if (m_retired || !asked) {
+void HoldingManager::RaiseCeilingIfLow(core::TimePoint now, Account& account) {
+  const std::optional<core::Tokens> requested =
+      m_witnesses.RequestedCeiling(account.id);
+  if (m_retired || !requested) {
     return;
   }
-  const SizingView view = ViewOf(now, account);
+  const SizingView view = MakeSizingView(now, account);
   const core::Tokens step = m_policy.ceiling_step(view);
-  const core::Tokens ahead = *asked - view.committed;
+  const core::Tokens ahead = *requested - view.committed;
   if (account.unmet <= ahead && ahead > core::Tokens(step.value() / 2)) {
     return;
   }
-  m_witnessing.Ask(account.id, std::min(view.received,
-                                        view.committed + account.unmet + step));
+  m_witnesses.RequestCeiling(
+      account.id,
+      std::min(view.received, view.committed + account.unmet + step));
 }
 
-void Book::Wake(Account& account) {
-  if (m_hungry.erase(account.id) == 0) {
+void HoldingManager::WakeWaiters(Account& account) {
+  if (m_waiting.erase(account.id) == 0) {
     return;
   }
-  account.unmet = kNone;
-  account.smallest_unmet = kNone;
+  account.unmet = kNoTokens;
+  account.smallest_unmet = kNoTokens;
   account.gate_waits = false;
   m_woken.push_back(account.id);
 }
 
-std::vector<core::BudgetId> Book::TakeWoken() {
+std::vector<core::BudgetId> HoldingManager::TakeWokenBudgets() {
   return std::exchange(m_woken, {});
 }
 
-void Book::WakeAll() {
-  const std::set<core::BudgetId> hungry = m_hungry;
-  for (const core::BudgetId& budget : hungry) {
-    Wake(*Find(budget));
+void HoldingManager::WakeAllWaiters() {
+  const std::set<core::BudgetId> waiting = m_waiting;
+  for (const core::BudgetId& budget : waiting) {
+    WakeWaiters(*Find(budget));
   }
 }
 
-void Book::QueueSizing(Account& account) {
+void HoldingManager::QueueSizing(Account& account) {
   if (!account.sizing_queued) {
     account.sizing_queued = true;
-    m_sizing.push_back(&account);
+    m_sizing_queue.push_back(&account);
   }
 }
 
-void Book::QueueSpend(Account& account) {
+void HoldingManager::QueueSpend(Account& account) {
   if (!account.spend_queued) {
     account.spend_queued = true;
-    m_spend.push_back(&account);
+    m_spend_queue.push_back(&account);
   }
 }
 
-void Book::QueueReview(core::TimePoint at, Account& account) {
+void HoldingManager::QueueReview(core::TimePoint at, Account& account) {
   if (!account.review_queued) {
     account.review_queued = true;
     m_reviews.emplace(at, &account);
   }
 }
 
-void Book::OnTick(core::TimePoint now) {
+void HoldingManager::OnTick(core::TimePoint now) {
   while (!m_reviews.empty() && m_reviews.begin()->first <= now) {
     Account& account = *m_reviews.begin()->second;
     m_reviews.erase(m_reviews.begin());
     account.review_queued = false;
     ReturnSurplus(now, account);
-    const bool active = now - account.demand.LastAsked() <= kIdleAfter;
-    if (active || m_log_out) {
-      QueueReview(now + kIdleAfter, account);
+    const bool active = now - account.demand.LastRequestAt() <= kIdleTimeout;
+    if (active || m_log_unavailable) {
+      QueueReview(now + kIdleTimeout, account);
     }
   }
   // What peers offer and hold changes without an event here; requests that
   // wait for it would otherwise sleep until their queue time ends.
   if (now >= m_retry_due) {
-    m_retry_due = now + kRetryWaitingAfter;
-    WakeAll();
+    m_retry_due = now + kRetryInterval;
+    WakeAllWaiters();
   }
 }
 
-void Book::ReturnSurplus(core::TimePoint now, Account& account) {
-  if (m_retired || m_log_out || !m_policy.shares ||
-      now < account.return_again_at) {
+void HoldingManager::ReturnSurplus(core::TimePoint now, Account& account) {
+  if (m_retired || m_log_unavailable || !m_policy.redistributes ||
+      now < account.next_return_at) {
     return;
   }
   const core::Tokens spare = account.holding.Spare();
-  if (spare <= kNone) {
+  if (spare <= kNoTokens) {
     return;
   }
   // Twice what is kept: below that, returning and asking again would only
   // fill the log.
-  const core::Tokens keep = m_policy.keep(ViewOf(now, account));
+  const core::Tokens keep = m_policy.keep(MakeSizingView(now, account));
   if (spare - keep <= keep) {
     return;
   }
-  account.return_again_at = now + kReturnEvery;
+  account.next_return_at = now + kReturnInterval;
   Return(account, spare - keep);
 }
 
-void Book::Return(Account& account, core::Tokens tokens) {
+void HoldingManager::Return(Account& account, core::Tokens tokens) {
   // Debited before the record exists: were it the other way round, a request
   // between the two could spend tokens that the log gives to another router.
   Holding& holding = account.holding;
@@ -331,40 +347,40 @@
   v1::Record record;
   record.mutable_allotment_returned()->set_budget(account.id.value());
   record.mutable_allotment_returned()->set_tokens(tokens.value());
-  m_records.push_back(std::move(record));
+  m_pending_records.push_back(std::move(record));
 }
 
-bool Book::HoldsFragment(const Account& account) {
+bool HoldingManager::HoldsFragment(const Account& account) {
   const Holding& holding = account.holding;
-  return account.unmet > kNone &&
+  return account.unmet > kNoTokens &&
          account.smallest_unmet > holding.Spare() + holding.reserved;
 }
 
 /// At the end of a budget each router may hold a little, less than any of its
 /// requests needs. Kept, these fragments would add up to work that is refused;
 /// in the balance, the next request that they suffice for draws them.
-void Book::ReturnFragment(core::TimePoint now, Account& account) {
-  if (!m_policy.shares || !HoldsFragment(account) ||
-      now < account.return_again_at) {
+void HoldingManager::ReturnFragment(core::TimePoint now, Account& account) {
+  if (!m_policy.redistributes || !HoldsFragment(account) ||
+      now < account.next_return_at) {
     return;
   }
-  account.return_again_at = now + kReturnEvery;
+  account.next_return_at = now + kReturnInterval;
   ReturnAll(account);
 }
 
-void Book::ReturnAll(Account& account) {
+void HoldingManager::ReturnAll(Account& account) {
   const core::Tokens spare = account.holding.Spare();
-  if (spare > kNone) {
+  if (spare > kNoTokens) {
     Return(account, spare);
   }
 }
 
-void Book::StartDrain(core::TimePoint now) {
+void HoldingManager::StartDrain(core::TimePoint now) {
   if (m_draining) {
     return;
   }
   m_draining = true;
-  m_spend_due = now;
+  m_spend_report_due = now;
   for (Account& account : m_accounts) {
     QueueSizing(account);
   }
--- a/src/budget/book_outputs.cc
+++ b/src/budget/holding_manager_outputs.cc
@@ -1,22 +1,22 @@
-// What a Book has to send: records, messages, status.
+// What a HoldingManager has to send: records, messages, status.
 #include <algorithm>  // max, min
 #include <utility>    // move
 
-#include "coppervalve/budget/book.h"
+#include "coppervalve/budget/holding_manager.h"
 
 namespace coppervalve::budget {
 
 namespace {
 
-constexpr core::Tokens kNone{0};
+constexpr core::Tokens kNoTokens{0};
 constexpr int64_t kNoCeiling = -1;
 
 }  // namespace
 
 // ---- The log ---------------------------------------------------------------
 
-std::vector<v1::Record> Book::TakeRecords(core::TimePoint now) {
-  if (m_log_out) {
+std::vector<v1::Record> HoldingManager::TakeRecords(core::TimePoint now) {
+  if (m_log_unavailable) {
     return {};
   }
   if (m_retired) {
@@ -25,61 +25,63 @@
   std::vector<v1::Record> out;
   TakeWitnessRecord(out);
   TakeAllotmentRequests(now, out);
-  while (!m_records.empty() && out.size() < kMaxRecordsPerTake) {
-    out.push_back(std::move(m_records.front()));
-    m_records.pop_front();
+  while (!m_pending_records.empty() && out.size() < kMaxRecordsPerTake) {
+    out.push_back(std::move(m_pending_records.front()));
+    m_pending_records.pop_front();
   }
   // Transfers that came in go first, see Credit().
-  if (m_records.empty()) {
+  if (m_pending_records.empty()) {
     TakeSpendReports(now, out);
   }
   return out;
 }
 
-void Book::TakeWitnessRecord(std::vector<v1::Record>& out) {
-  const CeilingLink* candidate = m_witnessing.ReadyCandidate();
+void HoldingManager::TakeWitnessRecord(std::vector<v1::Record>& out) {
+  const WitnessCeilings* candidate = m_witnesses.ReadyCandidate();
   if (candidate == nullptr || !CandidateCovers(*candidate)) {
     return;
   }
-  *out.emplace_back().mutable_witness_chosen() = m_witnessing.RecordCandidate();
+  *out.emplace_back().mutable_witness_chosen() = m_witnesses.RecordCandidate();
 }
 
-bool Book::CandidateCovers(const CeilingLink& candidate) {
+bool HoldingManager::CandidateCovers(const WitnessCeilings& candidate) {
   bool covers = true;
   for (const Account& account : m_accounts) {
     const core::Tokens committed = account.holding.Committed();
-    if (committed <= candidate.Acked(account.id).value_or(committed)) {
+    if (committed <=
+        candidate.AcknowledgedCeiling(account.id).value_or(committed)) {
       continue;
     }
-    m_witnessing.Ask(account.id, committed);
+    m_witnesses.RequestCeiling(account.id, committed);
     covers = false;
   }
   return covers;
 }
 
-void Book::TakeAllotmentRequests(core::TimePoint now,
-                                 std::vector<v1::Record>& out) {
-  while (!m_sizing.empty() && out.size() < kMaxRecordsPerTake) {
-    Account& account = *m_sizing.front();
-    m_sizing.pop_front();
+void HoldingManager::TakeAllotmentRequests(core::TimePoint now,
+                                           std::vector<v1::Record>& out) {
+  while (!m_sizing_queue.empty() && out.size() < kMaxRecordsPerTake) {
+    Account& account = *m_sizing_queue.front();
+    m_sizing_queue.pop_front();
     account.sizing_queued = false;
-    if (m_draining && account.unmet == kNone) {
+    if (m_draining && account.unmet == kNoTokens) {
       ReturnAll(account);
       continue;
     }
-    const bool can_wait = account.unmet == kNone || account.denied;
-    if (account.grant_asked || (can_wait && now < account.ask_again_at)) {
+    const bool can_wait = account.unmet == kNoTokens || account.denied;
+    if (account.grant_pending ||
+        (can_wait && now < account.next_grant_request_at)) {
       continue;
     }
-    GrantAsk ask = m_policy.grant(ViewOf(now, account));
+    GrantRequest ask = m_policy.grant(MakeSizingView(now, account));
     if (m_draining) {
       ask.tokens = std::min(ask.tokens, std::max(ask.minimum, account.unmet));
     }
-    if (ask.tokens <= kNone) {
+    if (ask.tokens <= kNoTokens) {
       ReturnFragment(now, account);
       continue;
     }
-    account.grant_asked = ask.gate;
+    account.grant_pending = ask.gate;
     v1::AllotmentRequested* request =
         out.emplace_back().mutable_allotment_requested();
     request->set_budget(account.id.value());
@@ -89,40 +91,42 @@
   }
 }
 
-void Book::TakeSpendReports(core::TimePoint now, std::vector<v1::Record>& out) {
-  if (now < m_spend_due && !m_draining) {
+void HoldingManager::TakeSpendReports(core::TimePoint now,
+                                      std::vector<v1::Record>& out) {
+  if (now < m_spend_report_due && !m_draining) {
     return;
   }
-  while (!m_spend.empty() && out.size() < kMaxRecordsPerTake) {
-    Account& account = *m_spend.front();
-    auto report = account.trail.NextReport(account.id, account.holding.spent);
+  while (!m_spend_queue.empty() && out.size() < kMaxRecordsPerTake) {
+    Account& account = *m_spend_queue.front();
+    auto report =
+        account.spend_reporter.NextReport(account.id, account.holding.spent);
     if (report) {
       *out.emplace_back().mutable_spend_reported() = std::move(*report);
       continue;
     }
     account.spend_queued = false;
-    m_spend.pop_front();
+    m_spend_queue.pop_front();
   }
-  if (m_spend.empty()) {
-    m_spend_due = now + kSpendReportEvery;
+  if (m_spend_queue.empty()) {
+    m_spend_report_due = now + kSpendReportInterval;
   }
 }
 
-std::vector<v1::Record> Book::TakeFinalRecords(core::TimePoint now) {
+std::vector<v1::Record> HoldingManager::TakeFinalRecords(core::TimePoint now) {
   std::vector<v1::Record> out;
   // Of a retired incarnation the fold takes only transfers and the final
-  // report, which returns the rest.
-  for (v1::Record& record : m_records) {
+  // report, which returns the remaining.
+  for (v1::Record& record : m_pending_records) {
     if (record.has_transfer_recorded()) {
       out.push_back(std::move(record));
     }
   }
-  m_records.clear();
+  m_pending_records.clear();
   // Transfers that are still pending are withheld from the balance, and for
   // good if they are recorded before the final report: worth a short wait.
-  const bool waits =
-      m_transfers.AnyPendingOut() && now - m_retired_at < kFinalReportAfter;
-  if (m_finalized || !m_open.empty() || waits) {
+  const bool waits = m_transfers.HasPendingOutgoing() &&
+                     now - m_retired_at < kFinalReportDelay;
+  if (m_finalized || !m_open_reservations.empty() || waits) {
     return out;
   }
   m_finalized = true;
@@ -131,35 +135,40 @@
   last->set_incarnation(m_self.incarnation.value());
   for (const Account& account : m_accounts) {
     v1::FinalSpend& budget = *last->add_budgets();
-    budget = account.trail.Final(account.id, account.holding.spent);
-    budget.set_transfers_pending(m_transfers.PendingOut(account.id).value());
+    budget =
+        account.spend_reporter.FinalReport(account.id, account.holding.spent);
+    budget.set_transfers_pending(
+        m_transfers.PendingOutgoing(account.id).value());
   }
   return out;
 }
 
 // ---- Peers -----------------------------------------------------------------
 
-std::vector<CeilingRaiseTo> Book::TakeCeilingRaises(core::TimePoint now) {
+std::vector<CeilingRaiseTo> HoldingManager::TakeCeilingRaises(
+    core::TimePoint now) {
   if (m_retired) {
     return {};
   }
-  return m_witnessing.TakeRaises(now);
+  return m_witnesses.TakeRaises(now);
 }
 
-std::vector<TransferAskTo> Book::TakeTransferAsks(core::TimePoint now) {
+std::vector<TransferAskTo> HoldingManager::TakeTransferAsks(
+    core::TimePoint now) {
   std::vector<TransferAskTo> asks;
-  if (m_retired || m_draining || !m_policy.shares) {
+  if (m_retired || m_draining || !m_policy.redistributes) {
     return asks;
   }
-  for (const core::BudgetId& budget : m_hungry) {
+  for (const core::BudgetId& budget : m_waiting) {
     Account& account = *Find(budget);
-    if (now < account.transfer_ask_at) {
+    if (now < account.next_transfer_ask_at) {
       continue;
     }
-    const SizingView view = ViewOf(now, account);
-    const bool log_helps = !m_log_out && (account.grant_asked ||
-                                          m_policy.grant(view).tokens > kNone);
-    const auto offer = m_peer_spares.Best(now, budget);
+    const SizingView view = MakeSizingView(now, account);
+    const bool log_helps =
+        !m_log_unavailable &&
+        (account.grant_pending || m_policy.grant(view).tokens > kNoTokens);
+    const auto offer = m_peer_spares.BestOffer(now, budget);
     const bool only_ceiling_binds = view.smallest_unmet <= view.Spare();
     if (only_ceiling_binds || log_helps || !offer) {
       continue;
@@ -168,30 +177,32 @@
         std::max(view.unmet - view.Spare(), core::Tokens(1));
     // Its part of what it would keep, so that it need not ask every second.
     const core::Tokens ahead(m_policy.keep(view).value() / m_active_routers);
-    const core::Tokens wished = missing + ahead;
+    const core::Tokens wanted = missing + ahead;
     TransferAskTo ask;
     ask.to = offer->peer;
     ask.ask.set_budget(budget.value());
-    ask.ask.set_tokens(wished.value());
-    m_peer_spares.Use(budget, offer->peer, wished);
-    account.transfer_ask_at = now + kTransferAskEvery;
+    ask.ask.set_tokens(wanted.value());
+    m_peer_spares.Deduct(budget, offer->peer, wanted);
+    account.next_transfer_ask_at = now + kTransferAskInterval;
     asks.push_back(std::move(ask));
   }
   return asks;
 }
 
-std::vector<TransferSendTo> Book::TakeTransferSends(core::TimePoint now) {
+std::vector<TransferSendTo> HoldingManager::TakeTransferSends(
+    core::TimePoint now) {
   return m_transfers.TakeSends(now);
 }
 
-std::vector<v1::Spare> Book::TakeSpares(core::TimePoint now) {
+std::vector<v1::Spare> HoldingManager::TakeSpares(core::TimePoint now) {
   std::vector<v1::Spare> spares;
-  const size_t examined = std::min(m_accounts.size(), kSparesExamined);
-  for (size_t i = 0; i < examined && spares.size() < kSparesAdvertised; ++i) {
+  const size_t examined = std::min(m_accounts.size(), kMaxSparesExamined);
+  for (size_t i = 0; i < examined && spares.size() < kMaxSparesAdvertised;
+       ++i) {
     m_spares_cursor = (m_spares_cursor + 1) % m_accounts.size();
     const Account& account = m_accounts[m_spares_cursor];
-    const core::Tokens tokens = Giveable(now, account);
-    if (tokens <= kNone) {
+    const core::Tokens tokens = Transferable(now, account);
+    if (tokens <= kNoTokens) {
       continue;
     }
     v1::Spare& spare = spares.emplace_back();
@@ -203,17 +214,17 @@
 
 // ---- Reading ---------------------------------------------------------------
 
-const std::optional<PeerRef>& Book::WitnessInForce() const {
-  return m_witnessing.InForce();
+const std::optional<PeerRef>& HoldingManager::WitnessInForce() const {
+  return m_witnesses.InForce();
 }
 
-bool Book::WitnessRefuses() const {
-  return m_witnessing.Refused();
+bool HoldingManager::WitnessRefuses() const {
+  return m_witnesses.Refused();
 }
 
-v1::BudgetStatus Book::ToStatus(const Account& account) const {
+v1::BudgetStatus HoldingManager::ToStatus(const Account& account) const {
   const Holding& holding = account.holding;
-  const auto limit = m_witnessing.Limit(account.id);
+  const auto limit = m_witnesses.EffectiveCeiling(account.id);
   const auto balance = m_balance(account.id);
   v1::BudgetStatus status;
   status.set_id(account.id.value());
@@ -225,7 +236,7 @@
   return status;
 }
 
-std::optional<v1::BudgetStatus> Book::StatusOf(
+std::optional<v1::BudgetStatus> HoldingManager::StatusOf(
     const core::BudgetId& budget) const {
   const auto found = m_by_id.find(budget);
   if (found == m_by_id.end()) {
@@ -234,7 +245,7 @@
   return ToStatus(*found->second);
 }
 
-std::vector<v1::BudgetStatus> Book::Statuses() const {
+std::vector<v1::BudgetStatus> HoldingManager::Statuses() const {
   std::vector<v1::BudgetStatus> statuses;
   statuses.reserve(m_accounts.size());
   for (const Account& account : m_accounts) {
@@ -243,19 +254,19 @@
   return statuses;
 }
 
-core::Status Book::CheckInvariants() const {
+core::Status HoldingManager::CheckInvariants() const {
   for (const Account& account : m_accounts) {
     const Holding& holding = account.holding;
     const core::Tokens committed = holding.Committed();
-    const auto limit = m_witnessing.Limit(account.id);
+    const auto limit = m_witnesses.EffectiveCeiling(account.id);
     const char* broken = nullptr;
     if (committed > holding.Received()) {
       broken = "committed more than received";
     } else if (limit && committed > *limit) {
       broken = "committed past the ceiling";
-    } else if (holding.spent < account.trail.Reported()) {
+    } else if (holding.spent < account.spend_reporter.LastReported()) {
       broken = "spent less than reported";
-    } else if (holding.reserved < kNone || holding.gate_only < kNone) {
+    } else if (holding.reserved < kNoTokens || holding.gate_only < kNoTokens) {
       broken = "negative amount";
     }
     if (broken != nullptr) {
--- a/src/budget/peer_spares.cc
+++ b/src/budget/peer_spares.cc
@@ -16,7 +16,7 @@
   }
 }
 
-std::optional<PeerSpares::Offer> PeerSpares::Best(
+std::optional<PeerSpares::Offer> PeerSpares::BestOffer(
     core::TimePoint now,
     const core::BudgetId& budget) const {
   const auto found = m_offers.find(budget);
@@ -24,35 +24,36 @@
     return std::nullopt;
   }
   std::optional<Offer> best;
-  for (const auto& [peer, heard] : found->second) {
-    if (now - heard.at > kSpareFresh || heard.tokens <= core::Tokens(0)) {
+  for (const auto& [peer, advertised] : found->second) {
+    if (now - advertised.at > kSpareLifetime ||
+        advertised.tokens <= core::Tokens(0)) {
       continue;
     }
-    if (!best || heard.tokens > best->tokens) {
-      best = Offer{peer, heard.tokens};
+    if (!best || advertised.tokens > best->tokens) {
+      best = Offer{peer, advertised.tokens};
     }
   }
   return best;
 }
 
-core::Tokens PeerSpares::Sum(core::TimePoint now,
-                             const core::BudgetId& budget) const {
+core::Tokens PeerSpares::TotalOffered(core::TimePoint now,
+                                      const core::BudgetId& budget) const {
   core::Tokens sum{0};
   const auto found = m_offers.find(budget);
   if (found == m_offers.end()) {
     return sum;
   }
-  for (const auto& [peer, heard] : found->second) {
-    if (now - heard.at <= kSpareFresh) {
-      sum += heard.tokens;
+  for (const auto& [peer, advertised] : found->second) {
+    if (now - advertised.at <= kSpareLifetime) {
+      sum += advertised.tokens;
     }
   }
   return sum;
 }
 
-void PeerSpares::Use(const core::BudgetId& budget,
-                     const PeerRef& peer,
-                     core::Tokens tokens) {
+void PeerSpares::Deduct(const core::BudgetId& budget,
+                        const PeerRef& peer,
+                        core::Tokens tokens) {
   core::Tokens& offer = m_offers[budget][peer].tokens;
   offer = std::max(offer - tokens, core::Tokens(0));
 }
--- a/src/budget/sizing.cc
+++ b/src/budget/sizing.cc
@@ -10,49 +10,51 @@
 
 using core::Tokens;
 
-constexpr Tokens kNone{0};
+constexpr Tokens kNoTokens{0};
 constexpr int64_t kPermille = 1000;
 /// A holding is filled up once this part of its target is used: soon enough to
 /// ride through nearly the whole time at any moment, late enough for few
 /// records.
-constexpr int64_t kRefillBelow = 5;
+constexpr int64_t kRefillDivisor = 5;
 
 Tokens AtLeastZero(Tokens tokens) {
-  return std::max(tokens, kNone);
+  return std::max(tokens, kNoTokens);
 }
 
-Tokens DemandOf(const SizingView& view, double seconds) {
+Tokens ExpectedSpend(const SizingView& view, double seconds) {
   return Tokens(
       static_cast<int64_t>(std::ceil(view.demand_per_second * seconds)));
 }
 
 /// What any class may draw.
-Tokens OpenBalance(const SizingView& view) {
+Tokens UnrestrictedBalance(const SizingView& view) {
   return AtLeastZero(view.balance.free - view.balance.gate_held_back);
 }
 
 /// paid_in is divided first: it may be near the largest int64_t.
 bool BalanceIsBelow(const SizingView& view, int64_t permille) {
-  return OpenBalance(view).value() <
+  return UnrestrictedBalance(view).value() <
          view.balance.paid_in.value() / kPermille * permille;
 }
 
-Tokens Bounds(const SizingView& view, int64_t count) {
+Tokens LargestRequests(const SizingView& view, int64_t count) {
   return Tokens(view.largest_bound.value() * count);
 }
 
 /// Least step of a ceiling, in parts of the largest request seen: at this size
 /// one raise serves two requests, and a crash strands less than with a whole.
-constexpr int64_t kStepPermille = 750;
+constexpr int64_t kMinStepPermille = 750;
 
 /// This router's part of all that the live fleet has left. What is free is of
-/// no use while the log is out, so most of it is held; the rest is for routers
-/// that join and for demand that moves.
-Tokens PartOfRest(const SizingOptions& options, const SizingView& view) {
-  const Tokens rest = OpenBalance(view) + view.balance.held_by_others +
-                      AtLeastZero(view.Spare());
+/// no use while the log is out, so most of it is held; the remaining is for
+/// routers that join and for demand that moves.
+Tokens ShareOfRemaining(const SizingOptions& options, const SizingView& view) {
+  const Tokens remaining = UnrestrictedBalance(view) +
+                           view.balance.held_by_others +
+                           AtLeastZero(view.Spare());
   const int64_t routers = std::max<int64_t>(view.active_routers, 1);
-  return Tokens(rest.value() / kPermille * options.held_permille / routers);
+  return Tokens(remaining.value() / kPermille * options.held_permille /
+                routers);
 }
 
 Tokens FairShare(const SizingOptions& options,
@@ -66,7 +68,7 @@
 /// What the other routers hold on average. While the log is out, callers of a
 /// router that died come to one that may never have seen their budget: it needs
 /// tokens of its own then. They cost little before, as its ceiling stays at 0.
-Tokens Standby(const SizingView& view) {
+Tokens StandbyHolding(const SizingView& view) {
   const int64_t others = std::max<int64_t>(view.active_routers, 2) - 1;
   return Tokens(view.balance.held_by_others.value() / others);
 }
@@ -74,50 +76,52 @@
 /// What a budget that is seldom used has held here all the same. Demand says
 /// nothing about the morning after a quiet night: when the log is out by then,
 /// what is held is all there is, and paid work would be refused.
-Tokens Floor(const SizingOptions& options, const SizingView& view) {
-  const Tokens rest = OpenBalance(view) + view.balance.held_by_others +
-                      AtLeastZero(view.Spare());
-  return Tokens(rest.value() / kPermille * options.floor_permille);
+Tokens MinimumHolding(const SizingOptions& options, const SizingView& view) {
+  const Tokens remaining = UnrestrictedBalance(view) +
+                           view.balance.held_by_others +
+                           AtLeastZero(view.Spare());
+  return Tokens(remaining.value() / kPermille * options.floor_permille);
 }
 
 /// What the holding should have spare.
-Tokens Target(const SizingOptions& options, const SizingView& view) {
+Tokens TargetSpare(const SizingOptions& options, const SizingView& view) {
   const bool low = BalanceIsBelow(view, options.low_ask_permille);
   // Near exhaustion what is free must suffice for whole requests somewhere:
   // shared out in full it would lie in pieces that are too small for any.
-  const Tokens cap = low ? FairShare(options, view, OpenBalance(view))
-                         : PartOfRest(options, view);
+  const Tokens cap = low ? FairShare(options, view, UnrestrictedBalance(view))
+                         : ShareOfRemaining(options, view);
   if (view.idle) {
-    return low ? kNone : std::min(Standby(view), cap);
+    return low ? kNoTokens : std::min(StandbyHolding(view), cap);
   }
-  const Tokens wished =
-      low ? DemandOf(view, options.low_seconds)
-          : std::max({DemandOf(view, options.ride_through_seconds),
-                      Bounds(view, options.bounds_ahead), Standby(view),
-                      Floor(options, view)});
-  return std::min(wished, cap);
+  const Tokens wanted =
+      low ? ExpectedSpend(view, options.low_seconds)
+          : std::max({ExpectedSpend(view, options.ride_through_seconds),
+                      LargestRequests(view, options.bounds_ahead),
+                      StandbyHolding(view), MinimumHolding(options, view)});
+  return std::min(wanted, cap);
 }
 
-GrantAsk DefaultGrant(const SizingOptions& options, const SizingView& view) {
+GrantRequest DefaultGrant(const SizingOptions& options,
+                          const SizingView& view) {
   const Tokens spare = AtLeastZero(view.Spare());
-  const Tokens missing = view.smallest_unmet > kNone
+  const Tokens missing = view.smallest_unmet > kNoTokens
                              ? AtLeastZero(view.smallest_unmet - spare)
-                             : kNone;
+                             : kNoTokens;
   const Tokens minimum = std::max(missing, Tokens(1));
-  const Tokens open = OpenBalance(view);
+  const Tokens open = UnrestrictedBalance(view);
   if (view.gate_waits && open < minimum && view.balance.free >= minimum) {
-    // Only what waits: the rest of the held-back share is for the gate work of
-    // the other routers.
+    // Only what waits: the remaining of the held-back share is for the gate
+    // work of the other routers.
     return {.tokens = minimum, .minimum = minimum, .gate = true};
   }
   if (open < minimum) {
     return {};
   }
   const Tokens share = FairShare(options, view, open);
-  const Tokens target = Target(options, view);
+  const Tokens target = TargetSpare(options, view);
   const bool refill =
-      spare.value() < target.value() - target.value() / kRefillBelow;
-  if (!refill && missing == kNone) {
+      spare.value() < target.value() - target.value() / kRefillDivisor;
+  if (!refill && missing == kNoTokens) {
     return {};
   }
   // The unmet sum is capped by the fair share, too: a long queue here must not
@@ -129,15 +133,16 @@
 
 Tokens DefaultKeep(const SizingOptions& options, const SizingView& view) {
   if (BalanceIsBelow(view, options.low_keep_permille)) {
-    const Tokens running = DemandOf(view, options.keep_low_seconds);
-    return view.idle ? kNone : std::max(running, view.unmet);
+    const Tokens running = ExpectedSpend(view, options.keep_low_seconds);
+    return view.idle ? kNoTokens : std::max(running, view.unmet);
   }
   // Plenty: what the others hold, and a few requests' worth, stays even when
   // idle, so that the first request after a pause needs neither the log nor a
   // peer. It costs little: after a crash, what is past the ceiling goes back.
-  return std::max({DemandOf(view, options.ride_through_seconds),
-                   Bounds(view, options.bounds_ahead), Standby(view),
-                   Floor(options, view), view.unmet});
+  return std::max({ExpectedSpend(view, options.ride_through_seconds),
+                   LargestRequests(view, options.bounds_ahead),
+                   StandbyHolding(view), MinimumHolding(options, view),
+                   view.unmet});
 }
 
 Tokens DefaultCeilingStep(const SizingOptions& options,
@@ -146,17 +151,18 @@
   // A raise takes one round trip to a peer, so little is kept ahead: a crash
   // strands it. While the log is out a witness that dies can't be replaced, and
   // what is ahead is all that is left to work with.
-  const double seconds =
-      view.log_out ? options.ceiling_log_out_seconds : options.ceiling_seconds;
-  const Tokens ahead = DemandOf(view, seconds);
+  const double seconds = view.log_unavailable
+                             ? options.ceiling_log_unavailable_seconds
+                             : options.ceiling_seconds;
+  const Tokens ahead = ExpectedSpend(view, seconds);
   const Tokens floor =
-      view.log_out
+      view.log_unavailable
           ? view.largest_bound
-          : Tokens(view.largest_bound.value() * kStepPermille / kPermille);
+          : Tokens(view.largest_bound.value() * kMinStepPermille / kPermille);
   return std::max(ahead, floor);
 }
 
-GrantAsk EqualGrant(const SizingView& view) {
+GrantRequest EqualGrant(const SizingView& view) {
   const int64_t routers = std::max<int64_t>(view.active_routers, 1);
   const Tokens share(view.balance.paid_in.value() / routers);
   const Tokens missing = std::min(share - view.received, view.balance.free);
@@ -186,7 +192,7 @@
     return Tokens(std::numeric_limits<int64_t>::max());
   };
   policy.ceiling_step = [](const SizingView& view) { return view.received; };
-  policy.shares = false;
+  policy.redistributes = false;
   return policy;
 }
 
--- a/src/budget/spend_trail.cc
+++ b/src/budget/spend_reporter.cc
@@ -1,11 +1,11 @@
-#include "coppervalve/budget/spend_trail.h"
+#include "coppervalve/budget/spend_reporter.h"
 
 #include <utility>  // move
 #include <variant>  // get_if, holds_alternative
 
 namespace coppervalve::budget {
 
-void SpendTrail::Add(const Charge& charge, core::Tokens tokens) {
+void SpendReporter::Add(const Charge& charge, core::Tokens tokens) {
   if (std::holds_alternative<WrittenOff>(charge)) {
     m_written_off += tokens;
   }
@@ -20,7 +20,7 @@
   m_unreported_tokens += tokens;
 }
 
-std::optional<v1::SpendReported> SpendTrail::NextReport(
+std::optional<v1::SpendReported> SpendReporter::NextReport(
     const core::BudgetId& budget,
     core::Tokens spent) {
   if (spent == m_reported && m_unreported.empty()) {
@@ -44,26 +44,26 @@
   for (const v1::Bill& bill : reported.bills) {
     *record.add_bills() = bill;
   }
-  m_unfolded.push_back(std::move(reported));
+  m_unapplied.push_back(std::move(reported));
   return record;
 }
 
-void SpendTrail::OnFolded(core::Tokens spent) {
-  while (!m_unfolded.empty() && m_unfolded.front().spent < spent) {
-    m_unfolded.pop_front();
+void SpendReporter::OnReportApplied(core::Tokens spent) {
+  while (!m_unapplied.empty() && m_unapplied.front().spent < spent) {
+    m_unapplied.pop_front();
   }
-  if (!m_unfolded.empty() && m_unfolded.front().spent == spent) {
-    m_unfolded.pop_front();
+  if (!m_unapplied.empty() && m_unapplied.front().spent == spent) {
+    m_unapplied.pop_front();
   }
 }
 
-v1::FinalSpend SpendTrail::Final(const core::BudgetId& budget,
-                                 core::Tokens spent) const {
+v1::FinalSpend SpendReporter::FinalReport(const core::BudgetId& budget,
+                                          core::Tokens spent) const {
   v1::FinalSpend final_spend;
   final_spend.set_budget(budget.value());
   final_spend.set_spent(spent.value());
   final_spend.set_written_off(m_written_off.value());
-  for (const Report& reported : m_unfolded) {
+  for (const Report& reported : m_unapplied) {
     for (const v1::Bill& bill : reported.bills) {
       *final_spend.add_bills() = bill;
     }
--- a/src/budget/transfers.cc
+++ b/src/budget/transfers.cc
@@ -11,72 +11,73 @@
                                       const core::BudgetId& budget,
                                       core::Tokens tokens) {
   const uint64_t id = ++m_last_id;
-  Out out;
+  OutgoingTransfer out;
   out.message.to = to;
   out.message.send.set_transfer_id(id);
   out.message.send.set_budget(budget.value());
   out.message.send.set_tokens(tokens.value());
   out.next_send = now;
-  out.give_up = now + kTransferResendFor;
+  out.give_up = now + kTransferResendPeriod;
   v1::TransferRecorded record = RecordOf(m_self, out.message.send);
   record.set_to_router(to.router.value());
   record.set_to_incarnation(to.incarnation.value());
-  m_out.emplace(id, std::move(out));
-  m_pending_out[budget] += tokens;
+  m_outgoing.emplace(id, std::move(out));
+  m_pending_outgoing[budget] += tokens;
   return record;
 }
 
 std::vector<TransferSendTo> Transfers::TakeSends(core::TimePoint now) {
   std::vector<TransferSendTo> sends;
-  for (auto& [id, out] : m_out) {
+  for (auto& [id, out] : m_outgoing) {
     if (out.delivered || now < out.next_send || now >= out.give_up) {
       continue;
     }
-    out.next_send = now + kTransferResendAfter;
+    out.next_send = now + kTransferResendInterval;
     sends.push_back(out.message);
   }
   return sends;
 }
 
 void Transfers::OnAck(const PeerRef& from, uint64_t transfer_id) {
-  const auto found = m_out.find(transfer_id);
-  if (found != m_out.end() && found->second.message.to == from) {
+  const auto found = m_outgoing.find(transfer_id);
+  if (found != m_outgoing.end() && found->second.message.to == from) {
     found->second.delivered = true;
   }
 }
 
-core::Tokens Transfers::PendingOut(const core::BudgetId& budget) const {
-  const auto found = m_pending_out.find(budget);
-  return found == m_pending_out.end() ? core::Tokens(0) : found->second;
+core::Tokens Transfers::PendingOutgoing(const core::BudgetId& budget) const {
+  const auto found = m_pending_outgoing.find(budget);
+  return found == m_pending_outgoing.end() ? core::Tokens(0) : found->second;
 }
 
-void Transfers::OnOutFolded(uint64_t transfer_id) {
-  const auto found = m_out.find(transfer_id);
-  if (found == m_out.end()) {
+void Transfers::OnOutgoingApplied(uint64_t transfer_id) {
+  const auto found = m_outgoing.find(transfer_id);
+  if (found == m_outgoing.end()) {
     return;
   }
   // The receiver's fold credits it now, so the message is needed no longer.
   const v1::TransferSend& send = found->second.message.send;
-  m_pending_out[core::BudgetId(send.budget())] -= core::Tokens(send.tokens());
-  m_out.erase(found);
+  m_pending_outgoing[core::BudgetId(send.budget())] -=
+      core::Tokens(send.tokens());
+  m_outgoing.erase(found);
 }
 
-Transfers::Credit Transfers::OnIn(const v1::TransferRecorded& transfer,
-                                  bool folded) {
-  const InKey key{core::Incarnation(transfer.from_incarnation()),
-                  transfer.transfer_id()};
+Transfers::Credit Transfers::OnIncoming(const v1::TransferRecorded& transfer,
+                                        bool applied) {
+  const IncomingKey key{core::Incarnation(transfer.from_incarnation()),
+                        transfer.transfer_id()};
   // The sender repeats a message until it is acknowledged, and the log brings
   // the same transfer once more. Credited twice, tokens would exist that no
   // record paid in; the id is kept for the life of this incarnation.
-  const auto [entry, added] = m_in.emplace(key, folded);
+  const auto [entry, added] = m_incoming.emplace(key, applied);
   if (added) {
     return Credit::kNew;
   }
-  if (!folded || entry->second) {
-    return Credit::kKnown;
+  if (!applied || entry->second) {
+    return Credit::kDuplicate;
   }
   entry->second = true;
-  return Credit::kFolded;
+  return Credit::kApplied;
 }
 
 v1::TransferRecorded Transfers::RecordOf(const PeerRef& from,
--- a/src/budget/ceiling_link.cc
+++ b/src/budget/witness_ceilings.cc
@@ -1,53 +1,56 @@
-#include "coppervalve/budget/ceiling_link.h"
+#include "coppervalve/budget/witness_ceilings.h"
 
 #include <algorithm>  // max, min
 #include <utility>    // move
 
 namespace coppervalve::budget {
 
-CeilingLink::CeilingLink(std::optional<PeerRef> peer)
+WitnessCeilings::WitnessCeilings(std::optional<PeerRef> peer)
     : m_peer(std::move(peer)) {}
 
-void CeilingLink::Ask(const core::BudgetId& budget, core::Tokens ceiling) {
+void WitnessCeilings::RequestCeiling(const core::BudgetId& budget,
+                                     core::Tokens ceiling) {
   if (!m_peer) {
     return;
   }
   Ceiling& entry = m_ceilings[budget];
-  if (ceiling <= entry.asked) {
+  if (ceiling <= entry.requested) {
     return;
   }
-  entry.asked = ceiling;
+  entry.requested = ceiling;
   if (!entry.queued) {
     entry.queued = true;
     m_queue.push_back(budget);
   }
 }
 
-std::optional<core::Tokens> CeilingLink::Asked(
+std::optional<core::Tokens> WitnessCeilings::RequestedCeiling(
     const core::BudgetId& budget) const {
   if (!m_peer) {
     return std::nullopt;
   }
   const auto found = m_ceilings.find(budget);
-  return found == m_ceilings.end() ? core::Tokens(0) : found->second.asked;
+  return found == m_ceilings.end() ? core::Tokens(0) : found->second.requested;
 }
 
-std::optional<core::Tokens> CeilingLink::Acked(
+std::optional<core::Tokens> WitnessCeilings::AcknowledgedCeiling(
     const core::BudgetId& budget) const {
   if (!m_peer) {
     return std::nullopt;
   }
   const auto found = m_ceilings.find(budget);
-  return found == m_ceilings.end() ? core::Tokens(0) : found->second.acked;
+  return found == m_ceilings.end() ? core::Tokens(0)
+                                   : found->second.acknowledged;
 }
 
-std::optional<v1::CeilingRaise> CeilingLink::TakeRaise(core::TimePoint now,
-                                                       uint64_t& last_serial) {
+std::optional<v1::CeilingRaise> WitnessCeilings::TakeRaise(
+    core::TimePoint now,
+    uint64_t& last_serial) {
   if (!m_peer || m_refused) {
     return std::nullopt;
   }
   if (m_outstanding) {
-    if (now - m_sent_at < kRaiseResendAfter) {
+    if (now - m_sent_at < kRaiseResendInterval) {
       return std::nullopt;
     }
     // The same serial again: a late answer to the first copy still counts, so
@@ -63,10 +66,11 @@
   return m_outstanding;
 }
 
-v1::CeilingRaise CeilingLink::NextRaise(uint64_t serial) {
+v1::CeilingRaise WitnessCeilings::NextRaise(uint64_t serial) {
   v1::CeilingRaise raise;
   raise.set_serial(serial);
-  // The first raise is the full list: everything asked for so far is queued.
+  // The first raise is the full list: everything requested for so far is
+  // queued.
   raise.set_full(!m_complete);
   const size_t count = m_complete
                            ? std::min(m_queue.size(), kMaxCeilingsPerRaise)
@@ -81,22 +85,22 @@
 
 // Names are most of a raise. A raise that was lost may have carried a name, so
 // it is repeated until the witness said that it has it.
-void CeilingLink::Write(const core::BudgetId& budget,
-                        v1::PeerCeiling& ceiling) {
+void WitnessCeilings::Write(const core::BudgetId& budget,
+                            v1::PeerCeiling& ceiling) {
   Ceiling& entry = m_ceilings[budget];
   entry.queued = false;
   if (entry.number == 0) {
-    m_numbered.push_back(budget);
-    entry.number = static_cast<uint32_t>(m_numbered.size());
+    m_budget_by_number.push_back(budget);
+    entry.number = static_cast<uint32_t>(m_budget_by_number.size());
   }
-  if (!entry.named) {
+  if (!entry.name_acknowledged) {
     ceiling.set_budget(budget.value());
   }
   ceiling.set_number(entry.number);
-  ceiling.set_tokens(entry.asked.value());
+  ceiling.set_tokens(entry.requested.value());
 }
 
-std::vector<core::BudgetId> CeilingLink::OnAck(const v1::CeilingAck& ack) {
+std::vector<core::BudgetId> WitnessCeilings::OnAck(const v1::CeilingAck& ack) {
   // An acknowledgement binds exactly what its raise carried. Taken for a later
   // raise that was lost, it would let this router commit past what the witness
   // states after a retirement: the tokens would be spent twice.
@@ -112,10 +116,11 @@
   m_complete = true;
   std::vector<core::BudgetId> raised;
   for (const v1::PeerCeiling& ceiling : raise.ceilings()) {
-    const core::BudgetId& budget = m_numbered[ceiling.number() - 1];
+    const core::BudgetId& budget = m_budget_by_number[ceiling.number() - 1];
     Ceiling& entry = m_ceilings[budget];
-    entry.named = true;
-    entry.acked = std::max(entry.acked, core::Tokens(ceiling.tokens()));
+    entry.name_acknowledged = true;
+    entry.acknowledged =
+        std::max(entry.acknowledged, core::Tokens(ceiling.tokens()));
     raised.push_back(budget);
   }
   return raised;
--- a/src/budget/witnessing.cc
+++ b/src/budget/witness_set.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/budget/witnessing.h"
+#include "coppervalve/budget/witness_set.h"
 
 #include <algorithm>  // min
 #include <utility>    // move
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-Witnessing::Witnessing() {
+WitnessSet::WitnessSet() {
   m_binding.emplace_back(std::nullopt);
 }
 
-bool Witnessing::Choose(const std::optional<PeerRef>& peer) {
+bool WitnessSet::StartChange(const std::optional<PeerRef>& peer) {
   if (m_candidate && m_candidate->Peer() == peer) {
     return false;
   }
@@ -34,41 +34,43 @@
   return true;
 }
 
-void Witnessing::Ask(const core::BudgetId& budget, core::Tokens ceiling) {
-  for (CeilingLink& link : m_binding) {
-    link.Ask(budget, ceiling);
+void WitnessSet::RequestCeiling(const core::BudgetId& budget,
+                                core::Tokens ceiling) {
+  for (WitnessCeilings& link : m_binding) {
+    link.RequestCeiling(budget, ceiling);
   }
   if (m_candidate) {
-    m_candidate->Ask(budget, ceiling);
+    m_candidate->RequestCeiling(budget, ceiling);
   }
 }
 
-std::optional<core::Tokens> Witnessing::Limit(
+std::optional<core::Tokens> WitnessSet::EffectiveCeiling(
     const core::BudgetId& budget) const {
   Ceiling limit;
-  for (const CeilingLink& link : m_binding) {
-    limit = Smaller(limit, link.Acked(budget));
+  for (const WitnessCeilings& link : m_binding) {
+    limit = Smaller(limit, link.AcknowledgedCeiling(budget));
   }
   return limit;
 }
 
-std::optional<core::Tokens> Witnessing::Asked(
+std::optional<core::Tokens> WitnessSet::RequestedCeiling(
     const core::BudgetId& budget) const {
-  Ceiling asked;
-  for (const CeilingLink& link : m_binding) {
-    asked = Smaller(asked, link.Asked(budget));
+  Ceiling requested;
+  for (const WitnessCeilings& link : m_binding) {
+    requested = Smaller(requested, link.RequestedCeiling(budget));
   }
-  return m_candidate ? Smaller(asked, m_candidate->Asked(budget)) : asked;
+  return m_candidate ? Smaller(requested, m_candidate->RequestedCeiling(budget))
+                     : requested;
 }
 
-const CeilingLink* Witnessing::ReadyCandidate() const {
+const WitnessCeilings* WitnessSet::ReadyCandidate() const {
   // One record at a time, so that the fold's answer can only mean that one.
   const bool ready =
       m_binding.size() == 1 && m_candidate && m_candidate->Complete();
   return ready ? &*m_candidate : nullptr;
 }
 
-v1::WitnessChosen Witnessing::RecordCandidate() {
+v1::WitnessChosen WitnessSet::RecordCandidate() {
   v1::WitnessChosen record;
   if (m_candidate->Peer()) {
     record.set_router(m_candidate->Peer()->router.value());
@@ -82,26 +84,26 @@
   return record;
 }
 
-void Witnessing::OnInForce(const std::optional<PeerRef>& peer) {
+void WitnessSet::OnInForce(const std::optional<PeerRef>& peer) {
   if (m_binding.size() > 1 && m_binding.back().Peer() == peer) {
     m_binding.erase(m_binding.begin());
   }
 }
 
-void Witnessing::OnRefusedByFold(const PeerRef& peer) {
+void WitnessSet::OnRefused(const PeerRef& peer) {
   if (m_binding.size() > 1 && m_binding.back().Peer() == peer) {
     m_binding.pop_back();
   }
 }
 
-std::vector<CeilingRaiseTo> Witnessing::TakeRaises(core::TimePoint now) {
+std::vector<CeilingRaiseTo> WitnessSet::TakeRaises(core::TimePoint now) {
   std::vector<CeilingRaiseTo> raises;
-  const auto take = [&](CeilingLink& link) {
+  const auto take = [&](WitnessCeilings& link) {
     if (auto raise = link.TakeRaise(now, m_last_serial)) {
       raises.push_back({*link.Peer(), std::move(*raise)});
     }
   };
-  for (CeilingLink& link : m_binding) {
+  for (WitnessCeilings& link : m_binding) {
     take(link);
   }
   if (m_candidate) {
@@ -110,10 +112,10 @@
   return raises;
 }
 
-std::vector<core::BudgetId> Witnessing::OnAck(const PeerRef& from,
+std::vector<core::BudgetId> WitnessSet::OnAck(const PeerRef& from,
                                               const v1::CeilingAck& ack) {
   std::vector<core::BudgetId> raised;
-  const auto apply = [&](CeilingLink& link) {
+  const auto apply = [&](WitnessCeilings& link) {
     if (link.Peer() != from) {
       return;
     }
@@ -121,7 +123,7 @@
       raised.push_back(std::move(budget));
     }
   };
-  for (CeilingLink& link : m_binding) {
+  for (WitnessCeilings& link : m_binding) {
     apply(link);
   }
   if (m_candidate) {
@@ -130,11 +132,11 @@
   return raised;
 }
 
-const std::optional<PeerRef>& Witnessing::InForce() const {
+const std::optional<PeerRef>& WitnessSet::InForce() const {
   return m_binding.front().Peer();
 }
 
-bool Witnessing::Refused() const {
+bool WitnessSet::Refused() const {
   return m_candidate ? m_candidate->Refused() : m_binding.back().Refused();
 }
 
--- a/src/router/budget_desk.cc
+++ b/src/router/budget_desk.cc
@@ -134,7 +134,7 @@
         transfer.set_tokens(e.tokens.value());
         if (IsSelf(e.from, e.from_incarnation) ||
             IsSelf(e.to, e.to_incarnation)) {
-          m_book.OnTransferFolded(now, transfer);
+          m_book.OnTransferApplied(now, transfer);
         }
       },
       [](const auto&) {},
@@ -148,8 +148,8 @@
       continue;
     }
     const v1::SpendReported& report = record.spend_reported();
-    m_book.OnSpendFolded(core::BudgetId(report.budget()),
-                         Tokens(report.spent()));
+    m_book.OnSpendApplied(core::BudgetId(report.budget()),
+                          Tokens(report.spent()));
   }
 }
 
@@ -175,7 +175,7 @@
   if (!is_witness || m_book.Retired()) {
     return;
   }
-  const auto statement = m_witness_desk.StatementFor(retired);
+  const auto statement = m_witness_desk.QuarantineNarrowedFor(retired);
   if (!statement.has_value()) {
     return;
   }
@@ -236,7 +236,7 @@
 
 void BudgetDesk::Tick(TimePoint now) {
   m_book.OnLogState(m_log.IsOut(now));
-  m_book.OnFleet(static_cast<uint32_t>(m_peers.view().live_members()));
+  m_book.OnActiveRouters(static_cast<uint32_t>(m_peers.view().live_members()));
   m_book.OnTick(now);
 }
 
--- a/src/router/core.cc
+++ b/src/router/core.cc
@@ -77,7 +77,7 @@
   return m_session->log().fold();
 }
 
-const budget::Book& RouterCore::book() const {
+const budget::HoldingManager& RouterCore::book() const {
   return m_session->budgets().book();
 }
 
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -73,7 +73,7 @@
 }
 
 void RequestFlow::WakeWaiters(TimePoint now) {
-  for (const core::BudgetId& budget : m_parts.book.TakeWoken()) {
+  for (const core::BudgetId& budget : m_parts.book.TakeWokenBudgets()) {
     const auto found = m_waiting.find(budget);
     if (found == m_waiting.end()) {
       continue;
--- a/src/trial/audit.cc
+++ b/src/trial/audit.cc
@@ -4,7 +4,7 @@
 #include <utility>    // move
 #include <variant>    // get_if
 
-#include "coppervalve/budget/book.h"
+#include "coppervalve/budget/holding_manager.h"
 
 namespace coppervalve::trial {
 
--- a/tests/budget/fake_fleet.h
+++ b/tests/budget/fake_fleet.h
@@ -12,29 +12,29 @@
 #include <utility>     // move, pair
 #include <vector>      // vector
 
-#include "book_fixture.h"
-#include "coppervalve/budget/witness_desk.h"
+#include "coppervalve/budget/ceiling_store.h"
+#include "holding_manager_fixture.h"
 
 namespace coppervalve::budget {
 
 inline const core::BudgetId kOnlyBudget("gate");
 inline constexpr int64_t kGateHeldBack = 500;
 
-/// One router: its book, its desk and what it has still to append.
+/// One router: its book, its ceiling_store and what it has still to append.
 struct FakeRouter {
-  FakeRouter(const PeerRef& ref, BalanceHook balance)
+  FakeRouter(const PeerRef& ref, BalanceLookup balance)
       : self(ref), book(ref, DefaultSizing(), std::move(balance)) {}
 
   PeerRef self;
-  Book book;
-  WitnessDesk desk;
+  HoldingManager book;
+  CeilingStore ceiling_store;
   std::vector<Reservation> open;
   std::deque<std::vector<v1::Record>> outbox;
   uint64_t appended = 0;  ///< entries known to be in the log
   size_t next_offset = 0;
   bool crashed = false;
   bool paused = false;
-  bool log_out = false;
+  bool log_unavailable = false;
 };
 
 /// The log and its fold in miniature, for one budget.
@@ -47,11 +47,11 @@
   void Append(const PeerRef& writer,
               uint64_t sequence,
               const std::vector<v1::Record>& records) {
-    Folded& own = m_holdings[writer.incarnation];
+    LedgerHolding& own = m_holdings[writer.incarnation];
     if (sequence == own.sequence + 1) {
       own.sequence = sequence;
       for (const v1::Record& record : records) {
-        FoldRecord(writer, own, record);
+        ApplyRecord(writer, own, record);
       }
     }
     Emit([](FakeRouter& r, core::TimePoint now) {
@@ -65,10 +65,10 @@
         r.book.OnRetired(now);
         return;
       }
-      r.desk.Close(ref);
-      if (auto statement = r.desk.StatementFor(ref)) {
+      r.ceiling_store.Close(ref);
+      if (auto narrowed = r.ceiling_store.QuarantineNarrowedFor(ref)) {
         v1::Record record;
-        *record.mutable_quarantine_narrowed() = std::move(*statement);
+        *record.mutable_quarantine_narrowed() = std::move(*narrowed);
         r.outbox.push_back({std::move(record)});
       }
     });
@@ -87,10 +87,10 @@
     view.free = core::Tokens(m_free);
     view.paid_in = core::Tokens(m_paid_in);
     view.gate_held_back = core::Tokens(std::min(m_free, kGateHeldBack));
-    for (const auto& [incarnation, folded] : m_holdings) {
-      const core::Tokens held(folded.Held());
-      (folded.retired ? view.quarantined : view.held_by_others) += held;
-      if (incarnation == self.incarnation && !folded.retired) {
+    for (const auto& [incarnation, holding] : m_holdings) {
+      const core::Tokens held(holding.Held());
+      (holding.retired ? view.quarantined : view.held_by_others) += held;
+      if (incarnation == self.incarnation && !holding.retired) {
         view.held_by_others -= held;
       }
     }
@@ -105,7 +105,7 @@
   size_t Transfers() const { return m_transfers.size(); }
 
  private:
-  struct Folded {
+  struct LedgerHolding {
     int64_t received = 0;
     int64_t spent = 0;
     int64_t out = 0;
@@ -119,51 +119,55 @@
   };
 
   void Emit(Effect effect) { m_effects.push_back(std::move(effect)); }
-  /// What the real fold ignores or stops at must never come from a Book.
+  /// What the real fold ignores or stops at must never come from a
+  /// HoldingManager.
   void Expect(bool condition, const char* fault) {
     if (!condition && m_fault.empty()) {
       m_fault = fault;
     }
   }
-  int64_t Release(Folded& folded) {
-    const int64_t bound = folded.ceiling.value_or(folded.received);
+  int64_t Release(LedgerHolding& holding) {
+    const int64_t bound = holding.ceiling.value_or(holding.received);
     const int64_t past =
-        folded.Held() - std::max<int64_t>(0, bound - folded.spent - folded.out);
-    const int64_t tokens = folded.ceiling ? std::max<int64_t>(0, past) : 0;
-    folded.released += tokens;
+        holding.Held() -
+        std::max<int64_t>(0, bound - holding.spent - holding.out);
+    const int64_t tokens = holding.ceiling ? std::max<int64_t>(0, past) : 0;
+    holding.released += tokens;
     m_free += tokens;
     return tokens;
   }
 
-  void FoldRecord(const PeerRef& writer, Folded& own, const v1::Record& r) {
+  void ApplyRecord(const PeerRef& writer,
+                   LedgerHolding& own,
+                   const v1::Record& r) {
     if (r.has_transfer_recorded()) {
-      FoldTransfer(r.transfer_recorded());
+      ApplyTransfer(r.transfer_recorded());
     } else if (r.has_spend_finalized()) {
       for (const v1::FinalSpend& last : r.spend_finalized().budgets()) {
-        FoldSpend(own, last.spent());
+        ApplySpend(own, last.spent());
         own.ceiling = own.spent + own.out + last.transfers_pending();
         m_finalized += Release(own);
       }
     } else if (own.retired) {
       return;
     } else if (r.has_allotment_requested()) {
-      FoldRequest(writer, own, r.allotment_requested());
+      ApplyRequest(writer, own, r.allotment_requested());
     } else if (r.has_spend_reported()) {
-      FoldSpend(own, r.spend_reported().spent());
+      ApplySpend(own, r.spend_reported().spent());
     } else if (r.has_allotment_returned()) {
       const int64_t tokens = r.allotment_returned().tokens();
       Expect(tokens <= own.Held(), "returned more than held");
       own.received -= tokens;
       m_free += tokens;
     } else if (r.has_witness_chosen()) {
-      FoldWitness(writer, own, r.witness_chosen());
+      ApplyWitness(writer, own, r.witness_chosen());
     } else if (r.has_quarantine_narrowed()) {
-      FoldNarrowed(writer, r.quarantine_narrowed());
+      ApplyNarrowed(writer, r.quarantine_narrowed());
     }
   }
-  void FoldRequest(const PeerRef& writer,
-                   Folded& own,
-                   const v1::AllotmentRequested& r) {
+  void ApplyRequest(const PeerRef& writer,
+                    LedgerHolding& own,
+                    const v1::AllotmentRequested& r) {
     const bool gate = r.admission_class() == v1::GATE;
     const int64_t open = gate ? m_free : m_free - kGateHeldBack;
     const core::Tokens tokens(std::min(r.tokens(), open));
@@ -184,14 +188,14 @@
       }
     });
   }
-  void FoldSpend(Folded& own, int64_t spent) {
+  void ApplySpend(LedgerHolding& own, int64_t spent) {
     Expect(spent >= own.spent, "spend not monotone");
     Expect(spent - own.spent <= own.Held(), "spent more than held");
     own.spent = spent;
   }
-  void FoldWitness(const PeerRef& writer,
-                   Folded& own,
-                   const v1::WitnessChosen& r) {
+  void ApplyWitness(const PeerRef& writer,
+                    LedgerHolding& own,
+                    const v1::WitnessChosen& r) {
     const PeerRef peer{core::RouterId(r.router()),
                        core::Incarnation(r.incarnation())};
     const bool none = r.router().empty();
@@ -210,8 +214,8 @@
       }
     });
   }
-  void FoldNarrowed(const PeerRef& writer, const v1::QuarantineNarrowed& r) {
-    Folded& retired = m_holdings[core::Incarnation(r.incarnation())];
+  void ApplyNarrowed(const PeerRef& writer, const v1::QuarantineNarrowed& r) {
+    LedgerHolding& retired = m_holdings[core::Incarnation(r.incarnation())];
     if (!retired.retired || retired.witness != writer) {
       return;
     }
@@ -220,24 +224,24 @@
     retired.ceiling = std::min(retired.ceiling.value_or(ceiling), ceiling);
     m_narrowed += Release(retired);
   }
-  void FoldTransfer(const v1::TransferRecorded& r) {
+  void ApplyTransfer(const v1::TransferRecorded& r) {
     if (!m_transfers.emplace(r.from_incarnation(), r.transfer_id()).second) {
       return;
     }
-    Folded& from = m_holdings[core::Incarnation(r.from_incarnation())];
-    Folded& to = m_holdings[core::Incarnation(r.to_incarnation())];
+    LedgerHolding& from = m_holdings[core::Incarnation(r.from_incarnation())];
+    LedgerHolding& to = m_holdings[core::Incarnation(r.to_incarnation())];
     Expect(r.tokens() <= from.Held(), "transferred more than held");
     from.out += r.tokens();
     to.received += r.tokens();
     Release(to);
     Emit([r](FakeRouter& router, core::TimePoint now) {
-      router.book.OnTransferFolded(now, r);
+      router.book.OnTransferApplied(now, r);
     });
   }
 
   int64_t m_paid_in;
   int64_t m_free;
-  std::map<core::Incarnation, Folded> m_holdings;
+  std::map<core::Incarnation, LedgerHolding> m_holdings;
   std::set<std::pair<uint64_t, uint64_t>> m_transfers;
   std::vector<Effect> m_effects;
   std::string m_fault;
--- a/tests/budget/book_fixture.h
+++ b/tests/budget/holding_manager_fixture.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_TESTS_BUDGET_BOOK_FIXTURE_H_
-#define COPPERVALVE_TESTS_BUDGET_BOOK_FIXTURE_H_
+#ifndef COPPERVALVE_TESTS_BUDGET_HOLDING_MANAGER_FIXTURE_H_
+#define COPPERVALVE_TESTS_BUDGET_HOLDING_MANAGER_FIXTURE_H_
 
 #include <cstdint>   // int64_t, uint64_t
 #include <optional>  // optional
@@ -8,7 +8,7 @@
 #include <variant>   // get_if, holds_alternative
 #include <vector>    // vector
 
-#include "coppervalve/budget/book.h"
+#include "coppervalve/budget/holding_manager.h"
 
 namespace coppervalve::budget {
 
@@ -18,24 +18,24 @@
 }
 
 /// One book with one budget, whose log and peers the test plays by hand.
-class BookFixture {
+class HoldingManagerFixture {
  public:
-  explicit BookFixture(uint64_t number = 1,
-                       SizingPolicy policy = DefaultSizing())
+  explicit HoldingManagerFixture(uint64_t number = 1,
+                                 SizingPolicy policy = DefaultSizing())
       : m_book(Peer(number), std::move(policy), [this](const core::BudgetId&) {
           return m_balance;
         }) {
     SetBalance(1'000'000, 1'000'000);
   }
 
-  Book& book() { return m_book; }
+  HoldingManager& book() { return m_book; }
   core::TimePoint now() const { return m_now; }
-  void Pass(int64_t milliseconds) {
+  void Advance(int64_t milliseconds) {
     m_now += std::chrono::milliseconds(milliseconds);
     m_book.OnTick(m_now);
   }
   /// Lets time pass without a tick, as in a paused process.
-  void Skip(int64_t milliseconds) {
+  void AdvanceWithoutTick(int64_t milliseconds) {
     m_now += std::chrono::milliseconds(milliseconds);
   }
   void SetBalance(int64_t free, int64_t paid_in, int64_t others = 0) {
@@ -92,7 +92,7 @@
     Records();
     m_book.OnGranted(m_now, m_budget, core::Tokens(tokens),
                      core::Sequence(++m_sequence));
-    m_book.TakeWoken();
+    m_book.TakeWokenBudgets();
   }
   /// Makes a peer the witness in force: full list, record, fold.
   void UseWitness(const PeerRef& witness) {
@@ -111,7 +111,7 @@
     ack.set_serial(raise.raise.serial());
     m_book.OnCeilingAck(m_now, raise.to, ack);
   }
-  void AskedByPeer(const PeerRef& peer, int64_t tokens) {
+  void ReceiveTransferAsk(const PeerRef& peer, int64_t tokens) {
     v1::TransferAsk ask;
     ask.set_budget(m_budget.value());
     ask.set_tokens(tokens);
@@ -126,9 +126,9 @@
   core::TimePoint m_now{std::chrono::seconds(100)};
   std::optional<BalanceView> m_balance;
   uint64_t m_sequence = 0;
-  Book m_book;
+  HoldingManager m_book;
 };
 
 }  // namespace coppervalve::budget
 
-#endif  // COPPERVALVE_TESTS_BUDGET_BOOK_FIXTURE_H_
+#endif  // COPPERVALVE_TESTS_BUDGET_HOLDING_MANAGER_FIXTURE_H_
--- a/tests/budget/unit-random.cc
+++ b/tests/budget/unit-random.cc
@@ -35,14 +35,14 @@
   }
 
   void Step() {
-    m_now += std::chrono::milliseconds(Below(20));
+    m_now += std::chrono::milliseconds(RandomBelow(20));
     FakeRouter& r = AnyRouter();
-    if (Below(100) < 2) {
-      Disturb(r);
-    } else if (Below(3) == 0) {
+    if (RandomBelow(100) < 2) {
+      InjectFault(r);
+    } else if (RandomBelow(3) == 0) {
       DeliverOne();
     } else if (!r.crashed && !r.paused) {
-      Act(r);
+      RunAction(r);
     }
   }
 
@@ -51,7 +51,7 @@
     // The balance can be granted to others at once, so it counts as gone.
     int64_t claimed = m_log.Free();
     for (const FakeRouter& r : m_routers) {
-      const BookTotals& totals = r.book.Totals();
+      const HoldingTotals& totals = r.book.Totals();
       claimed += totals.spent.value() + totals.reserved.value();
       const core::Status status = r.book.CheckInvariants();
       if (!core::IsOk(status)) {
@@ -70,11 +70,11 @@
     std::function<void(FakeRouter&)> deliver;
   };
 
-  uint32_t Below(uint32_t bound) { return m_random(bound); }
+  uint32_t RandomBelow(uint32_t bound) { return m_random(bound); }
   FakeRouter& AnyRouter() {
-    return m_routers[Below(static_cast<uint32_t>(m_routers.size()))];
+    return m_routers[RandomBelow(static_cast<uint32_t>(m_routers.size()))];
   }
-  void Note(const FakeRouter& r, const std::string& text) {
+  void AddTrace(const FakeRouter& r, const std::string& text) {
     m_trace.push_back(r.self.router.value() + " " + text);
     if (m_trace.size() > kTraceKept) {
       m_trace.pop_front();
@@ -85,32 +85,32 @@
     m_routers.emplace_back(self, [this, self](const core::BudgetId&) {
       return std::optional(m_log.View(self));
     });
-    m_routers.back().book.OnFleet(kFirstRouters);
+    m_routers.back().book.OnActiveRouters(kFirstRouters);
   }
 
-  void Disturb(FakeRouter& r) {
-    switch (Below(16)) {
+  void InjectFault(FakeRouter& r) {
+    switch (RandomBelow(16)) {
       case 0:
-        Note(r, "crashes");
+        AddTrace(r, "crashes");
         r.crashed = true;
         break;
       case 1:
-        Note(r, "is retired");
+        AddTrace(r, "is retired");
         m_log.Retire(r.self);
         break;
       case 2:
       case 3:
       case 4:
-        Note(r, "pauses or resumes");
+        AddTrace(r, "pauses or resumes");
         r.paused = !r.paused;
         break;
       case 5:
-        Note(r, "loses or finds the log");
-        r.log_out = !r.log_out;
-        r.book.OnLogState(r.log_out);
+        AddTrace(r, "loses or finds the log");
+        r.log_unavailable = !r.log_unavailable;
+        r.book.OnLogState(r.log_unavailable);
         break;
       case 6:
-        m_log.TopUp(Below(4'000));
+        m_log.TopUp(RandomBelow(4'000));
         break;
       case 7:
         if (m_routers.size() < kMostRouters) {
@@ -124,13 +124,13 @@
   void ChooseWitness(FakeRouter& r) {
     const PeerRef peer = AnyRouter().self;
     const bool none = peer == r.self;
-    Note(r, "chooses witness " + (none ? "none" : peer.router.value()));
+    AddTrace(r, "chooses witness " + (none ? "none" : peer.router.value()));
     r.book.ChooseWitness(m_now, none ? std::nullopt : std::optional(peer));
   }
 
-  void Act(FakeRouter& r) {
-    r.book.TakeWoken();
-    switch (Below(9)) {
+  void RunAction(FakeRouter& r) {
+    r.book.TakeWokenBudgets();
+    switch (RandomBelow(9)) {
       case 0:
       case 1:
       case 2:
@@ -138,7 +138,7 @@
         break;
       case 3:
       case 4:
-        End(r);
+        EndReservation(r);
         break;
       case 5:
         Send(r);
@@ -147,53 +147,55 @@
         Append(r);
         break;
       default:
-        for (uint32_t i = Below(8); i > 0 && !r.log_out; --i) {
+        for (uint32_t i = RandomBelow(8); i > 0 && !r.log_unavailable; --i) {
           m_log.ReadNext(r, m_now);
         }
     }
   }
   void Reserve(FakeRouter& r) {
-    const Tokens bound(1 + Below(kLargestBound));
-    const auto admission_class = Below(3) == 0 ? v1::GATE : v1::INTERACTIVE;
+    const Tokens bound(1 + RandomBelow(kLargestBound));
+    const auto admission_class =
+        RandomBelow(3) == 0 ? v1::GATE : v1::INTERACTIVE;
     const ReserveResult result =
         r.book.Reserve(m_now, kOnlyBudget, bound, admission_class);
     if (const auto* reservation = std::get_if<Reservation>(&result)) {
-      Note(r, "reserves " + std::to_string(bound.value()));
+      AddTrace(r, "reserves " + std::to_string(bound.value()));
       r.open.push_back(*reservation);
     }
   }
-  void End(FakeRouter& r) {
+  void EndReservation(FakeRouter& r) {
     if (r.open.empty()) {
       return;
     }
     const Reservation reservation = r.open.back();
     r.open.pop_back();
-    if (Below(5) == 0) {
+    if (RandomBelow(5) == 0) {
       r.book.Cancel(m_now, reservation);
       return;
     }
     // Now and then an upstream goes past its bound.
-    const int64_t most = reservation.bound.value() * (Below(20) == 0 ? 3 : 1);
-    const Tokens spent(Below(static_cast<uint32_t>(most + 1)));
-    Note(r, "settles " + std::to_string(spent.value()));
+    const int64_t most =
+        reservation.bound.value() * (RandomBelow(20) == 0 ? 3 : 1);
+    const Tokens spent(RandomBelow(static_cast<uint32_t>(most + 1)));
+    AddTrace(r, "settles " + std::to_string(spent.value()));
     r.book.Settle(m_now, reservation, spent, Unkeyed{});
   }
   void Append(FakeRouter& r) {
-    if (r.outbox.empty() || r.log_out) {
+    if (r.outbox.empty() || r.log_unavailable) {
       return;
     }
     m_log.Append(r.self, r.appended + 1, r.outbox.front());
-    Note(r, "appends");
-    if (Below(4) == 0) {
+    AddTrace(r, "appends");
+    if (RandomBelow(4) == 0) {
       return;  // the reply is lost: it appends the same entry again
     }
     ++r.appended;
     r.outbox.pop_front();
   }
 
-  void Post(const PeerRef& to,
-            const std::function<void(FakeRouter&)>& deliver) {
-    const uint32_t copies = Below(10) == 0 ? 0 : 1 + Below(5) / 4;
+  void SendMessage(const PeerRef& to,
+                   const std::function<void(FakeRouter&)>& deliver) {
+    const uint32_t copies = RandomBelow(10) == 0 ? 0 : 1 + RandomBelow(5) / 4;
     for (uint32_t i = 0; i < copies; ++i) {
       m_network.push_back({to, deliver});
     }
@@ -202,7 +204,7 @@
     if (m_network.empty()) {
       return;
     }
-    const size_t index = Below(static_cast<uint32_t>(m_network.size()));
+    const size_t index = RandomBelow(static_cast<uint32_t>(m_network.size()));
     const Message message = m_network[index];
     for (FakeRouter& r : m_routers) {
       if (r.self == message.to && r.paused && !r.crashed) {
@@ -224,32 +226,33 @@
     }
     const PeerRef self = r.self;
     for (const CeilingRaiseTo& raise : r.book.TakeCeilingRaises(m_now)) {
-      Post(raise.to, [this, self, raise](FakeRouter& to) {
-        const v1::CeilingAck ack = to.desk.OnCeilingRaise(self, raise.raise);
-        Post(self, [this, witness = to.self, ack](FakeRouter& back) {
+      SendMessage(raise.to, [this, self, raise](FakeRouter& to) {
+        const v1::CeilingAck ack =
+            to.ceiling_store.OnCeilingRaise(self, raise.raise);
+        SendMessage(self, [this, witness = to.self, ack](FakeRouter& back) {
           back.book.OnCeilingAck(m_now, witness, ack);
         });
       });
     }
     for (const TransferAskTo& ask : r.book.TakeTransferAsks(m_now)) {
-      Post(ask.to, [this, self, ask](FakeRouter& to) {
+      SendMessage(ask.to, [this, self, ask](FakeRouter& to) {
         to.book.OnTransferAsk(m_now, self, ask.ask);
       });
     }
     for (const TransferSendTo& send : r.book.TakeTransferSends(m_now)) {
-      Note(r, "transfers " + std::to_string(send.send.tokens()));
-      Post(send.to, [this, self, send](FakeRouter& to) {
+      AddTrace(r, "transfers " + std::to_string(send.send.tokens()));
+      SendMessage(send.to, [this, self, send](FakeRouter& to) {
         const auto ack = to.book.OnTransferSend(m_now, self, send.send);
         if (!ack) {
           return;
         }
-        Post(self, [peer = to.self, ack](FakeRouter& back) {
+        SendMessage(self, [peer = to.self, ack](FakeRouter& back) {
           back.book.OnTransferAck(peer, *ack);
         });
       });
     }
     const std::vector<v1::Spare> spares = r.book.TakeSpares(m_now);
-    Post(AnyRouter().self, [this, self, spares](FakeRouter& to) {
+    SendMessage(AnyRouter().self, [this, self, spares](FakeRouter& to) {
       to.book.OnPeerSpares(m_now, self, spares);
     });
   }
--- a/tests/budget/unit-witness.cc
+++ b/tests/budget/unit-witness.cc
@@ -1,7 +1,7 @@
 #include <CppUTest/TestHarness.h>
 
-#include "book_fixture.h"
-#include "coppervalve/budget/witness_desk.h"
+#include "coppervalve/budget/ceiling_store.h"
+#include "holding_manager_fixture.h"
 
 using namespace coppervalve;
 using namespace coppervalve::budget;
@@ -9,13 +9,15 @@
 
 namespace {
 
-CeilingRaiseTo Only(const std::vector<CeilingRaiseTo>& raises) {
+CeilingRaiseTo OnlyOne(const std::vector<CeilingRaiseTo>& raises) {
   LONGS_EQUAL(1, raises.size());
   return raises.at(0);
 }
 
-void Deliver(BookFixture& f, WitnessDesk& desk, const CeilingRaiseTo& raise) {
-  const v1::CeilingAck ack = desk.OnCeilingRaise(Peer(1), raise.raise);
+void Deliver(HoldingManagerFixture& f,
+             CeilingStore& ceiling_store,
+             const CeilingRaiseTo& raise) {
+  const v1::CeilingAck ack = ceiling_store.OnCeilingRaise(Peer(1), raise.raise);
   f.book().OnCeilingAck(f.now(), raise.to, ack);
 }
 
@@ -29,28 +31,28 @@
 // back and are granted to others. It resumes, hasn't read the log, and callers
 // send work: past the ceiling that work would be paid from others' tokens.
 TEST(Witness, a_router_resumed_after_retirement_cannot_pass_the_ceiling) {
-  BookFixture f;
-  WitnessDesk desk;
+  HoldingManagerFixture f;
+  CeilingStore ceiling_store;
   f.Grant(10'000);
   f.Reserve(100);
   f.book().ChooseWitness(f.now(), Peer(2));
-  Deliver(f, desk, Only(f.book().TakeCeilingRaises(f.now())));
+  Deliver(f, ceiling_store, OnlyOne(f.book().TakeCeilingRaises(f.now())));
   f.Records();
   f.book().OnWitnessInForce(Peer(2));
-  desk.Close(Peer(1));
-  const auto statement = desk.StatementFor(Peer(1));
-  const int64_t stated = statement->ceilings(0).tokens();
+  ceiling_store.Close(Peer(1));
+  const auto narrowed = ceiling_store.QuarantineNarrowedFor(Peer(1));
+  const int64_t stated = narrowed->ceilings(0).tokens();
 
-  f.Skip(3'600'000);
+  f.AdvanceWithoutTick(3'600'000);
   int64_t committed = 100;
   bool reserved = true;
   while (reserved) {
     reserved = f.TryReserve(100).has_value();
     committed += reserved ? 100 : 0;
     for (const auto& raise : f.book().TakeCeilingRaises(f.now())) {
-      Deliver(f, desk, raise);
+      Deliver(f, ceiling_store, raise);
     }
-    f.Pass(1'000);
+    f.Advance(1'000);
   }
   CHECK(!f.TryReserve(100));
   CHECK(committed <= stated);
@@ -62,15 +64,15 @@
 // as the answer to the second, it would lift the ceiling past what the witness
 // knows.
 TEST(Witness, the_answer_to_an_older_raise_lifts_nothing) {
-  BookFixture f;
+  HoldingManagerFixture f;
   f.Grant(10'000);
   f.UseWitness(Peer(2));
   f.Reserve(200);
-  const CeilingRaiseTo first = Only(f.book().TakeCeilingRaises(f.now()));
+  const CeilingRaiseTo first = OnlyOne(f.book().TakeCeilingRaises(f.now()));
   f.Ack(first);
   const int64_t ceiling = f.Ceiling();
   f.Reserve(5'000);
-  const CeilingRaiseTo second = Only(f.book().TakeCeilingRaises(f.now()));
+  const CeilingRaiseTo second = OnlyOne(f.book().TakeCeilingRaises(f.now()));
   CHECK(second.raise.serial() > first.raise.serial());
   f.Ack(first);
   LONGS_EQUAL(ceiling, f.Ceiling());
@@ -81,19 +83,19 @@
 // Acknowledgements get lost for a while. The raise is repeated under its old
 // serial, so the first answer to come through counts, and callers go on.
 TEST(Witness, a_raise_is_repeated_until_it_is_acknowledged) {
-  BookFixture f;
+  HoldingManagerFixture f;
   f.Grant(10'000);
   f.UseWitness(Peer(2));
   CHECK(f.Waits(5'000, WaitReason::kCeiling));
   // Tokens of a peer wouldn't help.
   CHECK(f.book().TakeTransferAsks(f.now()).empty());
-  const CeilingRaiseTo sent = Only(f.book().TakeCeilingRaises(f.now()));
+  const CeilingRaiseTo sent = OnlyOne(f.book().TakeCeilingRaises(f.now()));
   CHECK(f.book().TakeCeilingRaises(f.now()).empty());
-  f.Pass(200);
-  const CeilingRaiseTo again = Only(f.book().TakeCeilingRaises(f.now()));
+  f.Advance(200);
+  const CeilingRaiseTo again = OnlyOne(f.book().TakeCeilingRaises(f.now()));
   LONGS_EQUAL(sent.raise.serial(), again.raise.serial());
   f.Ack(again);
-  LONGS_EQUAL(1, f.book().TakeWoken().size());
+  LONGS_EQUAL(1, f.book().TakeWokenBudgets().size());
   CHECK(f.TryReserve(5'000).has_value());
 }
 
@@ -101,11 +103,11 @@
 // router now may find the old witness in force or the new one: work past the
 // ceiling of either would be spent twice.
 TEST(Witness, both_witnesses_bind_until_the_change_is_folded) {
-  BookFixture f;
+  HoldingManagerFixture f;
   f.Grant(10'000);
   f.UseWitness(Peer(2));
   f.book().ChooseWitness(f.now(), Peer(3));
-  f.Pass(200);
+  f.Advance(200);
   f.AckRaises();
   CHECK(f.ChoosesWitness());
 
@@ -120,21 +122,21 @@
   CHECK(f.TryReserve(5'000).has_value());
 }
 
-// Without the full list at the new witness its statement would name ceiling 0
+// Without the full list at the new witness its narrowed would name ceiling 0
 // for budgets that are being spent.
 TEST(Witness, the_change_is_not_recorded_before_the_full_list_is_known) {
-  BookFixture f;
+  HoldingManagerFixture f;
   f.Grant(10'000);
   CHECK(f.TryReserve(3'000).has_value());
   f.book().ChooseWitness(f.now(), Peer(2));
-  const CeilingRaiseTo full = Only(f.book().TakeCeilingRaises(f.now()));
+  const CeilingRaiseTo full = OnlyOne(f.book().TakeCeilingRaises(f.now()));
   CHECK(full.raise.full());
   CHECK(full.raise.ceilings(0).tokens() >= 3'000);
   CHECK_FALSE(f.ChoosesWitness());
   f.Ack(full);
   CHECK(f.ChoosesWitness());
 
-  BookFixture idle;
+  HoldingManagerFixture idle;
   idle.book().ChooseWitness(idle.now(), Peer(2));
   CHECK_FALSE(idle.ChoosesWitness());
   idle.AckRaises();
@@ -144,7 +146,7 @@
 // Two changes on their way at once: an answer of the fold could be taken for
 // the other one's, and the wrong ceilings would bind.
 TEST(Witness, a_change_waits_until_the_one_before_is_folded) {
-  BookFixture f;
+  HoldingManagerFixture f;
   f.book().ChooseWitness(f.now(), Peer(1));
   CHECK(f.book().TakeCeilingRaises(f.now()).empty());
   f.book().ChooseWitness(f.now(), Peer(2));
@@ -159,78 +161,79 @@
   CHECK(f.book().WitnessInForce() == Peer(3));
 }
 
-// A copy of an old raise comes after a newer one. Lowered by it, the statement
+// A copy of an old raise comes after a newer one. Lowered by it, the narrowed
 // would free tokens that the peer was allowed to commit.
 TEST(Witness, a_desk_keeps_the_larger_ceiling) {
-  WitnessDesk desk;
+  CeilingStore ceiling_store;
   v1::CeilingRaise raise;
   raise.set_full(true);
   v1::PeerCeiling* ceiling = raise.add_ceilings();
   ceiling->set_budget("gate");
   for (const int64_t tokens : {100, 900, 100}) {
     ceiling->set_tokens(tokens);
-    desk.OnCeilingRaise(Peer(1), raise);
+    ceiling_store.OnCeilingRaise(Peer(1), raise);
   }
-  desk.Close(Peer(1));
-  LONGS_EQUAL(900, desk.StatementFor(Peer(1))->ceilings(0).tokens());
+  ceiling_store.Close(Peer(1));
+  LONGS_EQUAL(
+      900, ceiling_store.QuarantineNarrowedFor(Peer(1))->ceilings(0).tokens());
 }
 
 // Stated before it is closed, a ceiling could be raised right afterwards: the
 // fold would give back tokens that the peer may still commit.
 TEST(Witness, a_desk_states_only_what_it_has_closed) {
-  WitnessDesk desk;
+  CeilingStore ceiling_store;
   v1::CeilingRaise raise;
   raise.set_full(true);
-  CHECK_FALSE(desk.OnCeilingRaise(Peer(1), raise).refused());
-  CHECK_FALSE(desk.StatementFor(Peer(1)));
-  desk.Close(Peer(1));
-  CHECK(desk.StatementFor(Peer(1)).has_value());
-  CHECK(desk.OnCeilingRaise(Peer(1), raise).refused());
+  CHECK_FALSE(ceiling_store.OnCeilingRaise(Peer(1), raise).refused());
+  CHECK_FALSE(ceiling_store.QuarantineNarrowedFor(Peer(1)));
+  ceiling_store.Close(Peer(1));
+  CHECK(ceiling_store.QuarantineNarrowedFor(Peer(1)).has_value());
+  CHECK(ceiling_store.OnCeilingRaise(Peer(1), raise).refused());
 }
 
-// A desk that started in the middle doesn't know all budgets; one it has never
-// heard from must stay refused, too, when its first raise comes late.
+// A ceiling_store that started in the middle doesn't know all budgets; one it
+// has never heard from must stay refused, too, when its first raise comes late.
 TEST(Witness, a_desk_without_the_full_list_states_nothing) {
-  WitnessDesk desk;
+  CeilingStore ceiling_store;
   v1::CeilingRaise raise;
-  desk.OnCeilingRaise(Peer(1), raise);
-  desk.Close(Peer(1));
-  CHECK_FALSE(desk.StatementFor(Peer(1)));
-  desk.Close(Peer(3));
+  ceiling_store.OnCeilingRaise(Peer(1), raise);
+  ceiling_store.Close(Peer(1));
+  CHECK_FALSE(ceiling_store.QuarantineNarrowedFor(Peer(1)));
+  ceiling_store.Close(Peer(3));
   raise.set_full(true);
-  CHECK(desk.OnCeilingRaise(Peer(3), raise).refused());
-  CHECK_FALSE(desk.StatementFor(Peer(3)));
+  CHECK(ceiling_store.OnCeilingRaise(Peer(3), raise).refused());
+  CHECK_FALSE(ceiling_store.QuarantineNarrowedFor(Peer(3)));
 }
 
 // A raise that carried a budget's name is lost. Were the name left out of the
 // next one, the witness could not tell whose ceiling it is.
 TEST(Witness, a_name_goes_along_until_it_was_acknowledged) {
-  BookFixture f;
-  WitnessDesk desk;
+  HoldingManagerFixture f;
+  CeilingStore ceiling_store;
   f.Grant(10'000);
   f.UseWitness(Peer(2));
   f.Reserve(200);
-  const CeilingRaiseTo lost = Only(f.book().TakeCeilingRaises(f.now()));
+  const CeilingRaiseTo lost = OnlyOne(f.book().TakeCeilingRaises(f.now()));
   CHECK_FALSE(lost.raise.ceilings(0).budget().empty());
-  f.Pass(1'000);
-  const CeilingRaiseTo again = Only(f.book().TakeCeilingRaises(f.now()));
+  f.Advance(1'000);
+  const CeilingRaiseTo again = OnlyOne(f.book().TakeCeilingRaises(f.now()));
   CHECK_FALSE(again.raise.ceilings(0).budget().empty());
-  Deliver(f, desk, again);
+  Deliver(f, ceiling_store, again);
   f.Reserve(5'000);
-  const CeilingRaiseTo next = Only(f.book().TakeCeilingRaises(f.now()));
+  const CeilingRaiseTo next = OnlyOne(f.book().TakeCeilingRaises(f.now()));
   CHECK(next.raise.ceilings(0).budget().empty());
-  CHECK_FALSE(desk.OnCeilingRaise(Peer(1), next.raise).refused());
+  CHECK_FALSE(ceiling_store.OnCeilingRaise(Peer(1), next.raise).refused());
 }
 
 // A witness gets a number that it has no name for. Acknowledged, the peer would
 // commit tokens that the witness can't state after the peer's death.
 TEST(Witness, a_number_without_a_name_is_refused) {
-  WitnessDesk desk;
+  CeilingStore ceiling_store;
   v1::CeilingRaise raise;
   raise.set_serial(1);
   raise.set_full(true);
   v1::PeerCeiling* ceiling = raise.add_ceilings();
   ceiling->set_number(7);
   ceiling->set_tokens(500);
-  CHECK(desk.OnCeilingRaise(Peer(1), raise).refused());
+  CHECK(ceiling_store.OnCeilingRaise(Peer(1), raise).refused());
 }
