--- a/include/coppervalve/budget/ceiling_store.h
+++ b/include/coppervalve/budget/ceiling_store.h
@@ -13,33 +13,34 @@
 
 namespace coppervalve::budget {
 
-/// @brief The ceilings that this router keeps for its peers.
+/// @brief Stores the ceilings of the peers that have this router as witness.
 class CeilingStore {
  public:
-  /// @brief Remembers the ceilings of a peer, the larger of old and new.
-  /// @return the answer to send back; refused once Close() was called
+  /// @brief Stores the ceilings of a peer, the larger of old and new.
+  /// @return the acknowledgement to send back, refused after Close() or when a
+  /// budget number is unknown
   /// @complexity linear in the size of the raise
   v1::CeilingAck OnCeilingRaise(const PeerRef& from,
                                 const v1::CeilingRaise& raise);
 
-  /// @brief Refuses all raises of an incarnation from now on, also when it
-  /// never sent one. Called when the log retires it, before
+  /// @brief Refuses all raises of an incarnation from now on, even if it has
+  /// not sent any yet. Called when the log retires it, before
   /// QuarantineNarrowedFor().
   void Close(const PeerRef& peer);
 
-  /// @return the record that narrows a closed peer's quarantine; nothing while
-  /// the peer is not closed, or when no complete list was ever received
+  /// @return the record that reduces a closed peer's quarantine; nullopt while
+  /// the peer is not closed, or when its full list was never received
   std::optional<v1::QuarantineNarrowed> QuarantineNarrowedFor(
       const PeerRef& peer) const;
 
-  /// @brief Frees the ceilings of a closed peer; it stays closed.
+  /// @brief Deletes the ceilings of a closed peer. Its raises stay refused.
   void ForgetCeilings(const PeerRef& peer);
 
  private:
   struct PeerEntry {
     bool complete = false;
     std::unordered_map<core::BudgetId, core::Tokens> ceilings;
-    std::unordered_map<uint32_t, core::BudgetId> names;  ///< by number
+    std::unordered_map<uint32_t, core::BudgetId> names;  ///< budgets by number
     bool closed = false;
   };
 
--- a/include/coppervalve/budget/demand.h
+++ b/include/coppervalve/budget/demand.h
@@ -5,20 +5,21 @@
 
 namespace coppervalve::budget {
 
-/// @brief Tokens per second that one budget is spent at here, as an
-/// exponentially weighted moving average; also the largest recent request.
+/// @brief Rate at which one budget is spent at this router, in tokens per
+/// second as an exponentially weighted moving average, and the largest recent
+/// request.
 class Demand {
  public:
   /// @brief Counts tokens that were spent.
   void Add(core::TimePoint now, core::Tokens tokens);
-  /// @brief Remembers the bound of a request that requested for a reservation.
+  /// @brief Records the upper bound of a reservation request.
   void RecordBound(core::TimePoint now, core::Tokens bound);
 
   /// @return tokens per second, decayed to `now`
   double PerSecond(core::TimePoint now) const;
-  /// @return the largest bound seen since demand was last absent for long
+  /// @return the largest bound since the last long pause between requests
   core::Tokens LargestBound() const { return m_largest_bound; }
-  /// @return when a request last requested for a reservation
+  /// @return the time of the last reservation request
   core::TimePoint LastRequestAt() const { return m_last_request_at; }
 
  private:
--- a/include/coppervalve/budget/holding.h
+++ b/include/coppervalve/budget/holding.h
@@ -8,22 +8,23 @@
 /// @brief The tokens of one budget at one router incarnation. All amounts are
 /// cumulative except `reserved` and `gate_only`.
 struct Holding {
-  core::Tokens granted;                 ///< applied
-  core::Tokens transferred_in;          ///< credited, applied or not
-  core::Tokens transferred_in_applied;  ///< part of transferred_in
-  core::Tokens returned;                ///< debited, applied or not
-  core::Tokens spent;                   ///< settled
-  core::Tokens reserved;                ///< by requests in progress
-  core::Tokens transferred_out;         ///< debited, applied or not
-  core::Tokens gate_only;               ///< spare that only GATE may reserve
+  core::Tokens granted;         ///< applied by the ledger
+  core::Tokens transferred_in;  ///< credited here, applied by the ledger or not
+  core::Tokens
+      transferred_in_applied;    ///< part of transferred_in that is applied
+  core::Tokens returned;         ///< debited here, applied by the ledger or not
+  core::Tokens spent;            ///< settled
+  core::Tokens reserved;         ///< by requests in progress
+  core::Tokens transferred_out;  ///< debited here, applied by the ledger or not
+  core::Tokens gate_only;        ///< spare tokens that only GATE may reserve
 
-  /// @return all that was ever received, less what was returned
+  /// @return all tokens ever received, less those returned
   core::Tokens Received() const { return granted + transferred_in - returned; }
-  /// @return what counts against the ceiling
+  /// @return the tokens that count against the ceiling
   core::Tokens Committed() const { return spent + reserved + transferred_out; }
-  /// @return held and not committed
+  /// @return tokens held and not committed
   core::Tokens Spare() const { return Received() - Committed(); }
-  /// @return the spare tokens that every fold already counts as held here
+  /// @return the spare tokens that the ledger already counts as held here
   core::Tokens AppliedSpare() const {
     return granted + transferred_in_applied - returned - Committed();
   }
--- a/include/coppervalve/budget/holding_manager.h
+++ b/include/coppervalve/budget/holding_manager.h
@@ -34,63 +34,66 @@
 
 using ReservationId = core::NumberId<struct ReservationTag>;
 
-/// @brief The right to run one attempt. To be settled or cancelled once.
+/// @brief Tokens reserved for one attempt. Must be settled or cancelled exactly
+/// once.
 struct Reservation {
   ReservationId id;
   core::Tokens bound;
 };
 
-/// @brief What a reservation waits for.
+/// @brief What a waiting request needs before it can be reserved.
 enum class WaitReason : uint8_t {
-  kCeiling,     ///< the witness's acknowledgement
-  kGrant,       ///< a record of the log
-  kSettlement,  ///< requests in progress here may need less than reserved
-  kTransfer,    ///< a peer's tokens
+  kCeiling,     ///< a higher ceiling acknowledged by the witness
+  kGrant,       ///< the ledger's answer to an allotment request
+  kSettlement,  ///< local requests in progress may settle for less
+  kTransfer,    ///< tokens transferred from a peer
 };
 
-/// @brief No tokens now, but soon perhaps: try again once TakeWokenBudgets()
-/// names the budget, or when the request's queue time ends refuse it.
+/// @brief The tokens are not available yet. The caller retries once
+/// TakeWokenBudgets() names the budget and refuses the request when its queue
+/// time ends.
 struct Wait {
   WaitReason reason;
 };
 
 using ReserveResult = std::variant<Reservation, Wait, core::Error>;
 
-/// @brief What a settlement came to.
+/// @brief Result of settling a reservation.
 struct Settlement {
   core::Tokens charged;
-  /// Spent at the upstream but not covered by what is held: an alarm, as the
-  /// upstream went past the bound that the request was given.
+  /// Spent at the upstream beyond the tokens held. Raises an alarm, because the
+  /// upstream exceeded the bound of its request.
   core::Tokens uncovered;
 };
 
-/// @brief Most records that one call hands out.
+/// @brief Maximum number of records returned by one TakeRecords() call.
 inline constexpr size_t kMaxRecordsPerTake = 256;
-/// @brief Settlements are reported in batches, this far apart.
+/// @brief Interval between batched spend reports.
 inline constexpr core::Duration kSpendReportInterval{
     1'000'000};  // microseconds
-/// @brief A budget without requests for this long is idle.
+/// @brief A budget is idle after this time without requests.
 inline constexpr core::Duration kIdleTimeout{5'000'000};  // microseconds
-/// @brief After a denial the log isn't requested again for this long, unless
-/// the balance changes; nor after a grant, unless requests wait.
+/// @brief Minimum time from a denial to the next allotment request, unless the
+/// balance changes, and from a grant to the next one, unless requests wait.
 inline constexpr core::Duration kGrantRequestInterval{500'000};  // microseconds
-/// @brief Requests that wait try again at least this often.
+/// @brief Waiting requests are retried at least this often.
 inline constexpr core::Duration kRetryInterval{500'000};  // microseconds
-/// @brief A peer is requested for one budget's tokens at most this often.
+/// @brief Minimum interval between transfer requests for one budget.
 inline constexpr core::Duration kTransferAskInterval{250'000};  // microseconds
-/// @brief Tokens of one budget go back at most this often.
+/// @brief Minimum interval between returns of tokens of one budget.
 inline constexpr core::Duration kReturnInterval{1'000'000};  // microseconds
-/// @brief A retired incarnation waits this long for its transfers to be applied
-/// before it makes its final report without them.
+/// @brief How long a retired incarnation waits for the ledger to apply its
+/// transfers before it sends a final report without them.
 inline constexpr core::Duration kFinalReportDelay{5'000'000};  // microseconds
-/// @brief Budgets that other routers use are held on standby while this router
-/// knows fewer than so many.
+/// @brief Standby holdings of budgets that other routers use are requested only
+/// while this router tracks fewer budgets than this.
 inline constexpr size_t kMaxStandbyBudgets = 1024;
-/// @brief Budgets that one heartbeat looks at, and advertises.
+/// @brief Maximum numbers of budgets examined for, and advertised in, one
+/// heartbeat.
 inline constexpr size_t kMaxSparesExamined = 1024;
 inline constexpr size_t kMaxSparesAdvertised = 128;
 
-/// @brief Sums over all budgets that this incarnation touched.
+/// @brief Sums over all budgets tracked by this incarnation.
 struct HoldingTotals {
   core::Tokens received;
   core::Tokens spent;
@@ -100,12 +103,12 @@
   uint64_t open_reservations = 0;
 };
 
-/// @brief How the book sees the fold: pulled when a decision needs it. Nothing
-/// for a budget that the fold doesn't have.
+/// @brief Looks up a budget's current balance in the ledger. Returns nullopt
+/// for a budget that the ledger doesn't know.
 using BalanceLookup =
     std::function<std::optional<BalanceView>(const core::BudgetId&)>;
 
-/// @brief Everything one router incarnation decides about its holdings.
+/// @brief Manages the tokens that one router incarnation holds of each budget.
 ///
 /// Invariants, per budget: spent + reserved + transferred out <= received, and
 /// <= the ceiling acknowledged by each witness that may be in force.
@@ -116,9 +119,9 @@
   // ---- Requests ------------------------------------------------------------
 
   /// @brief Reserves the upper bound of one attempt.
-  /// @return Error kBudgetExhausted when the fleet has too little left,
-  /// kBudgetBusy when what is left cannot be reached now, kRetiredInLog,
-  /// or kUnknownBudget
+  /// @return Error kBudgetExhausted when the fleet has too few tokens left,
+  /// kBudgetBusy when the tokens left can't be reached now, kRetiredInLog, or
+  /// kUnknownBudget
   /// @complexity constant on average
   ReserveResult Reserve(core::TimePoint now,
                         const core::BudgetId& budget,
@@ -127,33 +130,34 @@
 
   /// @brief Settles an attempt that ran, or may have run.
   /// @param charge whether the account is billed, and under which key
-  /// @return nothing when the reservation is no longer open
+  /// @return nullopt when the reservation is no longer open
   std::optional<Settlement> Settle(core::TimePoint now,
                                    const Reservation& reservation,
                                    core::Tokens spent,
                                    const Charge& charge);
 
-  /// @brief Gives back the reservation of an attempt that did not run.
+  /// @brief Releases the reservation of an attempt that did not run.
   /// @return whether the reservation was open
   bool Cancel(core::TimePoint now, const Reservation& reservation);
 
-  /// @return budgets whose waiting requests should try again, before the next
-  /// TakeRecords(): until they do, nothing is known to wait
+  /// @brief Returns the budgets whose waiting requests should be retried. They
+  /// must be retried before the next TakeRecords(), because until then the
+  /// amounts that they wait for are not known.
   std::vector<core::BudgetId> TakeWokenBudgets();
 
   // ---- Commands ------------------------------------------------------------
 
-  /// @brief Names the witness to have from now on; nothing: none. The same
-  /// again changes nothing.
+  /// @brief Starts a change to the given witness, or to none for nullopt.
+  /// Choosing the same witness again has no effect.
   void ChooseWitness(core::TimePoint now, const std::optional<PeerRef>& peer);
-  /// @brief From now on spare tokens go back at once. Reserve() goes on for
-  /// requests that were taken before; the caller takes no new ones.
+  /// @brief From now on returns spare tokens at once. Reserve() still serves
+  /// requests accepted before; the caller accepts no new ones.
   void StartDrain(core::TimePoint now);
 
-  // ---- What the fold found -------------------------------------------------
+  // ---- Events from the ledger -----------------------------------------------
 
-  /// @brief The fold granted this incarnation's request in its entry
-  /// `sequence`. A grant seen twice counts once.
+  /// @brief The ledger granted this incarnation's allotment request in its
+  /// entry `sequence`. A grant delivered twice is counted once.
   void OnGranted(core::TimePoint now,
                  const core::BudgetId& budget,
                  core::Tokens tokens,
@@ -161,28 +165,31 @@
   void OnDenied(core::TimePoint now,
                 const core::BudgetId& budget,
                 core::Sequence sequence);
-  /// @brief This incarnation's report of a cumulative spend was applied.
-  /// To be called for each SpendReported of its own entries, in log order.
+  /// @brief The ledger applied this incarnation's report of a cumulative spend.
+  /// Must be called for each SpendReported of its own entries, in log order.
   void OnSpendApplied(const core::BudgetId& budget, core::Tokens spent);
-  /// @brief Any transfer from or to this incarnation was applied.
+  /// @brief The ledger applied a transfer from or to this incarnation.
   void OnTransferApplied(core::TimePoint now,
                          const v1::TransferRecorded& transfer);
-  /// @brief A WitnessChosen of this incarnation was applied; nothing: none.
+  /// @brief The ledger applied a WitnessChosen record of this incarnation;
+  /// nullopt means no witness.
   void OnWitnessInForce(const std::optional<PeerRef>& peer);
-  /// @brief The fold refused a WitnessChosen of this incarnation; choose
-  /// another one.
+  /// @brief The ledger refused a WitnessChosen record of this incarnation. The
+  /// caller chooses another witness.
   void OnWitnessRefused(const PeerRef& peer);
   /// @brief The log retired this incarnation.
   void OnRetired(core::TimePoint now);
-  /// @brief What BalanceLookup answers for the budget changed. A budget that
-  /// others use may get a holding on standby.
+  /// @brief The balance returned by BalanceLookup changed. May request a
+  /// standby holding if other routers use the budget.
   void OnBalanceChanged(core::TimePoint now, const core::BudgetId& budget);
-  /// @brief How many routers share the budgets, this one included.
+  /// @brief Sets the number of routers that share the budgets, including this
+  /// one.
   void OnActiveRouters(uint32_t active_routers);
-  /// @brief Whether appends or reads have been failing for too long.
-  void OnLogState(bool out);
+  /// @brief Sets whether the log is unavailable, that is, whether appends or
+  /// reads have been failing for too long.
+  void OnLogState(bool unavailable);
 
-  // ---- What peers sent -----------------------------------------------------
+  // ---- Messages from peers --------------------------------------------------
 
   void OnCeilingAck(core::TimePoint now,
                     const PeerRef& from,
@@ -191,52 +198,54 @@
   void OnTransferAsk(core::TimePoint now,
                      const PeerRef& from,
                      const v1::TransferAsk& ask);
-  /// @return the acknowledgement to send back; nothing once retired
+  /// @return the acknowledgement to send back; nullopt once retired
   std::optional<v1::TransferAck> OnTransferSend(core::TimePoint now,
                                                 const PeerRef& from,
                                                 const v1::TransferSend& send);
   void OnTransferAck(const PeerRef& from, const v1::TransferAck& ack);
-  /// @brief What a heartbeat said a peer could transfer.
+  /// @brief Records the spare tokens that a heartbeat of a peer advertises.
   void OnPeerSpares(core::TimePoint now,
                     const PeerRef& peer,
                     const std::vector<v1::Spare>& spares);
 
   // ---- Time ---------------------------------------------------------------
 
-  /// @brief Runs what is due: reviews of holdings, retries of waiting requests.
-  /// @complexity linear in what is due; nothing is due for idle budgets
+  /// @brief Runs due reviews of holdings and retries of waiting requests.
+  /// @complexity linear in the number of due reviews; idle budgets have none
   void OnTick(core::TimePoint now);
 
-  // ---- What is to be sent --------------------------------------------------
+  // ---- Outgoing records and messages ----------------------------------------
 
-  /// @brief Records for the log, each handed out once; nothing while the log is
-  /// out. To be called when the log client can take more. At most
-  /// kMaxRecordsPerTake, except for the final ones of a retired incarnation.
+  /// @brief Returns records for the log, each of them once; none while the log
+  /// is unavailable. Call it when the log client can accept more. Returns at
+  /// most kMaxRecordsPerTake, except for the final records of a retired
+  /// incarnation.
   std::vector<v1::Record> TakeRecords(core::TimePoint now);
-  /// @return raises to send to the witness and to its successor
+  /// @return ceiling raises for the current witness and its successor
   std::vector<CeilingRaiseTo> TakeCeilingRaises(core::TimePoint now);
   std::vector<TransferAskTo> TakeTransferAsks(core::TimePoint now);
   std::vector<TransferSendTo> TakeTransferSends(core::TimePoint now);
-  /// @return what heartbeats advertise; looks at a bounded number of budgets
-  /// and goes on from there the next time
+  /// @return spare tokens to advertise in heartbeats. Each call examines a
+  /// bounded number of budgets and continues where the last one stopped.
   std::vector<v1::Spare> TakeSpares(core::TimePoint now);
 
-  // ---- Reading -------------------------------------------------------------
+  // ---- Queries --------------------------------------------------------------
 
   const std::optional<PeerRef>& WitnessInForce() const;
-  /// @return whether the witness refuses raises: choose another one
+  /// @return whether the newest witness refuses raises, so that another one
+  /// must be chosen
   bool WitnessRefuses() const;
   bool Retired() const { return m_retired; }
-  /// @return whether a retired incarnation has handed out its final report
+  /// @return whether a retired incarnation has sent its final report
   bool Finalized() const { return m_finalized; }
   uint64_t OpenReservations() const { return m_open_reservations.size(); }
-  /// @return nothing for a budget that was never touched
+  /// @return nullopt for a budget that is not tracked
   std::optional<v1::BudgetStatus> StatusOf(const core::BudgetId& budget) const;
   std::vector<v1::BudgetStatus> Statuses() const;
   /// @complexity constant
   const HoldingTotals& Totals() const { return m_totals; }
-  /// @brief Checks the invariants of each touched budget.
-  /// @return kConservationBroken with the first budget that breaks one
+  /// @brief Checks the invariants of each tracked budget.
+  /// @return kConservationBroken with the first budget that violates one
   core::Status CheckInvariants() const;
 
  private:
@@ -250,8 +259,9 @@
     core::Tokens unmet;
     core::Tokens smallest_unmet;
     bool gate_waits = false;
-    std::optional<bool> grant_pending;  ///< outstanding; whether of class GATE
-    bool denied = false;                ///< by the last answer
+    std::optional<bool>
+        grant_pending;    ///< set while pending; whether of class GATE
+    bool denied = false;  ///< the last request was denied
     core::Sequence last_answer_sequence;  ///< entry of the last grant or denial
     core::TimePoint next_grant_request_at{};
     core::TimePoint next_transfer_ask_at{};
@@ -323,7 +333,7 @@
   bool m_finalized = false;
   core::TimePoint m_retired_at{};
 
-  /// In order of first touch; stable addresses.
+  /// In creation order; addresses are stable.
   std::deque<Account> m_accounts;
   std::unordered_map<core::BudgetId, Account*> m_by_id;
   std::unordered_map<ReservationId, OpenReservation> m_open_reservations;
@@ -340,7 +350,7 @@
   std::deque<Account*> m_spend_queue;   ///< have settlements to report
   core::TimePoint m_spend_report_due{};
   std::multimap<core::TimePoint, Account*> m_reviews;
-  std::set<core::BudgetId> m_waiting;  ///< with requests that wait
+  std::set<core::BudgetId> m_waiting;  ///< budgets with waiting requests
   std::vector<core::BudgetId> m_woken;
   core::TimePoint m_retry_due{};
   size_t m_spares_cursor = 0;
--- a/include/coppervalve/budget/peer_ref.h
+++ b/include/coppervalve/budget/peer_ref.h
@@ -7,7 +7,8 @@
 
 namespace coppervalve::budget {
 
-/// @brief One start of one router: a restarted peer is another PeerRef.
+/// @brief Identifies one incarnation of a router. A restarted peer has a
+/// different PeerRef.
 struct PeerRef {
   core::RouterId router;
   core::Incarnation incarnation;
--- a/include/coppervalve/budget/peer_spares.h
+++ b/include/coppervalve/budget/peer_spares.h
@@ -13,14 +13,14 @@
 
 namespace coppervalve::budget {
 
-/// @brief An advertisement counts for this long after it was last heard.
+/// @brief How long an advertisement is valid after it was last received.
 inline constexpr core::Duration kSpareLifetime{3'000'000};  // microseconds
 
-/// @brief Past this many budgets the offers are dropped; heartbeats bring them
-/// again.
+/// @brief All offers are dropped above this number of budgets; later heartbeats
+/// restore them.
 inline constexpr size_t kMaxOfferedBudgets = 8192;
 
-/// @brief What peers advertise that they could transfer.
+/// @brief The spare tokens that peers advertise for transfer.
 class PeerSpares {
  public:
   struct Offer {
@@ -31,13 +31,14 @@
   void OnHeartbeat(core::TimePoint now,
                    const PeerRef& peer,
                    const std::vector<v1::Spare>& spares);
-  /// @return the largest fresh offer, if any is above zero
+  /// @return the largest valid offer above zero, if any
   std::optional<Offer> BestOffer(core::TimePoint now,
                                  const core::BudgetId& budget) const;
-  /// @return the sum of the fresh offers
+  /// @return the sum of the valid offers
   core::Tokens TotalOffered(core::TimePoint now,
                             const core::BudgetId& budget) const;
-  /// @brief Lowers an offer that was requested for, until it is heard again.
+  /// @brief Reduces an offer by tokens that were requested from it, until the
+  /// peer advertises it again.
   void Deduct(const core::BudgetId& budget,
               const PeerRef& peer,
               core::Tokens tokens);
--- a/include/coppervalve/budget/sizing.h
+++ b/include/coppervalve/budget/sizing.h
@@ -8,16 +8,16 @@
 
 namespace coppervalve::budget {
 
-/// @brief What this router's fold knows of one budget.
+/// @brief Balance of one budget according to the ledger.
 struct BalanceView {
   core::Tokens free;            ///< not held by any router
   core::Tokens paid_in;         ///< prepaid and topped up so far
-  core::Tokens gate_held_back;  ///< part of `free` that only GATE may draw on
+  core::Tokens gate_held_back;  ///< part of `free` reserved for class GATE
   core::Tokens held_by_others;  ///< unspent, by other live incarnations
   core::Tokens quarantined;     ///< unspent, by retired incarnations
 };
 
-/// @brief What a sizing decision may look at.
+/// @brief Input of a sizing decision.
 struct SizingView {
   BalanceView balance;
   uint32_t active_routers = 1;     ///< this one included, at least 1
@@ -25,62 +25,67 @@
   core::Tokens largest_bound;      ///< of recent requests
   core::Tokens received;           ///< cumulative, less what was returned
   core::Tokens committed;          ///< spent + reserved + transferred out
-  core::Tokens unmet;              ///< sum of the bounds that wait for tokens
+  core::Tokens unmet;              ///< sum of the bounds of waiting requests
   core::Tokens smallest_unmet;     ///< smallest of them; 0 when none waits
   bool gate_waits = false;         ///< a GATE request is among them
-  core::Tokens gate_only;          ///< spare that only GATE may reserve
-  bool idle = false;               ///< no request requested for kIdleTimeout
+  core::Tokens gate_only;          ///< spare tokens that only GATE may reserve
+  bool idle = false;               ///< no request within kIdleTimeout
   bool log_unavailable = false;
 
-  /// @return what the requests that wait could reserve
+  /// @return the spare tokens that the waiting requests could reserve
   core::Tokens Spare() const {
     const core::Tokens spare = received - committed;
     return gate_waits ? spare : spare - gate_only;
   }
 };
 
-/// @brief An allotment to ask the log for; `tokens` 0 means none.
+/// @brief An allotment to request from the log; none when `tokens` is 0.
 struct GrantRequest {
   core::Tokens tokens;
   core::Tokens minimum;
-  bool gate = false;  ///< draws on the held-back share
+  bool gate = false;  ///< from the share held back for class GATE
 };
 
-/// @brief How large holdings and ceilings are. The functions must be pure.
+/// @brief Determines the sizes of holdings and ceilings. The functions must be
+/// pure.
 struct SizingPolicy {
-  /// How much to ask for now.
+  /// The allotment to request now.
   std::function<GrantRequest(const SizingView&)> grant;
-  /// How much of the spare tokens to keep; more than that goes back.
+  /// The spare tokens to keep; the surplus is returned.
   std::function<core::Tokens(const SizingView&)> keep;
-  /// How far past the committed tokens the ceiling is raised.
+  /// How far above the committed tokens the ceiling is raised.
   std::function<core::Tokens(const SizingView&)> ceiling_step;
-  /// Whether holdings move back to the balance and between routers.
+  /// Whether tokens are returned to the balance and transferred between
+  /// routers.
   bool redistributes = true;
 };
 
 /// @brief The parameters of DefaultSizing.
 struct SizingOptions {
-  double ride_through_seconds = 600.0;  ///< demand held when there is plenty
-  double low_seconds = 4.0;       ///< demand requested for near exhaustion
+  double ride_through_seconds =
+      600.0;                      ///< demand held while the balance is high
+  double low_seconds = 4.0;       ///< demand requested near exhaustion
   double keep_low_seconds = 2.0;  ///< demand kept near exhaustion
-  double ceiling_seconds = 0.5;   ///< demand ahead of the ceiling
+  double ceiling_seconds = 0.5;   ///< demand covered by a ceiling step
   double ceiling_log_unavailable_seconds =
-      10.0;                        ///< the same while the log is out
-  int64_t held_permille = 900;     ///< of what is left, held by all together
-  int64_t fair_share_divisor = 2;  ///< a queue asks at most free / (this * N)
-  int64_t bounds_ahead = 4;        ///< smallest holding, in requests
-  int64_t floor_permille = 10;     ///< smallest holding, of what is left
-  int64_t low_ask_permille = 100;  ///< of paid-in: below it, ask for little
-  int64_t low_keep_permille = 50;  ///< of paid-in: below it, return the rest
+      10.0;                     ///< the same while the log is unavailable
+  int64_t held_permille = 900;  ///< of the tokens left, held by all routers
+  int64_t fair_share_divisor =
+      2;                        ///< a router requests at most free / (this * N)
+  int64_t bounds_ahead = 4;     ///< minimum holding, in largest requests
+  int64_t floor_permille = 10;  ///< minimum holding, of the tokens left
+  int64_t low_ask_permille = 100;  ///< of paid-in; below it, requests are small
+  int64_t low_keep_permille =
+      50;  ///< of paid-in; below it, surplus is returned
 };
 
-/// @brief Large holdings while the balance is plenty, small ones near
-/// exhaustion, never more than a fair share.
+/// @brief Uses large holdings while the balance is high, small ones near
+/// exhaustion, and never more than a fair share.
 SizingPolicy DefaultSizing(SizingOptions options = {});
 
-/// @brief Baseline for benchmarks: an equal part of paid-in for each router,
-/// requested for when it is paid in, never returned or transferred, no ceiling
-/// below it.
+/// @brief Baseline for benchmarks: each router requests an equal part of the
+/// paid-in tokens as they are paid in and never returns or transfers any. The
+/// ceiling always covers the whole holding.
 SizingPolicy EqualSplit();
 
 }  // namespace coppervalve::budget
--- a/include/coppervalve/budget/spend_reporter.h
+++ b/include/coppervalve/budget/spend_reporter.h
@@ -13,34 +13,36 @@
 
 namespace coppervalve::budget {
 
-/// @brief Most bills in one record of the log.
+/// @brief Maximum number of bills in one log record.
 inline constexpr size_t kMaxBillsPerRecord = 1000;
 
-/// @brief Who is to be billed for a keyed request.
+/// @brief Account and key hash to bill for a request that has a key.
 struct Bill {
   core::Hash128 key_hash;
   core::AccountId account;
 };
 
-/// @brief Billed to the account, but under no key.
+/// @brief Billed to the account, without a request key.
 struct Unkeyed {};
-/// @brief Spent, but billed to nobody: an attempt that was abandoned or cut.
+/// @brief Spent but billed to nobody, because the attempt was abandoned or cut
+/// off.
 struct WrittenOff {};
 /// @brief Who is billed for a settlement.
 using Charge = std::variant<Unkeyed, Bill, WrittenOff>;
 
-/// @brief The settlements of one budget on their way into the log. Bills are
-/// kept until they are known to be applied, since the reports of an incarnation
-/// that was retired meanwhile are not.
+/// @brief Reports the settlements of one budget to the log. Bills are kept
+/// until the ledger is known to have applied them, because it ignores reports
+/// of an incarnation that was retired in the meantime.
 class SpendReporter {
  public:
   /// @brief Counts tokens that were added to the cumulative spend.
   void Add(const Charge& charge, core::Tokens tokens);
   /// @param spent cumulative
-  /// @return the next report; nothing when everything was reported
+  /// @return the next report; nullopt when everything was reported
   std::optional<v1::SpendReported> NextReport(const core::BudgetId& budget,
                                               core::Tokens spent);
-  /// @brief A report was applied. @param spent the report's amount
+  /// @brief The ledger applied a report.
+  /// @param spent cumulative spend in the report
   void OnReportApplied(core::Tokens spent);
   /// @return the final spend with every bill that isn't known to be applied
   v1::FinalSpend FinalReport(const core::BudgetId& budget,
--- a/include/coppervalve/budget/transfers.h
+++ b/include/coppervalve/budget/transfers.h
@@ -19,7 +19,8 @@
 /// @brief An unacknowledged transfer is sent again after this time.
 inline constexpr core::Duration kTransferResendInterval{
     500'000};  // microseconds
-/// @brief After this time only the record in the log delivers a transfer.
+/// @brief A transfer message is resent for this long; afterwards only the log
+/// record delivers the transfer.
 inline constexpr core::Duration kTransferResendPeriod{
     60'000'000};  // microseconds
 
@@ -33,7 +34,8 @@
   v1::TransferSend send;
 };
 
-/// @brief Delivery of transfers: out until acknowledged, in exactly once.
+/// @brief Delivers transfers: resends outgoing ones until they are acknowledged
+/// and credits incoming ones exactly once.
 class Transfers {
  public:
   explicit Transfers(PeerRef self);
@@ -46,19 +48,20 @@
                              core::Tokens tokens);
   std::vector<TransferSendTo> TakeSends(core::TimePoint now);
   void OnAck(const PeerRef& from, uint64_t transfer_id);
-  /// @return debited and not known to be applied
+  /// @return the tokens debited for transfers that are not known to be applied
+  /// by the ledger
   core::Tokens PendingOutgoing(const core::BudgetId& budget) const;
   bool HasPendingOutgoing() const { return !m_outgoing.empty(); }
   void OnOutgoingApplied(uint64_t transfer_id);
 
   enum class Credit : uint8_t {
     kNew,        ///< to be credited
-    kApplied,    ///< credited before, but applied only now
-    kDuplicate,  ///< nothing changes
+    kApplied,    ///< credited before, applied by the ledger now
+    kDuplicate,  ///< received before, no effect
   };
   /// @brief A transfer to this incarnation arrived, by message or by the log.
   Credit OnIncoming(const v1::TransferRecorded& transfer, bool applied);
-  /// @brief The record of a transfer that a peer's message brought.
+  /// @brief Builds the log record of a transfer message to this incarnation.
   v1::TransferRecorded RecordOf(const PeerRef& from,
                                 const v1::TransferSend& send) const;
 
@@ -73,9 +76,11 @@
 
   PeerRef m_self;
   uint64_t m_last_id = 0;
-  std::map<uint64_t, OutgoingTransfer> m_outgoing;  ///< not applied yet
+  std::map<uint64_t, OutgoingTransfer>
+      m_outgoing;  ///< not applied by the ledger yet
   std::unordered_map<core::BudgetId, core::Tokens> m_pending_outgoing;
-  std::map<IncomingKey, bool> m_incoming;  ///< credited; whether applied
+  std::map<IncomingKey, bool>
+      m_incoming;  ///< credited transfers; whether applied
 };
 
 }  // namespace coppervalve::budget
--- a/include/coppervalve/budget/witness_set.h
+++ b/include/coppervalve/budget/witness_set.h
@@ -20,36 +20,40 @@
   v1::CeilingRaise raise;
 };
 
-/// @brief Which witnesses bind this incarnation, and how far.
+/// @brief The witnesses whose ceilings limit this incarnation.
 ///
-/// Between handing out a WitnessChosen and seeing it applied, either witness
-/// may be the one in force in the log, so both bind.
+/// While a WitnessChosen record is handed out but not known to be applied,
+/// either witness may be in force in the ledger, so the ceilings of both apply.
 class WitnessSet {
  public:
   WitnessSet();
 
-  /// @brief Starts to hand over to a witness, or to none.
-  /// @return whether a new candidate was taken: its ceilings are to be
-  /// requested for at once
+  /// @brief Starts a change to another witness, or to none.
+  /// @return whether there is a new candidate; its ceilings must be requested
+  /// at once
   bool StartChange(const std::optional<PeerRef>& peer);
-  /// @brief Wants a ceiling at all binding witnesses and at the candidate.
+  /// @brief Requests a ceiling from all binding witnesses and the candidate.
   void RequestCeiling(const core::BudgetId& budget, core::Tokens ceiling);
 
-  /// @return the ceiling that binds a budget; nothing when none does
+  /// @return the ceiling that applies to a budget; nullopt when unlimited
   std::optional<core::Tokens> EffectiveCeiling(
       const core::BudgetId& budget) const;
-  /// @return the smallest ceiling requested for; nothing when none binds
+  /// @return the smallest ceiling requested from these witnesses; nullopt when
+  /// unlimited
   std::optional<core::Tokens> RequestedCeiling(
       const core::BudgetId& budget) const;
-  /// @return the candidate to record: it acknowledged the full list, and no
-  /// other record is on its way; null when there is none
+  /// @return the candidate to record, once it has acknowledged the full list
+  /// and no other change is pending; null when there is none
   const WitnessCeilings* ReadyCandidate() const;
-  /// @brief Hands out the record; the candidate binds from now on.
-  /// @pre ReadyCandidate() covers all that is committed
+  /// @brief Returns the record of the candidate, whose ceilings apply from now
+  /// on.
+  /// @pre the ceilings of ReadyCandidate() cover all committed tokens
   v1::WitnessChosen RecordCandidate();
-  /// @brief The fold put the recorded witness in force: it alone binds.
+  /// @brief The ledger put the recorded witness in force; only its ceilings
+  /// apply.
   void OnInForce(const std::optional<PeerRef>& peer);
-  /// @brief The fold refused the recorded witness: it binds no longer.
+  /// @brief The ledger refused the recorded witness; its ceilings no longer
+  /// apply.
   void OnRefused(const PeerRef& peer);
 
   std::vector<CeilingRaiseTo> TakeRaises(core::TimePoint now);
--- a/src/budget/ceiling_store.cc
+++ b/src/budget/ceiling_store.cc
@@ -10,16 +10,17 @@
   v1::CeilingAck ack;
   ack.set_serial(raise.serial());
   PeerEntry& entry = m_peers[from.incarnation];
-  // A raise acknowledged after the narrowed was made would let a router that
-  // was only paused commit tokens that the fold has given back to the balance:
-  // the budget would be overspent. Refusing for ever needs no clock.
+  // If a raise were acknowledged after the ceilings were reported, a router
+  // that was only paused could commit tokens that the ledger has returned to
+  // the balance, and the budget would be overspent. Refusing permanently needs
+  // no clock.
   if (entry.closed || !LearnNames(raise, entry)) {
     ack.set_refused(true);
     return ack;
   }
   entry.complete = entry.complete || raise.full();
-  // A raise that overtook a later one must not lower what that one was
-  // acknowledged for.
+  // A raise that arrives out of order must not lower a ceiling that was already
+  // acknowledged.
   for (const v1::PeerCeiling& ceiling : raise.ceilings()) {
     core::Tokens& kept = entry.ceilings[entry.names.at(ceiling.number())];
     kept = std::max(kept, core::Tokens(ceiling.tokens()));
@@ -27,8 +28,9 @@
   return ack;
 }
 
-// A number without a known name can't be kept. Acknowledged all the same, the
-// peer would commit tokens that the narrowed after its death leaves out.
+// A ceiling whose number has no known name can't be stored. If it were
+// acknowledged, the peer could commit tokens that the record written after its
+// retirement leaves out.
 bool CeilingStore::LearnNames(const v1::CeilingRaise& raise, PeerEntry& entry) {
   for (const v1::PeerCeiling& ceiling : raise.ceilings()) {
     if (!ceiling.budget().empty()) {
@@ -51,8 +53,8 @@
   if (found == m_peers.end()) {
     return std::nullopt;
   }
-  // Without the full list a missing budget would read as ceiling 0, and its
-  // tokens would go back although they may be spent.
+  // Without the full list, a missing budget would be taken for a ceiling of 0,
+  // and its tokens would be returned although they may be spent.
   const PeerEntry& entry = found->second;
   if (!entry.closed || !entry.complete) {
     return std::nullopt;
--- a/src/budget/demand.cc
+++ b/src/budget/demand.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Short enough that a burst is sized for within seconds, long enough that a
-/// single large request doesn't multiply the holding.
+/// Short enough to react to a burst within seconds, long enough that a single
+/// large request does not multiply the holding.
 constexpr double kTimeConstantSeconds = 5.0;
-/// After a pause this long the request sizes of before say nothing.
+/// Request sizes from before a pause this long are no longer relevant.
 constexpr core::Duration kLargestBoundExpiry{60'000'000};  // microseconds
 
 double Decay(core::TimePoint from, core::TimePoint to) {
--- a/src/budget/holding_manager.cc
+++ b/src/budget/holding_manager.cc
@@ -62,7 +62,7 @@
   return view;
 }
 
-/// What may still be committed under both the holding and the ceilings.
+/// Tokens that can still be committed within both the holding and the ceilings.
 core::Tokens HoldingManager::Headroom(const Account& account) const {
   const core::Tokens received = account.holding.Received();
   const core::Tokens limit =
@@ -70,7 +70,7 @@
   return std::min(received, limit) - account.holding.Committed();
 }
 
-/// What a class may reserve when ceilings are left aside.
+/// Spare tokens that a class may reserve, regardless of ceilings.
 core::Tokens HoldingManager::SpareFor(const Account& account, bool gate) {
   const Holding& holding = account.holding;
   return gate ? holding.Spare() : holding.Spare() - holding.gate_only;
@@ -148,8 +148,9 @@
   if (!m_log_unavailable && grant_possible) {
     return Wait{WaitReason::kGrant};
   }
-  // Requests reserve upper bounds and settle to less: near exhaustion most of
-  // what is missing comes back within seconds, so a refusal would be false.
+  // Requests reserve upper bounds and settle for less. Near exhaustion most of
+  // the missing tokens are released within seconds, so a refusal would be
+  // wrong.
   const core::Tokens here = spare + account.holding.reserved;
   if (bound <= here) {
     return Wait{WaitReason::kSettlement};
@@ -163,9 +164,9 @@
                ? WaitOrError(Wait{WaitReason::kTransfer})
                : Refusal(core::ErrorId::kBudgetBusy, account.id, bound);
   }
-  // Others hold what they may not need: they return it when the balance is low
-  // and transfer it when requested. Only when all of it together is too little
-  // is the budget exhausted for this request.
+  // Other routers return tokens that they don't need when the balance is low,
+  // and transfer them on request. The budget is exhausted for this request only
+  // when all of these together are too few.
   if (m_policy.redistributes) {
     const BalanceView& balance = view.balance;
     elsewhere = std::max(elsewhere, balance.held_by_others) + balance.free -
@@ -202,9 +203,9 @@
   Account& account = *open->account;
   Holding& holding = account.holding;
   const core::Tokens used = std::max(spent, kNoTokens);
-  // An upstream that went past its bound is charged as far as tokens are held;
-  // charging the remaining would break the budget, hiding it would hide the
-  // fault.
+  // If the upstream exceeded its bound, at most the tokens held are charged:
+  // charging the excess would overspend the budget. The excess is returned,
+  // because hiding it would hide the fault.
   const core::Tokens charged = std::min(used, Headroom(account));
   holding.spent += charged;
   m_totals.spent += charged;
@@ -236,9 +237,9 @@
   WakeWaiters(account);
 }
 
-// ---- Upkeep ----------------------------------------------------------------
+// ---- Maintenance ------------------------------------------------------------
 
-/// Asks for a higher ceiling when less than half a step is left, so that a
+/// Requests a higher ceiling when at most half a step is left, so that the
 /// raise is acknowledged before requests need it.
 void HoldingManager::RaiseCeilingIfLow(core::TimePoint now, Account& account) {
   const std::optional<core::Tokens> requested =
@@ -310,8 +311,9 @@
       QueueReview(now + kIdleTimeout, account);
     }
   }
-  // What peers offer and hold changes without an event here; requests that
-  // wait for it would otherwise sleep until their queue time ends.
+  // Offers and holdings of peers change without an event here. Without this
+  // retry, requests that wait for them would stay queued until their queue time
+  // ends.
   if (now >= m_retry_due) {
     m_retry_due = now + kRetryInterval;
     WakeAllWaiters();
@@ -327,8 +329,8 @@
   if (spare <= kNoTokens) {
     return;
   }
-  // Twice what is kept: below that, returning and asking again would only
-  // fill the log.
+  // Returns tokens only when the spare exceeds twice the amount to keep. Below
+  // that, returning tokens and requesting them again would only fill the log.
   const core::Tokens keep = m_policy.keep(MakeSizingView(now, account));
   if (spare - keep <= keep) {
     return;
@@ -338,8 +340,8 @@
 }
 
 void HoldingManager::Return(Account& account, core::Tokens tokens) {
-  // Debited before the record exists: were it the other way round, a request
-  // between the two could spend tokens that the log gives to another router.
+  // Debits the tokens before the record exists. In the reverse order, a request
+  // in between could spend tokens that the log grants to another router.
   Holding& holding = account.holding;
   holding.returned += tokens;
   holding.gate_only = std::min(holding.gate_only, holding.Spare());
@@ -356,9 +358,10 @@
          account.smallest_unmet > holding.Spare() + holding.reserved;
 }
 
-/// At the end of a budget each router may hold a little, less than any of its
-/// requests needs. Kept, these fragments would add up to work that is refused;
-/// in the balance, the next request that they suffice for draws them.
+/// Near the end of a budget each router may hold fewer tokens than any of its
+/// requests needs. If kept, these fragments would add up to work that is
+/// refused; from the balance, they can be granted to the next request that they
+/// suffice for.
 void HoldingManager::ReturnFragment(core::TimePoint now, Account& account) {
   if (!m_policy.redistributes || !HoldsFragment(account) ||
       now < account.next_return_at) {
--- a/src/budget/holding_manager_inputs.cc
+++ b/src/budget/holding_manager_inputs.cc
@@ -1,4 +1,4 @@
-// What the fold and the peers tell a HoldingManager.
+// HoldingManager: events from the ledger and messages from peers.
 #include <algorithm>  // max, min
 #include <utility>    // move
 
@@ -12,15 +12,16 @@
 
 }  // namespace
 
-// ---- The fold --------------------------------------------------------------
+// ---- Ledger -----------------------------------------------------------------
 
 void HoldingManager::OnGranted(core::TimePoint now,
                                const core::BudgetId& budget,
                                core::Tokens tokens,
                                core::Sequence sequence) {
   Account* account = Find(budget);
-  // The same entry can stand in the log twice, and its effect can reach us
-  // twice. Counted twice, this router would spend tokens it doesn't hold.
+  // The log can contain the same entry twice, so its effect can be delivered
+  // twice. If it were counted twice, this router would spend tokens that it
+  // doesn't hold.
   if (account == nullptr || !account->grant_pending ||
       sequence <= account->last_answer_sequence) {
     return;
@@ -94,8 +95,8 @@
   account.holding.transferred_in += tokens;
   m_totals.received += tokens;
   if (!applied) {
-    // It precedes every report of spending these tokens: the fold would refuse
-    // a spend past the holding.
+    // Must precede every report that spends these tokens, because the ledger
+    // refuses a spend that exceeds the holding.
     v1::Record record;
     *record.mutable_transfer_recorded() = transfer;
     m_pending_records.push_back(std::move(record));
@@ -153,11 +154,11 @@
   m_active_routers = std::max(active_routers, 1U);
 }
 
-void HoldingManager::OnLogState(bool out) {
-  if (m_log_unavailable == out) {
+void HoldingManager::OnLogState(bool unavailable) {
+  if (m_log_unavailable == unavailable) {
     return;
   }
-  m_log_unavailable = out;
+  m_log_unavailable = unavailable;
   WakeAllWaiters();
 }
 
@@ -165,7 +166,7 @@
 
 void HoldingManager::ChooseWitness(core::TimePoint now,
                                    const std::optional<PeerRef>& peer) {
-  // Its own witness would be gone together with it.
+  // A router is never its own witness, because both would fail together.
   if (m_retired || peer == m_self || !m_witnesses.StartChange(peer)) {
     return;
   }
@@ -191,8 +192,8 @@
 
 core::Tokens HoldingManager::Transferable(core::TimePoint now,
                                           const Account& account) const {
-  // Tokens whose arrival isn't applied stay: passed on, they could leave this
-  // holding in the log before they came into it.
+  // Tokens whose arrival is not applied by the ledger stay here. If passed on,
+  // they could leave this holding in the log before they enter it.
   const core::Tokens spare =
       account.holding.AppliedSpare() - account.holding.gate_only;
   if (m_retired || !m_policy.redistributes || spare <= kNoTokens) {
@@ -223,8 +224,9 @@
   if (tokens <= kNoTokens) {
     return;
   }
-  // Debited first and counted against the ceiling: a message that is lost
-  // strands its tokens, and a crash after sending doubles nothing.
+  // Debits the tokens and counts them against the ceiling before sending. A
+  // lost message then only strands its tokens, and a crash after sending
+  // duplicates none.
   account->holding.transferred_out += tokens;
   m_totals.transferred_out += tokens;
   v1::Record record;
@@ -236,8 +238,9 @@
 core::Tokens HoldingManager::TransferableTo(core::TimePoint now,
                                             const Account& account,
                                             const PeerRef& peer) const {
-  // Two routers that each hold too little for any request would refuse both;
-  // the smaller id gets the tokens, so they don't travel to and fro.
+  // If two routers each hold too little for any request, both would refuse. The
+  // router with the smaller id gets the tokens, so that they do not move back
+  // and forth.
   if (!HoldsFragment(account) || m_retired || !m_policy.redistributes) {
     return Transferable(now, account);
   }
@@ -251,8 +254,8 @@
     core::TimePoint now,
     const PeerRef& from,
     const v1::TransferSend& send) {
-  // A retired incarnation may have made its final report already; the sender's
-  // own record moves the tokens.
+  // A retired incarnation may already have sent its final report. The sender's
+  // own record in the log moves the tokens.
   if (m_retired || send.tokens() <= 0) {
     return std::nullopt;
   }
--- a/src/budget/holding_manager_outputs.cc
+++ b/src/budget/holding_manager_outputs.cc
@@ -1,4 +1,4 @@
-// What a HoldingManager has to send: records, messages, status.
+// HoldingManager: outgoing records and messages, and status.
 #include <algorithm>  // max, min
 #include <utility>    // move
 
@@ -29,7 +29,7 @@
     out.push_back(std::move(m_pending_records.front()));
     m_pending_records.pop_front();
   }
-  // Transfers that came in go first, see Credit().
+  // Incoming transfers are recorded before spend reports, see Credit().
   if (m_pending_records.empty()) {
     TakeSpendReports(now, out);
   }
@@ -114,16 +114,17 @@
 
 std::vector<v1::Record> HoldingManager::TakeFinalRecords(core::TimePoint now) {
   std::vector<v1::Record> out;
-  // Of a retired incarnation the fold takes only transfers and the final
-  // report, which returns the remaining.
+  // From a retired incarnation the ledger accepts only transfers and the final
+  // report, which returns the remaining tokens.
   for (v1::Record& record : m_pending_records) {
     if (record.has_transfer_recorded()) {
       out.push_back(std::move(record));
     }
   }
   m_pending_records.clear();
-  // Transfers that are still pending are withheld from the balance, and for
-  // good if they are recorded before the final report: worth a short wait.
+  // Tokens of pending transfers are withheld from the balance, and permanently
+  // so if the transfers are recorded before the final report. A short wait
+  // avoids this.
   const bool waits = m_transfers.HasPendingOutgoing() &&
                      now - m_retired_at < kFinalReportDelay;
   if (m_finalized || !m_open_reservations.empty() || waits) {
@@ -175,7 +176,8 @@
     }
     const core::Tokens missing =
         std::max(view.unmet - view.Spare(), core::Tokens(1));
-    // Its part of what it would keep, so that it need not ask every second.
+    // Also requests this router's part of the amount to keep, so that it
+    // doesn't need to ask every second.
     const core::Tokens ahead(m_policy.keep(view).value() / m_active_routers);
     const core::Tokens wanted = missing + ahead;
     TransferAskTo ask;
@@ -212,7 +214,7 @@
   return spares;
 }
 
-// ---- Reading ---------------------------------------------------------------
+// ---- Queries ----------------------------------------------------------------
 
 const std::optional<PeerRef>& HoldingManager::WitnessInForce() const {
   return m_witnesses.InForce();
--- a/src/budget/sizing.cc
+++ b/src/budget/sizing.cc
@@ -12,9 +12,9 @@
 
 constexpr Tokens kNoTokens{0};
 constexpr int64_t kPermille = 1000;
-/// A holding is filled up once this part of its target is used: soon enough to
-/// ride through nearly the whole time at any moment, late enough for few
-/// records.
+/// A holding is refilled once 1/kRefillDivisor of its target is used: early
+/// enough that it always lasts for nearly the whole ride-through time, late
+/// enough to write few records.
 constexpr int64_t kRefillDivisor = 5;
 
 Tokens AtLeastZero(Tokens tokens) {
@@ -26,12 +26,12 @@
       static_cast<int64_t>(std::ceil(view.demand_per_second * seconds)));
 }
 
-/// What any class may draw.
+/// Free tokens that any admission class may use.
 Tokens UnrestrictedBalance(const SizingView& view) {
   return AtLeastZero(view.balance.free - view.balance.gate_held_back);
 }
 
-/// paid_in is divided first: it may be near the largest int64_t.
+/// Divides paid_in first because it may be close to the largest int64_t.
 bool BalanceIsBelow(const SizingView& view, int64_t permille) {
   return UnrestrictedBalance(view).value() <
          view.balance.paid_in.value() / kPermille * permille;
@@ -41,13 +41,15 @@
   return Tokens(view.largest_bound.value() * count);
 }
 
-/// Least step of a ceiling, in parts of the largest request seen: at this size
-/// one raise serves two requests, and a crash strands less than with a whole.
+/// Minimum ceiling step, in permille of the largest request seen. With this
+/// step one raise serves two requests, and a crash strands fewer tokens than
+/// with a step of a whole request.
 constexpr int64_t kMinStepPermille = 750;
 
-/// This router's part of all that the live fleet has left. What is free is of
-/// no use while the log is out, so most of it is held; the remaining is for
-/// routers that join and for demand that moves.
+/// This router's share of all tokens left to the live fleet. Free tokens can't
+/// be used while the log is unavailable, so most of them are held. The
+/// remainder is for routers that join and for demand that shifts between
+/// routers.
 Tokens ShareOfRemaining(const SizingOptions& options, const SizingView& view) {
   const Tokens remaining = UnrestrictedBalance(view) +
                            view.balance.held_by_others +
@@ -65,17 +67,19 @@
   return Tokens(available.value() / parts);
 }
 
-/// What the other routers hold on average. While the log is out, callers of a
-/// router that died come to one that may never have seen their budget: it needs
-/// tokens of its own then. They cost little before, as its ceiling stays at 0.
+/// Average holding of the other routers. While the log is unavailable, callers
+/// of a router that died may reach a router that has never used their budget
+/// and then needs tokens of its own. Until then these tokens cost little,
+/// because their ceiling stays at 0.
 Tokens StandbyHolding(const SizingView& view) {
   const int64_t others = std::max<int64_t>(view.active_routers, 2) - 1;
   return Tokens(view.balance.held_by_others.value() / others);
 }
 
-/// What a budget that is seldom used has held here all the same. Demand says
-/// nothing about the morning after a quiet night: when the log is out by then,
-/// what is held is all there is, and paid work would be refused.
+/// Minimum holding of a budget that is rarely used. Demand during a quiet night
+/// does not predict the demand of the next morning. If the log is unavailable
+/// by then, only the tokens held here can be used, and without them paid work
+/// would be refused.
 Tokens MinimumHolding(const SizingOptions& options, const SizingView& view) {
   const Tokens remaining = UnrestrictedBalance(view) +
                            view.balance.held_by_others +
@@ -83,11 +87,12 @@
   return Tokens(remaining.value() / kPermille * options.floor_permille);
 }
 
-/// What the holding should have spare.
+/// Spare tokens that the holding should have.
 Tokens TargetSpare(const SizingOptions& options, const SizingView& view) {
   const bool low = BalanceIsBelow(view, options.low_ask_permille);
-  // Near exhaustion what is free must suffice for whole requests somewhere:
-  // shared out in full it would lie in pieces that are too small for any.
+  // Near exhaustion the free tokens must still suffice for whole requests at
+  // some router. If all of them were distributed, each part would be too small
+  // for any request.
   const Tokens cap = low ? FairShare(options, view, UnrestrictedBalance(view))
                          : ShareOfRemaining(options, view);
   if (view.idle) {
@@ -110,8 +115,8 @@
   const Tokens minimum = std::max(missing, Tokens(1));
   const Tokens open = UnrestrictedBalance(view);
   if (view.gate_waits && open < minimum && view.balance.free >= minimum) {
-    // Only what waits: the remaining of the held-back share is for the gate
-    // work of the other routers.
+    // Requests only what the waiting requests need; the remaining held-back
+    // share is for GATE requests at the other routers.
     return {.tokens = minimum, .minimum = minimum, .gate = true};
   }
   if (open < minimum) {
@@ -124,8 +129,8 @@
   if (!refill && missing == kNoTokens) {
     return {};
   }
-  // The unmet sum is capped by the fair share, too: a long queue here must not
-  // empty the balance under the queues of the others.
+  // The fair share also caps the unmet sum, so that a long queue here does not
+  // use up the balance that the queues of other routers need.
   const Tokens unmet = std::min(AtLeastZero(view.unmet - spare), share);
   const Tokens tokens = std::max({AtLeastZero(target - spare), unmet, minimum});
   return {.tokens = std::min(tokens, open), .minimum = minimum};
@@ -136,9 +141,10 @@
     const Tokens running = ExpectedSpend(view, options.keep_low_seconds);
     return view.idle ? kNoTokens : std::max(running, view.unmet);
   }
-  // Plenty: what the others hold, and a few requests' worth, stays even when
-  // idle, so that the first request after a pause needs neither the log nor a
-  // peer. It costs little: after a crash, what is past the ceiling goes back.
+  // While the balance is high, the average holding of the others and a few
+  // times the largest request are kept even when idle, so that the first
+  // request after a pause needs neither the log nor a peer. This costs little,
+  // because tokens above the ceiling are returned after a crash.
   return std::max({ExpectedSpend(view, options.ride_through_seconds),
                    LargestRequests(view, options.bounds_ahead),
                    StandbyHolding(view), MinimumHolding(options, view),
@@ -147,10 +153,11 @@
 
 Tokens DefaultCeilingStep(const SizingOptions& options,
                           const SizingView& view) {
-  // A step smaller than most requests raises the ceiling for each of them.
-  // A raise takes one round trip to a peer, so little is kept ahead: a crash
-  // strands it. While the log is out a witness that dies can't be replaced, and
-  // what is ahead is all that is left to work with.
+  // With a step smaller than most requests, each of them would need a raise. A
+  // raise takes one round trip to a peer, so the step is otherwise small,
+  // because a crash strands it. While the log is unavailable a witness that
+  // dies cannot be replaced, and only tokens below the acknowledged ceiling can
+  // still be used, so the step is larger.
   const double seconds = view.log_unavailable
                              ? options.ceiling_log_unavailable_seconds
                              : options.ceiling_seconds;
--- a/src/budget/spend_reporter.cc
+++ b/src/budget/spend_reporter.cc
@@ -32,8 +32,8 @@
     reported.bills.push_back(std::move(m_unreported.front()));
     m_unreported.pop_front();
   }
-  // Bills that don't fit go with a later report, and their tokens with them:
-  // a report never bills more than it spends.
+  // Bills that don't fit are left for a later report together with their
+  // tokens, so that a report never bills more than it spends.
   reported.spent = spent - m_unreported_tokens;
   m_reported = reported.spent;
 
--- a/src/budget/transfers.cc
+++ b/src/budget/transfers.cc
@@ -55,7 +55,8 @@
   if (found == m_outgoing.end()) {
     return;
   }
-  // The receiver's fold credits it now, so the message is needed no longer.
+  // The receiver's ledger credits the transfer now, so the message is no longer
+  // needed.
   const v1::TransferSend& send = found->second.message.send;
   m_pending_outgoing[core::BudgetId(send.budget())] -=
       core::Tokens(send.tokens());
@@ -66,9 +67,9 @@
                                         bool applied) {
   const IncomingKey key{core::Incarnation(transfer.from_incarnation()),
                         transfer.transfer_id()};
-  // The sender repeats a message until it is acknowledged, and the log brings
-  // the same transfer once more. Credited twice, tokens would exist that no
-  // record paid in; the id is kept for the life of this incarnation.
+  // The sender repeats a message until it is acknowledged, and the log delivers
+  // the same transfer once more. Crediting it twice would create tokens that no
+  // record paid in, so the id is kept for the lifetime of this incarnation.
   const auto [entry, added] = m_incoming.emplace(key, applied);
   if (added) {
     return Credit::kNew;
--- a/src/budget/witness_ceilings.cc
+++ b/src/budget/witness_ceilings.cc
@@ -53,8 +53,8 @@
     if (now - m_sent_at < kRaiseResendInterval) {
       return std::nullopt;
     }
-    // The same serial again: a late answer to the first copy still counts, so
-    // a slow link makes progress.
+    // Resends under the same serial, so that a late acknowledgement of the
+    // first copy still counts and a slow link makes progress.
     m_sent_at = now;
     return m_outstanding;
   }
@@ -69,8 +69,7 @@
 v1::CeilingRaise WitnessCeilings::NextRaise(uint64_t serial) {
   v1::CeilingRaise raise;
   raise.set_serial(serial);
-  // The first raise is the full list: everything requested for so far is
-  // queued.
+  // The first raise is the full list: all ceilings requested so far are queued.
   raise.set_full(!m_complete);
   const size_t count = m_complete
                            ? std::min(m_queue.size(), kMaxCeilingsPerRaise)
@@ -83,8 +82,9 @@
   return raise;
 }
 
-// Names are most of a raise. A raise that was lost may have carried a name, so
-// it is repeated until the witness said that it has it.
+// Names make up most of a raise, so each is sent only until the witness has
+// acknowledged it. A raise that carried a name may be lost, so the name is
+// repeated until then.
 void WitnessCeilings::Write(const core::BudgetId& budget,
                             v1::PeerCeiling& ceiling) {
   Ceiling& entry = m_ceilings[budget];
@@ -101,9 +101,10 @@
 }
 
 std::vector<core::BudgetId> WitnessCeilings::OnAck(const v1::CeilingAck& ack) {
-  // An acknowledgement binds exactly what its raise carried. Taken for a later
-  // raise that was lost, it would let this router commit past what the witness
-  // states after a retirement: the tokens would be spent twice.
+  // An acknowledgement confirms exactly the ceilings of its raise. If it were
+  // applied to a later raise that was lost, this router could commit more than
+  // the witness reports after a retirement, and the tokens would be spent
+  // twice.
   if (!m_outstanding || ack.serial() != m_outstanding->serial()) {
     return {};
   }
--- a/src/budget/witness_set.cc
+++ b/src/budget/witness_set.cc
@@ -64,7 +64,8 @@
 }
 
 const WitnessCeilings* WitnessSet::ReadyCandidate() const {
-  // One record at a time, so that the fold's answer can only mean that one.
+  // Only one record is pending at a time, so that the ledger's answer can only
+  // refer to that one.
   const bool ready =
       m_binding.size() == 1 && m_candidate && m_candidate->Complete();
   return ready ? &*m_candidate : nullptr;
@@ -76,9 +77,9 @@
     record.set_router(m_candidate->Peer()->router.value());
     record.set_incarnation(m_candidate->Peer()->incarnation.value());
   }
-  // From the moment that the record may be in the log, this router can be
-  // retired with either witness in force. Bound by one of them only, it could
-  // pass the ceiling that the other one states; bound by both it passes none.
+  // Once the record may be in the log, this router can be retired with either
+  // witness in force. If only the ceilings of one applied, the router could
+  // exceed the ceiling reported by the other one.
   m_binding.push_back(std::move(*m_candidate));
   m_candidate.reset();
   return record;
--- a/tests/budget/fake_fleet.h
+++ b/tests/budget/fake_fleet.h
@@ -20,24 +20,25 @@
 inline const core::BudgetId kOnlyBudget("gate");
 inline constexpr int64_t kGateHeldBack = 500;
 
-/// One router: its book, its ceiling_store and what it has still to append.
+/// One router: its holdings, the ceilings that it stores as a witness, and the
+/// entries that it has still to append.
 struct FakeRouter {
   FakeRouter(const PeerRef& ref, BalanceLookup balance)
-      : self(ref), book(ref, DefaultSizing(), std::move(balance)) {}
+      : self(ref), holdings(ref, DefaultSizing(), std::move(balance)) {}
 
   PeerRef self;
-  HoldingManager book;
+  HoldingManager holdings;
   CeilingStore ceiling_store;
   std::vector<Reservation> open;
   std::deque<std::vector<v1::Record>> outbox;
-  uint64_t appended = 0;  ///< entries known to be in the log
+  uint64_t appended = 0;  ///< number of entries known to be in the log
   size_t next_offset = 0;
   bool crashed = false;
   bool paused = false;
   bool log_unavailable = false;
 };
 
-/// The log and its fold in miniature, for one budget.
+/// Minimal model of the log and its ledger, for one budget.
 class FakeLog {
  public:
   using Effect = std::function<void(FakeRouter&, core::TimePoint)>;
@@ -55,14 +56,14 @@
       }
     }
     Emit([](FakeRouter& r, core::TimePoint now) {
-      r.book.OnBalanceChanged(now, kOnlyBudget);
+      r.holdings.OnBalanceChanged(now, kOnlyBudget);
     });
   }
   void Retire(const PeerRef& ref) {
     m_holdings[ref.incarnation].retired = true;
     Emit([ref](FakeRouter& r, core::TimePoint now) {
       if (r.self == ref) {
-        r.book.OnRetired(now);
+        r.holdings.OnRetired(now);
         return;
       }
       r.ceiling_store.Close(ref);
@@ -119,8 +120,8 @@
   };
 
   void Emit(Effect effect) { m_effects.push_back(std::move(effect)); }
-  /// What the real fold ignores or stops at must never come from a
-  /// HoldingManager.
+  /// Records a fault that the real ledger would ignore or stop at, and which a
+  /// HoldingManager must never cause.
   void Expect(bool condition, const char* fault) {
     if (!condition && m_fault.empty()) {
       m_fault = fault;
@@ -182,9 +183,9 @@
         return;
       }
       if (granted) {
-        router.book.OnGranted(now, kOnlyBudget, tokens, at);
+        router.holdings.OnGranted(now, kOnlyBudget, tokens, at);
       } else {
-        router.book.OnDenied(now, kOnlyBudget, at);
+        router.holdings.OnDenied(now, kOnlyBudget, at);
       }
     });
   }
@@ -208,9 +209,10 @@
         return;
       }
       if (refused) {
-        router.book.OnWitnessRefused(peer);
+        router.holdings.OnWitnessRefused(peer);
       } else {
-        router.book.OnWitnessInForce(none ? std::nullopt : std::optional(peer));
+        router.holdings.OnWitnessInForce(none ? std::nullopt
+                                              : std::optional(peer));
       }
     });
   }
@@ -235,7 +237,7 @@
     to.received += r.tokens();
     Release(to);
     Emit([r](FakeRouter& router, core::TimePoint now) {
-      router.book.OnTransferApplied(now, r);
+      router.holdings.OnTransferApplied(now, r);
     });
   }
 
@@ -245,8 +247,8 @@
   std::set<std::pair<uint64_t, uint64_t>> m_transfers;
   std::vector<Effect> m_effects;
   std::string m_fault;
-  int64_t m_narrowed = 0;   ///< tokens that statements freed
-  int64_t m_finalized = 0;  ///< tokens that final reports freed
+  int64_t m_narrowed = 0;   ///< tokens released by QuarantineNarrowed
+  int64_t m_finalized = 0;  ///< tokens released by final reports
 };
 
 }  // namespace coppervalve::budget
--- a/tests/budget/holding_manager_fixture.h
+++ b/tests/budget/holding_manager_fixture.h
@@ -17,24 +17,24 @@
           core::Incarnation(number)};
 }
 
-/// One book with one budget, whose log and peers the test plays by hand.
+/// One HoldingManager with one budget. The test acts as its log and its peers.
 class HoldingManagerFixture {
  public:
   explicit HoldingManagerFixture(uint64_t number = 1,
                                  SizingPolicy policy = DefaultSizing())
-      : m_book(Peer(number), std::move(policy), [this](const core::BudgetId&) {
-          return m_balance;
-        }) {
+      : m_holdings(Peer(number),
+                   std::move(policy),
+                   [this](const core::BudgetId&) { return m_balance; }) {
     SetBalance(1'000'000, 1'000'000);
   }
 
-  HoldingManager& book() { return m_book; }
+  HoldingManager& holdings() { return m_holdings; }
   core::TimePoint now() const { return m_now; }
   void Advance(int64_t milliseconds) {
     m_now += std::chrono::milliseconds(milliseconds);
-    m_book.OnTick(m_now);
+    m_holdings.OnTick(m_now);
   }
-  /// Lets time pass without a tick, as in a paused process.
+  /// Advances time without a tick, as in a paused process.
   void AdvanceWithoutTick(int64_t milliseconds) {
     m_now += std::chrono::milliseconds(milliseconds);
   }
@@ -50,8 +50,8 @@
 
   ReserveResult Reserve(int64_t bound,
                         v1::AdmissionClass admission_class = v1::INTERACTIVE) {
-    return m_book.Reserve(m_now, m_budget, core::Tokens(bound),
-                          admission_class);
+    return m_holdings.Reserve(m_now, m_budget, core::Tokens(bound),
+                              admission_class);
   }
   std::optional<Reservation> TryReserve(int64_t bound) {
     const ReserveResult result = Reserve(bound);
@@ -69,8 +69,8 @@
     return error != nullptr && error->id == id;
   }
 
-  std::vector<v1::Record> Records() { return m_book.TakeRecords(m_now); }
-  /// @return the spend that is reported now, or -1
+  std::vector<v1::Record> Records() { return m_holdings.TakeRecords(m_now); }
+  /// @return the cumulative spend reported now, or -1
   int64_t ReportedSpend() {
     int64_t spent = -1;
     for (const v1::Record& record : Records()) {
@@ -86,39 +86,40 @@
     }
     return chosen;
   }
-  /// Lets the log grant `tokens` to a small request that waits.
+  /// Grants `tokens` in response to a small waiting request.
   void Grant(int64_t tokens) {
     Reserve(1);
     Records();
-    m_book.OnGranted(m_now, m_budget, core::Tokens(tokens),
-                     core::Sequence(++m_sequence));
-    m_book.TakeWokenBudgets();
+    m_holdings.OnGranted(m_now, m_budget, core::Tokens(tokens),
+                         core::Sequence(++m_sequence));
+    m_holdings.TakeWokenBudgets();
   }
-  /// Makes a peer the witness in force: full list, record, fold.
+  /// Puts a witness in force: it acknowledges the full list, and the ledger
+  /// applies the record.
   void UseWitness(const PeerRef& witness) {
-    m_book.ChooseWitness(m_now, witness);
+    m_holdings.ChooseWitness(m_now, witness);
     AckRaises();
     Records();
-    m_book.OnWitnessInForce(witness);
+    m_holdings.OnWitnessInForce(witness);
   }
   void AckRaises() {
-    for (const CeilingRaiseTo& raise : m_book.TakeCeilingRaises(m_now)) {
+    for (const CeilingRaiseTo& raise : m_holdings.TakeCeilingRaises(m_now)) {
       Ack(raise);
     }
   }
   void Ack(const CeilingRaiseTo& raise) {
     v1::CeilingAck ack;
     ack.set_serial(raise.raise.serial());
-    m_book.OnCeilingAck(m_now, raise.to, ack);
+    m_holdings.OnCeilingAck(m_now, raise.to, ack);
   }
   void ReceiveTransferAsk(const PeerRef& peer, int64_t tokens) {
     v1::TransferAsk ask;
     ask.set_budget(m_budget.value());
     ask.set_tokens(tokens);
-    m_book.OnTransferAsk(m_now, peer, ask);
+    m_holdings.OnTransferAsk(m_now, peer, ask);
   }
-  int64_t Held() const { return m_book.StatusOf(m_budget)->held(); }
-  int64_t Ceiling() const { return m_book.StatusOf(m_budget)->ceiling(); }
+  int64_t Held() const { return m_holdings.StatusOf(m_budget)->held(); }
+  int64_t Ceiling() const { return m_holdings.StatusOf(m_budget)->ceiling(); }
   const core::BudgetId& budget() const { return m_budget; }
 
  private:
@@ -126,7 +127,7 @@
   core::TimePoint m_now{std::chrono::seconds(100)};
   std::optional<BalanceView> m_balance;
   uint64_t m_sequence = 0;
-  HoldingManager m_book;
+  HoldingManager m_holdings;
 };
 
 }  // namespace coppervalve::budget
--- a/tests/budget/unit-random.cc
+++ b/tests/budget/unit-random.cc
@@ -24,7 +24,7 @@
 constexpr uint64_t kSeeds = 400;
 constexpr size_t kTraceKept = 80;
 
-/// A fleet under random work, lost, repeated and reordered messages, pauses,
+/// A fleet with random requests, lost, repeated and reordered messages, pauses,
 /// crashes, retirements and log outages.
 class RandomFleet {
  public:
@@ -46,14 +46,15 @@
     }
   }
 
-  /// @return what is wrong; empty when nothing is
+  /// @return the first fault found; empty when there is none
   std::string Check() const {
-    // The balance can be granted to others at once, so it counts as gone.
+    // The free balance can be granted to others at any time, so it counts as
+    // used.
     int64_t claimed = m_log.Free();
     for (const FakeRouter& r : m_routers) {
-      const HoldingTotals& totals = r.book.Totals();
+      const HoldingTotals& totals = r.holdings.Totals();
       claimed += totals.spent.value() + totals.reserved.value();
-      const core::Status status = r.book.CheckInvariants();
+      const core::Status status = r.holdings.CheckInvariants();
       if (!core::IsOk(status)) {
         return core::ToString(core::Failure(status));
       }
@@ -85,7 +86,7 @@
     m_routers.emplace_back(self, [this, self](const core::BudgetId&) {
       return std::optional(m_log.View(self));
     });
-    m_routers.back().book.OnActiveRouters(kFirstRouters);
+    m_routers.back().holdings.OnActiveRouters(kFirstRouters);
   }
 
   void InjectFault(FakeRouter& r) {
@@ -105,9 +106,9 @@
         r.paused = !r.paused;
         break;
       case 5:
-        AddTrace(r, "loses or finds the log");
+        AddTrace(r, "log becomes unavailable or available");
         r.log_unavailable = !r.log_unavailable;
-        r.book.OnLogState(r.log_unavailable);
+        r.holdings.OnLogState(r.log_unavailable);
         break;
       case 6:
         m_log.TopUp(RandomBelow(4'000));
@@ -125,11 +126,11 @@
     const PeerRef peer = AnyRouter().self;
     const bool none = peer == r.self;
     AddTrace(r, "chooses witness " + (none ? "none" : peer.router.value()));
-    r.book.ChooseWitness(m_now, none ? std::nullopt : std::optional(peer));
+    r.holdings.ChooseWitness(m_now, none ? std::nullopt : std::optional(peer));
   }
 
   void RunAction(FakeRouter& r) {
-    r.book.TakeWokenBudgets();
+    r.holdings.TakeWokenBudgets();
     switch (RandomBelow(9)) {
       case 0:
       case 1:
@@ -157,7 +158,7 @@
     const auto admission_class =
         RandomBelow(3) == 0 ? v1::GATE : v1::INTERACTIVE;
     const ReserveResult result =
-        r.book.Reserve(m_now, kOnlyBudget, bound, admission_class);
+        r.holdings.Reserve(m_now, kOnlyBudget, bound, admission_class);
     if (const auto* reservation = std::get_if<Reservation>(&result)) {
       AddTrace(r, "reserves " + std::to_string(bound.value()));
       r.open.push_back(*reservation);
@@ -170,15 +171,15 @@
     const Reservation reservation = r.open.back();
     r.open.pop_back();
     if (RandomBelow(5) == 0) {
-      r.book.Cancel(m_now, reservation);
+      r.holdings.Cancel(m_now, reservation);
       return;
     }
-    // Now and then an upstream goes past its bound.
+    // Some upstreams exceed their bound.
     const int64_t most =
         reservation.bound.value() * (RandomBelow(20) == 0 ? 3 : 1);
     const Tokens spent(RandomBelow(static_cast<uint32_t>(most + 1)));
     AddTrace(r, "settles " + std::to_string(spent.value()));
-    r.book.Settle(m_now, reservation, spent, Unkeyed{});
+    r.holdings.Settle(m_now, reservation, spent, Unkeyed{});
   }
   void Append(FakeRouter& r) {
     if (r.outbox.empty() || r.log_unavailable) {
@@ -187,7 +188,7 @@
     m_log.Append(r.self, r.appended + 1, r.outbox.front());
     AddTrace(r, "appends");
     if (RandomBelow(4) == 0) {
-      return;  // the reply is lost: it appends the same entry again
+      return;  // the reply is lost, so the same entry is appended again
     }
     ++r.appended;
     r.outbox.pop_front();
@@ -208,7 +209,7 @@
     const Message message = m_network[index];
     for (FakeRouter& r : m_routers) {
       if (r.self == message.to && r.paused && !r.crashed) {
-        return;  // stays on its way
+        return;  // delivered later
       }
     }
     m_network.erase(m_network.begin() + static_cast<std::ptrdiff_t>(index));
@@ -219,41 +220,41 @@
     }
   }
   void Send(FakeRouter& r) {
-    r.book.OnTick(m_now);
-    std::vector<v1::Record> records = r.book.TakeRecords(m_now);
+    r.holdings.OnTick(m_now);
+    std::vector<v1::Record> records = r.holdings.TakeRecords(m_now);
     if (!records.empty()) {
       r.outbox.push_back(std::move(records));
     }
     const PeerRef self = r.self;
-    for (const CeilingRaiseTo& raise : r.book.TakeCeilingRaises(m_now)) {
+    for (const CeilingRaiseTo& raise : r.holdings.TakeCeilingRaises(m_now)) {
       SendMessage(raise.to, [this, self, raise](FakeRouter& to) {
         const v1::CeilingAck ack =
             to.ceiling_store.OnCeilingRaise(self, raise.raise);
         SendMessage(self, [this, witness = to.self, ack](FakeRouter& back) {
-          back.book.OnCeilingAck(m_now, witness, ack);
+          back.holdings.OnCeilingAck(m_now, witness, ack);
         });
       });
     }
-    for (const TransferAskTo& ask : r.book.TakeTransferAsks(m_now)) {
+    for (const TransferAskTo& ask : r.holdings.TakeTransferAsks(m_now)) {
       SendMessage(ask.to, [this, self, ask](FakeRouter& to) {
-        to.book.OnTransferAsk(m_now, self, ask.ask);
+        to.holdings.OnTransferAsk(m_now, self, ask.ask);
       });
     }
-    for (const TransferSendTo& send : r.book.TakeTransferSends(m_now)) {
+    for (const TransferSendTo& send : r.holdings.TakeTransferSends(m_now)) {
       AddTrace(r, "transfers " + std::to_string(send.send.tokens()));
       SendMessage(send.to, [this, self, send](FakeRouter& to) {
-        const auto ack = to.book.OnTransferSend(m_now, self, send.send);
+        const auto ack = to.holdings.OnTransferSend(m_now, self, send.send);
         if (!ack) {
           return;
         }
         SendMessage(self, [peer = to.self, ack](FakeRouter& back) {
-          back.book.OnTransferAck(peer, *ack);
+          back.holdings.OnTransferAck(peer, *ack);
         });
       });
     }
-    const std::vector<v1::Spare> spares = r.book.TakeSpares(m_now);
+    const std::vector<v1::Spare> spares = r.holdings.TakeSpares(m_now);
     SendMessage(AnyRouter().self, [this, self, spares](FakeRouter& to) {
-      to.book.OnPeerSpares(m_now, self, spares);
+      to.holdings.OnPeerSpares(m_now, self, spares);
     });
   }
 
@@ -265,7 +266,7 @@
   std::deque<std::string> m_trace;
 };
 
-/// @return whether all steps went well; prints seed, step and trace if not
+/// @return whether all steps passed; otherwise prints seed, step and trace
 bool Run(RandomFleet& fleet, uint64_t seed) {
   for (int step = 0; step < kSteps; ++step) {
     fleet.Step();
@@ -288,8 +289,8 @@
 TEST_GROUP(Random){};
 // clang-format on
 
-// Any mix of faults: accounts must never get more work than was paid in. The
-// sums show that the runs reached what they are meant to try.
+// No mix of faults may let accounts use more tokens than were paid in. The sums
+// show that the runs reach narrowing, final reports and transfers.
 TEST(Random, no_fleet_commits_more_than_was_paid_in) {
   int64_t narrowed = 0;
   int64_t finalized = 0;
