--- a/model/acceptance.pml
+++ b/model/acceptance.pml
@@ -1,23 +1,26 @@
 /*
- * When a configuration comes into force. Three voting routers read one log; a
- * group of them is cut off from it for good at some moment, and those in the
- * group reach each other. (One that reads nothing for a while before that moment
- * is as good as cut off earlier.) Two of the three may be retired. With -DJOINS
- * there is one voter, which is cut off, and two routers that may join. The fold: a proposal comes into force, and
- * the set of voters changes, once more than half of the voters have written an
- * entry that shows that they had read the change, in log order.
+ * When a configuration comes into force. Three voting routers read one log. At
+ * some moment a group of them is permanently cut off from it, while the routers
+ * in the group still reach each other. (A router that reads nothing for a while
+ * before that moment behaves like one that was cut off earlier.) Two of the
+ * three may be retired. With -DJOINS there is one voter, which is cut off, and
+ * two routers that may join.
  *
- * A group that is cut off goes on under the old version if it is more than half
- * of the voters it knows and none of it has read a proposal. Must hold: it never
- * does so once the proposal is in force.
+ * The ledger: a proposal comes into force, and the set of voters changes, once
+ * more than half of the voters have written an entry that shows that they had
+ * read the change, in log order.
  *
- * Entries may be appended long after they were written; then they show only what
- * had been read when they were written.
+ * A group that is cut off continues under the old version if it is more than
+ * half of the voters that it knows and none of it has read a proposal. Checked:
+ * it never does so once the proposal is in force.
+ *
+ * Entries may be appended long after they were written; they then show only
+ * what had been read when they were written.
  */
 
-#define ROUTERS 5      /* 3 and 4 may join */
+#define ROUTERS 5 /* 3 and 4 may join */
 #ifdef JOINS
-#define MAX_LOG 5      /* entries, the bound of the search */
+#define MAX_LOG 5 /* entries; bounds the search */
 #define FIRST_VOTERS 1
 #else
 #define MAX_LOG 4
@@ -29,42 +32,42 @@
 #define LEAVE 2
 #define JOIN 3
 
-byte end = 0;              /* length of the log */
-byte read_to[ROUTERS];     /* entries that each router has read */
-byte seen[ROUTERS];        /* as the fold knows it from its entries */
-byte group = 0;            /* bit set of those that will be cut off */
-bool cut_off = false;
+byte log_end = 0;         /* length of the log */
+byte read_to[ROUTERS];    /* number of entries that each router has read */
+byte shown_read[ROUTERS]; /* as the ledger knows from its entries */
+byte group = 0;           /* bit set of the routers that will be cut off */
+bool partitioned = false;
 bool retired[2];
-byte joined = 3;           /* routers that have joined, from 0 up */
+byte joined = 3; /* routers that have joined, from 0 up */
 
-byte voters = FIRST_VOTERS;           /* bit set, of the fold at the end of the log */
+byte voters = FIRST_VOTERS; /* bit set, by the whole log */
 byte voters_at[MAX_LOG + 1];
-byte proposed_at = NONE;   /* offset of the proposal */
+byte proposed_at = NONE; /* offset of the proposal */
 bool in_force = false;
 
-/* Changes that wait, oldest first. */
-byte waiting = 0;
+/* Pending changes, oldest first. */
+byte pending = 0;
 byte change_at[3];
 byte change_kind[3];
 byte change_who[3];
 
 #define BIT(r) (1 << (r))
 #define COUNT(set) (((set) & 1) + (((set) >> 1) & 1) + (((set) >> 2) & 1) + (((set) >> 3) & 1) + (((set) >> 4) & 1))
-#define SAW(r, at) (((voters >> (r)) & 1) && seen[r] > (at))
-#define READERS(at) ((SAW(0, at) -> 1 : 0) + (SAW(1, at) -> 1 : 0) + (SAW(2, at) -> 1 : 0) + (SAW(3, at) -> 1 : 0) + (SAW(4, at) -> 1 : 0))
-
-inline await(kind, who) {
-  change_at[waiting] = end;
-  change_kind[waiting] = kind;
-  change_who[waiting] = who;
-  waiting++;
+#define HAS_SHOWN(r, at) (((voters >> (r)) & 1) && shown_read[r] > (at))
+#define COUNT_SHOWN(at) ((HAS_SHOWN(0, at) -> 1 : 0) + (HAS_SHOWN(1, at) -> 1 : 0) + (HAS_SHOWN(2, at) -> 1 : 0) + (HAS_SHOWN(3, at) -> 1 : 0) + (HAS_SHOWN(4, at) -> 1 : 0))
+
+inline add_change(kind, who) {
+  change_at[pending] = log_end;
+  change_kind[pending] = kind;
+  change_who[pending] = who;
+  pending++;
 }
 
 inline drop_first() {
   change_at[0] = change_at[1]; change_kind[0] = change_kind[1]; change_who[0] = change_who[1];
   change_at[1] = change_at[2]; change_kind[1] = change_kind[2]; change_who[1] = change_who[2];
   change_at[2] = 0; change_kind[2] = 0; change_who[2] = 0;
-  waiting--;
+  pending--;
 }
 
 inline take_effect(kind, who) {
@@ -75,25 +78,25 @@
   fi
 }
 
-/* Ends every append: lets changes take effect, and remembers what a reader of
- * this prefix knows. */
+/* Ends every append: applies changes, and stores what a reader of this prefix
+ * knows. */
 inline finish_append() {
   do
-  :: waiting > 0 && 2 * READERS(change_at[0]) > COUNT(voters) ->
+  :: pending > 0 && 2 * COUNT_SHOWN(change_at[0]) > COUNT(voters) ->
      take_effect(change_kind[0], change_who[0]);
      drop_first()
   :: else -> break
   od;
-  end++;
-  voters_at[end] = voters
+  log_end++;
+  voters_at[log_end] = voters
 }
 
 inline propose() {
-  proposed_at = end;
+  proposed_at = log_end;
 #ifdef BROKEN_ACCEPT_AT_ONCE
   in_force = true;
 #else
-  await(PROPOSE, 0);
+  add_change(PROPOSE, 0);
 #endif
   finish_append()
 }
@@ -102,17 +105,17 @@
 #ifdef BROKEN_RETIRED_LOSES_VOTE_AT_ONCE
   voters = voters & (31 - BIT(who));
 #else
-  await(LEAVE, who);
+  add_change(LEAVE, who);
 #endif
   finish_append()
 }
 
 inline join() {
-  read_to[joined] = end;
+  read_to[joined] = log_end;
 #ifdef BROKEN_JOINED_VOTES_AT_ONCE
   voters = voters | BIT(joined);
 #else
-  await(JOIN, joined);
+  add_change(JOIN, joined);
 #endif
   joined++;
   finish_append()
@@ -121,15 +124,15 @@
 active proctype operators() {
 end_operators:
   do
-  :: atomic { end < MAX_LOG && proposed_at == NONE && waiting < 3 -> propose() }
+  :: atomic { log_end < MAX_LOG && proposed_at == NONE && pending < 3 -> propose() }
 #ifdef JOINS
-  :: atomic { end < MAX_LOG && waiting < 3 && joined < ROUTERS -> join() }
+  :: atomic { log_end < MAX_LOG && pending < 3 && joined < ROUTERS -> join() }
 #else
-  :: atomic { end < MAX_LOG && waiting < 3 && !retired[0] -> retired[0] = true; retire(0) }
-  :: atomic { end < MAX_LOG && waiting < 3 && !retired[1] -> retired[1] = true; retire(1) }
+  :: atomic { log_end < MAX_LOG && pending < 3 && !retired[0] -> retired[0] = true; retire(0) }
+  :: atomic { log_end < MAX_LOG && pending < 3 && !retired[1] -> retired[1] = true; retire(1) }
 #endif
-  :: atomic { !cut_off -> cut_off = true }
-  :: end >= MAX_LOG -> break
+  :: atomic { !partitioned -> partitioned = true }
+  :: log_end >= MAX_LOG -> break
   od
 }
 
@@ -138,34 +141,34 @@
   do
   /* The log grows by one entry at a time, so reading to its end at any moment
    * gives every prefix. */
-  :: atomic { !(cut_off && (group & BIT(me))) && me < joined && read_to[me] < end -> read_to[me] = end }
-  /* An entry shows at most what its writer had read; one that was written long
-   * ago and lands now, maybe after the cut, shows less. */
-  :: atomic { end < MAX_LOG && seen[me] < read_to[me] ->
+  :: atomic { !(partitioned && (group & BIT(me))) && me < joined && read_to[me] < log_end -> read_to[me] = log_end }
+  /* An entry shows at most what its writer had read. One that was written
+   * earlier and is appended now, possibly after the cut, shows less. */
+  :: atomic { log_end < MAX_LOG && shown_read[me] < read_to[me] ->
 #ifdef BROKEN_ENTRY_COUNTS_WHEN_APPENDED
-       seen[me] = end;
+       shown_read[me] = log_end;
 #else
-       seen[me] = read_to[me];
+       shown_read[me] = read_to[me];
        if
        :: true
-       :: seen[me] > 1 -> seen[me]--
+       :: shown_read[me] > 1 -> shown_read[me]--
        fi;
 #endif
        finish_append() }
-  :: end >= MAX_LOG -> break
+  :: log_end >= MAX_LOG -> break
   od
 }
 
 #define IN_GROUP(r) ((group >> (r)) & 1)
 #ifdef BROKEN_KNOWLEDGE_IS_IGNORED
-#define KNOWS(r) (false)
+#define HAS_READ_PROPOSAL(r) (false)
 #else
-#define KNOWS(r) (IN_GROUP(r) && proposed_at != NONE && read_to[r] > proposed_at)
+#define HAS_READ_PROPOSAL(r) (IN_GROUP(r) && proposed_at != NONE && read_to[r] > proposed_at)
 #endif
-#define NOBODY_KNOWS (!KNOWS(0) && !KNOWS(1) && !KNOWS(2))
-#define KNOWN_VOTERS(r) voters_at[read_to[r]]
-#define MAJORITY_FOR(r) (2 * COUNT(group & KNOWN_VOTERS(r)) > COUNT(KNOWN_VOTERS(r)))
-#define GOES_ON(r) (cut_off && IN_GROUP(r) && NOBODY_KNOWS && MAJORITY_FOR(r))
+#define NONE_HAS_READ_PROPOSAL (!HAS_READ_PROPOSAL(0) && !HAS_READ_PROPOSAL(1) && !HAS_READ_PROPOSAL(2))
+#define VOTERS_READ_BY(r) voters_at[read_to[r]]
+#define MAJORITY_FOR(r) (2 * COUNT(group & VOTERS_READ_BY(r)) > COUNT(VOTERS_READ_BY(r)))
+#define CONTINUES(r) (partitioned && IN_GROUP(r) && NONE_HAS_READ_PROPOSAL && MAJORITY_FOR(r))
 
 init {
   atomic {
@@ -187,6 +190,6 @@
 active proctype monitor() {
 end_monitor:
   atomic {
-    in_force && (GOES_ON(0) || GOES_ON(1) || GOES_ON(2)) -> assert(false)
+    in_force && (CONTINUES(0) || CONTINUES(1) || CONTINUES(2)) -> assert(false)
   }
 }
--- a/model/allotment.pml
+++ b/model/allotment.pml
@@ -1,21 +1,21 @@
-/* Escrow without clocks: router A draws, spends, returns, transfers and is
- * retired, rightly or not; router B draws and commits at once whatever comes
- * free; the witnesses W0 and W1 bound what A can have committed; an operator
- * tops up once.
+/* Escrow of one budget without clocks. Router A is granted, spends, returns and
+ * transfers tokens and is retired, rightly or not. Router B takes all free
+ * tokens and commits them at once. The witnesses W0 and W1 bound what A can
+ * have committed. An operator tops up once.
  *
  * Every step is atomic. A pause of any length is an interleaving in which a
  * process takes no step, and a crash is a pause without end. An append of A may
- * take effect at any time after it was sent, again while A repeats it for want
- * of a reply, and once more as a late copy. README.md says what is left out.
+ * take effect at any time after it was sent, again while A repeats it for lack
+ * of a reply, and once more as a delayed copy. README.md lists what is left out.
  */
 #define INITIAL 2
 #define TOP_UP 1
-#define MOST 3 /* INITIAL + TOP_UP */
+#define MAX_PAID 3 /* INITIAL + TOP_UP */
 #ifndef APPENDS
 #define APPENDS 4 /* of A */
 #endif
 
-mtype = { NONE, GRANT, GIVE_BACK, SPEND, CHOOSE, TRANSFER, FINAL };
+mtype = { NONE, GRANT, RETURN_TOKENS, SPEND, CHOOSE_WITNESS, TRANSFER, FINAL };
 
 typedef Append {
   mtype op;
@@ -24,104 +24,107 @@
   byte pending; /* FINAL: transfers not known to be recorded */
 };
 
-/* ---- The truth, which no process sees ------------------------------------ */
+/* ---- Ground truth, visible to no process --------------------------------- */
 byte paid = INITIAL;
 
-/* ---- The fold of the log -------------------------------------------------- */
-byte f_paid = INITIAL;
-byte f_free = INITIAL;
-byte f_recv_a, f_spent, f_out, f_released, f_recv_b;
-byte f_seq;
-byte f_granted; /* by A's last GRANT */
-bool f_retired, f_topped_up, f_transferred;
-byte f_witness;
-
-#define HELD_A (f_recv_a - f_spent - f_out - f_released)
-
-/* ---- A's append under way, and a late copy of an earlier one --------------- */
-Append sent, copy;
-bool taken;
-
-/* ---- Router A -------------------------------------------------------------- */
-bool a_stopped; /* has read that it is retired: admits nothing more */
-byte a_recv, a_spent, a_reserved, a_out;
+/* ---- The ledger ---------------------------------------------------------- */
+byte ledger_paid = INITIAL;
+byte ledger_free = INITIAL;
+byte ledger_received_a, ledger_spent, ledger_out, ledger_released,
+  ledger_received_b;
+byte ledger_seq;
+byte ledger_granted; /* by A's last GRANT */
+bool ledger_retired, ledger_topped_up, ledger_transferred;
+byte ledger_witness;
+
+#define HELD_A (ledger_received_a - ledger_spent - ledger_out - ledger_released)
+
+/* ---- A's pending append, and a delayed copy of an earlier one ------------ */
+Append sent, late_copy;
+bool applied;
+
+/* ---- Router A ------------------------------------------------------------ */
+bool a_stopped; /* has read that it is retired; admits no more requests */
+byte a_received, a_spent, a_reserved, a_out;
 byte a_witness;
-bool a_changing;  /* the other witness has the full list of ceilings */
-bool a_out_known; /* has read that its transfer is recorded */
+bool a_changing_witness; /* the other witness has the full list of ceilings */
+bool a_out_known;        /* has read that its transfer is recorded */
 
-/* ---- Witnesses: the ceiling each has acknowledged --------------------------- */
+/* ---- Witnesses: the ceiling that each has acknowledged ------------------- */
 byte w_ceiling[2];
 bool w_closed[2];
 
-/* ---- Router B: all that it holds is committed ------------------------------- */
+/* ---- Router B: all tokens that it holds are committed -------------------- */
 byte b_committed;
-bool b_got;
+bool b_credited;
 
-/* ---- What must hold --------------------------------------------------------- */
-inline Check() {
+/* ---- Invariants ---------------------------------------------------------- */
+inline CheckInvariants() {
   assert(a_spent + a_reserved + b_committed <= paid);
-  assert(f_paid == f_free + f_spent + HELD_A + f_recv_b);
+  assert(
+    ledger_paid == ledger_free + ledger_spent + HELD_A + ledger_received_b);
   assert(HELD_A >= 0)
 }
 
-/* ---- The fold ---------------------------------------------------------------- */
+/* ---- Applying entries ---------------------------------------------------- */
 
-/* Frees what the retired A holds past `ceiling`, which counts what it spent
- * and transferred. */
+/* Releases the tokens that the retired A holds above `ceiling`, which includes
+ * its spent and transferred tokens. */
 inline ReleasePast(ceiling) {
   if
-  :: HELD_A > 0 && (ceiling) <= f_spent + f_out ->
-     f_free = f_free + HELD_A;
-     f_released = f_released + HELD_A
-  :: HELD_A > 0 && (ceiling) > f_spent + f_out &&
-     f_recv_a - f_released > (ceiling) ->
-     f_free = f_free + (f_recv_a - f_released - (ceiling));
-     f_released = f_recv_a - (ceiling)
+  :: HELD_A > 0 && (ceiling) <= ledger_spent + ledger_out ->
+     ledger_free = ledger_free + HELD_A;
+     ledger_released = ledger_released + HELD_A
+  :: HELD_A > 0 && (ceiling) > ledger_spent + ledger_out &&
+     ledger_received_a - ledger_released > (ceiling) ->
+     ledger_free = ledger_free + (ledger_received_a - ledger_released - (ceiling));
+     ledger_released = ledger_received_a - (ceiling)
   :: else
   fi
 }
 
-/* A report that the holding cannot cover stops the real fold with an alarm. */
-inline FoldSpend(spent) {
-  assert(spent - f_spent <= HELD_A);
-  f_spent = spent
+/* The real ledger stops with an alarm at a report that the holding cannot
+ * cover. */
+inline ApplySpend(spent) {
+  assert(spent - ledger_spent <= HELD_A);
+  ledger_spent = spent
 }
 
-inline FoldTransfer() {
+inline ApplyTransfer() {
   if
 #ifndef BROKEN_TRANSFER_RECORDED_TWICE
-  :: f_transferred
+  :: ledger_transferred
 #endif
   :: else ->
      assert(HELD_A >= 1);
-     f_out++;
-     f_recv_b++;
-     f_transferred = true
+     ledger_out++;
+     ledger_received_b++;
+     ledger_transferred = true
   fi
 }
 
-inline FoldLive(e) {
+inline ApplyLive(e) {
   if
   :: e.op == GRANT ->
-     f_granted = (f_free >= e.arg -> e.arg : 0);
-     f_free = f_free - f_granted;
-     f_recv_a = f_recv_a + f_granted
-  :: e.op == GIVE_BACK && HELD_A >= e.arg ->
-     f_recv_a = f_recv_a - e.arg;
-     f_free = f_free + e.arg
-  :: e.op == SPEND -> FoldSpend(e.arg)
-  :: e.op == CHOOSE -> f_witness = e.arg
-  :: e.op == TRANSFER -> FoldTransfer()
+     ledger_granted = (ledger_free >= e.arg -> e.arg : 0);
+     ledger_free = ledger_free - ledger_granted;
+     ledger_received_a = ledger_received_a + ledger_granted
+  :: e.op == RETURN_TOKENS && HELD_A >= e.arg ->
+     ledger_received_a = ledger_received_a - e.arg;
+     ledger_free = ledger_free + e.arg
+  :: e.op == SPEND -> ApplySpend(e.arg)
+  :: e.op == CHOOSE_WITNESS -> ledger_witness = e.arg
+  :: e.op == TRANSFER -> ApplyTransfer()
   :: else
   fi
 }
 
-inline FoldRetired(e) {
+inline ApplyRetired(e) {
   if
-  :: e.op == TRANSFER -> FoldTransfer()
+  :: e.op == TRANSFER -> ApplyTransfer()
   :: e.op == FINAL ->
-     FoldSpend(e.arg);
-     ReleasePast(f_spent + f_out + e.pending)
+     ApplySpend(e.arg);
+     ReleasePast(ledger_spent + ledger_out + e.pending)
   :: else
   fi
 }
@@ -129,23 +132,23 @@
 #ifdef BROKEN_NO_DEDUP
 #define IS_NEXT(e) (e.op != NONE)
 #else
-#define IS_NEXT(e) (e.op != NONE && e.seq == f_seq + 1)
+#define IS_NEXT(e) (e.op != NONE && e.seq == ledger_seq + 1)
 #endif
 
-inline Fold(e) {
+inline Apply(e) {
   if
   :: IS_NEXT(e) ->
-     f_seq = e.seq;
+     ledger_seq = e.seq;
      if
-     :: f_retired -> FoldRetired(e)
-     :: else -> FoldLive(e)
+     :: ledger_retired -> ApplyRetired(e)
+     :: else -> ApplyLive(e)
      fi
   :: else
   fi;
-  Check()
+  CheckInvariants()
 }
 
-inline Forget(e) {
+inline Clear(e) {
   e.op = NONE;
   e.arg = 0;
   e.pending = 0
@@ -154,30 +157,30 @@
 proctype Log() {
 end:
   do
-  :: d_step { sent.op != NONE -> Fold(sent); taken = true }
-  :: d_step { copy.op != NONE -> Fold(copy); Forget(copy); copy.seq = 0 }
+  :: d_step { sent.op != NONE -> Apply(sent); applied = true }
+  :: d_step { late_copy.op != NONE -> Apply(late_copy); Clear(late_copy); late_copy.seq = 0 }
   od
 }
 
-/* ---- Router A ---------------------------------------------------------------- */
+/* ---- Router A ------------------------------------------------------------ */
 #define A_COMMITTED (a_spent + a_reserved + a_out)
 #define MIN(x, y) ((x) < (y) -> (x) : (y))
 
-/* While a change of witness is under way either may be in force, so the lower
- * of both ceilings binds. */
+/* While a change of witness is pending, either may be in force, so the lower of
+ * both ceilings applies. */
 #if defined(BROKEN_NO_CEILING)
-#define A_LIMIT MOST
+#define A_LIMIT MAX_PAID
 #elif defined(BROKEN_OLD_CEILING_DURING_CHANGE)
 #define A_LIMIT w_ceiling[a_witness]
 #elif defined(BROKEN_NEW_CEILING_DURING_CHANGE)
-#define A_LIMIT (a_changing -> w_ceiling[1] : w_ceiling[a_witness])
+#define A_LIMIT (a_changing_witness -> w_ceiling[1] : w_ceiling[a_witness])
 #else
 #define A_LIMIT \
-  (a_changing -> MIN(w_ceiling[0], w_ceiling[1]) : w_ceiling[a_witness])
+  (a_changing_witness -> MIN(w_ceiling[0], w_ceiling[1]) : w_ceiling[a_witness])
 #endif
 
 #define A_MAY_COMMIT \
-  (!a_stopped && A_COMMITTED < a_recv && A_COMMITTED < A_LIMIT)
+  (!a_stopped && A_COMMITTED < a_received && A_COMMITTED < A_LIMIT)
 #define A_MAY_APPEND (sent.op == NONE && sent.seq < APPENDS)
 
 #ifdef BROKEN_FINAL_WITH_WORK_IN_PROGRESS
@@ -186,112 +189,113 @@
 #define A_IDLE (a_reserved == 0)
 #endif
 
-inline Send(what, argument) {
+inline Send(operation, argument) {
   sent.seq++;
-  sent.op = what;
+  sent.op = operation;
   sent.arg = argument;
-  taken = false
+  applied = false
 }
 
-/* A has read its entry in the log. A copy may still be on its way: one of
+/* A has read its entry in the log. A copy may still be in flight, from one of
  * several attempts whose replies were lost. */
-inline ReadOwn() {
+inline ReadOwnEntry() {
   if
-  :: sent.op == GRANT -> a_recv = a_recv + f_granted; f_granted = 0
+  :: sent.op == GRANT -> a_received = a_received + ledger_granted; ledger_granted = 0
 #ifdef BROKEN_RETURN_BEFORE_DEBIT
-  :: sent.op == GIVE_BACK -> a_recv--
+  :: sent.op == RETURN_TOKENS -> a_received--
 #endif
-  :: sent.op == CHOOSE -> a_witness = f_witness; a_changing = false
+  :: sent.op == CHOOSE_WITNESS -> a_witness = ledger_witness; a_changing_witness = false
   :: sent.op == TRANSFER -> a_out_known = true
   :: else
   fi;
-  copy.op = sent.op;
-  copy.seq = sent.seq;
-  copy.arg = sent.arg;
-  copy.pending = sent.pending;
-  Forget(sent);
-  taken = false
+  late_copy.op = sent.op;
+  late_copy.seq = sent.seq;
+  late_copy.arg = sent.arg;
+  late_copy.pending = sent.pending;
+  Clear(sent);
+  applied = false
 }
 
 proctype RouterA() {
 end:
   do
-  :: d_step { A_MAY_COMMIT -> a_reserved++; Check() }
+  :: d_step { A_MAY_COMMIT -> a_reserved++; CheckInvariants() }
   :: d_step { a_reserved > 0 -> a_reserved--; a_spent++ }
   :: d_step { a_reserved > 0 -> a_reserved-- }
   :: d_step { A_MAY_APPEND && !a_stopped -> Send(GRANT, 2) }
-  :: d_step { A_MAY_APPEND && !a_stopped && a_spent > f_spent ->
+  :: d_step { A_MAY_APPEND && !a_stopped && a_spent > ledger_spent ->
        Send(SPEND, a_spent) }
-  :: d_step { A_MAY_APPEND && !a_stopped && A_COMMITTED < a_recv ->
+  :: d_step { A_MAY_APPEND && !a_stopped && A_COMMITTED < a_received ->
        /* Debit first, then append. */
 #ifndef BROKEN_RETURN_BEFORE_DEBIT
-       a_recv--;
+       a_received--;
 #endif
-       Send(GIVE_BACK, 1) }
-  :: d_step { A_MAY_APPEND && a_changing -> Send(CHOOSE, 1) }
+       Send(RETURN_TOKENS, 1) }
+  :: d_step { A_MAY_APPEND && a_changing_witness -> Send(CHOOSE_WITNESS, 1) }
   :: d_step { A_MAY_APPEND && a_out == 1 && !a_out_known -> Send(TRANSFER, 1) }
   :: d_step { A_MAY_APPEND && a_stopped && A_IDLE ->
 #ifndef BROKEN_FINAL_FORGETS_TRANSFER
        sent.pending = (a_out == 1 && !a_out_known -> 1 : 0);
 #endif
        Send(FINAL, a_spent) }
-  :: d_step { taken -> ReadOwn() }
+  :: d_step { applied -> ReadOwnEntry() }
   /* Debit first, then send to B. */
   :: d_step { A_MAY_COMMIT && a_out == 0 -> a_out = 1 }
   /* The new witness gets the full list of ceilings before it is chosen. */
-  :: d_step { !a_changing && a_witness == 0 && !w_closed[1] ->
-       w_ceiling[1] = w_ceiling[0]; a_changing = true }
-  :: d_step { f_retired && !a_stopped -> a_stopped = true }
+  :: d_step { !a_changing_witness && a_witness == 0 && !w_closed[1] ->
+       w_ceiling[1] = w_ceiling[0]; a_changing_witness = true }
+  :: d_step { ledger_retired && !a_stopped -> a_stopped = true }
   od
 }
 
-/* ---- Witnesses ---------------------------------------------------------------- */
+/* ---- Witnesses ----------------------------------------------------------- */
 #ifdef BROKEN_WITNESS_REOPENS
-#define MAY_RAISE(w) (w_ceiling[w] < MOST)
+#define MAY_RAISE(w) (w_ceiling[w] < MAX_PAID)
 #else
-#define MAY_RAISE(w) (w_ceiling[w] < MOST && !w_closed[w])
+#define MAY_RAISE(w) (w_ceiling[w] < MAX_PAID && !w_closed[w])
 #endif
 #ifdef BROKEN_ANY_WITNESS
 #define IN_FORCE(w) true
 #else
-#define IN_FORCE(w) (f_witness == w)
+#define IN_FORCE(w) (ledger_witness == w)
 #endif
 
 proctype Witness(byte w) {
 end:
   do
-  :: d_step { MAY_RAISE(w) && (a_witness == w || a_changing) ->
+  :: d_step { MAY_RAISE(w) && (a_witness == w || a_changing_witness) ->
        w_ceiling[w]++ }
-  :: d_step { f_retired && !w_closed[w] -> w_closed[w] = true }
+  :: d_step { ledger_retired && !w_closed[w] -> w_closed[w] = true }
   :: d_step { w_closed[w] && IN_FORCE(w) && HELD_A > 0 ->
-       ReleasePast(w_ceiling[w]); Check() }
+       ReleasePast(w_ceiling[w]); CheckInvariants() }
   od
 }
 
-/* ---- Router B ---------------------------------------------------------------- */
+/* ---- Router B ------------------------------------------------------------ */
 #ifdef BROKEN_TRANSFER_CREDITED_TWICE
-#define B_TAKES (b_committed < MOST + 1)
+#define B_CREDITS (b_committed < MAX_PAID + 1)
 #else
-#define B_TAKES (!b_got)
+#define B_CREDITS (!b_credited)
 #endif
 
 proctype RouterB() {
 end:
   do
-  :: d_step { f_free > 0 ->
-       f_free--; f_recv_b++; b_committed++; Check() }
-  /* A's transfer arrives never, once, or as often as A repeats it. */
-  :: d_step { a_out == 1 && B_TAKES ->
-       b_got = true; b_committed++; Check() }
-  :: d_step { b_got && !f_transferred -> FoldTransfer(); Check() }
+  :: d_step { ledger_free > 0 ->
+       ledger_free--; ledger_received_b++; b_committed++; CheckInvariants() }
+  /* A's transfer never arrives, arrives once, or arrives as often as A repeats
+   * it. */
+  :: d_step { a_out == 1 && B_CREDITS ->
+       b_credited = true; b_committed++; CheckInvariants() }
+  :: d_step { b_credited && !ledger_transferred -> ApplyTransfer(); CheckInvariants() }
   od
 }
 
-/* ---- Operator and peers ------------------------------------------------------- */
+/* ---- Operator and peers -------------------------------------------------- */
 #ifdef BROKEN_TOP_UP_NO_DEDUP
-#define TOP_UP_FOLDS true
+#define TOP_UP_APPLIES true
 #else
-#define TOP_UP_FOLDS (!f_topped_up)
+#define TOP_UP_APPLIES (!ledger_topped_up)
 #endif
 
 /* The reply may be lost after the append took effect, so it is repeated. */
@@ -303,33 +307,33 @@
        attempts++;
        paid = INITIAL + TOP_UP;
        if
-       :: TOP_UP_FOLDS ->
-          f_paid = f_paid + TOP_UP;
-          f_free = f_free + TOP_UP;
-          f_topped_up = true
+       :: TOP_UP_APPLIES ->
+          ledger_paid = ledger_paid + TOP_UP;
+          ledger_free = ledger_free + TOP_UP;
+          ledger_topped_up = true
        :: else
        fi;
-       Check() }
+       CheckInvariants() }
   od
 }
 
-/* Some peer finds A silent, rightly or not. */
+/* A peer considers A failed, rightly or not, and retires it. */
 proctype Peer() {
 end:
   do
-  :: d_step { !f_retired ->
-       f_retired = true;
+  :: d_step { !ledger_retired ->
+       ledger_retired = true;
 #ifdef BROKEN_RELEASE_ALL_ON_RETIRE
        ReleasePast(0);
 #endif
-       Check() }
+       CheckInvariants() }
   od
 }
 
 init {
   atomic {
     sent.op = NONE;
-    copy.op = NONE;
+    late_copy.op = NONE;
     run Log();
     run RouterA();
     run Witness(0);
--- a/model/ceiling.pml
+++ b/model/ceiling.pml
@@ -1,20 +1,25 @@
 /*
- * Ceilings of one budget in a durable log. Routers append their claims, read
- * the log and spend below what they were granted. A router may die and start
- * again at any moment; a write may be done late.
+ * Ceilings of one budget, kept in a durable log. Routers append claims, read
+ * the log and spend up to the ceiling that they were granted. A router may
+ * crash and restart at any time, and a write may take effect late.
  *
  * Checked: the tokens spent never exceed the total.
  *
  * Broken variants, each with a counterexample:
- *   BROKEN_GRANT_EARLY   spend as soon as the claim is written, not when it is read
- *   BROKEN_GRANT_FULL    take the whole claim, whatever records before it left
- *   BROKEN_FORGET        an earlier start's ceiling is not counted as used
- *   BROKEN_LOWER_LATE    a lowered ceiling holds when it is read, not when written
- *   BROKEN_NO_FENCE      writes of an earlier start may still be done
- *   BROKEN_UNREAD_GRANT_OLD  only the newest claim binds a grant (with UNREAD)
+ *   BROKEN_GRANT_BEFORE_READ       spends once the claim is written, before it
+ *                                  is read back
+ *   BROKEN_GRANT_IGNORES_OTHERS    grants the whole claim, whatever earlier
+ *                                  records left
+ *   BROKEN_RESTART_FORGETS_CLAIMS  the ceiling of an earlier start is not
+ *                                  counted as used
+ *   BROKEN_LOWERED_WHEN_READ       a lowered ceiling applies when it is read,
+ *                                  not when it is written
+ *   BROKEN_NO_FENCE                late writes of an earlier start are accepted
+ *   BROKEN_UNREAD_GRANT_OLD        only the newest claim limits a grant (with
+ *                                  UNREAD)
  *
- * UNREAD: a router writes the next claim before it has read the last one. The
- * total is one token then, so that the search stays small.
+ * UNREAD: a router may write its next claim before it has read the last one
+ * back. The total is then one token, to keep the search small.
  */
 #define ROUTERS 2
 #ifdef UNREAD
@@ -22,48 +27,50 @@
 #define MAY_WRITE true
 #else
 #define TOTAL 2
-#define MAY_WRITE (asked == ceiling)
+#define MAY_WRITE (claimed == ceiling)
 #endif
 #define RECORDS 4
 
-/* The log: who, which start, cumulative claim of that start and before. */
-byte log_who[RECORDS];
+/* The log: router, start, cumulative claim of that start, and the claims of
+ * earlier starts. */
+byte log_router[RECORDS];
 byte log_epoch[RECORDS];
 byte log_claim[RECORDS];
-byte log_retired[RECORDS];
+byte log_earlier[RECORDS];
 byte log_end = 0;
 byte fence[ROUTERS];
-byte spent_by_all = 0;
+byte total_spent = 0;
 
 #ifdef BROKEN_NO_FENCE
-#define ADMITTED(who, epoch) true
+#define ADMITTED(router, epoch) true
 #else
-#define ADMITTED(who, epoch) (epoch >= fence[who])
+#define ADMITTED(router, epoch) (epoch >= fence[router])
 #endif
 
-inline append(who, epoch, claim, retired) {
+inline append(router, epoch, claim, earlier) {
   d_step {
     if
-    :: log_end < RECORDS && ADMITTED(who, epoch) ->
-       log_who[log_end] = who;
+    :: log_end < RECORDS && ADMITTED(router, epoch) ->
+       log_router[log_end] = router;
        log_epoch[log_end] = epoch;
        log_claim[log_end] = claim;
-       log_retired[log_end] = retired;
+       log_earlier[log_end] = earlier;
        log_end++
     :: else -> skip
     fi
   }
 }
 
-/* Claims of the other router in the first `upto` records: the newest counts. */
-inline others_before(who, upto, result) {
+/* Claims of the other router in the first `count` records; the newest
+ * counts. */
+inline claims_of_others(router, count, result) {
   d_step {
     result = 0;
     i = 0;
     do
-    :: i < upto ->
+    :: i < count ->
        if
-       :: log_who[i] != who -> result = log_claim[i] + log_retired[i]
+       :: log_router[i] != router -> result = log_claim[i] + log_earlier[i]
        :: else -> skip
        fi;
        i++
@@ -73,16 +80,16 @@
   }
 }
 
-/* No more than any claim written after the one that is being read. */
-inline least_later(result) {
+/* At most any claim written after the one that is being read. */
+inline limit_by_later_claims(result) {
 #ifdef BROKEN_UNREAD_GRANT_OLD
-  result = (asked < result -> asked : result);
+  result = (claimed < result -> claimed : result);
 #else
-  j = seen + 1;
+  j = read_to + 1;
   do
   :: j < log_end ->
      if
-     :: log_who[j] == me && log_epoch[j] == epoch && log_claim[j] < result ->
+     :: log_router[j] == me && log_epoch[j] == epoch && log_claim[j] < result ->
         result = log_claim[j]
      :: else -> skip
      fi;
@@ -91,7 +98,8 @@
   od;
   j = 0;
   if
-  :: late && late_epoch == epoch && late_claim < result -> result = late_claim
+  :: late_write && late_epoch == epoch && late_claim < result ->
+     result = late_claim
   :: else -> skip
   fi
 #endif
@@ -99,65 +107,65 @@
 
 proctype Router(byte me) {
   byte epoch = 1;
-  byte ceiling = 0;   /* may be spent up to here */
-  byte asked = 0;     /* stated in the newest record */
+  byte ceiling = 0; /* limit of spending */
+  byte claimed = 0; /* claim in the newest record */
   byte spent = 0;
-  byte retired = 0;   /* of earlier starts */
-  byte seen = 0;      /* records read */
+  byte earlier = 0; /* claims of earlier starts */
+  byte read_to = 0; /* number of records read */
   byte others = 0;
   byte late_claim = 0;
   byte late_epoch = 0;
-  byte late_retired = 0;
-  bool late = false;  /* a write without an answer, maybe done later */
+  byte late_earlier = 0;
+  bool late_write = false; /* a write without a reply, may take effect later */
   byte i = 0;
   byte j = 0;
-  byte starts = 1;
+  byte start_count = 1;
 
-  /* All may rest at any time: only what is spent is checked. */
+  /* A process may stop at any time: only the tokens spent are checked. */
 end_rest:
   do
-  /* Claim one more. */
-  :: !(late && late_epoch == epoch) && MAY_WRITE && ceiling + retired < TOTAL && log_end < RECORDS ->
-     asked = ceiling + 1;
+  /* Claim one more token. */
+  :: !(late_write && late_epoch == epoch) && MAY_WRITE && ceiling + earlier < TOTAL && log_end < RECORDS ->
+     claimed = ceiling + 1;
      if
-     :: append(me, epoch, asked, retired)
-     :: late = true;
-        late_claim = asked;
+     :: append(me, epoch, claimed, earlier)
+     :: late_write = true;
+        late_claim = claimed;
         late_epoch = epoch;
-        late_retired = retired
+        late_earlier = earlier
      fi;
-#ifdef BROKEN_GRANT_EARLY
-     ceiling = asked
+#ifdef BROKEN_GRANT_BEFORE_READ
+     ceiling = claimed
 #endif
-  /* The write without an answer is done after all, or was not done. */
-  :: late ->
-     append(me, late_epoch, late_claim, late_retired);
-     d_step { late = false; late_claim = 0; late_epoch = 0; late_retired = 0 }
-  :: late && late_epoch != epoch ->
-     d_step { late = false; late_claim = 0; late_epoch = 0; late_retired = 0 }
-  /* Lower to what is spent. */
-  :: !(late && late_epoch == epoch) && MAY_WRITE && asked > spent && log_end < RECORDS ->
-     asked = spent;
-#ifndef BROKEN_LOWER_LATE
+  /* The write without a reply takes effect, or never does. */
+  :: late_write ->
+     append(me, late_epoch, late_claim, late_earlier);
+     d_step { late_write = false; late_claim = 0; late_epoch = 0; late_earlier = 0 }
+  :: late_write && late_epoch != epoch ->
+     d_step { late_write = false; late_claim = 0; late_epoch = 0; late_earlier = 0 }
+  /* Lower the ceiling to the tokens spent. */
+  :: !(late_write && late_epoch == epoch) && MAY_WRITE && claimed > spent && log_end < RECORDS ->
+     claimed = spent;
+#ifndef BROKEN_LOWERED_WHEN_READ
      ceiling = spent;
 #endif
-     append(me, epoch, asked, retired)
+     append(me, epoch, claimed, earlier)
   /* Read the next record. */
-  :: seen < log_end ->
+  :: read_to < log_end ->
      if
-     :: log_who[seen] == me && log_epoch[seen] == epoch ->
-        others_before(me, seen, others);
+     :: log_router[read_to] == me && log_epoch[read_to] == epoch ->
+        claims_of_others(me, read_to, others);
         d_step {
-#ifdef BROKEN_GRANT_FULL
-          ceiling = (log_claim[seen] < asked -> log_claim[seen] : asked);
+#ifdef BROKEN_GRANT_IGNORES_OTHERS
+          ceiling = (log_claim[read_to] < claimed -> log_claim[read_to] : claimed);
 #else
-          i = (others + retired > TOTAL -> 0 : TOTAL - others - retired);
-          i = (log_claim[seen] < i -> log_claim[seen] : i);
+          i = (others + earlier > TOTAL -> 0 : TOTAL - others - earlier);
+          i = (log_claim[read_to] < i -> log_claim[read_to] : i);
 #ifdef UNREAD
-          least_later(i);
+          limit_by_later_claims(i);
           ceiling = (i > ceiling -> i : ceiling);
 #else
-          i = (asked < i -> asked : i);
+          i = (claimed < i -> claimed : i);
           ceiling = (i > spent -> i : spent);
 #endif
           i = 0;
@@ -165,36 +173,36 @@
 #endif
 #ifndef UNREAD
           if
-          :: seen + 1 == log_end -> asked = ceiling
+          :: read_to + 1 == log_end -> claimed = ceiling
           :: else -> skip
           fi
 #endif
         }
      :: else -> skip
      fi;
-     seen++
-  /* Spend one. */
+     read_to++
+  /* Spend one token. */
   :: spent < ceiling ->
      atomic {
        spent++;
-       spent_by_all++;
-       assert(spent_by_all <= TOTAL)
+       total_spent++;
+       assert(total_spent <= TOTAL)
      }
-  /* Die and start again: nothing is remembered but the log. */
-  :: starts < 2 ->
-     starts++;
+  /* Crash and restart: only the log remains. */
+  :: start_count < 2 ->
+     start_count++;
      atomic {
        epoch++;
        fence[me] = epoch
      };
      d_step {
-       retired = 0;
+       earlier = 0;
        i = 0;
        do
        :: i < log_end ->
           if
-#ifndef BROKEN_FORGET
-          :: log_who[i] == me -> retired = log_claim[i] + log_retired[i]
+#ifndef BROKEN_RESTART_FORGETS_CLAIMS
+          :: log_router[i] == me -> earlier = log_claim[i] + log_earlier[i]
 #else
           :: false -> skip
 #endif
@@ -203,13 +211,13 @@
           i++
        :: else -> break
        od;
-       seen = log_end;
+       read_to = log_end;
        i = 0;
        ceiling = 0;
-       asked = 0;
+       claimed = 0;
        spent = 0
      }
-  :: log_end == RECORDS && seen == log_end && spent >= ceiling && !late -> break
+  :: log_end == RECORDS && read_to == log_end && spent >= ceiling && !late_write -> break
   od
 }
 
--- a/model/check.sh
+++ b/model/check.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Checks the models with spin: the sound ones must hold over their whole state
-# space, and each broken variant must yield a counterexample. A search that was
-# cut short proves nothing and counts as a failure.
+# Checks the models with spin: each correct model must hold over its whole state
+# space, and each broken variant must yield a counterexample. A truncated search
+# proves nothing and counts as a failure.
 set -euo pipefail
 
 models=$(cd "$(dirname "$0")" && pwd)
@@ -29,7 +29,7 @@
     echo "gift $flag|broken|gift|-D$flag"
   done
   echo "reserve|holds|reserve|"
-  echo "reserve THREE|holds|reserve|-DTHREE"
+  echo "reserve THREE_STARTS|holds|reserve|-DTHREE_STARTS"
   for flag in $(broken_flags reserve); do
     echo "reserve $flag|broken|reserve|-D$flag"
   done
@@ -51,12 +51,12 @@
   done
 }
 
-# Taken from the model itself, so that no variant can be forgotten here.
+# Reads the flags from the model itself, so that no variant is missed.
 broken_flags() {
   grep -oE 'BROKEN_[A-Z_]+' "$models/$1.pml" | sort -u
 }
 
-# The kind of key whose rule a variant breaks.
+# Prints the kind of key whose rule a variant breaks.
 kind_of() {
   case "$1" in
     *ORIGIN*) echo 1 ;;
@@ -65,21 +65,21 @@
   esac
 }
 
-# Variants with several unread claims need the model that has them.
+# Variants with several unread claims need the model with -DUNREAD.
 unread_of() {
   case "$1" in
     *UNREAD*) echo -DUNREAD ;;
   esac
 }
 
-# Variants of joining need the model with joins.
+# Variants of joining need the model with -DJOINS.
 joins_of() {
   case "$1" in
     *JOINED*) echo -DJOINS ;;
   esac
 }
 
-# Whether the engine whose rule a variant breaks checks fencing numbers.
+# Prints whether the engine of a variant checks fencing numbers.
 checks_of() {
   case "$1" in
     BROKEN_ENGINE*) echo 1 ;;
@@ -107,7 +107,7 @@
   cp "$models/$model.pml" .
   # shellcheck disable=SC2086  # flags are several words
   spin -a $flags "$model.pml" >spin.log 2>&1 || true
-  # Generated code: its warnings are not ours.
+  # Warnings are off because the code is generated.
   gcc -w -O2 -DSAFETY -DCOLLAPSE -DMEMLIM=$MEMORY_MB -o pan pan.c >cc.log 2>&1 || true
   ./pan -m$MAX_DEPTH >pan.log 2>&1 || true
   verdict=$(verdict_of pan.log)
--- a/model/claim.pml
+++ b/model/claim.pml
@@ -1,6 +1,6 @@
 /* One request key at two routers. The caller sends the request, gets an answer
- * or loses its connection, and retries at either router. Routers crash and come
- * back as a new incarnation that remembers nothing.
+ * or loses its connection, and retries at either router. Routers crash and
+ * restart as a new incarnation without any memory.
  *
  * KIND selects how the key may run:
  *   CLAIMED      non-idempotent, key without prefix: claimed in the log first
@@ -8,7 +8,7 @@
  *   IDEMPOTENT   may run again; the account is billed once
  *
  * Every step is atomic; a pause is an interleaving in which a router takes no
- * step. README.md says what is left out.
+ * step. README.md lists what is left out.
  */
 #define CLAIMED 0
 #define ORIGIN 1
@@ -17,51 +17,51 @@
 #define KIND CLAIMED
 #endif
 
-#define SENDS 3    /* of the caller, retries included */
-#define RESTARTS 1 /* of each router */
+#define MAX_SENDS 3    /* of the caller, retries included */
+#define MAX_RESTARTS 1 /* of each router */
 #define NOBODY 255
 
-/* Incarnations are numbered so that no two are alike. */
+/* Unique number of the current incarnation of a router. */
 #define INCARNATION(r) (2 * generation[r] + r)
 #define ORIGIN_INCARNATION 0
 
 mtype = { IDLE, WAITING, DISPATCHED, ANSWERED, NOT_RUN, UNKNOWN };
 
-/* ---- The truth ------------------------------------------------------------- */
-byte runs;         /* times the work ran at an upstream */
-byte deliveries;   /* bytes given to a kernel that may still reach an upstream */
-bool told_not_run; /* the caller was, and has not sent the key again since */
-byte billed;       /* times the account paid */
+/* ---- Ground truth -------------------------------------------------------- */
+byte runs;             /* times the work ran at an upstream */
+byte in_flight;        /* requests in a kernel that may still reach an upstream */
+bool reported_not_run; /* the caller was told so and has not sent the key again */
+byte billed;           /* times the account was billed */
 
-/* ---- The fold of the log ----------------------------------------------------- */
+/* ---- The ledger ---------------------------------------------------------- */
 byte owner = NOBODY;
 bool key_billed;
 
-/* ---- Routers -------------------------------------------------------------------- */
+/* ---- Routers ------------------------------------------------------------- */
 byte generation[2];
 mtype phase[2] = IDLE;
-bool claim_sent[2]; /* an append under way; its reply may be lost */
-byte late_claim[2] = NOBODY; /* one that a crashed incarnation left behind */
+bool claim_sent[2];             /* a pending append; its reply may be lost */
+byte delayed_claim[2] = NOBODY; /* pending append of a crashed incarnation */
 bool outcome_read[2];
 bool bill_due[2];
 
-/* ---- The caller -------------------------------------------------------------------- */
+/* ---- The caller ---------------------------------------------------------- */
 byte sends;
 
-/* "Not run" is true when nothing ran, nothing is on its way, and nothing runs
+/* "Not run" is correct when nothing ran, nothing is in flight, and nothing runs
  * later unless the caller sends the key again. */
 inline RefuseNotRun(r) {
-  assert(runs == 0 && deliveries == 0);
+  assert(runs == 0 && in_flight == 0);
   phase[r] = NOT_RUN;
-  told_not_run = true
+  reported_not_run = true
 }
 
 inline Dispatch(r) {
   phase[r] = DISPATCHED;
-  deliveries++
+  in_flight++
 }
 
-/* ---- Rules of the sound protocol, each with what breaks it ------------------------- */
+/* ---- Rules of the protocol, each with the variants that break it --------- */
 #if defined(BROKEN_LAST_CLAIM_WINS)
 #define CLAIM_IS_FREE true
 #else
@@ -82,27 +82,28 @@
 #define IS_ORIGIN(r) (INCARNATION(r) == ORIGIN_INCARNATION)
 #endif
 
-/* What a key in this phase at this router may do with one more send of it. */
+/* Whether a router accepts another send of a key in this phase. */
 #if defined(BROKEN_RETRY_AFTER_BYTES_WERE_SENT)
-#define MAY_START(r) (phase[r] == IDLE || phase[r] == UNKNOWN)
+#define MAY_ACCEPT(r) (phase[r] == IDLE || phase[r] == UNKNOWN)
 #elif KIND == IDEMPOTENT
-#define MAY_START(r) \
+#define MAY_ACCEPT(r) \
   (phase[r] == IDLE || phase[r] == UNKNOWN || phase[r] == NOT_RUN)
 #else
-#define MAY_START(r) (phase[r] == IDLE || phase[r] == NOT_RUN)
+#define MAY_ACCEPT(r) (phase[r] == IDLE || phase[r] == NOT_RUN)
 #endif
 
-/* ---- Processes ---------------------------------------------------------------------- */
+/* ---- Processes ----------------------------------------------------------- */
 
-/* A send reaches a router. A key that runs there already is joined, one that
- * ended there gets the kept answer; both change nothing here. */
+/* A send reaches a router. If the key runs there already, the send joins it;
+ * if it ended there, the caller gets the stored answer. Neither changes the
+ * state. */
 proctype Caller() {
 end:
   do
-  :: d_step { sends < SENDS && MAY_START(0) ->
-       sends++; told_not_run = false; phase[0] = WAITING }
-  :: d_step { sends < SENDS && MAY_START(1) ->
-       sends++; told_not_run = false; phase[1] = WAITING }
+  :: d_step { sends < MAX_SENDS && MAY_ACCEPT(0) ->
+       sends++; reported_not_run = false; phase[0] = WAITING }
+  :: d_step { sends < MAX_SENDS && MAY_ACCEPT(1) ->
+       sends++; reported_not_run = false; phase[1] = WAITING }
   od
 }
 
@@ -117,9 +118,9 @@
 #define MUST_SAY_UNKNOWN(r) false
 #endif
 
-/* A refusal before dispatch: the queue is full, the deadline is near. Someone
- * else may run the key unless this router alone may, and has not. A claim that
- * is under way is not known to be lost, so its outcome comes first. */
+/* A refusal before dispatch, because the queue is full or the deadline is near.
+ * "Not run" is correct only if this router alone may run the key and has not. A
+ * pending claim is not known to be lost, so its outcome must be read first. */
 #if defined(BROKEN_NOT_RUN_AFTER_LOST_CLAIM)
 #define MAY_REFUSE(r) (phase[r] == WAITING && !claim_sent[r])
 #elif defined(BROKEN_NOT_RUN_AFTER_BYTES_WERE_SENT)
@@ -141,13 +142,13 @@
        Dispatch(r);
 #endif
        claim_sent[r] = true }
-  /* The append takes effect, perhaps again after a lost reply: the second one
-   * finds the key taken by this very incarnation, which changes nothing. */
+  /* The append takes effect, and perhaps again after a lost reply. The second
+   * time the key is already owned by this incarnation, so nothing changes. */
   :: d_step { claim_sent[r] && CLAIM_IS_FREE -> owner = INCARNATION(r) }
   :: d_step { claim_sent[r] && owner != NOBODY ->
        claim_sent[r] = false; outcome_read[r] = true }
-  :: d_step { late_claim[r] != NOBODY && CLAIM_IS_FREE ->
-       owner = late_claim[r]; late_claim[r] = NOBODY }
+  :: d_step { delayed_claim[r] != NOBODY && CLAIM_IS_FREE ->
+       owner = delayed_claim[r]; delayed_claim[r] = NOBODY }
 #endif
   :: d_step { phase[r] == WAITING && MAY_DISPATCH(r) -> Dispatch(r) }
   :: d_step { phase[r] == WAITING && MUST_SAY_UNKNOWN(r) -> phase[r] = UNKNOWN }
@@ -155,11 +156,11 @@
 #ifdef BROKEN_DISPATCH_AFTER_REFUSAL
   :: d_step { phase[r] == NOT_RUN -> Dispatch(r) }
 #endif
-  /* The whole answer comes, or the connection goes silent. */
+  /* The whole answer arrives, or the connection goes silent. */
   :: d_step { phase[r] == DISPATCHED && runs > 0 ->
        phase[r] = ANSWERED; bill_due[r] = true }
   :: d_step { phase[r] == DISPATCHED -> phase[r] = UNKNOWN }
-  /* The settlement is folded; its sequence keeps a repetition out. */
+  /* The settlement is applied; its sequence number prevents a repetition. */
   :: d_step { bill_due[r] ->
        bill_due[r] = false;
        if
@@ -168,9 +169,9 @@
 #endif
        :: else -> key_billed = true; billed++; assert(billed <= 1)
        fi }
-  /* Crash and restart: nothing is left but a claim in the network. */
-  :: d_step { generation[r] < RESTARTS ->
-       late_claim[r] = (claim_sent[r] -> INCARNATION(r) : NOBODY);
+  /* Crash and restart: only a claim in the network remains. */
+  :: d_step { generation[r] < MAX_RESTARTS ->
+       delayed_claim[r] = (claim_sent[r] -> INCARNATION(r) : NOBODY);
        generation[r]++;
        phase[r] = IDLE;
        claim_sent[r] = false;
@@ -179,16 +180,16 @@
   od
 }
 
-/* An upstream gets the bytes, or they are lost with their connection. */
+/* An upstream receives the request, or it is lost with the connection. */
 proctype Upstream() {
 end:
   do
-  :: d_step { deliveries > 0 ->
-       deliveries--;
+  :: d_step { in_flight > 0 ->
+       in_flight--;
        runs++;
-       assert(!told_not_run);
+       assert(!reported_not_run);
        assert(KIND == IDEMPOTENT || runs <= 1) }
-  :: d_step { deliveries > 0 -> deliveries-- }
+  :: d_step { in_flight > 0 -> in_flight-- }
   od
 }
 
--- a/model/gift.pml
+++ b/model/gift.pml
@@ -1,86 +1,87 @@
 /*
- * Tokens given from one router's ceiling to another by a message that may be
- * lost, late or repeated. That ceilings together stay within the total is what
- * ceiling.pml checks; here they are taken as granted: a claim takes from what
- * is free, a lowered one gives back, and the whole ceiling of a router that
- * dies counts as used.
+ * Tokens transferred ("gift") from one router's ceiling to another router by a
+ * message that may be lost, late or repeated. ceiling.pml checks that all
+ * ceilings together stay within the total; this model assumes it: a claim takes
+ * free tokens, a lowered claim returns them, and the whole ceiling of a router
+ * that crashes counts as used.
  *
  * Checked: the tokens spent never exceed the total.
  *
  * Broken variants, each with a counterexample:
- *   BROKEN_GIVE_FREE     a gift is not taken out of the giver's ceiling
- *   BROKEN_DEBIT_LATE    it is taken out only when the taker has it
- *   BROKEN_GIFT_TWICE    a message that arrives twice is a gift twice
- *   BROKEN_TAKEN_BACK    a gift that got no answer is put back by the giver
+ *   BROKEN_NO_DEBIT              a gift is not debited from the sender's ceiling
+ *   BROKEN_DEBIT_LATE            it is debited only after the receiver has it
+ *   BROKEN_CREDITED_TWICE        a message that arrives twice is credited twice
+ *   BROKEN_REFUND_WITHOUT_REPLY  the sender takes an unanswered gift back
  */
 #define ROUTERS 2
 #define TOTAL 4
-#define MOST_GIFTS 3
+#define MAX_GIFTS 3
 
 byte free = TOTAL;
-byte spent_by_all = 0;
-byte gifts_made = 0;
-byte copies_to[ROUTERS];   /* messages on their way */
-byte unanswered[ROUTERS];  /* of the giver */
+byte total_spent = 0;
+byte gifts_sent = 0;
+byte in_flight_to[ROUTERS]; /* messages in flight */
+byte unanswered[ROUTERS];   /* by sender */
 
 proctype Router(byte me) {
   byte ceiling = 0;
-  byte used = 0;   /* of the ceiling: spent, or given away */
-  byte given = 0;  /* by the other, outside this ceiling */
-  byte starts = 1;
+  byte used = 0;     /* part of the ceiling that was spent or sent away */
+  byte received = 0; /* from the other router, outside this ceiling */
+  byte start_count = 1;
 
 end_rest:
   do
   :: atomic { free > 0 -> free--; ceiling++ }
-  /* Lower the ceiling to what is used. */
+  /* Lower the ceiling to the tokens used. */
   :: ceiling > used -> d_step { free = free + ceiling - used; ceiling = used }
   :: used < ceiling ->
      atomic {
        used++;
-       spent_by_all++;
-       assert(spent_by_all <= TOTAL)
+       total_spent++;
+       assert(total_spent <= TOTAL)
      }
-  /* Give one: taken out here first, then sent. */
-  :: used < ceiling && gifts_made < MOST_GIFTS ->
+  /* Send a gift of one token: debited here first, then sent. */
+  :: used < ceiling && gifts_sent < MAX_GIFTS ->
      atomic {
-       gifts_made++;
-#if !defined(BROKEN_GIVE_FREE) && !defined(BROKEN_DEBIT_LATE)
+       gifts_sent++;
+#if !defined(BROKEN_NO_DEBIT) && !defined(BROKEN_DEBIT_LATE)
        used++;
 #endif
        unanswered[me]++;
-       copies_to[1 - me]++
+       in_flight_to[1 - me]++
      }
 #ifdef BROKEN_DEBIT_LATE
-  :: unanswered[me] > 0 && copies_to[1 - me] == 0 && used < ceiling ->
+  :: unanswered[me] > 0 && in_flight_to[1 - me] == 0 && used < ceiling ->
      atomic { unanswered[me]--; used++ }
 #endif
-#ifdef BROKEN_TAKEN_BACK
+#ifdef BROKEN_REFUND_WITHOUT_REPLY
   :: unanswered[me] > 0 && used > 0 -> atomic { unanswered[me]--; used-- }
 #endif
   /* A message arrives, or is lost. */
-  :: copies_to[me] > 0 ->
+  :: in_flight_to[me] > 0 ->
      atomic {
-#ifdef BROKEN_GIFT_TWICE
-       given = given + 2;
+#ifdef BROKEN_CREDITED_TWICE
+       received = received + 2;
 #else
-       given++;
+       received++;
 #endif
-       copies_to[me]--
+       in_flight_to[me]--
      }
-  :: copies_to[me] > 0 -> copies_to[me]--
-  :: given > 0 ->
+  :: in_flight_to[me] > 0 -> in_flight_to[me]--
+  :: received > 0 ->
      atomic {
-       given--;
-       spent_by_all++;
-       assert(spent_by_all <= TOTAL)
+       received--;
+       total_spent++;
+       assert(total_spent <= TOTAL)
      }
-  /* Die and start again: the whole ceiling counts as used, gifts are gone. */
-  :: starts < 3 ->
+  /* Crash and restart: the whole ceiling counts as used, received gifts are
+   * lost. */
+  :: start_count < 3 ->
      d_step {
-       starts++;
+       start_count++;
        ceiling = 0;
        used = 0;
-       given = 0
+       received = 0
      }
   od
 }
--- a/model/order.pml
+++ b/model/order.pml
@@ -1,36 +1,36 @@
 /* Orders to one model engine. An operator issues two orders through the log;
  * two routers take them in the log and send them. Each router may be paused at
- * any point, retired meanwhile, and resume as if nothing had happened.
+ * any point, retired meanwhile, and resume without noticing it.
  *
  * CHECKS: the engine refuses a fencing number lower than one it has seen.
- * Otherwise it takes whatever arrives.
+ * Otherwise it accepts every order that arrives.
  *
- * What must hold: an older order never takes effect after a newer one. Every
- * step is atomic; a pause is an interleaving in which a router takes no step.
+ * Checked: an older order never takes effect after a newer one. Every step is
+ * atomic; a pause is an interleaving in which a router takes no step.
  */
 #ifndef CHECKS
 #define CHECKS 0
 #endif
 
 #define NOBODY 255
-#define ORDERS 2
+#define MAX_ORDERS 2
 
-/* ---- The truth ------------------------------------------------------------- */
+/* ---- Ground truth -------------------------------------------------------- */
 byte newest_applied; /* highest fencing number that took effect; 0: none */
 
-/* ---- The fold of the log ---------------------------------------------------- */
-byte in_force;        /* fencing number of the latest order; 0: none */
-byte holder = NOBODY; /* who took it */
+/* ---- The ledger ---------------------------------------------------------- */
+byte latest;          /* fencing number of the latest order; 0: none */
+byte holder = NOBODY; /* router that took it */
 bool settled = true;
-bool stated;          /* the holder stated that the outcome is unknown */
+bool outcome_unknown; /* stated by the holder */
 bool retired[2];
 
-/* ---- Routers ------------------------------------------------------------------ */
-byte in_hand[2];  /* order that it was allowed to send, decided but not sent */
-byte sent[2];     /* order whose bytes are on their way */
-byte awaiting[2]; /* order that it waits for a reply of */
+/* ---- Routers ------------------------------------------------------------- */
+byte ready_to_send[2];  /* order that it may send but has not sent yet */
+byte sent[2];           /* order in flight */
+byte awaiting_reply[2]; /* order whose reply it waits for */
 
-/* ---- Rules of the sound protocol, each with what breaks it -------------------- */
+/* ---- Rules of the protocol, each with the variants that break it --------- */
 #if CHECKS || defined(BROKEN_NEWER_ORDER_WHILE_UNSETTLED)
 #define MAY_ISSUE true
 #else
@@ -45,19 +45,20 @@
 #define MAY_TAKE(r) (holder == NOBODY || (CHECKS && retired[holder]))
 #endif
 
-/* The operator has made sure that the holder and its bytes are gone. */
-#define IS_GONE(r) (in_hand[r] == 0 && sent[r] == 0)
+/* The operator has verified that the holder can no longer send anything. */
+#define HAS_NOTHING_PENDING(r) (ready_to_send[r] == 0 && sent[r] == 0)
 #if defined(BROKEN_SETTLED_WITHOUT_LOOKING)
 #define MAY_SETTLE (holder != NOBODY)
 #else
 #define MAY_SETTLE \
-  (holder != NOBODY && (stated || retired[holder]) && IS_GONE(holder))
+  (holder != NOBODY && (outcome_unknown || retired[holder]) && \
+   HAS_NOTHING_PENDING(holder))
 #endif
 
 #if CHECKS && !defined(BROKEN_ENGINE_FORGETS_NUMBERS)
-#define ENGINE_TAKES(f) (f >= newest_applied)
+#define ENGINE_ACCEPTS(f) (f >= newest_applied)
 #else
-#define ENGINE_TAKES(f) true
+#define ENGINE_ACCEPTS(f) true
 #endif
 
 inline Settle() {
@@ -67,8 +68,8 @@
 proctype Operator() {
 end:
   do
-  :: d_step { in_force < ORDERS && MAY_ISSUE ->
-       in_force++; holder = NOBODY; settled = false; stated = false }
+  :: d_step { latest < MAX_ORDERS && MAY_ISSUE ->
+       latest++; holder = NOBODY; settled = false; outcome_unknown = false }
   :: d_step { !settled && MAY_SETTLE -> Settle() }
   od
 }
@@ -76,37 +77,37 @@
 proctype Router(byte r) {
 end:
   do
-  /* The take is folded; the router reads it and decides to send. */
-  :: d_step { !settled && !stated && !retired[r] && MAY_TAKE(r) &&
-              in_hand[r] == 0 && sent[r] == 0 && awaiting[r] == 0 ->
-       holder = r; in_hand[r] = in_force }
-  /* Paused in between, perhaps for long; the first byte leaves. */
-  :: d_step { in_hand[r] != 0 ->
-       sent[r] = in_hand[r]; awaiting[r] = in_hand[r]; in_hand[r] = 0 }
-  /* The engine's reply comes, and the outcome is folded. */
-  :: d_step { awaiting[r] != 0 && sent[r] == 0 ->
+  /* The take is applied; the router reads it and decides to send. */
+  :: d_step { !settled && !outcome_unknown && !retired[r] && MAY_TAKE(r) &&
+              ready_to_send[r] == 0 && sent[r] == 0 && awaiting_reply[r] == 0 ->
+       holder = r; ready_to_send[r] = latest }
+  /* After a pause of any length, the first byte is sent. */
+  :: d_step { ready_to_send[r] != 0 ->
+       sent[r] = ready_to_send[r]; awaiting_reply[r] = ready_to_send[r]; ready_to_send[r] = 0 }
+  /* The engine's reply arrives, and the outcome is applied. */
+  :: d_step { awaiting_reply[r] != 0 && sent[r] == 0 ->
        if
-       :: awaiting[r] == in_force && holder == r && !retired[r] && !stated ->
+       :: awaiting_reply[r] == latest && holder == r && !retired[r] && !outcome_unknown ->
             Settle()
        :: else
        fi;
-       awaiting[r] = 0 }
-  /* No valid reply: sent again, or left to the operator. */
-  :: d_step { awaiting[r] != 0 ->
+       awaiting_reply[r] = 0 }
+  /* No valid reply: the order is sent again, or left to the operator. */
+  :: d_step { awaiting_reply[r] != 0 ->
        if
-       :: CHECKS && holder == r && !settled -> in_hand[r] = awaiting[r]
-       :: awaiting[r] == in_force && holder == r && !retired[r] && !settled ->
-            stated = true
+       :: CHECKS && holder == r && !settled -> ready_to_send[r] = awaiting_reply[r]
+       :: awaiting_reply[r] == latest && holder == r && !retired[r] && !settled ->
+            outcome_unknown = true
        :: else
        fi;
 #ifndef BROKEN_RESENDS_WHAT_IT_CALLED_UNKNOWN
-       awaiting[r] = 0
+       awaiting_reply[r] = 0
 #else
        skip
 #endif
      }
 #ifdef BROKEN_RESENDS_WHAT_IT_CALLED_UNKNOWN
-  :: d_step { awaiting[r] != 0 && sent[r] == 0 -> in_hand[r] = awaiting[r] }
+  :: d_step { awaiting_reply[r] != 0 && sent[r] == 0 -> ready_to_send[r] = awaiting_reply[r] }
 #endif
   :: d_step { !retired[r] -> retired[r] = true }
   od
@@ -122,7 +123,7 @@
        :: sent[1] != 0 -> r = 1
        fi;
        if
-       :: ENGINE_TAKES(sent[r]) ->
+       :: ENGINE_ACCEPTS(sent[r]) ->
             assert(sent[r] >= newest_applied);
             newest_applied = sent[r]
        :: else
