--- a/include/coppervalve/budget/ceiling_store.h
+++ b/include/coppervalve/budget/ceiling_store.h
@@ -40,7 +40,7 @@
   struct PeerEntry {
     bool complete = false;
     std::unordered_map<core::BudgetId, core::Tokens> ceilings;
-    std::unordered_map<uint32_t, core::BudgetId> names;  ///< budgets by number
+    std::unordered_map<uint32_t, core::BudgetId> budgets_by_number;
     bool closed = false;
   };
 
--- a/include/coppervalve/budget/holding.h
+++ b/include/coppervalve/budget/holding.h
@@ -6,17 +6,17 @@
 namespace coppervalve::budget {
 
 /// @brief The tokens of one budget at one router incarnation. All amounts are
-/// cumulative except `reserved` and `gate_only`.
+/// cumulative except `reserved` and `gate_only`. "Applied" means applied by the
+/// ledger.
 struct Holding {
-  core::Tokens granted;         ///< applied by the ledger
-  core::Tokens transferred_in;  ///< credited here, applied by the ledger or not
-  core::Tokens
-      transferred_in_applied;    ///< part of transferred_in that is applied
-  core::Tokens returned;         ///< debited here, applied by the ledger or not
-  core::Tokens spent;            ///< settled
-  core::Tokens reserved;         ///< by requests in progress
-  core::Tokens transferred_out;  ///< debited here, applied by the ledger or not
-  core::Tokens gate_only;        ///< spare tokens that only GATE may reserve
+  core::Tokens granted;                 ///< applied
+  core::Tokens transferred_in;          ///< credited, applied or not
+  core::Tokens transferred_in_applied;  ///< applied part of transferred_in
+  core::Tokens returned;                ///< debited, applied or not
+  core::Tokens spent;                   ///< settled
+  core::Tokens reserved;                ///< by requests in progress
+  core::Tokens transferred_out;         ///< debited, applied or not
+  core::Tokens gate_only;               ///< spare that only GATE may reserve
 
   /// @return all tokens ever received, less those returned
   core::Tokens Received() const { return granted + transferred_in - returned; }
--- a/include/coppervalve/budget/holding_manager.h
+++ b/include/coppervalve/budget/holding_manager.h
@@ -69,8 +69,7 @@
 /// @brief Maximum number of records returned by one TakeRecords() call.
 inline constexpr size_t kMaxRecordsPerTake = 256;
 /// @brief Interval between batched spend reports.
-inline constexpr core::Duration kSpendReportInterval{
-    1'000'000};  // microseconds
+inline constexpr core::Duration kSpendReportPeriod{1'000'000};  // microseconds
 /// @brief A budget is idle after this time without requests.
 inline constexpr core::Duration kIdleTimeout{5'000'000};  // microseconds
 /// @brief Minimum time from a denial to the next allotment request, unless the
@@ -259,9 +258,8 @@
     core::Tokens unmet;
     core::Tokens smallest_unmet;
     bool gate_waits = false;
-    std::optional<bool>
-        grant_pending;    ///< set while pending; whether of class GATE
-    bool denied = false;  ///< the last request was denied
+    std::optional<bool> grant_pending;    ///< if set, whether of class GATE
+    bool denied = false;                  ///< the last request was denied
     core::Sequence last_answer_sequence;  ///< entry of the last grant or denial
     core::TimePoint next_grant_request_at{};
     core::TimePoint next_transfer_ask_at{};
@@ -344,10 +342,9 @@
   Transfers m_transfers;
   PeerSpares m_peer_spares;
 
-  std::deque<v1::Record>
-      m_pending_records;                ///< returns and transfers, in order
-  std::deque<Account*> m_sizing_queue;  ///< may need another allotment
-  std::deque<Account*> m_spend_queue;   ///< have settlements to report
+  std::deque<v1::Record> m_pending_records;  ///< in order: returns, transfers
+  std::deque<Account*> m_sizing_queue;       ///< may need another allotment
+  std::deque<Account*> m_spend_queue;        ///< have settlements to report
   core::TimePoint m_spend_report_due{};
   std::multimap<core::TimePoint, Account*> m_reviews;
   std::set<core::BudgetId> m_waiting;  ///< budgets with waiting requests
--- a/include/coppervalve/budget/sizing.h
+++ b/include/coppervalve/budget/sizing.h
@@ -62,21 +62,19 @@
 
 /// @brief The parameters of DefaultSizing.
 struct SizingOptions {
-  double ride_through_seconds =
-      600.0;                      ///< demand held while the balance is high
-  double low_seconds = 4.0;       ///< demand requested near exhaustion
-  double keep_low_seconds = 2.0;  ///< demand kept near exhaustion
-  double ceiling_seconds = 0.5;   ///< demand covered by a ceiling step
-  double ceiling_log_unavailable_seconds =
-      10.0;                     ///< the same while the log is unavailable
-  int64_t held_permille = 900;  ///< of the tokens left, held by all routers
-  int64_t fair_share_divisor =
-      2;                        ///< a router requests at most free / (this * N)
-  int64_t bounds_ahead = 4;     ///< minimum holding, in largest requests
-  int64_t floor_permille = 10;  ///< minimum holding, of the tokens left
+  // Amounts in seconds of demand.
+  double ride_through_seconds = 600.0;       ///< held while the balance is high
+  double low_seconds = 4.0;                  ///< requested near exhaustion
+  double keep_low_seconds = 2.0;             ///< kept near exhaustion
+  double ceiling_seconds = 0.5;              ///< covered by a ceiling step
+  double ceiling_log_outage_seconds = 10.0;  ///< the same without the log
+
+  int64_t held_permille = 900;     ///< of the tokens left, held by all routers
+  int64_t fair_share_divisor = 2;  ///< requests are at most free / (this * N)
+  int64_t bounds_ahead = 4;        ///< minimum holding, in largest requests
+  int64_t floor_permille = 10;     ///< minimum holding, of the tokens left
   int64_t low_ask_permille = 100;  ///< of paid-in; below it, requests are small
-  int64_t low_keep_permille =
-      50;  ///< of paid-in; below it, surplus is returned
+  int64_t low_keep_permille = 50;  ///< of paid-in; below it, return the surplus
 };
 
 /// @brief Uses large holdings while the balance is high, small ones near
--- a/include/coppervalve/budget/transfers.h
+++ b/include/coppervalve/budget/transfers.h
@@ -76,11 +76,9 @@
 
   PeerRef m_self;
   uint64_t m_last_id = 0;
-  std::map<uint64_t, OutgoingTransfer>
-      m_outgoing;  ///< not applied by the ledger yet
+  std::map<uint64_t, OutgoingTransfer> m_outgoing;  ///< not applied yet
   std::unordered_map<core::BudgetId, core::Tokens> m_pending_outgoing;
-  std::map<IncomingKey, bool>
-      m_incoming;  ///< credited transfers; whether applied
+  std::map<IncomingKey, bool> m_incoming;  ///< credited; whether applied
 };
 
 }  // namespace coppervalve::budget
--- a/include/coppervalve/budget/witness_ceilings.h
+++ b/include/coppervalve/budget/witness_ceilings.h
@@ -54,7 +54,7 @@
     core::Tokens requested;
     core::Tokens acknowledged;
     uint32_t number = 0;  ///< identifies the budget to this witness; 0: unset
-    bool name_acknowledged = false;  ///< the witness knows name and number
+    bool name_acknowledged = false;  ///< witness knows the name
     bool queued = false;
   };
 
@@ -64,8 +64,7 @@
   std::optional<PeerRef> m_peer;
   std::unordered_map<core::BudgetId, Ceiling> m_ceilings;
   std::vector<core::BudgetId> m_queue;  ///< requested but not sent yet
-  std::vector<core::BudgetId>
-      m_budget_by_number;  ///< number n is at index n - 1
+  std::vector<core::BudgetId> m_budget_by_number;  ///< number n is at n - 1
   std::optional<v1::CeilingRaise> m_outstanding;
   core::TimePoint m_sent_at{};
   bool m_complete = false;
--- a/include/coppervalve/budget/witness_set.h
+++ b/include/coppervalve/budget/witness_set.h
@@ -20,7 +20,7 @@
   v1::CeilingRaise raise;
 };
 
-/// @brief The witnesses whose ceilings limit this incarnation.
+/// @brief The witnesses whose ceilings limit this incarnation, called binding.
 ///
 /// While a WitnessChosen record is handed out but not known to be applied,
 /// either witness may be in force in the ledger, so the ceilings of both apply.
--- a/src/budget/ceiling_store.cc
+++ b/src/budget/ceiling_store.cc
@@ -22,7 +22,8 @@
   // A raise that arrives out of order must not lower a ceiling that was already
   // acknowledged.
   for (const v1::PeerCeiling& ceiling : raise.ceilings()) {
-    core::Tokens& kept = entry.ceilings[entry.names.at(ceiling.number())];
+    core::Tokens& kept =
+        entry.ceilings[entry.budgets_by_number.at(ceiling.number())];
     kept = std::max(kept, core::Tokens(ceiling.tokens()));
   }
   return ack;
@@ -34,9 +35,10 @@
 bool CeilingStore::LearnNames(const v1::CeilingRaise& raise, PeerEntry& entry) {
   for (const v1::PeerCeiling& ceiling : raise.ceilings()) {
     if (!ceiling.budget().empty()) {
-      entry.names[ceiling.number()] = core::BudgetId(ceiling.budget());
+      entry.budgets_by_number[ceiling.number()] =
+          core::BudgetId(ceiling.budget());
     }
-    if (!entry.names.contains(ceiling.number())) {
+    if (!entry.budgets_by_number.contains(ceiling.number())) {
       return false;
     }
   }
@@ -82,7 +84,7 @@
   }
   entry.complete = false;
   entry.ceilings.clear();
-  entry.names.clear();
+  entry.budgets_by_number.clear();
 }
 
 }  // namespace coppervalve::budget
--- a/src/budget/holding_manager.cc
+++ b/src/budget/holding_manager.cc
@@ -203,9 +203,9 @@
   Account& account = *open->account;
   Holding& holding = account.holding;
   const core::Tokens used = std::max(spent, kNoTokens);
-  // If the upstream exceeded its bound, at most the tokens held are charged:
-  // charging the excess would overspend the budget. The excess is returned,
-  // because hiding it would hide the fault.
+  // If the upstream exceeded its bound, at most the tokens held are charged,
+  // because charging the excess would overspend the budget. The caller gets the
+  // excess as `uncovered`, because hiding it would hide the fault.
   const core::Tokens charged = std::min(used, Headroom(account));
   holding.spent += charged;
   m_totals.spent += charged;
--- a/src/budget/holding_manager_outputs.cc
+++ b/src/budget/holding_manager_outputs.cc
@@ -108,7 +108,7 @@
     m_spend_queue.pop_front();
   }
   if (m_spend_queue.empty()) {
-    m_spend_report_due = now + kSpendReportInterval;
+    m_spend_report_due = now + kSpendReportPeriod;
   }
 }
 
--- a/src/budget/sizing.cc
+++ b/src/budget/sizing.cc
@@ -153,13 +153,13 @@
 
 Tokens DefaultCeilingStep(const SizingOptions& options,
                           const SizingView& view) {
-  // With a step smaller than most requests, each of them would need a raise. A
-  // raise takes one round trip to a peer, so the step is otherwise small,
-  // because a crash strands it. While the log is unavailable a witness that
-  // dies cannot be replaced, and only tokens below the acknowledged ceiling can
-  // still be used, so the step is larger.
+  // A step smaller than most requests would cause a raise for each of them.
+  // Otherwise the step is small, because a raise takes only one round trip to a
+  // peer and a crash strands the step. While the log is unavailable, a witness
+  // that dies cannot be replaced and only tokens below the acknowledged ceiling
+  // remain usable, so the step is larger.
   const double seconds = view.log_unavailable
-                             ? options.ceiling_log_unavailable_seconds
+                             ? options.ceiling_log_outage_seconds
                              : options.ceiling_seconds;
   const Tokens ahead = ExpectedSpend(view, seconds);
   const Tokens floor =
--- a/src/budget/witness_set.cc
+++ b/src/budget/witness_set.cc
@@ -36,8 +36,8 @@
 
 void WitnessSet::RequestCeiling(const core::BudgetId& budget,
                                 core::Tokens ceiling) {
-  for (WitnessCeilings& link : m_binding) {
-    link.RequestCeiling(budget, ceiling);
+  for (WitnessCeilings& witness : m_binding) {
+    witness.RequestCeiling(budget, ceiling);
   }
   if (m_candidate) {
     m_candidate->RequestCeiling(budget, ceiling);
@@ -47,8 +47,8 @@
 std::optional<core::Tokens> WitnessSet::EffectiveCeiling(
     const core::BudgetId& budget) const {
   Ceiling limit;
-  for (const WitnessCeilings& link : m_binding) {
-    limit = Smaller(limit, link.AcknowledgedCeiling(budget));
+  for (const WitnessCeilings& witness : m_binding) {
+    limit = Smaller(limit, witness.AcknowledgedCeiling(budget));
   }
   return limit;
 }
@@ -56,8 +56,8 @@
 std::optional<core::Tokens> WitnessSet::RequestedCeiling(
     const core::BudgetId& budget) const {
   Ceiling requested;
-  for (const WitnessCeilings& link : m_binding) {
-    requested = Smaller(requested, link.RequestedCeiling(budget));
+  for (const WitnessCeilings& witness : m_binding) {
+    requested = Smaller(requested, witness.RequestedCeiling(budget));
   }
   return m_candidate ? Smaller(requested, m_candidate->RequestedCeiling(budget))
                      : requested;
@@ -99,13 +99,13 @@
 
 std::vector<CeilingRaiseTo> WitnessSet::TakeRaises(core::TimePoint now) {
   std::vector<CeilingRaiseTo> raises;
-  const auto take = [&](WitnessCeilings& link) {
-    if (auto raise = link.TakeRaise(now, m_last_serial)) {
-      raises.push_back({*link.Peer(), std::move(*raise)});
+  const auto take = [&](WitnessCeilings& witness) {
+    if (auto raise = witness.TakeRaise(now, m_last_serial)) {
+      raises.push_back({*witness.Peer(), std::move(*raise)});
     }
   };
-  for (WitnessCeilings& link : m_binding) {
-    take(link);
+  for (WitnessCeilings& witness : m_binding) {
+    take(witness);
   }
   if (m_candidate) {
     take(*m_candidate);
@@ -116,16 +116,16 @@
 std::vector<core::BudgetId> WitnessSet::OnAck(const PeerRef& from,
                                               const v1::CeilingAck& ack) {
   std::vector<core::BudgetId> raised;
-  const auto apply = [&](WitnessCeilings& link) {
-    if (link.Peer() != from) {
+  const auto apply = [&](WitnessCeilings& witness) {
+    if (witness.Peer() != from) {
       return;
     }
-    for (core::BudgetId& budget : link.OnAck(ack)) {
+    for (core::BudgetId& budget : witness.OnAck(ack)) {
       raised.push_back(std::move(budget));
     }
   };
-  for (WitnessCeilings& link : m_binding) {
-    apply(link);
+  for (WitnessCeilings& witness : m_binding) {
+    apply(witness);
   }
   if (m_candidate) {
     apply(*m_candidate);
--- a/tests/budget/fake_fleet.h
+++ b/tests/budget/fake_fleet.h
@@ -221,8 +221,8 @@
     if (!retired.retired || retired.witness != writer) {
       return;
     }
-    const int64_t stated = r.ceilings_size() > 0 ? r.ceilings(0).tokens() : 0;
-    const int64_t ceiling = std::max(stated, retired.spent + retired.out);
+    const int64_t reported = r.ceilings_size() > 0 ? r.ceilings(0).tokens() : 0;
+    const int64_t ceiling = std::max(reported, retired.spent + retired.out);
     retired.ceiling = std::min(retired.ceiling.value_or(ceiling), ceiling);
     m_narrowed += Release(retired);
   }
--- a/tests/budget/unit-random.cc
+++ b/tests/budget/unit-random.cc
@@ -17,19 +17,19 @@
 namespace {
 
 constexpr int64_t kPaidIn = 20'000;
-constexpr uint32_t kFirstRouters = 3;
-constexpr uint32_t kMostRouters = 10;
+constexpr uint32_t kInitialRouters = 3;
+constexpr uint32_t kMaxRouters = 10;
 constexpr uint32_t kLargestBound = 300;
 constexpr int kSteps = 4'000;
 constexpr uint64_t kSeeds = 400;
-constexpr size_t kTraceKept = 80;
+constexpr size_t kMaxTraceLines = 80;
 
 /// A fleet with random requests, lost, repeated and reordered messages, pauses,
 /// crashes, retirements and log outages.
 class RandomFleet {
  public:
   explicit RandomFleet(uint64_t seed) : m_random(seed), m_log(kPaidIn) {
-    while (m_routers.size() < kFirstRouters) {
+    while (m_routers.size() < kInitialRouters) {
       AddRouter();
     }
   }
@@ -77,7 +77,7 @@
   }
   void AddTrace(const FakeRouter& r, const std::string& text) {
     m_trace.push_back(r.self.router.value() + " " + text);
-    if (m_trace.size() > kTraceKept) {
+    if (m_trace.size() > kMaxTraceLines) {
       m_trace.pop_front();
     }
   }
@@ -86,7 +86,7 @@
     m_routers.emplace_back(self, [this, self](const core::BudgetId&) {
       return std::optional(m_log.View(self));
     });
-    m_routers.back().holdings.OnActiveRouters(kFirstRouters);
+    m_routers.back().holdings.OnActiveRouters(kInitialRouters);
   }
 
   void InjectFault(FakeRouter& r) {
@@ -114,7 +114,7 @@
         m_log.TopUp(RandomBelow(4'000));
         break;
       case 7:
-        if (m_routers.size() < kMostRouters) {
+        if (m_routers.size() < kMaxRouters) {
           AddRouter();
         }
         break;
--- a/tests/budget/unit-witness.cc
+++ b/tests/budget/unit-witness.cc
@@ -41,7 +41,7 @@
   f.holdings().OnWitnessInForce(Peer(2));
   ceiling_store.Close(Peer(1));
   const auto narrowed = ceiling_store.QuarantineNarrowedFor(Peer(1));
-  const int64_t stated = narrowed->ceilings(0).tokens();
+  const int64_t reported = narrowed->ceilings(0).tokens();
 
   f.AdvanceWithoutTick(3'600'000);
   int64_t committed = 100;
@@ -55,8 +55,8 @@
     f.Advance(1'000);
   }
   CHECK(!f.TryReserve(100));
-  CHECK(committed <= stated);
-  CHECK(stated < 10'000);
+  CHECK(committed <= reported);
+  CHECK(reported < 10'000);
   CHECK(f.holdings().WitnessRefuses());
 }
 
