--- a/tests/budget/unit-holding-manager.cc
+++ b/tests/budget/unit-holding-manager.cc
@@ -14,7 +14,7 @@
 // A repeated append puts the same entry into the log twice, so its grant is
 // delivered twice. If it counted twice, callers would spend tokens that nobody
 // paid for.
-TEST(HoldingManager, counts_a_grant_that_is_delivered_twice_once) {
+TEST(HoldingManager, counts_a_repeated_grant_once) {
   HoldingManagerFixture f;
   f.Grant(1000);
   f.holdings().OnGranted(f.now(), f.budget(), Tokens(1000), core::Sequence(1));
@@ -92,8 +92,7 @@
   CHECK(f.Refuses(301, ErrorId::kBudgetExhausted));
 }
 
-TEST(HoldingManager,
-     is_busy_when_the_log_is_unavailable_and_no_peer_has_spare_tokens) {
+TEST(HoldingManager, is_busy_without_the_log_and_without_peer_offers) {
   HoldingManagerFixture f;
   f.holdings().OnLogState(true);
   CHECK(f.Refuses(100, ErrorId::kBudgetBusy));
