--- a/include/coppervalve/budget/spend_trail.h
+++ b/include/coppervalve/budget/spend_reporter.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_BUDGET_SPEND_TRAIL_H_
-#define COPPERVALVE_BUDGET_SPEND_TRAIL_H_
+#ifndef COPPERVALVE_BUDGET_SPEND_REPORTER_H_
+#define COPPERVALVE_BUDGET_SPEND_REPORTER_H_
 
 #include <deque>     // deque
 #include <optional>  // optional
@@ -13,39 +13,41 @@
 
 namespace coppervalve::budget {
 
-/// @brief Most bills in one record of the log.
+/// @brief Maximum number of bills in one log record.
 inline constexpr size_t kMaxBillsPerRecord = 1000;
 
-/// @brief Who is to be billed for a keyed request.
+/// @brief Account and key hash to bill for a request that has a key.
 struct Bill {
   core::Hash128 key_hash;
   core::AccountId account;
 };
 
-/// @brief Billed to the account, but under no key.
+/// @brief Billed to the account, without a request key.
 struct Unkeyed {};
-/// @brief Spent, but billed to nobody: an attempt that was abandoned or cut.
+/// @brief Spent but billed to nobody, because the attempt was abandoned or cut
+/// off.
 struct WrittenOff {};
 /// @brief Who is billed for a settlement.
 using Charge = std::variant<Unkeyed, Bill, WrittenOff>;
 
-/// @brief The settlements of one budget on their way into the log. Bills are
-/// kept until they are known to be folded, since the reports of an incarnation
-/// that was retired meanwhile are not.
-class SpendTrail {
+/// @brief Reports the settlements of one budget to the log. Bills are kept
+/// until the ledger is known to have applied them, because it ignores reports
+/// of an incarnation that was retired in the meantime.
+class SpendReporter {
  public:
   /// @brief Counts tokens that were added to the cumulative spend.
   void Add(const Charge& charge, core::Tokens tokens);
   /// @param spent cumulative
-  /// @return the next report; nothing when everything was reported
+  /// @return the next report; nullopt when everything was reported
   std::optional<v1::SpendReported> NextReport(const core::BudgetId& budget,
                                               core::Tokens spent);
-  /// @brief A report was folded. @param spent the report's amount
-  void OnFolded(core::Tokens spent);
-  /// @return the final spend with every bill that isn't known to be folded
-  v1::FinalSpend Final(const core::BudgetId& budget, core::Tokens spent) const;
+  /// @brief The ledger applied a report.
+  /// @param spent cumulative spend in the report
+  void OnReportApplied(core::Tokens spent);
+  /// @return the final spend with every bill that isn't known to be applied
+  v1::FinalSpend FinalReport(const core::BudgetId& budget, core::Tokens spent) const;
   /// @return the cumulative spend of the last report
-  core::Tokens Reported() const { return m_reported; }
+  core::Tokens LastReported() const { return m_reported; }
 
  private:
   struct Report {
@@ -55,11 +57,11 @@
 
   std::deque<v1::Bill> m_unreported;
   core::Tokens m_unreported_tokens;
-  std::deque<Report> m_unfolded;
+  std::deque<Report> m_unapplied;
   core::Tokens m_reported;
   core::Tokens m_written_off;  ///< cumulative
 };
 
 }  // namespace coppervalve::budget
 
-#endif  // COPPERVALVE_BUDGET_SPEND_TRAIL_H_
+#endif  // COPPERVALVE_BUDGET_SPEND_REPORTER_H_
--- a/tests/budget/unit-random.cc
+++ b/tests/budget/unit-random.cc
@@ -17,43 +17,44 @@
 namespace {
 
 constexpr int64_t kPaidIn = 20'000;
-constexpr uint32_t kFirstRouters = 3;
-constexpr uint32_t kMostRouters = 10;
+constexpr uint32_t kInitialRouters = 3;
+constexpr uint32_t kMaxRouters = 10;
 constexpr uint32_t kLargestBound = 300;
 constexpr int kSteps = 4'000;
 constexpr uint64_t kSeeds = 400;
-constexpr size_t kTraceKept = 80;
+constexpr size_t kMaxTraceLines = 80;
 
-/// A fleet under random work, lost, repeated and reordered messages, pauses,
+/// A fleet with random requests, lost, repeated and reordered messages, pauses,
 /// crashes, retirements and log outages.
 class RandomFleet {
  public:
   explicit RandomFleet(uint64_t seed) : m_random(seed), m_log(kPaidIn) {
-    while (m_routers.size() < kFirstRouters) {
+    while (m_routers.size() < kInitialRouters) {
       AddRouter();
     }
   }
 
   void Step() {
-    m_now += std::chrono::milliseconds(Below(20));
+    m_now += std::chrono::milliseconds(RandomBelow(20));
     FakeRouter& r = AnyRouter();
-    if (Below(100) < 2) {
-      Disturb(r);
-    } else if (Below(3) == 0) {
+    if (RandomBelow(100) < 2) {
+      InjectFault(r);
+    } else if (RandomBelow(3) == 0) {
       DeliverOne();
     } else if (!r.crashed && !r.paused) {
-      Act(r);
+      RunAction(r);
     }
   }
 
-  /// @return what is wrong; empty when nothing is
+  /// @return the first fault found; empty when there is none
   std::string Check() const {
-    // The balance can be granted to others at once, so it counts as gone.
+    // The free balance can be granted to others at any time, so it counts as
+    // used.
     int64_t claimed = m_log.Free();
     for (const FakeRouter& r : m_routers) {
-      const BookTotals& totals = r.book.Totals();
+      const HoldingTotals& totals = r.holdings.Totals();
       claimed += totals.spent.value() + totals.reserved.value();
-      const core::Status status = r.book.CheckInvariants();
+      const core::Status status = r.holdings.CheckInvariants();
       if (!core::IsOk(status)) {
         return core::ToString(core::Failure(status));
       }
@@ -70,13 +71,13 @@
     std::function<void(FakeRouter&)> deliver;
   };
 
-  uint32_t Below(uint32_t bound) { return m_random(bound); }
+  uint32_t RandomBelow(uint32_t bound) { return m_random(bound); }
   FakeRouter& AnyRouter() {
-    return m_routers[Below(static_cast<uint32_t>(m_routers.size()))];
+    return m_routers[RandomBelow(static_cast<uint32_t>(m_routers.size()))];
   }
-  void Note(const FakeRouter& r, const std::string& text) {
+  void AddTrace(const FakeRouter& r, const std::string& text) {
     m_trace.push_back(r.self.router.value() + " " + text);
-    if (m_trace.size() > kTraceKept) {
+    if (m_trace.size() > kMaxTraceLines) {
       m_trace.pop_front();
     }
   }
@@ -85,35 +86,35 @@
     m_routers.emplace_back(self, [this, self](const core::BudgetId&) {
       return std::optional(m_log.View(self));
     });
-    m_routers.back().book.OnFleet(kFirstRouters);
+    m_routers.back().holdings.OnActiveRouters(kInitialRouters);
   }
 
-  void Disturb(FakeRouter& r) {
-    switch (Below(16)) {
+  void InjectFault(FakeRouter& r) {
+    switch (RandomBelow(16)) {
       case 0:
-        Note(r, "crashes");
+        AddTrace(r, "crashes");
         r.crashed = true;
         break;
       case 1:
-        Note(r, "is retired");
+        AddTrace(r, "is retired");
         m_log.Retire(r.self);
         break;
       case 2:
       case 3:
       case 4:
-        Note(r, "pauses or resumes");
+        AddTrace(r, "pauses or resumes");
         r.paused = !r.paused;
         break;
       case 5:
-        Note(r, "loses or finds the log");
-        r.log_out = !r.log_out;
-        r.book.OnLogState(r.log_out);
+        AddTrace(r, "log becomes unavailable or available");
+        r.log_unavailable = !r.log_unavailable;
+        r.holdings.OnLogState(r.log_unavailable);
         break;
       case 6:
-        m_log.TopUp(Below(4'000));
+        m_log.TopUp(RandomBelow(4'000));
         break;
       case 7:
-        if (m_routers.size() < kMostRouters) {
+        if (m_routers.size() < kMaxRouters) {
           AddRouter();
         }
         break;
@@ -124,13 +125,13 @@
   void ChooseWitness(FakeRouter& r) {
     const PeerRef peer = AnyRouter().self;
     const bool none = peer == r.self;
-    Note(r, "chooses witness " + (none ? "none" : peer.router.value()));
-    r.book.ChooseWitness(m_now, none ? std::nullopt : std::optional(peer));
+    AddTrace(r, "chooses witness " + (none ? "none" : peer.router.value()));
+    r.holdings.ChooseWitness(m_now, none ? std::nullopt : std::optional(peer));
   }
 
-  void Act(FakeRouter& r) {
-    r.book.TakeWoken();
-    switch (Below(9)) {
+  void RunAction(FakeRouter& r) {
+    r.holdings.TakeWokenBudgets();
+    switch (RandomBelow(9)) {
       case 0:
       case 1:
       case 2:
@@ -138,7 +139,7 @@
         break;
       case 3:
       case 4:
-        End(r);
+        EndReservation(r);
         break;
       case 5:
         Send(r);
@@ -147,53 +148,53 @@
         Append(r);
         break;
       default:
-        for (uint32_t i = Below(8); i > 0 && !r.log_out; --i) {
+        for (uint32_t i = RandomBelow(8); i > 0 && !r.log_unavailable; --i) {
           m_log.ReadNext(r, m_now);
         }
     }
   }
   void Reserve(FakeRouter& r) {
-    const Tokens bound(1 + Below(kLargestBound));
-    const auto admission_class = Below(3) == 0 ? v1::GATE : v1::INTERACTIVE;
+    const Tokens bound(1 + RandomBelow(kLargestBound));
+    const auto admission_class = RandomBelow(3) == 0 ? v1::GATE : v1::INTERACTIVE;
     const ReserveResult result =
-        r.book.Reserve(m_now, kOnlyBudget, bound, admission_class);
+        r.holdings.Reserve(m_now, kOnlyBudget, bound, admission_class);
     if (const auto* reservation = std::get_if<Reservation>(&result)) {
-      Note(r, "reserves " + std::to_string(bound.value()));
+      AddTrace(r, "reserves " + std::to_string(bound.value()));
       r.open.push_back(*reservation);
     }
   }
-  void End(FakeRouter& r) {
+  void EndReservation(FakeRouter& r) {
     if (r.open.empty()) {
       return;
     }
     const Reservation reservation = r.open.back();
     r.open.pop_back();
-    if (Below(5) == 0) {
-      r.book.Cancel(m_now, reservation);
+    if (RandomBelow(5) == 0) {
+      r.holdings.Cancel(m_now, reservation);
       return;
     }
-    // Now and then an upstream goes past its bound.
-    const int64_t most = reservation.bound.value() * (Below(20) == 0 ? 3 : 1);
-    const Tokens spent(Below(static_cast<uint32_t>(most + 1)));
-    Note(r, "settles " + std::to_string(spent.value()));
-    r.book.Settle(m_now, reservation, spent, Unkeyed{});
+    // Some upstreams exceed their bound.
+    const int64_t most = reservation.bound.value() * (RandomBelow(20) == 0 ? 3 : 1);
+    const Tokens spent(RandomBelow(static_cast<uint32_t>(most + 1)));
+    AddTrace(r, "settles " + std::to_string(spent.value()));
+    r.holdings.Settle(m_now, reservation, spent, Unkeyed{});
   }
   void Append(FakeRouter& r) {
-    if (r.outbox.empty() || r.log_out) {
+    if (r.outbox.empty() || r.log_unavailable) {
       return;
     }
     m_log.Append(r.self, r.appended + 1, r.outbox.front());
-    Note(r, "appends");
-    if (Below(4) == 0) {
-      return;  // the reply is lost: it appends the same entry again
+    AddTrace(r, "appends");
+    if (RandomBelow(4) == 0) {
+      return;  // the reply is lost, so the same entry is appended again
     }
     ++r.appended;
     r.outbox.pop_front();
   }
 
-  void Post(const PeerRef& to,
+  void SendMessage(const PeerRef& to,
             const std::function<void(FakeRouter&)>& deliver) {
-    const uint32_t copies = Below(10) == 0 ? 0 : 1 + Below(5) / 4;
+    const uint32_t copies = RandomBelow(10) == 0 ? 0 : 1 + RandomBelow(5) / 4;
     for (uint32_t i = 0; i < copies; ++i) {
       m_network.push_back({to, deliver});
     }
@@ -202,11 +203,11 @@
     if (m_network.empty()) {
       return;
     }
-    const size_t index = Below(static_cast<uint32_t>(m_network.size()));
+    const size_t index = RandomBelow(static_cast<uint32_t>(m_network.size()));
     const Message message = m_network[index];
     for (FakeRouter& r : m_routers) {
       if (r.self == message.to && r.paused && !r.crashed) {
-        return;  // stays on its way
+        return;  // delivered later
       }
     }
     m_network.erase(m_network.begin() + static_cast<std::ptrdiff_t>(index));
@@ -217,40 +218,40 @@
     }
   }
   void Send(FakeRouter& r) {
-    r.book.OnTick(m_now);
-    std::vector<v1::Record> records = r.book.TakeRecords(m_now);
+    r.holdings.OnTick(m_now);
+    std::vector<v1::Record> records = r.holdings.TakeRecords(m_now);
     if (!records.empty()) {
       r.outbox.push_back(std::move(records));
     }
     const PeerRef self = r.self;
-    for (const CeilingRaiseTo& raise : r.book.TakeCeilingRaises(m_now)) {
-      Post(raise.to, [this, self, raise](FakeRouter& to) {
-        const v1::CeilingAck ack = to.desk.OnCeilingRaise(self, raise.raise);
-        Post(self, [this, witness = to.self, ack](FakeRouter& back) {
-          back.book.OnCeilingAck(m_now, witness, ack);
+    for (const CeilingRaiseTo& raise : r.holdings.TakeCeilingRaises(m_now)) {
+      SendMessage(raise.to, [this, self, raise](FakeRouter& to) {
+        const v1::CeilingAck ack = to.ceiling_store.OnCeilingRaise(self, raise.raise);
+        SendMessage(self, [this, witness = to.self, ack](FakeRouter& back) {
+          back.holdings.OnCeilingAck(m_now, witness, ack);
         });
       });
     }
-    for (const TransferAskTo& ask : r.book.TakeTransferAsks(m_now)) {
-      Post(ask.to, [this, self, ask](FakeRouter& to) {
-        to.book.OnTransferAsk(m_now, self, ask.ask);
+    for (const TransferAskTo& ask : r.holdings.TakeTransferAsks(m_now)) {
+      SendMessage(ask.to, [this, self, ask](FakeRouter& to) {
+        to.holdings.OnTransferAsk(m_now, self, ask.ask);
       });
     }
-    for (const TransferSendTo& send : r.book.TakeTransferSends(m_now)) {
-      Note(r, "transfers " + std::to_string(send.send.tokens()));
-      Post(send.to, [this, self, send](FakeRouter& to) {
-        const auto ack = to.book.OnTransferSend(m_now, self, send.send);
+    for (const TransferSendTo& send : r.holdings.TakeTransferSends(m_now)) {
+      AddTrace(r, "transfers " + std::to_string(send.send.tokens()));
+      SendMessage(send.to, [this, self, send](FakeRouter& to) {
+        const auto ack = to.holdings.OnTransferSend(m_now, self, send.send);
         if (!ack) {
           return;
         }
-        Post(self, [peer = to.self, ack](FakeRouter& back) {
-          back.book.OnTransferAck(peer, *ack);
+        SendMessage(self, [peer = to.self, ack](FakeRouter& back) {
+          back.holdings.OnTransferAck(peer, *ack);
         });
       });
     }
-    const std::vector<v1::Spare> spares = r.book.TakeSpares(m_now);
-    Post(AnyRouter().self, [this, self, spares](FakeRouter& to) {
-      to.book.OnPeerSpares(m_now, self, spares);
+    const std::vector<v1::Spare> spares = r.holdings.TakeSpares(m_now);
+    SendMessage(AnyRouter().self, [this, self, spares](FakeRouter& to) {
+      to.holdings.OnPeerSpares(m_now, self, spares);
     });
   }
 
@@ -262,7 +263,7 @@
   std::deque<std::string> m_trace;
 };
 
-/// @return whether all steps went well; prints seed, step and trace if not
+/// @return whether all steps passed; otherwise prints seed, step and trace
 bool Run(RandomFleet& fleet, uint64_t seed) {
   for (int step = 0; step < kSteps; ++step) {
     fleet.Step();
@@ -285,8 +286,8 @@
 TEST_GROUP(Random){};
 // clang-format on
 
-// Any mix of faults: accounts must never get more work than was paid in. The
-// sums show that the runs reached what they are meant to try.
+// No mix of faults may let accounts use more tokens than were paid in. The sums
+// show that the runs reach narrowing, final reports and transfers.
 TEST(Random, no_fleet_commits_more_than_was_paid_in) {
   int64_t narrowed = 0;
   int64_t finalized = 0;
