--- a/bench/ceiling/fleet.cc
+++ b/bench/ceiling/fleet.cc
@@ -12,11 +12,11 @@
 constexpr double kStep = 0.01;  // seconds
 constexpr double kBeatPeriod = 0.6;
 constexpr double kHurry = 0.03;
-constexpr double kPatience = 0.4;  // of a request that waits for a ceiling
+constexpr double kPatience = 0.4;  // seconds that a request waits for a claim
 constexpr double kRestart = 1;
 constexpr double kRunTime = 1.5;
 constexpr double kLateSpan = 5;
-// A fifth of the requests is large, as group itineraries are.
+// About a fifth of the requests are large, like group itineraries.
 constexpr double kLargeShare = 0.22;
 constexpr int64_t kLargeTokens = 12'000;
 constexpr int64_t kSmallTokens = 1'500;
@@ -109,7 +109,7 @@
   router.book->OnPredecessor(own, held_back);
 }
 
-// What counts as spent from now on, and was not.
+// Adds the tokens that count as spent from now on although they were not.
 void Fleet::CountStranded(const Router& router,
                           const v1::RouterBeat& last,
                           bool held_back) {
@@ -217,7 +217,7 @@
 void Fleet::Serve(uint32_t index, const Request& request) {
   Router& router = m_routers[index];
   if (!router.up) {
-    return;  // the caller finds no router: not a refusal
+    return;  // no router to call: not counted as a refusal
   }
   ++m_outcome.requests;
   m_outcome.late_requests += Late() ? 1 : 0;
@@ -318,7 +318,7 @@
   router.up = false;
   router.starts_at = m_now + kRestart;
   router.boot += end == End::kPower ? 1 : 0;
-  // What was in progress is charged at its most: the upstreams may have run it.
+  // Running requests are charged their maximum: upstreams may have run them.
   for (const Request& request : router.running) {
     m_in_use[request.account] -= request.most;
     m_spent[request.account] += request.most;
@@ -326,7 +326,7 @@
   router.running.clear();
   router.waiting.clear();
   if (m_policy == Policy::kEqualSplit) {
-    // Nothing says what the router spent of its part.
+    // There is no record of what the router spent of its share.
     for (int64_t& left : router.split) {
       m_outcome.stranded += left;
       left = 0;
@@ -346,7 +346,7 @@
   }
 }
 
-// What is in progress ends before the process does.
+// Running requests finish before the process exits.
 void Fleet::Drain(uint32_t index) {
   Router& router = m_routers[index];
   if (!router.up || router.cut) {
--- a/bench/ceiling/fleet.h
+++ b/bench/ceiling/fleet.h
@@ -13,60 +13,61 @@
 
 namespace coppervalve::bench {
 
-/// @brief Who decides what a router may spend.
+/// @brief How the tokens that a router may spend are determined.
 enum class Policy : uint8_t {
-  kCeilings,    ///< the product's books on a log
-  kEqualSplit,  ///< each router owns a fixed part of each total
+  kCeilings,    ///< the product's allocation ledgers on a log
+  kEqualSplit,  ///< each router has a fixed share of each total
 };
 
-/// @brief Size of the fleet and of its load.
+/// @brief Size and load of the fleet.
 struct FleetOptions {
   uint32_t routers = 6;
   uint32_t accounts = 10;
-  /// Of these, each comes to two routers only.
+  /// Number of accounts that use only two routers each.
   uint32_t accounts_of_two = 2;
   double requests_per_second = 110;
-  /// Totals over what is expected to be used until the end.
+  /// Ratio of the prepaid totals to the expected use until the end.
   double prepaid_ratio = 1.3;
   double end = 50;  ///< seconds
   uint64_t seed = 1;
   entry::BookOptions book;
 };
 
-/// @brief What came of a run.
+/// @brief Results of a run.
 struct Outcome {
   uint64_t requests = 0;
   uint64_t served = 0;
-  /// Refused though the account's total would have covered it.
+  /// Refused although the account's total covered the request.
   uint64_t false_refusals = 0;
-  int64_t overspend = 0;       ///< tokens past totals, of all accounts
-  int64_t stranded = 0;        ///< claimed by starts that ended, never spent
-  int64_t total = 0;           ///< prepaid, of all accounts
+  int64_t overspend = 0;       ///< tokens spent beyond totals, all accounts
+  int64_t stranded = 0;        ///< claimed by ended incarnations, unspent
+  int64_t total = 0;           ///< prepaid tokens of all accounts
   uint64_t records = 0;        ///< written to the log
   uint64_t late_requests = 0;  ///< in the last five seconds
   uint64_t late_served = 0;
 };
 
-/// @brief Routers with the product's books on a log in memory, in virtual
-/// time. The same figures on every machine.
+/// @brief Simulates routers with the product's allocation ledgers on an
+/// in-memory log in virtual time. Deterministic on every machine.
 class Fleet {
  public:
   Fleet(const FleetOptions& options, Policy policy);
 
-  /// @brief Runs on, serving, until a time in seconds.
+  /// @brief Simulates requests until a time in seconds.
   void RunUntil(double seconds);
-  /// @brief Routers [first, last) reach the log, or don't.
+  /// @brief Disconnects routers [first, last) from the log, or reconnects them.
   void Cut(uint32_t first, uint32_t last, bool cut);
-  /// @brief How a router ends. It starts again after a second.
+  /// @brief How a router ends. It restarts after one second.
   enum class End : uint8_t {
-    kProcess,  ///< the VM goes on
-    kPower,    ///< the VM starts anew, too
+    kProcess,  ///< the process ends, the VM keeps running
+    kPower,    ///< the VM reboots
   };
   void Kill(uint32_t router, End end);
   void KillAll(End end);
-  /// @brief A router gives back what it does not use, ends, and starts again.
+  /// @brief Shuts a router down gracefully: it returns its unused tokens, ends
+  /// and restarts.
   void Drain(uint32_t router);
-  /// @brief From now on an account sends `times` what it sent at first.
+  /// @brief Multiplies the original load of an account by `times`.
   void Press(uint32_t account, double times);
   Outcome Finish();
 
@@ -75,18 +76,18 @@
     uint32_t account = 0;
     int64_t most = 0;
     int64_t used = 0;
-    double ends = 0;  ///< in seconds; when waiting: gives up
+    double ends = 0;  ///< in seconds; of a waiting request: its timeout
   };
   struct Router {
     std::unique_ptr<entry::AllotmentBook> book;
-    std::vector<int64_t> split;  ///< left of the own part, by account
+    std::vector<int64_t> split;  ///< rest of its fixed share, by account
     uint64_t epoch = 0;
     uint64_t sequence = 0;
-    size_t read = 0;  ///< records of the log that are known
+    size_t read = 0;  ///< records read from the log
     double next_beat = 0;
     double starts_at = 0;
-    uint64_t boot = 1;          ///< of the VM
-    std::vector<int64_t> used;  ///< by the start that ended, by account
+    uint64_t boot = 1;          ///< boot number of the VM
+    std::vector<int64_t> used;  ///< by the ended incarnation, by account
     bool up = false;
     bool cut = false;
     std::deque<Request> waiting;
@@ -121,10 +122,10 @@
   std::vector<Router> m_routers;
   std::vector<Record> m_log;
   std::vector<double> m_weights;   ///< share of the requests, by account
-  std::vector<double> m_pressure;  ///< times that share, by account
+  std::vector<double> m_pressure;  ///< factor on that share, by account
   std::vector<int64_t> m_totals;   ///< by account
-  std::vector<int64_t> m_spent;    ///< truly, by account
-  std::vector<int64_t> m_in_use;   ///< reserved at present, by account
+  std::vector<int64_t> m_spent;    ///< actually spent, by account
+  std::vector<int64_t> m_in_use;   ///< currently reserved, by account
   Outcome m_outcome;
 };
 
--- a/bench/ceiling/main.cc
+++ b/bench/ceiling/main.cc
@@ -1,5 +1,6 @@
-// Ceilings of the entry routers under cuts and losses: `bench-ceiling`. The
-// product's books on a log in memory, in virtual time, beside an equal split.
+// Token ceilings of the entry routers under partitions and crashes:
+// `bench-ceiling`. Compares the product's allocation ledgers on an in-memory
+// log, in virtual time, with an equal split.
 #include <cstdlib>     // EXIT_FAILURE
 #include <functional>  // function
 #include <string>      // string
@@ -12,13 +13,13 @@
 
 using namespace coppervalve::bench;
 
-/// @brief What may come of a schedule.
+/// @brief Limits on the outcome of a schedule.
 struct Bounds {
-  double false_refusals = 0;  ///< at most, per thousand requests
-  double stranded = 0;        ///< at most, per thousand tokens of the totals
-  double late_served = 0;     ///< at least, per thousand of the last 5 seconds
-  /// Written to the store by a router in a second, at most. After a loss little
-  /// is held ahead, and more requests wait for a claim of their own.
+  double false_refusals = 0;  ///< maximum per thousand requests
+  double stranded = 0;        ///< maximum per thousand tokens of the totals
+  double late_served = 0;     ///< minimum per thousand of the last 5 seconds
+  /// Maximum records written per router and second. After a loss routers have
+  /// little headroom, so more requests need their own claim.
   double records = 0;
 };
 
--- a/bench/ceiling/schedule.h
+++ b/bench/ceiling/schedule.h
@@ -8,21 +8,21 @@
 
 namespace coppervalve::bench {
 
-/// @brief What happens to a fleet.
+/// @brief A sequence of faults injected into a fleet.
 struct Schedule {
   std::string name;
   std::function<void(Fleet&, const FleetOptions&)> play;
   double prepaid_ratio = FleetOptions{}.prepaid_ratio;
 };
 
-/// @brief Runs until `at`, then for `span` with no router reaching the log;
-/// both in seconds.
+/// @brief Runs until `at`, then disconnects all routers from the log for
+/// `span`; both in seconds.
 void CutAll(Fleet& fleet, const FleetOptions& options, double at, double span);
 
-/// @brief Runs until `at` seconds, then all routers end at once.
+/// @brief Runs until `at` seconds, then ends all routers at once.
 void LoseAll(Fleet& fleet, double at, Fleet::End end);
 
-/// @brief How many seeds PlayAll() sums up.
+/// @brief Number of seeds that RunAllSeeds() runs.
 constexpr uint64_t kScheduleSeeds = 4;
 
 /// @return the sum of the outcomes of all seeds
--- a/bench/losses/main.cc
+++ b/bench/losses/main.cc
@@ -1,18 +1,18 @@
-// Callers get 402 and 503 for the rest of the day after all routers have lost
-// power a few times, though most of what their accounts prepaid was never
-// spent. What a router claims ahead of its spending, so as to serve through a
-// cut, counts as spent once it dies, as nothing proves that it was not. Each
-// start claimed as if it were the first: every loss took a third of what was
-// left.
+// Guards against callers getting 402 and 503 for the rest of the day after
+// repeated power failures of all routers, although most of their prepaid tokens
+// were never spent. A router claims tokens ahead of spending to serve through
+// partitions. If it crashes, they count as spent, because nothing proves
+// otherwise. When every incarnation claimed as much as the first one, each loss
+// took a third of the remaining tokens.
 //
-// What proved it: after five losses half to two thirds of every account were
-// lost with the dead and next to nothing was free; routers were ready at once
-// and knew their configuration; without pacing it was the same; with a tenth
-// claimed ahead, callers were served.
+// Measured then: after five losses, half to two thirds of every account was
+// lost with crashed routers and almost nothing was free. Routers were ready at
+// once and knew their configuration, and the result was the same without
+// rationing. With a tenth of the tokens claimed ahead, callers were served.
 //
-// `bench-losses` plays losses of all routers alone, in series, and mixed with
-// cuts, drains and a hot account, and says what callers of the last five
-// seconds got.
+// `bench-losses` simulates losses of all routers: alone, in series, and
+// combined with partitions, drains and an account with high load. It reports
+// how many requests of the last five seconds were served.
 #include <cstdlib>  // EXIT_FAILURE
 #include <string>   // string
 #include <vector>   // vector
@@ -25,14 +25,14 @@
 using namespace coppervalve::bench;
 using End = Fleet::End;
 
-/// @brief A schedule, and what must come of it. All requests of it spend
-/// tokens: plain ones would be served whatever is left.
+/// @brief A schedule and limits on its outcome. All its requests spend tokens,
+/// as requests without tokens are served in any case.
 struct Bounded {
   Schedule schedule;
-  /// Of the last five seconds' requests, at least. Service counts as back when
-  /// a quarter is served.
+  /// Minimum of the requests in the last five seconds. Service counts as
+  /// restored if a quarter is served.
   double late_served_per_thousand = 250;
-  /// Of the totals, lost with the dead in all, at most.
+  /// Maximum of the totals lost with crashed routers.
   double stranded_per_thousand = 0;
 };
 
--- a/include/coppervalve/entry/active_set.h
+++ b/include/coppervalve/entry/active_set.h
@@ -8,27 +8,29 @@
 
 namespace coppervalve::entry {
 
-/// @brief A router that could take callers.
+/// @brief A router that may become active.
 struct Candidate {
   core::RouterId router;
   core::FailureDomainId failure_domain;
-  double capacity = 0;  ///< requests a second that it takes with ease
+  double capacity = 0;  ///< requests per second that leave room for bursts
 };
 
-/// @brief What the chosen routers must be able to do together.
+/// @brief Requirements on the set of active routers.
 struct ActiveNeed {
   double requests_per_second = 0;
-  size_t least = 8;  ///< routers, where there are as many
+  size_t least = 8;  ///< routers, if there are that many candidates
 };
 
-/// @brief Chooses the routers that callers are led to: the most capable of each
-/// failure domain in turn, until they can take the load. The rest stand by.
-/// The same input gives the same choice at every router.
+/// @brief Selects the active routers, which receive callers: the router with
+/// the highest capacity of each failure domain in turn, until the requirements
+/// are met. The others are standbys. Deterministic: the same input gives the
+/// same selection on every router.
+/// @return the selected candidates in order of selection
 /// @complexity n log n in the candidates
 std::vector<Candidate> ChooseInOrder(std::vector<Candidate> candidates,
                                      const ActiveNeed& need);
 
-/// @brief The names of those, in the same order.
+/// @brief The names of the selected routers, in the same order.
 std::vector<core::RouterId> ChooseActive(std::vector<Candidate> candidates,
                                          const ActiveNeed& need);
 
--- a/include/coppervalve/entry/allotment_book.h
+++ b/include/coppervalve/entry/allotment_book.h
@@ -18,201 +18,210 @@
 
 namespace coppervalve::entry {
 
-/// @brief What became of an attempt to set tokens aside.
+/// @brief Outcome of an attempt to reserve tokens.
 enum class Reservation : uint8_t {
   kHeld,
   kUnlimited,     ///< the account has no prepaid total
-  kShort,         ///< not within this router's ceiling at present
-  kLeftToUrgent,  ///< within it, but more urgent requests need it
-  /// What may not have been spent yet cannot cover it, whoever holds the rest.
+  kShort,         ///< exceeds this router's current ceiling
+  kLeftToUrgent,  ///< fits, but is kept for more urgent requests
+  /// The tokens that may still be unspent, on any router, are too few.
   kExhausted,
 };
 
-/// @brief Constants of how far a router's ceiling runs ahead of its spending.
+/// @brief Limits how far a router's ceiling exceeds its use (the headroom).
 struct BookOptions {
-  /// A router goes on serving for about this long without the store.
+  /// Headroom in time: how long a router can serve without the store.
   core::Duration ahead{9'000'000};
-  /// A router that leaves keeps this much: its callers are on their way.
+  /// Headroom of a leaving router: its callers are moving to other routers.
   core::Duration ahead_leaving{1'500'000};
-  /// Standard deviations of the demand of that time that are held on top.
+  /// Standard deviations of the demand within `ahead` that are added to its
+  /// mean.
   double spread = 1.0;
-  /// Share of what can still be spent that all routers together take before
-  /// they have seen any demand.
+  /// Share of the spendable tokens that all routers together claim before they
+  /// have seen any demand.
   double first_share = 0.4;
   core::Duration learning{8'000'000};
-  /// Share of what can still be spent that all routers hold at most: the rest
-  /// stays free for those whose demand grows.
+  /// Maximum share of the spendable tokens that all routers together hold
+  /// ahead. The rest stays free for routers whose demand grows.
   double most_held = 0.35;
-  /// After a loss, what is left of an account is claimed at a rate that would
-  /// last for about this long.
+  /// After a loss, the remaining tokens of an account are claimed at a rate
+  /// that would use them up in about this time.
   core::Duration spread_rest{2'500'000};
-  /// A loss counts when it took more than this part of what is left.
+  /// Claims are rationed only if the tokens lost exceed this share of the
+  /// spendable ones,
   double loss_counts = 0.25;
-  /// Only where what is left would not last for this long at today's demand.
+  /// and if the spendable tokens would last less than this at the current
+  /// demand.
   core::Duration scarce_below{6'000'000};
-  /// What a claim holds ahead is not touched before this time has passed since
-  /// it was written. So a process that died and whose successor began sooner
-  /// can't have spent it. A restart on the same VM takes a second or two, and
-  /// beats come more often than that. 0 = nothing is held back.
+  /// The reserve of a claim is not spent before this time has passed since the
+  /// claim was written, so a process whose successor started sooner cannot have
+  /// spent it. A restart on the same VM takes one to two seconds, and
+  /// heartbeats are more frequent than this value. 0 disables reserves.
   core::Duration held_back{2'500'000};
-  /// Standard deviations of the demand of that time that are not held back: a
-  /// request that doesn't fit has the claim written anew at once.
+  /// Standard deviations of the demand within `held_back` that are left out of
+  /// the reserve. A request that does not fit triggers a new claim at once.
   double held_back_spread = 1.0;
-  /// How the figures above shrink after losses.
+  /// Reduces the headroom after losses.
   HoldOptions hold;
-  /// Claims had to last when the store acknowledged none for this long beyond
-  /// their period.
+  /// An outage is recorded if the store acknowledged no claim for this long
+  /// beyond the claim period.
   core::Duration outage_counts{2'000'000};
-  /// Guess by what came to this router so far; else by an even part.
+  /// Estimate this router's share from the requests it received so far;
+  /// otherwise assume equal shares.
   bool own_share = true;
-  /// Callers who keep to an address come to routers that stand by, too.
-  /// Together those guess at this part; each with a part of an even share,
-  /// hundreds of them held as much as those that serve.
+  /// Share of the demand assumed for all standbys together, because callers
+  /// that keep one address also reach standbys. With part of an equal share
+  /// each, hundreds of standbys held as many tokens as the active routers.
   double standbys_share = 0.1;
-  /// After a loss the last tokens that a router can spend on an account are
-  /// left to the more urgent requests of so long. 0 = first come, first served.
+  /// After a loss, a router keeps the last tokens of an account for the demand
+  /// of more urgent requests within this time. 0 = first come, first served.
   core::Duration urgent_ahead{9'000'000};
-  /// As long as those ask for no more than this part of the account's tokens.
+  /// Only while the more urgent requests ask for at most this share of the
+  /// account's demand.
   double urgent_part = 0.25;
-  /// Ask for more below this share of the aim, give back above that one.
+  /// Hysteresis relative to the target headroom: claim more below the first
+  /// ratio, return tokens above the second.
   double raise_below = 0.97;
   double lower_above = 1.1;
 };
 
-/// @brief What a router is in the fleet when it states its claims.
+/// @brief State of the fleet and of this router when it writes claims.
 struct ClaimContext {
-  uint32_t routers = 1;   ///< that callers are led to
-  uint32_t standbys = 0;  ///< live ones that they are not led to
-  bool active = true;     ///< this one is among the former
-  bool leaving = false;   ///< its callers go to others: claim little ahead
-  bool closing = false;   ///< claim only what is in use
-  core::Duration period = kQuietBeatPeriod;  ///< between claims
+  uint32_t routers = 1;   ///< active routers
+  uint32_t standbys = 0;  ///< live routers that are not active
+  bool active = true;     ///< this router is active
+  bool leaving = false;   ///< its callers are moving away: keep little headroom
+  bool closing = false;   ///< claim only tokens in use
+  core::Duration period = kQuietBeatPeriod;  ///< time between claims
 };
 
-/// @brief This router's part of every account's prepaid total.
+/// @brief This router's allocation of every account's prepaid total.
 ///
-/// A router spends below its ceiling only. A ceiling counts as used from the
-/// moment its record is in the log, for all routers and for good, unless the
-/// same incarnation lowers it by a later record. So the sum of all ceilings
-/// never exceeds the total, however routers die, pause or lose each other,
-/// and no clock is part of the argument (model/ceiling.pml).
+/// A router spends only below its ceiling. A ceiling counts as used, for all
+/// routers and permanently, as soon as its record is in the log, unless the
+/// same incarnation lowers it in a later record. So the sum of all ceilings
+/// never exceeds the total, even if routers crash, pause or are partitioned,
+/// and no clock is needed for this guarantee (verified in model/ceiling.pml).
 class AllotmentBook {
  public:
   explicit AllotmentBook(BookOptions options) : m_options(options) {}
 
-  /// @brief Totals of the configuration in force.
+  /// @brief Takes over the totals of the configuration in force.
   void OnConfiguration(const Configuration& configuration);
-  /// @brief This router's own last record of an earlier incarnation: its
-  /// ceilings count as used up. Call it once, before the first claim.
-  /// @param held_back it provably never touched what it held back
+  /// @brief Takes over the last record of this router's previous incarnation:
+  /// its ceilings count as used. Call it once, before the first claim.
+  /// @param held_back whether the previous incarnation provably did not spend
+  /// its reserve
   void OnPredecessor(const v1::RouterBeat& beat, bool held_back = false);
-  /// @brief A record of another router, in log order.
+  /// @brief Processes a record of another router, in log order.
   void OnOtherBeat(const core::RouterId& router,
                    const v1::RouterBeat& beat,
                    core::TimePoint now);
-  /// @brief This incarnation's own record came back from the log, after every
-  /// record before it went through OnOtherBeat().
+  /// @brief Processes a record of this incarnation that was read back from the
+  /// log, after every earlier record was passed to OnOtherBeat().
   void OnOwnBeat(const v1::RouterBeat& beat);
 
-  /// @brief The store acknowledged the claims of this start up to a sequence:
-  /// what they state may be spent at once is known to be in the log.
+  /// @brief The store acknowledged the claims of this incarnation up to a
+  /// sequence number, so they are known to be in the log.
   void OnWritten(uint64_t sequence, core::TimePoint now);
 
-  /// @brief A request was asked for: counts towards the demand, once.
+  /// @brief Counts a request towards the demand. Call it once for each request.
   void OnDemand(const core::AccountId& account,
                 core::Tokens tokens,
                 core::TimePoint now,
                 uint8_t rank = 0);
-  /// @brief Sets tokens aside for a request at its most.
+  /// @brief Reserves the maximum that a request may use.
   /// @param rank of the request; 0 is the most urgent
   Reservation Reserve(const core::AccountId& account,
                       core::Tokens tokens,
                       core::TimePoint now,
                       uint8_t rank = 0);
-  /// @brief Replaces a reservation by what was really used.
+  /// @brief Replaces a reservation by the tokens that were used.
   /// @pre the tokens were reserved and `used` is at most `reserved`
   void Settle(const core::AccountId& account,
               core::Tokens reserved,
               core::Tokens used,
               core::TimePoint now);
-  /// @brief Takes tokens out of this router's ceiling for another router. They
-  /// count as spent here from now on, whatever becomes of them: so they are
-  /// covered by this router's claim, also when either of both dies.
-  /// @return between `least` and `wanted`, or 0 when it can't spare them
+  /// @brief Transfers tokens from this router's ceiling to another router. They
+  /// count as spent here from now on, whether or not they arrive: this router's
+  /// claim covers them even if either router crashes.
+  /// @return between `least` and `wanted`, or 0 if this router needs them
+  /// itself
   core::Tokens Give(const core::AccountId& account,
                     core::Tokens least,
                     core::Tokens wanted,
                     core::TimePoint now);
-  /// @brief Somebody lacks tokens of the account: the next claim is to cover
-  /// them.
+  /// @brief Makes the next claim cover this many tokens more.
   void Want(const core::AccountId& account, core::Tokens tokens);
-  /// @brief Tokens that another router gave up for this one.
+  /// @brief Adds tokens that another router transferred to this one.
   void OnGift(const core::AccountId& account, core::Tokens tokens);
-  /// @brief Sets given tokens aside. @return false when there are too few
+  /// @brief Reserves transferred tokens.
+  /// @return false if there are too few
   bool ReserveGiven(const core::AccountId& account, core::Tokens tokens);
-  /// @brief What a request did not use is kept for the next one.
+  /// @brief Keeps the unused part of a reservation for later requests.
   void SettleGiven(const core::AccountId& account,
                    core::Tokens reserved,
                    core::Tokens used);
-  /// @return routers that may spare so many, the richest first
+  /// @return routers that may be able to transfer this many tokens, those with
+  /// the most unspent tokens first
   std::vector<core::RouterId> Lenders(const core::AccountId& account,
                                       core::Tokens tokens) const;
-  /// @return what this router asks for when it lacks `tokens`: enough for the
-  /// requests of a while
+  /// @return the amount to request from other routers if `tokens` are missing:
+  /// also enough for the following requests
   core::Tokens WantedFor(const core::AccountId& account,
                          core::Tokens tokens,
                          core::TimePoint now) const;
 
-  /// @return when tokens that are held back cover a request, should no claim
-  /// get through until then; none when they don't, or are not held back
+  /// @return when the reserve becomes spendable and covers a request, if no new
+  /// claim is acknowledged before; nullopt if the ceiling does not cover it
   std::optional<core::TimePoint> CoveredAt(const core::AccountId& account,
                                            core::Tokens tokens,
                                            core::TimePoint now) const;
 
-  /// @brief Writes what this router claims from now on. Lower ceilings hold
-  /// at once, higher ones when the record came back. Reserves are stated where
-  /// the beat says before when they are not touched.
+  /// @brief Writes this router's claims. A lower ceiling applies at once, a
+  /// higher one when the record was read back. Reserves are written if the
+  /// beat's `not_before` is set.
   void WriteClaims(v1::RouterBeat& beat,
                    const ClaimContext& context,
                    core::TimePoint now);
 
-  /// @return whether another router or a later claim may yet cover `tokens`
+  /// @return whether a later claim may cover `tokens`
   bool MayBeCovered(const core::AccountId& account, core::Tokens tokens) const;
 
-  /// @brief Figures of one account, for logs and metrics.
+  /// @brief State of one account, for logs and metrics.
   struct Figures {
     std::optional<core::Tokens> total;
     core::Tokens ceiling{};
     core::Tokens spent{};
     core::Tokens reserved{};
-    core::Tokens others{};  ///< claimed by others and by earlier incarnations
-    core::Tokens lost{};    ///< of those, never spent as far as is known
-    core::Tokens free{};    ///< claimed by nobody
-    bool paced = false;     ///< claimed slowly, after a loss
+    core::Tokens others{};  ///< claimed by peers and previous incarnations
+    core::Tokens lost{};    ///< part of `others` lost, as far as is known
+    core::Tokens free{};    ///< not claimed by any router
+    bool paced = false;     ///< claims are rationed after a loss
   };
   Figures FiguresOf(const core::AccountId& account) const;
 
-  /// @return what all routers together told of the fleet's past
+  /// @return losses and outages of the whole fleet, summed over all routers
   LivedThrough Past() const;
-  /// @return the part of what a fleet without a past would hold ahead
+  /// @return the factor applied to the headroom, 1 for a fleet without history
   double HoldFactor() const { return m_hold; }
 
  private:
   struct OtherClaim {
     core::Tokens claimed{};
-    core::Tokens retired{};  ///< ceilings of earlier incarnations
-    core::Tokens unspent{};  ///< of the present incarnation
+    core::Tokens retired{};  ///< ceilings of previous incarnations
+    core::Tokens unspent{};  ///< of the current incarnation
     uint64_t epoch = 0;
-    core::Tokens lost{};           ///< with earlier incarnations
-    core::Tokens ceiling_spent{};  ///< by the present incarnation
-    core::Tokens committed{};      ///< that, and by requests in progress
+    core::Tokens lost{};           ///< by previous incarnations
+    core::Tokens ceiling_spent{};  ///< by the current incarnation
+    core::Tokens committed{};      ///< spent, and reserved by running requests
   };
-  /// A claim that was written and has not been read back yet.
+  /// A claim that was written and not read back yet.
   struct Pending {
     uint64_t sequence = 0;
     core::Tokens claim{};
   };
-  /// What a claim lets this router spend before a time.
+  /// The limit that a claim sets on spending before `not_before`.
   struct Early {
     uint64_t sequence = 0;
     core::Tokens limit{};
@@ -221,30 +230,30 @@
   struct Entry {
     std::optional<core::Tokens> total;
     std::deque<Pending> pending;  ///< in the order of writing
-    /// Of the newest claim that is known to be written and of all after it.
+    /// Limits of the newest acknowledged claim and of all later ones.
     std::deque<Early> early;
     core::Tokens retired{};
     core::Tokens retired_spent{};
-    core::Tokens just_lost{};  ///< with the start before this one
-    core::Tokens ceiling{};    ///< may be spent up to here
-    core::Tokens asked{};      ///< stated in the newest record
+    core::Tokens just_lost{};  ///< by the previous incarnation
+    core::Tokens ceiling{};    ///< upper limit of spent and reserved tokens
+    core::Tokens asked{};      ///< ceiling in the newest written record
     core::Tokens spent{};
     core::Tokens reserved{};
-    core::Tokens given{};  ///< by other routers, not under this ceiling
+    core::Tokens given{};  ///< transferred by peers, not part of the ceiling
     core::Tokens others_claimed{};
     core::Tokens others_retired{};
     core::Tokens others_unspent{};
     core::Tokens others_lost{};
-    core::Tokens others_committed{};  ///< by present incarnations
-    core::Tokens largest{};           ///< request seen
-    core::Tokens wanted{};   ///< by requests that wait for a higher ceiling
-    core::Tokens paced{};    ///< may be claimed more by now, after a loss
-    bool must_last = false;  ///< little is left after a loss
-    bool stated = false;     ///< has been in a record
+    core::Tokens others_committed{};  ///< by current incarnations
+    core::Tokens largest{};           ///< largest request seen
+    core::Tokens wanted{};   ///< missing for requests that wait for a claim
+    core::Tokens paced{};    ///< increase of the ceiling allowed so far
+    bool must_last = false;  ///< few tokens are left after a loss
+    bool stated = false;     ///< has been written in a record
     std::unordered_map<core::RouterId, OtherClaim> others;
-    Demand own_demand;    ///< asked for here, served or not
-    RankedDemand ranked;  ///< the same, by rank
-    Demand fleet_demand;  ///< spent by all routers
+    Demand own_demand;    ///< of requests to this router, served or not
+    RankedDemand ranked;  ///< the same demand by rank
+    Demand fleet_demand;  ///< tokens spent by all routers
   };
   static core::Tokens InUse(const Entry& entry);
   static core::Tokens Free(const Entry& entry);
--- a/include/coppervalve/entry/beat_rate.h
+++ b/include/coppervalve/entry/beat_rate.h
@@ -7,23 +7,23 @@
 
 namespace coppervalve::entry {
 
-/// @brief Between beats of a router in a small fleet, when nothing hurries
-/// them: what a process that dies can have spent is known to within as much.
+/// @brief Heartbeat period of an active router in a small fleet. What a crashed
+/// process has spent is known except for about one period.
 constexpr core::Duration kQuietBeatPeriod{600'000};
 
-/// @brief What bounds how often a router may write into the store.
+/// @brief Limits how often a router may write to the store.
 struct BeatLimits {
   double store_writes_per_second = 0;  ///< of the whole fleet
-  uint32_t live = 1;                   ///< routers that write
-  uint32_t active = 1;                 ///< of those, that callers are led to
+  uint32_t live = 1;                   ///< routers that write heartbeats
+  uint32_t active = 1;                 ///< active routers among them
   bool self_active = true;
 };
 
-/// @return the time between beats that nothing hurries
+/// @return the regular time between heartbeats
 core::Duration BeatPeriod(const BeatLimits& limits);
 
-/// @return the least time between beats of a router whose callers wait for a
-/// claim
+/// @return the minimum time between heartbeats of a router whose requests wait
+/// for a claim
 core::Duration HurriedGap(const BeatLimits& limits);
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/beat_reader.h
+++ b/include/coppervalve/entry/beat_reader.h
@@ -8,9 +8,10 @@
 
 namespace coppervalve::entry {
 
-/// @brief Reads a beat of any router from its record.
-/// @return kLogRecordInvalid where bytes or figures make no sense: no claim is
-/// negative, spends more than it holds, or is larger than any total can be
+/// @brief Parses and validates a router's heartbeat record.
+/// @return kLogRecordInvalid if the bytes are not a message or a value is out
+/// of range: a negative or implausibly large claim, or more tokens spent than
+/// claimed
 core::Result<v1::RouterBeat> ReadBeat(const std::string& bytes);
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/call_patience.h
+++ b/include/coppervalve/entry/call_patience.h
@@ -8,28 +8,29 @@
 
 namespace coppervalve::entry {
 
-/// @brief How far a call has come.
+/// @brief Progress of a call.
 struct CallProgress {
   core::TimePoint began;
   bool connected = false;
-  /// When bytes of the answer came last; none before any.
+  /// Time of the last received bytes; nullopt before the first ones.
   std::optional<core::TimePoint> last_part;
 };
 
-/// @brief How long the caller of another program waits for its answer.
+/// @brief Timeouts of a call to another process.
 struct CallPatience {
-  /// For a new connection. Within a region it takes milliseconds; a packet that
-  /// opens one is sent again only after seconds, so another try is sooner.
+  /// Timeout of a new connection. Connecting takes milliseconds within a
+  /// region, and a lost SYN packet is retransmitted only after seconds, so a
+  /// new attempt is faster.
   core::Duration connect{400'000};
-  /// Until the first byte of the answer: a program that can't be reached sends
-  /// none, and this is how soon that is known.
+  /// Time until the first byte of the answer. An unreachable process is
+  /// detected after this time.
   core::Duration first{1'000'000};
-  /// Between two parts of an answer that has begun.
+  /// Maximum time between two parts of an answer.
   core::Duration stall{800'000};
-  /// For all of it, so that an answer in drops ends.
+  /// Time for the whole answer, which bounds slow answers.
   core::Duration whole{6'000'000};
 
-  /// @return when the call is given up, unless it comes further before
+  /// @return when the call times out unless it makes progress before
   core::TimePoint GiveUpAt(const CallProgress& progress) const {
     if (!progress.connected) {
       return progress.began + connect;
--- a/include/coppervalve/entry/demand.h
+++ b/include/coppervalve/entry/demand.h
@@ -7,13 +7,14 @@
 
 namespace coppervalve::entry {
 
-/// @brief Tokens a second that are asked for, smoothed over two spans so that
-/// a sudden rise counts at once and a lull does not.
+/// @brief Rate of requested tokens per second: the larger of two exponential
+/// moving averages, so that it follows an increase at once and a decrease
+/// slowly.
 class Demand {
  public:
   /// @complexity constant, as all of this class
   void Add(core::Tokens tokens, core::TimePoint now);
-  /// @return the larger of the two averages
+  /// @return the estimated rate
   double PerSecond(core::TimePoint now) const;
 
  private:
--- a/include/coppervalve/entry/gift_memory.h
+++ b/include/coppervalve/entry/gift_memory.h
@@ -13,8 +13,8 @@
 
 namespace coppervalve::entry {
 
-/// @brief What was answered to the asks of late, so that an ask that arrives
-/// twice is answered alike and takes tokens once.
+/// @brief Recent replies to token requests of other routers. A repeated request
+/// gets the same reply and takes tokens only once.
 class GiftMemory {
  public:
   std::optional<core::Tokens> Answered(const v1::TokenAsk& ask) const;
--- a/include/coppervalve/entry/hold_ahead.h
+++ b/include/coppervalve/entry/hold_ahead.h
@@ -3,39 +3,38 @@
 
 namespace coppervalve::entry {
 
-/// @brief What a fleet has been through since its first start.
+/// @brief Losses and outages since the first start of the fleet or of a router.
 struct LivedThrough {
-  /// Losses of claims, in losses of all that the fleet may hold ahead: a router
-  /// of six that dies alone counts about a sixth.
+  /// Lost claims, in units of all tokens that the fleet may hold ahead: a
+  /// single crash in a fleet of six counts as about one sixth.
   double losses = 0;
-  /// Spans in which claims had to last without the store, in outages of the
-  /// whole fleet.
+  /// Periods without the store, in units of outages of the whole fleet.
   double outages = 0;
 };
 
-/// @brief Constants of how much a fleet holds ahead, by what it lived through.
+/// @brief Parameters of HoldFactor().
 struct HoldOptions {
-  /// What a fleet without a past is taken to have been through.
+  /// Prior counts, which a fleet without history starts with.
   double losses_before = 0.25;
   double outages_before = 2;
-  /// Never less than this part of what a fleet without a past holds.
+  /// Bounds of the factor.
   double least = 0.1;
   double most = 1;
 };
 
-/// @return the part, from `least` to `most`, of what a fleet without a past
-/// holds ahead; 1 without a past
+/// @return the factor, from `least` to `most`, by which the tokens held ahead
+/// by a fleet without history are multiplied; 1 without history
 double HoldFactor(const HoldOptions& options, const LivedThrough& lived);
 
-/// @brief This router's part of the fleet's past. It is told in every beat, so
-/// it survives in the store, and the parts of all routers add up.
+/// @brief This router's share of the fleet's history. It is part of every
+/// heartbeat, so it is kept in the store, and the shares of all routers add up.
 class OwnPast {
  public:
-  /// @brief What the start before had told.
+  /// @brief Takes over the counts of the previous incarnation.
   void Continue(const LivedThrough& told) { m_own = told; }
-  /// @param part of all that the fleet may hold ahead that was lost
+  /// @param part fraction lost of all tokens that the fleet may hold ahead
   void OnLoss(double part);
-  /// @param part of the fleet that was without the store
+  /// @param part fraction of the fleet that was without the store
   void OnOutage(double part);
   const LivedThrough& own() const { return m_own; }
 
--- a/include/coppervalve/entry/member_list.h
+++ b/include/coppervalve/entry/member_list.h
@@ -17,13 +17,14 @@
 
 namespace coppervalve::entry {
 
-/// @brief The routers of the fleet as their beats tell, for the list of
-/// addresses that callers get and for shares of common bounds.
+/// @brief The routers of the fleet according to their heartbeats. Provides the
+/// addresses that callers get and the counts by which fleet-wide limits are
+/// divided.
 class MemberList {
  public:
-  /// @param silence after which a router that is heard of through a store in
-  /// good order counts as dead
-  /// @param least_active routers that callers are led to, where there are
+  /// @param silence time without a heartbeat after which a router counts as
+  /// dead, while the store is readable
+  /// @param least_active minimum number of active routers, if there are as many
   MemberList(core::RouterId self,
              core::Duration silence,
              const PeerContact& peers,
@@ -36,35 +37,36 @@
   void OnBeat(const core::RouterId& router,
               const v1::RouterBeat& beat,
               core::TimePoint now);
-  /// @param contact with the topic that the beats are read from: only while it
-  /// is read does silence count, and while no other router is heard at all, the
-  /// list stays for a while as it was
+  /// @param contact with the topic of the heartbeats. Time counts as silence
+  /// only while the topic is readable. If no router at all is heard, the list
+  /// stays unchanged for a while.
   void Advance(const StoreContact& contact, core::TimePoint now);
 
-  /// @return callers' addresses of the active routers
+  /// @return addresses of the active routers for callers
   std::vector<std::string> Addresses() const;
-  /// @return where the other active routers take load reports
+  /// @return addresses of the other active routers for load reports
   std::vector<std::string> LoadAddresses() const;
-  /// @return routers that callers are led to; at least 1
+  /// @return number of active routers; at least 1
   uint32_t Active() const;
-  /// @return whether this router is one of them
+  /// @return whether this router is active
   bool SelfActive() const { return m_active.contains(m_self); }
-  /// @return whether it is one, or would be if as many more were needed
+  /// @return whether this router is active, or would be if twice the capacity
+  /// and number of routers were needed
   bool SelfInTurn() const { return m_self_in_turn; }
-  /// @return the most upstreams that a live router knows
+  /// @return the highest number of upstreams that a live router knows
   size_t Upstreams() const;
-  /// @return active routers that are chosen before this one for a key, without
-  /// talking; for an active router as many as all others count, as far as their
-  /// lists agree
+  /// @return number of active routers that rendezvous hashing prefers to this
+  /// one for a key. Routers with the same list agree on the ranks without
+  /// communication.
   uint32_t ActiveAbove(std::string_view key) const;
-  /// @return a number that changes with the set of active routers
+  /// @return a version number of the set of active routers
   uint64_t ActiveVersion() const { return m_active_version; }
-  /// @return whether this router is the one active router that all choose for
-  /// a key without talking, as far as their lists agree
+  /// @return whether rendezvous hashing assigns a key to this router. Routers
+  /// with the same list agree on the owner without communication.
   bool SelfOwns(std::string_view key) const;
-  /// @return where a live router takes datagrams; empty when it doesn't
+  /// @return address of a live router for datagrams; empty if it has none
   std::string LoadAddressOf(const core::RouterId& router) const;
-  /// @return routers that may be serving, this one included; at least 1
+  /// @return number of live routers, this one included; at least 1
   uint32_t Live() const;
 
  private:
@@ -95,7 +97,7 @@
   std::set<core::RouterId> m_active;
   uint64_t m_active_version = 1;
   bool m_self_in_turn = false;
-  double m_need = 0;  ///< requests a second that the active ones must take
+  double m_need = 0;  ///< requests per second that active routers must handle
   core::TimePoint m_advanced{};
 };
 
--- a/include/coppervalve/entry/peer_contact.h
+++ b/include/coppervalve/entry/peer_contact.h
@@ -9,13 +9,13 @@
 
 namespace coppervalve::entry {
 
-/// @brief Which other routers are heard directly, and which of them reach the
-/// durable store. Tells sooner than the store who is gone, and tells a router
-/// that the store turned away whether the others are better off.
+/// @brief Tracks which other routers send reports directly and which of them
+/// reach the durable store. Detects a failed router sooner than the store does,
+/// and tells a router without the store whether other routers still reach it.
 class PeerContact {
  public:
-  /// @param silence after which a router that was heard before counts as lost
-  /// @param memory after which nothing is known of it any more
+  /// @param silence time without a report after which a router counts as lost
+  /// @param memory time after which a silent router is no longer tracked
   PeerContact(core::Duration silence, core::Duration memory)
       : m_silence(silence), m_memory(memory) {}
 
@@ -23,15 +23,16 @@
                 bool store_up,
                 core::TimePoint now);
 
-  /// @return whether the router was heard a while ago and is not any more,
-  /// while others still are: a router that hears nobody is cut off itself and
-  /// can't tell. Routers that stand by are silent by design: that is why the
-  /// memory is short.
+  /// @return whether the router's reports have stopped while other routers are
+  /// still heard. A router that hears no one may be cut off itself, so it
+  /// reports none as lost. Standbys send no reports, so the retention time is
+  /// short.
   bool Lost(const core::RouterId& router, core::TimePoint now) const;
-  /// @return routers that reach the store, by a word of a moment ago
+  /// @return number of routers whose latest report is recent and says that they
+  /// reach the store
   uint32_t WithStore(core::TimePoint now) const;
-  /// @return whether a caller who is sent to another of `active` routers most
-  /// likely finds one that reaches the store, by their word of a moment ago
+  /// @return whether a caller that is sent to another of `active` routers most
+  /// likely finds one that reaches the store
   bool OthersReachStore(uint32_t active, core::TimePoint now) const;
 
  private:
--- a/include/coppervalve/entry/ranked_demand.h
+++ b/include/coppervalve/entry/ranked_demand.h
@@ -9,7 +9,7 @@
 
 namespace coppervalve::entry {
 
-/// @brief Tokens a second that requests of each rank ask for.
+/// @brief Demand for tokens by the rank of the requests.
 class RankedDemand {
  public:
   /// @param rank 0 is the most urgent
@@ -17,8 +17,9 @@
   void Add(uint8_t rank, core::Tokens tokens, core::TimePoint now) {
     m_by_rank[rank].Add(tokens, now);
   }
-  /// @return of the ranks that are more urgent, as long as they are together a
-  /// small part of all
+  /// @return tokens per second of the ranks more urgent than `rank`, counted
+  /// from the most urgent one as long as their sum is at most `small_part` of
+  /// the total demand
   /// @complexity linear in the ranks
   double SmallAndMoreUrgent(uint8_t rank,
                             double small_part,
--- a/include/coppervalve/entry/read_plan.h
+++ b/include/coppervalve/entry/read_plan.h
@@ -9,67 +9,69 @@
 
 namespace coppervalve::entry {
 
-/// @brief How one topic is followed.
+/// @brief How a reader follows one topic.
 struct ReadPlanOptions {
-  /// After a read that brought records: many writers would otherwise wake every
-  /// reader with each record.
+  /// Pause after a read that returned records. Without it, each record of many
+  /// writers would wake every reader.
   core::Duration pause{0};
-  /// Of one read: an answer has to come through a small VM's link, and through
-  /// the rate that all routers share, within what a call may take.
+  /// Size limit of one read. An answer must pass the link of a small VM, and
+  /// the store's rate shared by all routers, within the call's timeout.
   size_t most_bytes = 128 * 1024;
-  /// Only the newest record of each key matters, also of those that were missed
-  /// while the store was away: they are not read one by one.
+  /// Only the newest record of each key is needed, so records missed while the
+  /// store was unreachable are not read one by one.
   bool only_newest_matters = true;
   core::Duration first_backoff{100'000};
   core::Duration longest_backoff{800'000};
 };
 
-/// @brief Of configurations: each is whole, and large ones fill a read.
+/// @brief Options for configurations: each record is complete, and a large one
+/// fills a read.
 ReadPlanOptions ConfigurationPlan();
-/// @brief Of the table of upstreams.
+/// @brief Options for the table of upstreams.
 ReadPlanOptions UpstreamPlan();
-/// @brief Of the routers' beats: a claim is granted when its own record comes
-/// back in order, so all records are handed on.
+/// @brief Options for the heartbeats of the routers. A claim is granted when
+/// its own record is read in log order, so every record is delivered.
 ReadPlanOptions BeatPlan();
 
 /// @brief The next call of a reader.
 struct ReadStep {
   enum class Call : uint8_t {
-    kFirstPage,  ///< the newest of each key, from the first key
-    kSamePage,   ///< the page that was asked for last, once more
-    kRecords,    ///< what came since
+    kFirstPage,  ///< newest records by key, from the start
+    kSamePage,   ///< repeat the last requested page
+    kRecords,    ///< records from next() on
   };
   Call call = Call::kFirstPage;
   core::Duration delay{};
-  /// A pause between reads that may be cut short; not a backoff.
+  /// Whether `delay` is a pause between reads, which may be cut short, and not
+  /// a backoff.
   bool pausing = false;
 };
 
-/// @brief Decides what a reader of a keyed topic asks for next: records in
-/// order while it keeps up, the newest of each key where more was missed than
-/// there are keys.
+/// @brief Decides the next call of a reader of a keyed topic: records in log
+/// order while the reader keeps up, the newest record of each key if it missed
+/// more records than there are keys.
 /// @complexity constant, as all of this class
 class ReadPlan {
  public:
   explicit ReadPlan(ReadPlanOptions options) : m_options(options) {}
 
-  /// @brief The last page of the newest was read.
+  /// @brief The last page of the newest records was read.
   /// @param keys in all pages
-  /// @param next offset to read on from
+  /// @param next offset to continue from
   ReadStep OnNewest(size_t keys, uint64_t next, core::TimePoint now);
-  /// @param next offset behind the records of the batch
-  /// @param end of the log when it was answered
+  /// @param next offset after the records of the batch
+  /// @param end end of the log when the store answered
   ReadStep OnBatch(bool empty,
                    uint64_t next,
                    uint64_t end,
                    core::Duration pause,
                    core::TimePoint now);
-  /// @brief What was asked for is no longer kept.
+  /// @brief The requested offset is no longer in the log.
   ReadStep OnGap();
-  /// @param began when the call that failed was made
   /// @param draw uniform in [0, 1)
+  /// @param began start of the failed call
   ReadStep OnFailure(double draw, core::TimePoint began, core::TimePoint now);
-  /// @brief A page came, and another follows.
+  /// @brief A page was read, and another one follows.
   void OnPage(core::TimePoint now);
 
   uint64_t next() const { return m_next; }
--- a/include/coppervalve/entry/store_contact.h
+++ b/include/coppervalve/entry/store_contact.h
@@ -7,19 +7,20 @@
 
 namespace coppervalve::entry {
 
-/// @brief What this router knows of its contact with the durable store.
+/// @brief Tracks whether this router reaches the durable store.
 class StoreContact {
  public:
   /// @complexity constant, as all of this class
   void OnAnswer(core::TimePoint now);
-  /// @param began when the call was made
+  /// @param began start of the failed call
   void OnFailure(core::TimePoint began);
 
-  /// @return whether the last call that ended was answered
+  /// @return whether the last completed call succeeded
   bool up() const { return m_up; }
-  /// @return time since the last answer; the longest duration before any
+  /// @return time since the last answer; the maximum duration before the first
+  /// one
   core::Duration SilentFor(core::TimePoint now) const;
-  /// @return since when there has been no failure; none while there is one
+  /// @return since when the store has been reachable; nullopt while it is not
   std::optional<core::TimePoint> regained() const;
 
  private:
--- a/include/coppervalve/entry/succession.h
+++ b/include/coppervalve/entry/succession.h
@@ -9,17 +9,17 @@
 
 namespace coppervalve::entry {
 
-/// @brief What a start of a router knows of the one before it.
+/// @brief What a router knows about its previous incarnation.
 struct Succession {
-  std::string boot;  ///< of the VM; empty when it can't be told
-  /// A time of the VM's clock by which the start before had ended for certain;
-  /// none when it can't be told.
+  std::string boot;  ///< boot ID of the VM; empty if unknown
+  /// A time of the VM's clock by which the previous incarnation had certainly
+  /// ended; nullopt if unknown.
   std::optional<core::TimePoint> alone_since;
 };
 
-/// @brief Whether the start that wrote a record can't have touched what the
-/// record holds back.
-/// @param last its newest record, read after its writes were shut out
+/// @brief Whether the incarnation that wrote a record provably did not spend
+/// the reserves in it.
+/// @param last its newest record, read after its further writes were fenced
 bool HeldBack(const v1::RouterBeat& last, const Succession& succession);
 
 }  // namespace coppervalve::entry
--- a/src/entry/active_set.cc
+++ b/src/entry/active_set.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// @brief The candidates of one failure domain, the best first.
+/// @brief The candidates of one failure domain, highest capacity first.
 struct Domain {
   std::vector<Candidate> ranked;
   size_t chosen = 0;
@@ -21,11 +21,13 @@
   if (a.capacity != b.capacity) {
     return a.capacity > b.capacity;
   }
-  // By hash, so that the first names of a domain don't carry all the load.
+  // Ties are broken by hash; by name, the same few routers would always be
+  // chosen.
   return core::Hash64(a.router.value()) < core::Hash64(b.router.value());
 }
 
-// The domain with the fewest chosen so far; the better next one among equals.
+// The domain with the fewest selected routers; ties go to the domain whose next
+// candidate ranks higher.
 Domain* NextDomain(std::map<core::FailureDomainId, Domain>& domains) {
   Domain* next = nullptr;
   for (auto& [name, domain] : domains) {
@@ -45,10 +47,10 @@
 
 }  // namespace
 
-// Spread over all routers of a large fleet, an account's tokens lie in pieces
-// that are too small for a large request, and callers that stay with one
-// address may stay with a VM that is too weak for them. So callers are led to
-// as few and as capable routers as carry the load.
+// As few routers as carry the load, and the most capable ones, are active.
+// Split over all routers of a large fleet, the tokens of an account would form
+// shares too small for a large request, and callers that keep one address might
+// stay on a VM that is too weak for them.
 std::vector<Candidate> ChooseInOrder(std::vector<Candidate> candidates,
                                      const ActiveNeed& need) {
   std::map<core::FailureDomainId, Domain> domains;
--- a/src/entry/allotment_book.cc
+++ b/src/entry/allotment_book.cc
@@ -10,11 +10,12 @@
 namespace {
 
 constexpr double kLeastShareOfFree = 0.25;
-// Own demand is a small sample of the fleet's; it counts in full only where
-// it is far above the router's even part.
+// Own demand is a small sample of the fleet's demand. It takes full effect only
+// where it far exceeds this router's equal share.
 constexpr double kOwnWeight = 0.5;
 constexpr double kPriorRequests = 12;
-// For the first requests of an account that came to other routers so far.
+// Leaves something for the first requests of an account that only other routers
+// have served so far.
 constexpr double kLeastShareOfEven = 0.1;
 
 core::Tokens Times(core::Tokens tokens, double factor) {
@@ -32,22 +33,22 @@
   return entry.spent + entry.reserved;
 }
 
-// What nobody has claimed; may be negative while claims race.
+// Tokens that no router has claimed. Negative while claims race.
 core::Tokens AllotmentBook::Free(const Entry& entry) {
   return *entry.total - entry.others_claimed - entry.retired - entry.asked;
 }
 
-// What no router that lives can grant any more. What was lost with an earlier
-// start of a router may have been spent, so it counts as spent for good; what
-// requests in progress may use counts at its most, as it does where it is
-// reserved. Said to be "busy", callers come back for it in vain.
+// Tokens that no live router can grant any more. Tokens lost with a previous
+// incarnation may have been spent, so they count as spent permanently. Running
+// requests count with their maximum, here and on other routers. Otherwise
+// callers would be told to retry for tokens that they can never get.
 core::Tokens AllotmentBook::Unavailable(const Entry& entry) {
   return entry.others_committed + entry.others_retired + entry.retired +
          InUse(entry);
 }
 
-// What is neither spent nor lost with an earlier start of a router: free or in
-// the hands of a router that lives.
+// Tokens that are neither spent nor lost with a previous incarnation:
+// unclaimed, or claimed by a live router.
 core::Tokens AllotmentBook::Spendable(const Entry& entry) {
   return NotNegative(NotNegative(Free(entry)) + entry.asked - InUse(entry) +
                      entry.others_unspent);
@@ -77,9 +78,9 @@
   }
 }
 
-// Other routers' claims count in full, granted or not: a claim that was only
-// granted in part is corrected by its own router's next record. Until then
-// this errs on the side of too little left, never of too much.
+// Claims of other routers count in full, granted or not; if a claim was granted
+// only in part, its router's next record corrects it. Until then the tokens
+// left are underestimated, never overestimated.
 void AllotmentBook::OnOtherBeat(const core::RouterId& router,
                                 const v1::RouterBeat& beat,
                                 core::TimePoint now) {
@@ -127,14 +128,14 @@
         *entry.total - entry.others_claimed - entry.retired;
     const core::Tokens granted = std::min(
         {core::Tokens(claim.ceiling()), available, LeastPending(entry)});
-    // What is in use was granted before and cannot be taken back.
+    // Tokens in use were granted before and cannot be revoked.
     entry.ceiling = std::max(entry.ceiling, granted);
   }
 }
 
-// Of all claims written after the one that was just read, the lowest binds:
-// where it lies in the log, others may already hold what it gave back, however
-// much a still later one asks for.
+// The lowest of the claims written after the one just read is binding, even if
+// a later one is higher: others may already have claimed the tokens that it
+// returned, depending on its position in the log.
 core::Tokens AllotmentBook::LeastPending(const Entry& entry) {
   core::Tokens least(std::numeric_limits<int64_t>::max());
   for (const Pending& pending : entry.pending) {
@@ -208,16 +209,17 @@
   return m_options.standbys_share / std::max(m_context.standbys, 1U);
 }
 
-// Callers choose routers at random, but some accounts come to a few routers
-// only. What came so far tells, once it is more than a few requests: until
-// then an even part is the better guess.
+// Callers choose routers at random, but some accounts use only a few routers.
+// The requests so far show this once there are more than a few; until then an
+// equal share is the better estimate.
 double AllotmentBook::OwnShare(const Entry& entry) const {
   return ShareOf(entry, InUse(entry), entry.others_committed);
 }
 
-// What earlier starts served counts as well where the rest is rationed. After a
-// loss of all power an even part at each router, to most of which the account's
-// callers never come, left them refused with tokens free.
+// Rationing also counts what previous incarnations served. After a power
+// failure of all VMs, equal shares would leave tokens unused on the many
+// routers that the account's callers never use, while the callers are refused
+// elsewhere.
 double AllotmentBook::ShareOverAllStarts(const Entry& entry) const {
   return ShareOf(
       entry, InUse(entry) + entry.retired_spent,
@@ -243,7 +245,7 @@
   return !m_first_demand || now - *m_first_demand < m_options.learning;
 }
 
-// Tokens that callers of this router will ask for within some seconds.
+// Tokens that callers of this router are expected to request within a time.
 double AllotmentBook::ExpectedIn(const Entry& entry,
                                  double seconds,
                                  core::TimePoint now) const {
@@ -251,7 +253,7 @@
                   entry.own_demand.PerSecond(now) * kOwnWeight * seconds);
 }
 
-// How far the ceiling should run ahead of what is in use.
+// The target difference between the ceiling and the tokens in use.
 core::Tokens AllotmentBook::Aim(const Entry& entry, core::TimePoint now) const {
   const double share = OwnShare(entry);
   const core::Tokens spendable = Spendable(entry);
@@ -270,16 +272,18 @@
   return std::min(std::max(aim, entry.wanted), spendable);
 }
 
-// Claimed by earlier starts of all routers, and not known to be spent.
+// Tokens claimed by previous incarnations of all routers and not known to be
+// spent.
 core::Tokens AllotmentBook::Lost(const Entry& entry) {
   return entry.others_lost + entry.retired - entry.retired_spent;
 }
 
-// Callers are served for a few seconds after a loss of power and then nobody is
-// until the end of the day: what the dead had claimed is gone, and the rest is
-// spent as fast as ever. Claimed at a rate that follows what is left, it never
-// ends at once: every kind of request still gets its part, and an operator has
-// the time to top up. Where the rest lasts for long, callers need no less.
+// After a power failure the claims of the failed routers are lost. Without
+// rationing, the remaining tokens are spent at full speed within a few seconds,
+// and then callers are refused for the rest of the day. Claiming at a rate
+// proportional to the remainder never uses it up at once: every kind of request
+// still gets a share, and an operator has time to top up the account. A
+// remainder that lasts long enough needs no rationing.
 bool AllotmentBook::MustLast(const Entry& entry, core::TimePoint now) const {
   const core::Tokens rest = Spendable(entry);
   const double seconds =
@@ -295,15 +299,15 @@
                       std::chrono::duration<double>(m_options.spread_rest);
   const double share = ShareOverAllStarts(entry);
   entry.paced += Times(Spendable(entry), share * std::min(part, 1.0));
-  // Saved up for one large request, and no more.
+  // Accumulates enough for one large request and no more.
   const core::Tokens most = std::max(
       entry.largest, Times(Spendable(entry), share * m_options.most_held));
   entry.paced = std::min(entry.paced, most);
 }
 
-// Hundreds of routers stand by in a large fleet. A little of every account at
-// each of them covers no request, is lost with them, and makes their beats so
-// large that a fleet that starts waits for a second to read them.
+// A large fleet has hundreds of standbys. A few tokens of every account on each
+// of them would cover no request, would be lost if they crash, and would make
+// their heartbeats so large that a starting fleet needs a second to read them.
 bool AllotmentBook::StandsByWithoutCallers(const Entry& entry) const {
   return !m_context.active && entry.largest == core::Tokens(0);
 }
@@ -358,8 +362,8 @@
     entry.ceiling = std::min(entry.ceiling, next);
     const bool claims_nothing =
         next == core::Tokens(0) && entry.retired == core::Tokens(0);
-    // Others keep the claim they read last, so what was stated once is stated
-    // again, also when it is nothing by now.
+    // Other routers keep the last claim they read, so an account that was once
+    // written is written again, even if its claim is now 0.
     if (claims_nothing && !entry.stated) {
       entry.wanted = core::Tokens(0);
       continue;
--- a/src/entry/allotment_gifts.cc
+++ b/src/entry/allotment_gifts.cc
@@ -1,4 +1,4 @@
-// Tokens that change hands between routers without the store.
+// Direct transfers of tokens between routers, without the store.
 #include <algorithm>  // min, max, sort
 #include <utility>    // pair
 
@@ -8,8 +8,9 @@
 
 namespace {
 
-// What a lender keeps for its own callers, and what a borrower asks for beyond
-// the request at hand: one round trip should do for a while.
+// Demand that a lender keeps tokens for, and demand that a borrower requests
+// tokens for in addition to the current request, so that one round trip
+// suffices for a while.
 constexpr double kKeptSeconds = 2;
 constexpr double kWantedSeconds = 1.5;
 
--- a/src/entry/allotment_past.cc
+++ b/src/entry/allotment_past.cc
@@ -1,4 +1,4 @@
-// What a book knows of losses and outages before this start.
+// Losses and outages of this and previous incarnations.
 #include <algorithm>  // max, min
 
 #include "coppervalve/entry/allotment_book.h"
@@ -7,14 +7,15 @@
 
 namespace {
 
-// Between claims, and until they are read back.
+// Covers the time until the next claim and until that claim is read back.
 constexpr double kPeriodsAhead = 1.5;
 
 }  // namespace
 
-// Measured against all that could still be spent, so that a loss late in the
-// day counts as much as an early one, and a proved one as little as it took.
-// Totals may come after the record of the start before, so this waits for them.
+// The loss is relative to all tokens that could still be spent, so a loss late
+// in the day weighs as much as an early one, and a reserve that was provably
+// not spent is not counted. The totals may arrive after the previous
+// incarnation's record, so this waits for them.
 void AllotmentBook::CountLoss() {
   core::Tokens lost(0);
   core::Tokens spendable(0);
@@ -43,8 +44,8 @@
   return all;
 }
 
-// A router that writes seldom can't claim request by request: it holds what
-// comes until its next claims are read.
+// A router with a long claim period cannot claim for single requests, so its
+// headroom must last until its next claim is read back.
 double AllotmentBook::LeastHold() const {
   if (!m_context.active) {
     return 0;
@@ -55,8 +56,9 @@
                   m_options.hold.most);
 }
 
-// Each start began as if it were the first, so each loss took the same part of
-// what was left, until nothing was. What is told here outlives every start.
+// The history is kept in heartbeats across restarts. Without it every
+// incarnation would hold as much ahead as the first one, and each loss would
+// take the same share of the remaining tokens until none is left.
 void AllotmentBook::RecallPast(v1::RouterBeat& beat) {
   CountLoss();
   HoldOptions hold = m_options.hold;
--- a/src/entry/allotment_reserve.cc
+++ b/src/entry/allotment_reserve.cc
@@ -1,5 +1,5 @@
-// The part of a claim that is held back: see HeldBack() for what it is good
-// for.
+// The reserve: the part of a claim that is not spent before a given time. See
+// ReserveUntouched() for its use.
 #include <algorithm>  // max, min
 #include <cmath>      // sqrt
 
@@ -7,9 +7,10 @@
 
 namespace coppervalve::entry {
 
-// What may be spent now. Until a claim is known to be written, the one before
-// it may be the last in the log, and a successor goes by that: so the least of
-// all that may be the last binds, each until its own time.
+// The limit of spending at this time. Until a claim is acknowledged, the
+// previous one may be the last in the log, and a successor would rely on it. So
+// the lowest limit of all claims that may be the last applies, each until its
+// own time.
 core::Tokens AllotmentBook::Limit(const Entry& entry, core::TimePoint now) {
   core::Tokens limit = entry.ceiling;
   for (const Early& early : entry.early) {
@@ -27,7 +28,7 @@
   }
   m_last_written = now;
   for (auto& [account, entry] : m_entries) {
-    // The newest one that is written stays: it binds until its time.
+    // The newest acknowledged claim stays: it applies until its time.
     while (entry.early.size() > 1 && entry.early[1].sequence <= sequence) {
       entry.early.pop_front();
     }
@@ -52,8 +53,8 @@
   return at;
 }
 
-// What may be spent before the next claims are written, or before the reserve
-// may be touched where none are.
+// The limit until the next claims are acknowledged or, if none are, until the
+// reserve may be spent.
 core::Tokens AllotmentBook::NextEarly(const Entry& entry,
                                       core::Tokens next,
                                       core::TimePoint now) const {
--- a/src/entry/allotment_urgency.cc
+++ b/src/entry/allotment_urgency.cc
@@ -1,4 +1,4 @@
-// The last tokens of an account are left to its more urgent requests.
+// Keeps the last tokens of an account for its more urgent requests.
 #include <algorithm>  // max
 
 #include "coppervalve/entry/allotment_book.h"
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Beyond the time between claims, until this many more have failed to get
-// through: then nothing comes on top of what this router holds.
+// If claims are overdue by this time beyond the claim period, this router
+// cannot count on tokens beyond its ceiling.
 constexpr core::Duration kClaimsOverdue{900'000};
 
 }  // namespace
@@ -18,8 +18,8 @@
          now - *m_last_written < m_context.period + kClaimsOverdue;
 }
 
-// What this router can still spend on an account: what it holds, and its part
-// of what is free while it can claim that.
+// Tokens that this router can still spend on an account: its unused ceiling
+// and, while claims are acknowledged, its share of the unclaimed tokens.
 core::Tokens AllotmentBook::OwnRest(const Entry& entry,
                                     core::TimePoint now) const {
   core::Tokens rest = entry.ceiling - InUse(entry);
@@ -32,12 +32,12 @@
   return rest;
 }
 
-// After a loss of all power what is left of an account runs out while requests
-// of all ranks go on coming. Admitted as they come, large requests that may
-// wait take what many small urgent ones need: callers at a gate are refused for
-// the sake of drafts. So a request passes only if the more urgent ones of some
-// seconds still find their tokens after it. Not so in a cut: there more can be
-// claimed when it ends, and what was kept would be left over.
+// After a power failure of all VMs, the remaining tokens run out while requests
+// of all ranks arrive. Without this check, large requests that can wait use up
+// the tokens of many small urgent ones. A request passes only if the expected
+// demand of more urgent requests within `urgent_ahead` still fits afterwards.
+// This does not apply during a partition: more tokens can be claimed when it
+// ends, so the kept ones would remain unused.
 bool AllotmentBook::LeavesEnough(const Entry& entry,
                                  core::Tokens tokens,
                                  uint8_t rank,
--- a/src/entry/beat_rate.cc
+++ b/src/entry/beat_rate.cc
@@ -6,15 +6,16 @@
 
 namespace {
 
-// A router that stands by has little to tell.
+// A standby has little to report.
 constexpr int kStandbyPeriods = 4;
-// Requests that wait for a claim share one; short beside an objective of 250
-// ms.
+// Requests that wait for a claim share one. Short compared with the latency
+// objective of 250 ms.
 constexpr core::Duration kLeastGap{30'000};
-// Beats may take this part of the writes that the store allows the fleet.
+// Share of the fleet's store writes that heartbeats may use.
 constexpr double kShareOfWrites = 0.4;
 
-// So that all of some routers together keep to the beats' part of the writes.
+// Time between writes of each router such that `routers` together stay within
+// the share of heartbeats.
 core::Duration EachOf(uint32_t routers, const BeatLimits& limits) {
   const double rate = limits.store_writes_per_second * kShareOfWrites;
   const double seconds = routers / std::max(rate, 1.0);
@@ -23,7 +24,8 @@
 
 }  // namespace
 
-// More routers beat more slowly: the store's rate is for the whole fleet.
+// The write rate of the store is shared by the fleet, so the period grows with
+// the number of routers.
 core::Duration BeatPeriod(const BeatLimits& limits) {
   const core::Duration own = limits.self_active
                                  ? kQuietBeatPeriod
@@ -31,9 +33,10 @@
   return std::max(own, EachOf(limits.live, limits));
 }
 
-// After a loss little is held ahead, and most requests hurry a claim. Hundreds
-// of routers that do so at once would be turned away by the store, and nobody's
-// claim would get through; spaced by how many hurry, all of them do.
+// After a loss routers have little headroom, so most requests trigger a claim
+// at once. If hundreds of routers did so at the same time, the store would
+// reject the writes and no claim would succeed. Spacing them by the number of
+// active routers lets all claims succeed.
 core::Duration HurriedGap(const BeatLimits& limits) {
   return std::max(kLeastGap, EachOf(limits.active, limits));
 }
--- a/src/entry/beat_reader.cc
+++ b/src/entry/beat_reader.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Sums over all routers of a large fleet stay far from what 64 bits hold.
+// Sums over all routers of a large fleet stay far below the 64-bit limit.
 constexpr int64_t kMostTokens = int64_t{1} << 50;
-// Routers tell of fewer.
+// Routers report fewer events than this.
 constexpr double kMostEvents = 1'000;
 
 bool Within(int64_t value, int64_t most) {
@@ -24,7 +24,7 @@
          Within(claim.retired_spent(), claim.retired());
 }
 
-// False for what is no number, too.
+// Also false for NaN.
 bool PlausibleCount(double events) {
   return events >= 0 && events <= kMostEvents;
 }
@@ -38,14 +38,14 @@
 core::Result<v1::RouterBeat> ReadBeat(const std::string& bytes) {
   v1::RouterBeat beat;
   if (!beat.ParseFromString(bytes)) {
-    return Invalid("not a message");
+    return Invalid("not a valid protobuf message");
   }
   if (!PlausibleCount(beat.losses()) || !PlausibleCount(beat.outages())) {
-    return Invalid("a past that can't be");
+    return Invalid("losses or outages are out of range");
   }
   for (const v1::AccountClaim& claim : beat.claims()) {
     if (!Plausible(claim)) {
-      return Invalid("a claim that can't be");
+      return Invalid("a claim is inconsistent or out of range");
     }
   }
   return beat;
--- a/src/entry/demand.cc
+++ b/src/entry/demand.cc
@@ -9,9 +9,10 @@
 
 constexpr double kFastSpan = 2.5;  // seconds
 constexpr double kSlowSpan = 8;    // seconds
-// A short span is mostly chance: it counts where it is well above the long one.
+// The fast average is noisy, so it only counts where it is well above the slow
+// one.
 constexpr double kFastWeight = 0.75;
-// One request right after the beginning is no rate.
+// A single request right after the start is no rate.
 constexpr double kLeastAge = 1.5;  // seconds
 
 double SecondsSince(core::TimePoint start, core::TimePoint now) {
@@ -35,8 +36,8 @@
   m_updated = now;
 }
 
-// An average that began a moment ago has not seen its whole span yet and would
-// stay far below the truth for that long.
+// Corrects the bias of an average that has not covered its whole time constant
+// yet and would be far too low until then.
 double Demand::Corrected(double average,
                          double span,
                          core::TimePoint now) const {
--- a/src/entry/gift_memory.cc
+++ b/src/entry/gift_memory.cc
@@ -4,8 +4,8 @@
 
 namespace {
 
-// A copy of a datagram that comes later than this takes tokens once more; they
-// stay unused then, and the total is still kept.
+// A duplicate datagram that arrives later than this takes tokens once more.
+// They remain unused, and the total is not exceeded.
 constexpr core::Duration kRemembered{10'000'000};
 
 }  // namespace
--- a/src/entry/hold_ahead.cc
+++ b/src/entry/hold_ahead.cc
@@ -7,18 +7,18 @@
 
 namespace {
 
-// Events of one router that are told; beyond it old ones fade, so that a fleet
-// that runs for years still follows what its VMs do now.
+// Maximum number of events of one router. Beyond it the counts are scaled down,
+// so that a fleet that runs for years follows its recent failures.
 constexpr double kMostRemembered = 8;
 
 }  // namespace
 
-// A token held ahead serves a caller in an outage that lasts longer than what
-// is held before it, and is gone for good in a loss. With outages of random
-// length the last token pays for itself where outages that reach it are as
-// frequent as losses: the depth grows with the logarithm of how many outages
-// there were to a loss. Both counts begin with a guess, which real events
-// outweigh. No clock is read: only the ratio of two counts matters.
+// A token held ahead serves a caller in an outage that outlasts the tokens
+// before it, and is lost in a crash. For outages of random (exponential)
+// length, the last token is worth holding if outages that reach it are as
+// frequent as losses. So the headroom grows with the logarithm of the ratio of
+// outages to losses. Both counts start with a prior, which observed events
+// outweigh. Only the ratio matters, so no clock is needed.
 double HoldFactor(const HoldOptions& options, const LivedThrough& lived) {
   const double before = options.outages_before / options.losses_before;
   const double now = (options.outages_before + lived.outages) /
--- a/src/entry/member_list.cc
+++ b/src/entry/member_list.cc
@@ -10,19 +10,22 @@
 
 namespace {
 
-// A gap between two calls that is longer than this was spent paused or cut
-// off, and tells nothing about the others.
+// A longer time between two calls means that this process was paused or cut
+// off. It says nothing about other routers.
 constexpr core::Duration kLongestStep{1'000'000};
-// Room for a burst, and for what routers that die leave to the others.
+// Room for bursts and for the load of routers that fail.
 constexpr double kHeadroom = 1.5;
-// What the active ones must take grows at once and shrinks by this part with
-// each step: callers that come and go must not make routers come and go.
+// The required capacity grows at once and shrinks by this factor per step, so
+// that short changes of the load do not make routers switch between active and
+// standby.
 constexpr double kShrink = 0.99;
-// Those next in turn can take as much as the active ones.
+// The next standbys have the capacity of the active routers.
 constexpr size_t kWithNext = 2;
-// Silence of all others counts after so many times the silence of one.
+// If all other routers are silent, they count as dead only after this many
+// times the silence time of one.
 constexpr int kCommonSilences = 3;
-// Of one other router, its own silence and that of all others are the same.
+// With one other router, its silence cannot be told from the silence of all
+// others.
 constexpr size_t kTooFewToTell = 2;
 
 }  // namespace
@@ -77,12 +80,13 @@
   return least;
 }
 
-// Hundreds of routers that can't write, or whose beats this one can't read in
-// time, look dead all at once. Taken for dead, each router thinks that it is
-// the only one, and a weak VM is given all callers of the fleet. One beat of
-// another tells the two apart, and so does an own one that came back: without
-// it the last router of a fleet would go on to give out the dead; where none
-// comes for long, all are gone.
+// If hundreds of routers cannot write, or this router cannot read their
+// heartbeats in time, all seem to be dead at once. Each router would then
+// consider itself the only one, and a weak VM would receive all callers. A
+// heartbeat of any other router, or this router's own heartbeat read back,
+// shows that the log works, so the silent routers are dead. (Without counting
+// its own, the last router of a fleet would keep announcing dead ones.) If
+// there is none for long, all others are considered dead.
 void MemberList::DropSilent() {
   const core::Duration least = LeastSilence();
   const bool common = m_members.size() > kTooFewToTell && least >= m_silence;
@@ -103,7 +107,8 @@
   return load;
 }
 
-// A router whose own reports stopped is left out sooner than the store tells.
+// A router whose direct reports stopped is left out sooner than its missing
+// heartbeats would show.
 void MemberList::ChooseActiveAgain(core::TimePoint now) {
   std::vector<Candidate> candidates;
   for (const auto& [router, member] : m_members) {
@@ -121,7 +126,8 @@
   std::set<core::RouterId> active;
   m_self_in_turn = false;
   double capacity = 0;
-  // The choice for less is the beginning of the choice for more.
+  // The selection for lower requirements is a prefix of the one for higher
+  // ones.
   for (const Candidate& chosen :
        ChooseInOrder(std::move(candidates), with_next)) {
     m_self_in_turn = m_self_in_turn || chosen.router == m_self;
--- a/src/entry/peer_contact.cc
+++ b/src/entry/peer_contact.cc
@@ -4,9 +4,9 @@
 
 namespace {
 
-// Reports are repeated every 0.3 s: one of two may be lost.
+// Reports are sent every 0.3 s; one of two may be lost.
 constexpr core::Duration kWordHolds{650'000};
-// One of so many is less than half.
+// A majority: more than one in two.
 constexpr uint32_t kMostLikely = 2;
 
 }  // namespace
@@ -39,10 +39,10 @@
   return now - found->second.heard < m_memory && HearsAny(now);
 }
 
-// In a cut of all routers each still had the others' word from before it, that
-// they reach the store, and sent its callers to them: they were refused again
-// at once, a hundred a cut. A router that lost the store knows so after nine
-// tenths of a second at the earliest, and by then such a word is too old.
+// If all routers lose the store at once, each still has earlier reports of the
+// others that they reach it. Callers sent to them were refused again at once,
+// about a hundred per partition. A router notices the loss of the store after
+// 0.9 s at the earliest, and by then such a report has expired.
 uint32_t PeerContact::WithStore(core::TimePoint now) const {
   uint32_t count = 0;
   for (const auto& [router, peer] : m_peers) {
@@ -52,9 +52,9 @@
   return count;
 }
 
-// A caller picks one of the active routers by chance. Where only a few of them
-// say that they reach the store, all others are cut off as this one is, and
-// each refuses the caller anew.
+// A caller picks an active router at random. If only a few of them report that
+// they reach the store, the others are cut off like this router and would
+// refuse the caller again.
 bool PeerContact::OthersReachStore(uint32_t active, core::TimePoint now) const {
   return WithStore(now) * kMostLikely > active;
 }
--- a/src/entry/ranked_demand.cc
+++ b/src/entry/ranked_demand.cc
@@ -2,8 +2,9 @@
 
 namespace coppervalve::entry {
 
-// Urgent work that is most of all work can't be saved by what little else there
-// is: kept for it, the tokens of all others serve few of its callers.
+// If urgent requests are most of the demand, the little that others use cannot
+// save them: reserving it would serve few urgent requests and refuse all
+// others.
 double RankedDemand::SmallAndMoreUrgent(uint8_t rank,
                                         double small_part,
                                         core::TimePoint now) const {
--- a/src/entry/read_plan.cc
+++ b/src/entry/read_plan.cc
@@ -7,20 +7,20 @@
 namespace {
 
 constexpr uint32_t kMostDoublings = 4;
-// A refusal is answered at once; longer than this without any answer, the
-// reader was cut off, or the store is far behind.
+// A refusal comes at once. If no answer came for longer than this, the reader
+// was cut off or the store is far behind.
 constexpr core::Duration kSilence{1'500'000};
-// A store that refuses does so sooner, also one that is slow.
+// A store that refuses a call, even a slow one, answers sooner than this.
 constexpr core::Duration kUnanswered{350'000};
-// A page of newest records is text: a record takes this much more in it.
+// Pages of newest records are text: a record takes this much more space.
 constexpr double kCostInPage = 1.5;
-// The largest record that the store takes, so that one fits.
+// The largest record that the store accepts, so that one fits.
 constexpr size_t kConfigurationBytes = 256 * 1024;
-// Of versions in quick succession the fleet need not read each.
+// If versions follow each other quickly, the fleet need not read each one.
 constexpr core::Duration kConfigurationPause{200'000};
 constexpr core::Duration kUpstreamPause{300'000};
-// Of a few seconds of hundreds of routers; a tenth of a second of a small VM's
-// link.
+// A few seconds of heartbeats of hundreds of routers, which take 0.1 s on the
+// link of a small VM.
 constexpr size_t kBeatBytes = 256 * 1024;
 constexpr core::Duration kBeatPause{250'000};
 
@@ -65,9 +65,9 @@
   return {ReadStep::Call::kRecords, {}, false};
 }
 
-// Read one by one, what hundreds of routers missed in a common outage takes
-// longer than it took to write: a configuration that is in force already is
-// read by none of them for seconds, as eighteen older ones come first.
+// Reading record by record what hundreds of routers missed in a common outage
+// takes longer than writing it took: a configuration already in force would
+// reach none of them for seconds, behind eighteen older ones.
 ReadStep ReadPlan::OnBatch(bool empty,
                            uint64_t next,
                            uint64_t end,
@@ -79,7 +79,7 @@
   const uint64_t behind = end > next ? end - next : 0;
   const bool newest_costs_less =
       static_cast<double>(behind) > static_cast<double>(m_keys) * kCostInPage;
-  // A record that is larger than one read would be asked for without an end.
+  // A record larger than one read would be requested forever.
   const bool stuck = empty && behind > 0;
   if (newest_costs_less || stuck) {
     return StartOver();
@@ -94,10 +94,10 @@
   return StartOver();
 }
 
-// Without the random part all routers come back to a returning store at the
-// same moments and are turned away together. The pause grows while the store
-// refuses; a call that nobody answered was pause enough, and a router that
-// waits on after a cut has ended refuses callers for as long.
+// Without jitter all routers would retry at the same moments when the store
+// returns, and be rejected together. The backoff grows while the store refuses
+// calls. A call without any answer was already a long enough wait, and a router
+// that keeps waiting after a partition refuses callers for as long.
 ReadStep ReadPlan::OnFailure(double draw,
                              core::TimePoint began,
                              core::TimePoint now) {
--- a/src/entry/store_contact.cc
+++ b/src/entry/store_contact.cc
@@ -10,9 +10,9 @@
   m_last_answer = now;
 }
 
-// A call that hung since before the store came back fails after other calls
-// were answered. Taken for another loss, it would start the time anew in which
-// lapsed entries may return, and upstreams that left would get work for longer.
+// A call started before the store came back may fail after other calls were
+// answered. Treating this as a new loss would restart the time in which lapsed
+// entries may return, so upstreams that left would receive requests for longer.
 void StoreContact::OnFailure(core::TimePoint began) {
   if (m_last_answer && *m_last_answer > began) {
     return;
--- a/src/entry/succession.cc
+++ b/src/entry/succession.cc
@@ -2,12 +2,12 @@
 
 namespace coppervalve::entry {
 
-// A process that died leaves its whole claim lost, nine seconds of work, though
-// it had spent a part of it: after a crash of all routers accounts had lost a
-// third of what they had left. It is proved untouched by the clock that both
-// starts read: the same boot, not set back, and still before the time that the
-// record names. After another boot that clock says nothing. model/reserve.pml
-// shows what each condition is for.
+// Without a proof, the whole claim of a crashed process is lost, nine seconds
+// of work, although it spent only a part of it: in a crash of all routers,
+// accounts lost a third of their remaining tokens. The proof is the clock that
+// both incarnations read: the same boot, not set back, and still before the
+// time named in the record. After a reboot the clock proves nothing.
+// model/reserve.pml checks that each condition is needed.
 bool HeldBack(const v1::RouterBeat& last, const Succession& succession) {
   if (last.not_before() == 0 || succession.boot.empty() ||
       last.boot() != succession.boot || !succession.alone_since) {
--- a/tests/entry/unit-active-set.cc
+++ b/tests/entry/unit-active-set.cc
@@ -49,7 +49,7 @@
 TEST_GROUP(ActiveSet){};
 // clang-format on
 
-TEST(ActiveSet, the_most_capable_of_each_domain_come_first) {
+TEST(ActiveSet, the_most_capable_routers_of_each_domain_are_selected_first) {
   const auto chosen = Chosen(Fleet(), 100);
   CHECK_EQUAL(8, chosen.size());
   for (const char* name : {"a20", "a21", "b20", "b21", "c20", "c21"}) {
@@ -57,14 +57,14 @@
   }
 }
 
-TEST(ActiveSet, failure_domains_share_the_callers) {
+TEST(ActiveSet, selection_is_balanced_over_failure_domains) {
   const auto chosen = Chosen(Fleet(), 1'800);
   CHECK(chosen.size() > 12);
   CHECK(InDomain(chosen, 'a') - InDomain(chosen, 'b') + 1 <= 2);
   CHECK(InDomain(chosen, 'b') - InDomain(chosen, 'c') + 1 <= 2);
 }
 
-TEST(ActiveSet, a_load_beyond_all_takes_all) {
+TEST(ActiveSet, an_excessive_load_selects_all_routers) {
   CHECK_EQUAL(66, Chosen(Fleet(), 1e9).size());
 }
 
@@ -76,13 +76,13 @@
 }
 
 TEST(ActiveSet, the_order_of_the_candidates_does_not_matter) {
-  // Routers that choose otherwise send callers to and fro.
+  // Routers with different selections would send callers back and forth.
   std::vector<Candidate> reversed = Fleet();
   std::reverse(reversed.begin(), reversed.end());
   CHECK(Chosen(Fleet(), 700) == Chosen(reversed, 700));
 }
 
-TEST(ActiveSet, the_loss_of_a_domain_is_made_up_by_the_others) {
+TEST(ActiveSet, other_domains_replace_a_lost_domain) {
   std::vector<Candidate> fleet = Fleet();
   std::erase_if(fleet, [](const Candidate& candidate) {
     return candidate.failure_domain.value() == "a";
--- a/tests/entry/unit-allotment-book.cc
+++ b/tests/entry/unit-allotment-book.cc
@@ -50,16 +50,16 @@
 };
 // clang-format on
 
-TEST(AllotmentBook, nothing_may_be_spent_before_the_claim_came_back) {
+TEST(AllotmentBook, nothing_is_spendable_before_the_claim_is_read_back) {
   Write(0);
   CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) == Reservation::kShort);
   book.OnOwnBeat(written);
   CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) == Reservation::kHeld);
 }
 
-TEST(AllotmentBook, a_claim_holds_only_within_what_others_left) {
-  // Two routers claim most of a budget at the same moment. Both records are
-  // in the log; the first one holds, the second finds the rest.
+TEST(AllotmentBook, a_claim_is_granted_only_from_unclaimed_tokens) {
+  // Two routers claim most of a budget at the same time. Both records are in
+  // the log; the first one is granted, the second one only the rest.
   Write(0);
   written.mutable_claims(0)->set_ceiling(written.claims(0).ceiling());
   book.OnOtherBeat(kOther, Claim(95'000, 0), At(0));
@@ -67,14 +67,14 @@
   CHECK(Ceiling() <= 5'000);
 }
 
-TEST(AllotmentBook, an_earlier_start_of_this_router_counts_as_spent) {
+TEST(AllotmentBook, claims_of_the_previous_incarnation_count_as_spent) {
   book.OnPredecessor(Claim(60'000, 1'000, 30'000));
   WriteAndRead(0);
   CHECK(Ceiling() <= 10'000);
   CHECK_EQUAL(90'000, written.claims(0).retired());
 }
 
-TEST(AllotmentBook, closing_gives_back_all_that_was_not_spent) {
+TEST(AllotmentBook, closing_returns_all_unspent_tokens) {
   WriteAndRead(0);
   book.Reserve(kGate, core::Tokens(500), At(0));
   book.Settle(kGate, core::Tokens(500), core::Tokens(300), At(1));
@@ -83,16 +83,16 @@
   CHECK(book.Reserve(kGate, core::Tokens(1), At(0)) != Reservation::kHeld);
 }
 
-TEST(AllotmentBook, a_lowered_ceiling_holds_before_its_record_does) {
+TEST(AllotmentBook, a_lower_ceiling_applies_before_its_record_is_read_back) {
   WriteAndRead(0);
   const int64_t before = Ceiling();
-  // Others hold nearly all there is by now, so that less is aimed at.
+  // Other routers hold nearly all tokens by now, so the target is lower.
   book.OnOtherBeat(kOther, Claim(80'000, 80'000), At(20));
   Write(20);
   CHECK(Ceiling() < before);
 }
 
-TEST(AllotmentBook, a_record_that_comes_back_late_does_not_undo_a_lowering) {
+TEST(AllotmentBook, a_record_read_back_late_does_not_undo_a_lower_ceiling) {
   Write(0);
   const v1::RouterBeat raised = written;
   book.OnOtherBeat(kOther, Claim(80'000, 80'000), At(20));
@@ -102,9 +102,9 @@
   CHECK(Ceiling() <= lowered);
 }
 
-TEST(AllotmentBook, only_what_nobody_can_grant_is_exhausted) {
-  // A caller is told that its budget is used up while other routers hold the
-  // rest of it unspent: it goes away for good instead of coming back.
+TEST(AllotmentBook, exhausted_only_if_no_router_can_grant_the_tokens) {
+  // Guards against callers being told that their budget is used up, and giving
+  // up for good, while other routers hold the rest of it unspent.
   book.OnOtherBeat(kOther, Claim(99'990, 0), At(0));
   WriteAndRead(0);
   CHECK(book.Reserve(kGate, core::Tokens(100), At(0)) == Reservation::kShort);
@@ -122,7 +122,7 @@
   CHECK(Ceiling() > 0);
 }
 
-TEST(AllotmentBook, a_request_that_waits_is_claimed_for) {
+TEST(AllotmentBook, the_next_claim_covers_a_waiting_request) {
   WriteAndRead(0);
   const auto large = core::Tokens(Ceiling() + 10'000);
   CHECK(book.Reserve(kGate, large, At(0)) == Reservation::kShort);
@@ -130,10 +130,9 @@
   CHECK(book.Reserve(kGate, large, At(0)) == Reservation::kHeld);
 }
 
-TEST(AllotmentBook,
-     an_account_that_comes_to_one_router_gets_its_ceiling_there) {
-  // All work of an account is refused in a cut at the one router it comes to,
-  // while other routers hold ceilings for it that nobody asks for.
+TEST(AllotmentBook, an_account_that_uses_one_router_gets_its_ceiling_there) {
+  // Guards against an account being refused during a partition at the only
+  // router it uses, while other routers hold unused ceilings for it.
   for (int i = 0; i < 100; ++i) {
     const core::TimePoint now = At(i * 0.1);
     book.OnDemand(kGate, core::Tokens(100), now);
@@ -145,11 +144,11 @@
     }
   }
   WriteAndRead(10);
-  // 1,000 tokens a second for nine seconds.
+  // 1,000 tokens per second for nine seconds.
   CHECK(Ceiling() - book.FiguresOf(kGate).spent.value() > 8'000);
 }
 
-TEST(AllotmentBook, accounts_without_a_total_are_not_bounded) {
+TEST(AllotmentBook, accounts_without_a_total_are_unlimited) {
   Configuration configuration = Prepaid(0);
   configuration.accounts[0].prepaid.reset();
   book.OnConfiguration(configuration);
@@ -157,14 +156,15 @@
         Reservation::kUnlimited);
 }
 
-TEST(AllotmentBook, after_a_loss_the_rest_is_not_claimed_at_once) {
-  // Callers are served for five seconds after a power loss and then nobody is
-  // (acuerdo-mx, scale-1 --seed 744884078023: 142 of 650). Most of the rest
-  // was lost with the dead; the little that is left was spent as fast as ever.
+TEST(AllotmentBook, after_a_loss_the_remaining_tokens_are_rationed) {
+  // Guards against serving callers for only five seconds after a power failure
+  // (142 of 650 requests were served in acuerdo-mx, scale-1 --seed
+  // 744884078023). Most remaining tokens were lost with the failed routers, and
+  // the few left were spent at full speed.
   book.OnPredecessor(Claim(60'000, 10'000));
   constexpr int64_t kRest = 40'000;
   int64_t claimed_early = 0;
-  // Requests that wait hurry the claims: ten a second.
+  // Waiting requests trigger ten claims per second.
   for (int tenth = 0; tenth < 120; ++tenth) {
     const core::TimePoint now = At(tenth * 0.1);
     book.OnDemand(kGate, core::Tokens(2'000), now);
@@ -184,9 +184,9 @@
   CHECK(Ceiling() > claimed_early + kRest / 10);
 }
 
-TEST(AllotmentBook, what_was_lost_with_the_dead_counts_as_spent) {
-  // After a loss of all power callers are told "not now" for the rest of the
-  // day and come back in vain, though nobody can ever grant the tokens again.
+TEST(AllotmentBook, tokens_lost_with_failed_routers_count_as_spent) {
+  // Guards against callers being told to retry for the rest of the day after a
+  // power failure of all VMs, although the tokens can never be granted again.
   book.OnOtherBeat(kOther, Claim(0, 0, 95'000), At(0));
   WriteAndRead(0);
   CHECK(book.Reserve(kGate, core::Tokens(6'000), At(0)) ==
@@ -195,9 +195,9 @@
   CHECK(book.Reserve(kGate, core::Tokens(6'000), At(0)) == Reservation::kShort);
 }
 
-TEST(AllotmentBook, a_router_that_leaves_gives_most_back_at_once) {
-  // Callers move to a router that has nothing for their account, while the one
-  // that leaves holds nine seconds of their work until it ends.
+TEST(AllotmentBook, a_leaving_router_returns_most_tokens_at_once) {
+  // Guards against callers moving to a router without tokens for their account
+  // while the leaving router holds nine seconds of their demand until it ends.
   for (int i = 0; i < 200; ++i) {
     book.OnDemand(kGate, core::Tokens(100), At(i * 0.1));
     WriteAndRead(i * 0.1);
@@ -211,9 +211,9 @@
   CHECK(Ceiling() < before / 2);
 }
 
-TEST(AllotmentBook, a_router_that_stands_by_claims_little) {
-  // Spread over all routers of a large fleet, an account's tokens lie in pieces
-  // too small for a large request.
+TEST(AllotmentBook, a_standby_claims_little) {
+  // Split over all routers of a large fleet, the tokens of an account would
+  // form shares too small for a large request.
   Write(0);
   const int64_t active = written.claims(0).ceiling();
   AllotmentBook standby{BookOptions{}};
@@ -226,14 +226,14 @@
   v1::RouterBeat beat;
   standby.WriteClaims(beat, context, At(0));
   CHECK_EQUAL(1, beat.claims_size());
-  // All twenty together hold less than one that serves.
+  // All twenty standbys together hold less than one active router.
   CHECK(beat.claims(0).ceiling() * 20 < active);
 }
 
-TEST(AllotmentBook, a_router_that_stands_by_claims_nothing_unasked) {
-  // All power is lost, and callers are refused for more than a second after it
-  // is back: each of two hundred routers reads the claims of all others on
-  // every account, and those of the routers that stand by serve nobody.
+TEST(AllotmentBook, a_standby_without_requests_claims_nothing) {
+  // Guards against refusing callers for more than a second after a power
+  // failure of all VMs, because each of two hundred routers reads the claims of
+  // all others on every account. Claims of standbys serve no callers.
   AllotmentBook standby{BookOptions{}};
   standby.OnConfiguration(Prepaid(100'000));
   ClaimContext context;
@@ -244,9 +244,9 @@
   CHECK_EQUAL(0, beat.claims_size());
 }
 
-TEST(AllotmentBook, what_is_given_away_counts_as_spent_by_the_giver) {
-  // Were it not taken out first, the giver's next request and the taker's would
-  // be paid with the same tokens.
+TEST(AllotmentBook, transferred_tokens_count_as_spent_by_the_donor) {
+  // If the tokens were not deducted first, the next requests of both routers
+  // would spend the same tokens.
   WriteAndRead(0);
   const int64_t ceiling = Ceiling();
   const core::Tokens given =
@@ -257,7 +257,7 @@
   CHECK(written.claims(0).spent() >= ceiling - 50);
 }
 
-TEST(AllotmentBook, a_giver_keeps_what_its_own_callers_need) {
+TEST(AllotmentBook, a_donor_keeps_tokens_for_its_own_callers) {
   WriteAndRead(0);
   const int64_t ceiling = Ceiling();
   for (int i = 0; i < 50; ++i) {
@@ -267,7 +267,7 @@
       0, book.Give(kGate, core::Tokens(100), core::Tokens(100), At(5)).value());
 }
 
-TEST(AllotmentBook, what_a_request_leaves_of_a_gift_serves_the_next_one) {
+TEST(AllotmentBook, unused_transferred_tokens_serve_the_next_request) {
   book.OnGift(kGate, core::Tokens(1'000));
   CHECK(book.ReserveGiven(kGate, core::Tokens(1'000)));
   CHECK_FALSE(book.ReserveGiven(kGate, core::Tokens(1)));
@@ -277,7 +277,7 @@
   CHECK_EQUAL(0, written.claims(0).spent());
 }
 
-TEST(AllotmentBook, the_richest_router_is_asked_first) {
+TEST(AllotmentBook, donors_are_ordered_by_unspent_tokens) {
   const core::RouterId rich("router-3");
   book.OnOtherBeat(kOther, Claim(2'000, 500), At(0));
   book.OnOtherBeat(rich, Claim(9'000, 500), At(0));
@@ -287,11 +287,13 @@
   CHECK_EQUAL(1, book.Lenders(kGate, core::Tokens(2'000)).size());
 }
 
-TEST(AllotmentBook, a_claim_lowered_and_raised_again_grants_no_old_claim) {
-  // A tenant gets more than it paid for. A router claims much, then little,
-  // then much again before it reads any of it back. Others took what the second
-  // record gave back; the first one, read now, must not grant it once more
-  // (fortaleza-cv, trouble-3: 1,633,842 of 1,611,251 tokens).
+TEST(AllotmentBook,
+     a_claim_lowered_and_raised_again_does_not_grant_an_old_claim) {
+  // Guards against an account spending more than its total (1,633,842 of
+  // 1,611,251 tokens in fortaleza-cv, trouble-3). A router claims a high, a low
+  // and again a high ceiling before it reads any of the records back. Other
+  // routers took what the second record returned, so reading the first one must
+  // not grant it again.
   book.Want(kGate, core::Tokens(90'000));
   Write(0);
   const v1::RouterBeat much = written;
@@ -312,9 +314,9 @@
   CHECK(Ceiling() <= little.claims(0).ceiling());
 }
 
-TEST(AllotmentBook, what_others_set_aside_for_running_requests_is_not_left) {
-  // A caller is told to come back for tokens that running requests of other
-  // routers will use up, and is refused once more.
+TEST(AllotmentBook, tokens_reserved_by_other_routers_are_unavailable) {
+  // Guards against telling a caller to retry for tokens that running requests
+  // of other routers will use up.
   v1::RouterBeat beat = Claim(99'000, 10'000);
   beat.mutable_claims(0)->set_committed(98'000);
   book.OnOtherBeat(kOther, beat, At(0));
@@ -324,9 +326,10 @@
   CHECK(book.Lenders(kGate, core::Tokens(2'000)).empty());
 }
 
-TEST(AllotmentBook, figures_tell_what_was_lost_from_what_is_free) {
-  // Most refusals after a loss read alike; whether tokens are gone with the
-  // dead, in the hands of others or only withheld decides what to do.
+TEST(AllotmentBook, figures_distinguish_lost_from_free_tokens) {
+  // Refusals after a loss look alike. The right reaction depends on whether
+  // tokens are lost with failed routers, held by other routers, or only
+  // withheld.
   book.OnPredecessor(Claim(30'000, 10'000));
   book.OnOtherBeat(kOther, Claim(25'000, 5'000, 0), At(0));
   const auto figures = book.FiguresOf(kGate);
@@ -338,10 +341,10 @@
   CHECK(book.FiguresOf(kGate).paced);
 }
 
-TEST(AllotmentBook, after_a_loss_the_rest_goes_to_where_callers_came_before) {
-  // An account's callers come to two routers of eight. All lose power, and what
-  // is left is rationed by even parts: six parts lie free, and the callers are
-  // refused to the end of the day.
+TEST(AllotmentBook, rationing_follows_the_demand_before_the_loss) {
+  // Callers of an account use two routers of eight. After a power failure of
+  // all VMs the rest is rationed; with equal shares, six shares would stay
+  // unused while callers are refused for the rest of the day.
   constexpr core::Tokens kRequest(10'000);
   constexpr int kRequests = 5;
   book.OnConfiguration(Prepaid(1'000'000));
--- a/tests/entry/unit-beat-rate.cc
+++ b/tests/entry/unit-beat-rate.cc
@@ -17,16 +17,16 @@
 TEST_GROUP(BeatRate) {};
 // clang-format on
 
-TEST(BeatRate, a_small_fleet_writes_every_beat_and_a_large_one_more_seldom) {
+TEST(BeatRate, the_period_grows_with_the_fleet) {
   CHECK(BeatPeriod({600, 6, 3, true}) == kQuietBeatPeriod);
   CHECK(BeatPeriod({600, 840, 100, true}) > 3 * kQuietBeatPeriod);
   CHECK(BeatPeriod({600, 6, 3, false}) > 3 * kQuietBeatPeriod);
 }
 
-TEST(BeatRate, routers_that_all_hurry_keep_within_the_store_s_writes) {
-  // All power was lost, every router holds little ahead, and each request asks
-  // for a claim. Were all of them written at once, the store would turn most
-  // away, and callers would wait for claims that never get through.
+TEST(BeatRate, expedited_heartbeats_stay_within_the_write_rate_of_the_store) {
+  // After a power failure of all VMs every router has little headroom, and each
+  // request needs a claim. If all claims were written at once, the store would
+  // reject most of them, and callers would wait for claims that never succeed.
   for (const uint32_t active : {3U, 30U, 300U}) {
     const BeatLimits limits{600, active, active, true};
     const double writes = active / Seconds(HurriedGap(limits));
--- a/tests/entry/unit-beat-reader.cc
+++ b/tests/entry/unit-beat-reader.cc
@@ -37,11 +37,11 @@
 TEST_GROUP(BeatReader){};
 // clang-format on
 
-TEST(BeatReader, a_beat_is_read) {
+TEST(BeatReader, a_valid_heartbeat_is_parsed) {
   CHECK(core::IsOk(ReadBeat(GoodBeat().SerializeAsString())));
 }
 
-TEST(BeatReader, claims_that_can_not_be_are_errors) {
+TEST(BeatReader, inconsistent_claims_are_errors) {
   v1::RouterBeat beat = GoodBeat();
   beat.mutable_claims(0)->set_spent(5'001);
   CHECK_FALSE(core::IsOk(ReadBeat(beat.SerializeAsString())));
@@ -53,9 +53,9 @@
   CHECK_FALSE(core::IsOk(ReadBeat(beat.SerializeAsString())));
 }
 
-TEST(BeatReader, damaged_beats_never_let_anybody_spend_beyond_the_total) {
-  // A record is damaged on its way. What is read of it may state less than its
-  // writer claimed; but a router never grants itself more than the total.
+TEST(BeatReader, damaged_heartbeats_never_let_a_router_exceed_the_total) {
+  // A damaged record may state less than its writer claimed, but a router never
+  // grants itself more than the total.
   constexpr int kRounds = 20'000;
   constexpr int64_t kTotal = 100'000;
   const std::string good = GoodBeat().SerializeAsString();
--- a/tests/entry/unit-gift-memory.cc
+++ b/tests/entry/unit-gift-memory.cc
@@ -26,14 +26,14 @@
 };
 // clang-format on
 
-TEST(GiftMemory, an_ask_that_comes_twice_has_the_same_answer) {
+TEST(GiftMemory, a_repeated_request_gets_the_same_reply) {
   memory.Remember(AskOf(1, 7), core::Tokens(500), At(0));
   CHECK_EQUAL(500, memory.Answered(AskOf(1, 7))->value());
   CHECK_FALSE(memory.Answered(AskOf(2, 7)).has_value());
   CHECK_FALSE(memory.Answered(AskOf(1, 8)).has_value());
 }
 
-TEST(GiftMemory, old_answers_are_forgotten) {
+TEST(GiftMemory, old_replies_are_dropped) {
   memory.Remember(AskOf(1, 7), core::Tokens(500), At(0));
   memory.Remember(AskOf(1, 8), core::Tokens(0), At(60));
   CHECK_FALSE(memory.Answered(AskOf(1, 7)).has_value());
--- a/tests/entry/unit-held-back.cc
+++ b/tests/entry/unit-held-back.cc
@@ -23,7 +23,7 @@
   uint64_t sequence = 0;
   void setup() override { book.OnConfiguration(Prepaid(kTotal)); }
 
-  /// States claims at a time of the VM's clock; they are not written yet.
+  /// Writes claims at a time of the VM's clock, without an acknowledgment.
   void State(double now) {
     written = v1::RouterBeat();
     written.set_epoch(1);
@@ -41,7 +41,7 @@
     book.OnWritten(written.sequence(), At(now));
     book.OnOwnBeat(written);
   }
-  /// Requests of a steady load until a time, all served while tokens last.
+  /// Sends requests at a steady rate; they are served while tokens last.
   int64_t Spend(double from, double to, int64_t a_second) {
     constexpr double kStep = 0.05;
     const auto each = core::Tokens(static_cast<int64_t>(
@@ -56,7 +56,8 @@
     }
     return spent;
   }
-  /// The same with claims written twice a second. @return spent
+  /// The same with claims written twice a second.
+  /// @return tokens spent
   int64_t Run(double to, int64_t a_second) {
     int64_t spent = 0;
     for (double now = 0; now < to; now += 0.5) {
@@ -71,25 +72,26 @@
 };
 // clang-format on
 
-TEST(HeldBack, what_is_held_back_is_not_spent_before_its_time) {
-  // A successor counts a process that died as having spent the first part of
-  // its claim; were the rest touched before the stated time, tokens would be
-  // granted twice.
+TEST(HeldBack, the_reserve_is_not_spent_before_its_time) {
+  // A successor assumes that a crashed process spent only the part of its claim
+  // before the reserve. If the reserve were spent before the stated time, its
+  // tokens would be granted twice.
   Run(10, 5'000);
   StateAndWrite(10);
   CHECK(written.claims(0).reserve() > 0);
   Spend(10, 12.45, 50'000);
   const auto before = book.FiguresOf(kGate);
   CHECK((before.spent + before.reserved).value() <= Early());
-  // In a cut nothing is written any more: from here on all of it serves.
+  // During a partition no claims are written; from here on the reserve is
+  // spendable.
   Spend(12.55, 14, 50'000);
   const auto after = book.FiguresOf(kGate);
   CHECK((after.spent + after.reserved).value() > Early());
 }
 
-TEST(HeldBack, a_raise_holds_when_it_is_written_and_not_before) {
-  // The process dies while its raise is on its way, and the record before it is
-  // what its successor finds.
+TEST(HeldBack, a_higher_limit_applies_only_once_it_is_acknowledged) {
+  // The process may crash before its higher claim is written; its successor
+  // then finds the previous record.
   Run(10, 5'000);
   StateAndWrite(10);
   const int64_t early = Early();
@@ -103,18 +105,18 @@
   CHECK(book.Reserve(kGate, more, At(10.2)) == Reservation::kHeld);
 }
 
-TEST(HeldBack, a_lowered_first_part_binds_at_once) {
+TEST(HeldBack, a_lower_limit_applies_at_once) {
   Run(10, 5'000);
   StateAndWrite(10);
   const int64_t early = Early();
-  // Nothing is asked for any more; less is stated.
+  // Without requests the next claim is lower.
   State(30);
   CHECK(Early() < early);
   const auto all = core::Tokens(early - book.FiguresOf(kGate).spent.value());
   CHECK(book.Reserve(kGate, all, At(30.1)) == Reservation::kShort);
 }
 
-TEST(HeldBack, callers_are_told_when_it_may_be_spent) {
+TEST(HeldBack, the_time_when_the_reserve_becomes_spendable_is_known) {
   Run(10, 5'000);
   StateAndWrite(10);
   const auto figures = book.FiguresOf(kGate);
@@ -124,9 +126,10 @@
   CHECK_FALSE(book.CoveredAt(kGate, all + core::Tokens(1), At(11)));
 }
 
-TEST(HeldBack, a_crash_loses_seconds_and_no_more) {
-  // After a crash of all processes callers were refused for the rest of the
-  // day: nine seconds of work had been claimed and counted as spent.
+TEST(HeldBack, a_crash_loses_only_the_part_before_the_reserve) {
+  // Guards against refusing callers for the rest of the day after a crash of
+  // all processes, when nine seconds of work had been claimed and counted as
+  // spent.
   const int64_t spent = Run(15, 10'000);
   const v1::AccountClaim& last = written.claims(0);
   const auto lost_without = last.ceiling() - spent;
@@ -136,7 +139,7 @@
   const auto counted = successor.FiguresOf(kGate).others.value();
   CHECK(counted >= spent);
   CHECK(counted - spent < lost_without / 2);
-  // Not proved, all of it is lost.
+  // Without the proof the whole claim is lost.
   AllotmentBook stranger{options};
   stranger.OnConfiguration(Prepaid(kTotal));
   stranger.OnPredecessor(written, false);
--- a/tests/entry/unit-hold-ahead.cc
+++ b/tests/entry/unit-hold-ahead.cc
@@ -18,29 +18,29 @@
 TEST_GROUP(HoldAhead) {};
 // clang-format on
 
-TEST(HoldAhead, a_fleet_without_a_past_holds_what_it_always_held) {
+TEST(HoldAhead, the_factor_is_one_without_history) {
   DOUBLES_EQUAL(1, Held(0, 0), kExact);
 }
 
-TEST(HoldAhead, less_is_held_after_each_loss_and_never_nothing) {
+TEST(HoldAhead, each_loss_lowers_the_factor_down_to_its_minimum) {
   CHECK(Held(1, 0) < 0.3);
   CHECK(Held(2, 0) < Held(1, 0));
   DOUBLES_EQUAL(HoldOptions{}.least, Held(100, 0), kExact);
 }
 
-TEST(HoldAhead, outages_that_claims_carried_speak_for_holding_more) {
+TEST(HoldAhead, outages_raise_the_factor_up_to_its_maximum) {
   CHECK(Held(1, 1) > 1.5 * Held(1, 0));
   CHECK(Held(1, 2) > Held(1, 1));
   DOUBLES_EQUAL(HoldOptions{}.most, Held(0, 5), kExact);
 }
 
-TEST(HoldAhead, one_router_that_dies_alone_changes_little) {
+TEST(HoldAhead, a_single_crash_changes_little) {
   CHECK(Held(1.0 / 6, 0) > 0.75);
 }
 
-TEST(HoldAhead, a_long_past_gives_way_to_what_happens_now) {
-  // A fleet that lost its claims often in its first weeks must not hold next to
-  // nothing for years, when its VMs are sound and its store is not.
+TEST(HoldAhead, recent_events_outweigh_a_long_history) {
+  // A fleet with many losses in its first weeks must not hold almost nothing
+  // for years if its VMs are reliable by now and its store is not.
   OwnPast past;
   for (int i = 0; i < 100; ++i) {
     past.OnLoss(1);
@@ -51,7 +51,7 @@
   CHECK(HoldFactor(HoldOptions{}, past.own()) > 0.9);
 }
 
-TEST(HoldAhead, no_event_counts_more_than_once_for_the_whole_fleet) {
+TEST(HoldAhead, an_event_counts_at_most_once_for_the_whole_fleet) {
   OwnPast past;
   past.OnLoss(50);
   past.OnOutage(-3);
--- a/tests/entry/unit-member-list.cc
+++ b/tests/entry/unit-member-list.cc
@@ -40,28 +40,28 @@
 };
 // clang-format on
 
-TEST(MemberList, a_router_that_is_not_heard_of_is_not_given_out) {
+TEST(MemberList, a_silent_router_is_not_announced) {
   Pass(0, 4);
   CHECK_EQUAL(1, members.Addresses().size());
   CHECK_EQUAL(1, members.Live());
 }
 
-TEST(MemberList, a_router_that_hears_nobody_keeps_the_list) {
-  // Callers of a cut-off router are told that it alone is there, and all of
-  // them come to it. It is the router that hears nobody, not the others that
-  // are silent.
+TEST(MemberList, a_router_without_the_store_keeps_the_list) {
+  // Guards against a partitioned router announcing only itself and receiving
+  // all callers. It is this router that hears nobody, not the others that are
+  // silent.
   contact.OnFailure(At(1));
   Pass(0, 9);
   CHECK_EQUAL(2, members.Addresses().size());
 }
 
-TEST(MemberList, time_spent_paused_is_no_silence_of_others) {
+TEST(MemberList, time_in_which_this_process_was_paused_does_not_count) {
   members.Advance(contact, At(0));
   members.Advance(contact, At(20));
   CHECK_EQUAL(2, members.Addresses().size());
 }
 
-TEST(MemberList, a_leaving_router_is_not_given_out) {
+TEST(MemberList, a_leaving_router_is_not_announced) {
   v1::RouterBeat leaving = Beat("10.0.0.2:80", 2);
   leaving.set_leaving(true);
   members.OnBeat(core::RouterId("router-2"), leaving, At(1));
@@ -69,16 +69,16 @@
   CHECK_EQUAL(2, members.Live());
 }
 
-TEST(MemberList, an_old_beat_changes_nothing) {
+TEST(MemberList, an_old_heartbeat_is_ignored) {
   v1::RouterBeat leaving = Beat("10.0.0.2:80", 1);
   leaving.set_leaving(true);
   members.OnBeat(core::RouterId("router-2"), leaving, At(1));
   CHECK_EQUAL(2, members.Addresses().size());
 }
 
-TEST(MemberList, a_router_whose_reports_stopped_is_not_given_out) {
-  // Callers connect to a VM that lost power a second ago and wait for a second
-  // each; the store tells of it two seconds later.
+TEST(MemberList, a_router_whose_reports_stopped_is_not_announced) {
+  // Guards against callers connecting to a VM that lost power a second ago and
+  // waiting a second each; the missing heartbeats show it two seconds later.
   const core::RouterId third("router-3");
   members.OnBeat(third, Beat("10.0.0.3:80", 1), At(0));
   peers.OnReport(core::RouterId("router-2"), true, At(0));
@@ -91,7 +91,7 @@
   CHECK_EQUAL(3, members.Live());
 }
 
-TEST(MemberList, weak_routers_stand_by_until_the_load_needs_them) {
+TEST(MemberList, weak_routers_are_standbys_until_the_load_needs_them) {
   for (int i = 3; i <= 40; ++i) {
     v1::RouterBeat beat = Beat("10.0.0." + std::to_string(i) + ":80", 1);
     beat.set_capacity(25);
@@ -107,27 +107,27 @@
   CHECK(members.Active() >= 12);
 }
 
-TEST(MemberList, a_fleet_that_can_not_write_is_not_taken_for_dead) {
+TEST(MemberList, a_fleet_that_cannot_write_does_not_count_as_dead) {
   // The store refuses all writes for some seconds, or this router reads too
-  // slowly to see any. Each router takes all others for dead and itself for the
-  // only one, and a weak VM that stood by is given all callers.
+  // slowly to see any. Guards against each router considering all others dead,
+  // so that a weak standby receives all callers.
   members.OnBeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1), At(0));
   Pass(0, 6);
   CHECK_EQUAL(3, members.Addresses().size());
-  // One that is heard again tells that it is the other that is gone.
+  // A heartbeat of one router shows that the other one is dead.
   members.OnBeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 2), At(6));
   Pass(6.2, 6.4);
   CHECK_EQUAL(2, members.Addresses().size());
 }
 
-TEST(MemberList, routers_that_stay_silent_are_gone_in_the_end) {
+TEST(MemberList, routers_that_stay_silent_count_as_dead) {
   members.OnBeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1), At(0));
   Pass(0, 11);
   CHECK_EQUAL(1, members.Addresses().size());
 }
 
-TEST(MemberList, the_last_router_of_a_fleet_does_not_give_out_the_dead) {
-  // Callers are sent to VMs that lost power long ago.
+TEST(MemberList, the_last_router_of_a_fleet_does_not_announce_dead_ones) {
+  // Guards against sending callers to VMs that lost power long ago.
   members.OnBeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1), At(0));
   for (uint64_t i = 0; i < 8; ++i) {
     const double now = 0.6 * static_cast<double>(i);
@@ -138,7 +138,7 @@
   CHECK_EQUAL(1, members.Addresses().size());
 }
 
-TEST(MemberList, routers_next_in_turn_know_it) {
+TEST(MemberList, the_next_standbys_are_known) {
   MemberList last(core::RouterId("router-20"), core::Duration(3'500'000), peers,
                   2);
   for (int i = 1; i <= 20; ++i) {
--- a/tests/entry/unit-past.cc
+++ b/tests/entry/unit-past.cc
@@ -1,7 +1,8 @@
-// What a book does with losses and outages before its start. Callers were
-// refused for the rest of the day after all routers had lost power a few times:
-// each start held as much ahead as the first one, so each loss took a third of
-// what was left. Now a start knows from the records what was lost before it.
+// How the ledger uses losses and outages before its start. Guards against
+// refusing callers for the rest of the day after several power failures of all
+// routers: when each incarnation held as many tokens ahead as the first one,
+// each loss took a third of the remaining tokens. An incarnation now learns of
+// earlier losses from the records.
 #include <CppUTest/TestHarness.h>
 
 #include <limits>  // numeric_limits
@@ -20,8 +21,8 @@
 constexpr int64_t kTotal = 1'000'000;
 constexpr double kBeat = 0.5;  // seconds
 
-/// A fleet of one router that loses its power again and again: its last record
-/// is all that a start knows.
+/// A fleet of one router that loses power repeatedly. A new incarnation knows
+/// only its last record.
 struct OneRouter {
   AllotmentBook book{BookOptions{}};
   v1::RouterBeat last;
@@ -52,7 +53,7 @@
     const auto figures = book.FiguresOf(kGate);
     return (*figures.total - figures.others - figures.spent).value();
   }
-  /// Requests of a steady load, served while tokens last.
+  /// Sends requests at a steady rate; they are served while tokens last.
   void Serve(double seconds, int64_t a_second) {
     const double until = now + seconds;
     const auto each = core::Tokens(
@@ -87,9 +88,9 @@
   CHECK(second < first / 3);
 }
 
-TEST(Past, after_any_number_of_losses_a_third_can_still_be_spent) {
-  // The bound that the design states: losses of all power without anything
-  // between them, which is the worst case, as nothing speaks for holding more.
+TEST(Past, after_any_number_of_losses_a_third_remains_spendable) {
+  // The bound stated in the design. Power failures of all routers with nothing
+  // in between are the worst case, as no outage raises the hold factor.
   for (int loss = 1; loss <= 10; ++loss) {
     router.Start();
     router.Beat();
@@ -109,18 +110,18 @@
   CHECK(router.book.FiguresOf(kGate).spent.value() - before > 3 * kLoad);
 }
 
-TEST(Past, an_outage_that_claims_carried_speaks_for_holding_more) {
+TEST(Past, an_outage_raises_the_hold_factor) {
   router.Start();
   router.Beat();
   const double before = router.book.HoldFactor();
-  router.now += 8;  // the store acknowledged nothing for so long
+  router.now += 8;  // no acknowledgment from the store for 8 s
   router.Beat();
   router.Beat();
   CHECK(router.book.HoldFactor() > before * 1.5);
   DOUBLES_EQUAL(1, router.last.outages(), 1e-9);
 }
 
-TEST(Past, what_was_lived_through_outlives_a_start) {
+TEST(Past, history_is_kept_across_restarts) {
   router.Start();
   router.Beat();
   const double losses = router.last.losses();
@@ -130,17 +131,17 @@
   CHECK(router.last.losses() > losses);
 }
 
-TEST(Past, the_past_of_other_routers_counts_too) {
+TEST(Past, the_history_of_other_routers_counts) {
   v1::RouterBeat other;
   other.set_losses(1);
   router.book.OnOtherBeat(core::RouterId("router-2"), other, At(0));
   router.Beat();
   CHECK(router.book.HoldFactor() < 0.3);
-  // It is theirs to tell: told by both, it would count twice.
+  // Only the other router reports it; reported by both, it would count twice.
   DOUBLES_EQUAL(0, router.last.losses(), 1e-9);
 }
 
-TEST(Past, a_start_that_proves_its_predecessor_harmless_counts_little) {
+TEST(Past, a_reserve_that_was_provably_not_spent_is_no_loss) {
   v1::RouterBeat before = router.last;
   before.mutable_claims(0)->set_reserve(before.claims(0).ceiling());
   AllotmentBook successor{BookOptions{}};
@@ -152,7 +153,7 @@
 }
 
 TEST(Past, a_loss_is_counted_once_the_totals_are_known) {
-  // The record of the start before is read before the configuration.
+  // The record of the previous incarnation is read before the configuration.
   AllotmentBook successor{BookOptions{}};
   successor.OnPredecessor(router.last);
   v1::RouterBeat beat;
@@ -166,7 +167,7 @@
   DOUBLES_EQUAL(once, beat.losses(), 1e-9);
 }
 
-TEST(Past, a_router_that_writes_seldom_holds_what_comes_until_it_is_read) {
+TEST(Past, a_long_claim_period_raises_the_hold_factor) {
   for (int loss = 0; loss < 10; ++loss) {
     router.Start();
     router.Beat();
@@ -179,7 +180,7 @@
   CHECK(router.book.HoldFactor() > 3 * often);
 }
 
-TEST(Past, a_past_that_cannot_be_is_no_beat) {
+TEST(Past, a_heartbeat_with_an_impossible_history_is_rejected) {
   for (const double losses :
        {-1.0, 1e9, std::numeric_limits<double>::quiet_NaN()}) {
     v1::RouterBeat beat;
--- a/tests/entry/unit-peer-contact.cc
+++ b/tests/entry/unit-peer-contact.cc
@@ -21,7 +21,7 @@
 };
 // clang-format on
 
-TEST(PeerContact, a_router_that_falls_silent_beside_others_is_lost) {
+TEST(PeerContact, a_router_that_falls_silent_while_others_report_is_lost) {
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, true, At(0));
   peers.OnReport(kThree, true, At(2));
@@ -29,40 +29,40 @@
   CHECK_FALSE(peers.Lost(kThree, At(2)));
 }
 
-TEST(PeerContact, a_router_that_hears_nobody_calls_nobody_lost) {
-  // Cut off from all others, a router would lead all its callers to itself.
+TEST(PeerContact, a_router_that_hears_nobody_reports_none_as_lost) {
+  // Otherwise a partitioned router would direct all its callers to itself.
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, true, At(0));
   CHECK_FALSE(peers.Lost(kTwo, At(3)));
 }
 
-TEST(PeerContact, a_router_that_never_spoke_or_stands_by_is_not_lost) {
+TEST(PeerContact, unknown_and_long_silent_routers_are_not_lost) {
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, true, At(9));
   CHECK_FALSE(peers.Lost(core::RouterId("router-4"), At(9)));
   CHECK_FALSE(peers.Lost(kTwo, At(9)));
 }
 
-TEST(PeerContact, only_those_heard_lately_count_as_reaching_the_store) {
+TEST(PeerContact, only_recent_reports_count_as_reaching_the_store) {
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, false, At(0));
   CHECK_EQUAL(1, peers.WithStore(At(0.6)));
   CHECK_EQUAL(0, peers.WithStore(At(0.7)));
 }
 
-TEST(PeerContact, in_a_cut_of_all_nobody_is_said_to_reach_the_store) {
-  // A caller is sent to another router "that reaches the store" and is refused
-  // there once more. All were cut at second 0; the store is known to be lost
-  // nine tenths of a second later.
+TEST(PeerContact, no_router_reaches_the_store_in_a_partition_of_all) {
+  // Guards against sending a caller to another router "that reaches the store"
+  // and is partitioned as well. All routers lost the store at second 0, which
+  // they notice 0.9 s later.
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, true, At(0));
   CHECK_EQUAL(0, peers.WithStore(At(0.9)));
 }
 
-TEST(PeerContact, a_caller_is_sent_to_others_only_where_most_reach_the_store) {
-  // All but one of eight active routers are cut off from the store. Callers are
-  // told that others reach it, come back at once, and are refused seven times
-  // in eight.
+TEST(PeerContact, others_reach_the_store_only_if_a_majority_does) {
+  // All but one of eight active routers are cut off from the store. Callers who
+  // are told that others reach it would retry at once and be refused seven
+  // times in eight.
   peers.OnReport(kTwo, true, At(0));
   CHECK_FALSE(peers.OthersReachStore(8, At(0.1)));
   peers.OnReport(kThree, true, At(0));
--- a/tests/entry/unit-read-plan.cc
+++ b/tests/entry/unit-read-plan.cc
@@ -29,7 +29,7 @@
 };
 // clang-format on
 
-TEST(ReadPlan, reads_on_after_a_pause_while_it_keeps_up) {
+TEST(ReadPlan, continues_after_a_pause_while_it_keeps_up) {
   const ReadStep step = plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
   CHECK(Asks(step, ReadStep::Call::kRecords));
   CHECK(step.pausing);
@@ -37,47 +37,47 @@
   CHECK_EQUAL(1'020, plan.next());
 }
 
-TEST(ReadPlan, reads_on_at_once_when_nothing_came) {
+TEST(ReadPlan, continues_at_once_after_an_empty_batch) {
   const ReadStep step = plan.OnBatch(true, 1'000, 1'000, kPause, At(1));
   CHECK(Asks(step, ReadStep::Call::kRecords));
   CHECK(core::Duration::zero() == step.delay);
 }
 
-TEST(ReadPlan, reads_the_rest_at_once_when_a_read_did_not_hold_all) {
+TEST(ReadPlan, continues_at_once_after_a_partial_batch) {
   const ReadStep step = plan.OnBatch(false, 1'020, 1'050, kPause, At(1));
   CHECK(Asks(step, ReadStep::Call::kRecords));
   CHECK(core::Duration::zero() == step.delay);
 }
 
-TEST(ReadPlan, takes_the_newest_when_more_is_missed_than_there_are_keys) {
+TEST(ReadPlan, reads_the_newest_records_if_it_missed_more_than_there_are_keys) {
   const ReadStep step = plan.OnBatch(false, 1'020, 1'500, kPause, At(1));
   CHECK(Asks(step, ReadStep::Call::kFirstPage));
 }
 
-TEST(ReadPlan, a_record_that_no_read_holds_is_not_asked_for_without_an_end) {
+TEST(ReadPlan, a_record_larger_than_a_read_is_not_requested_forever) {
   const ReadStep step = plan.OnBatch(true, 1'000, 1'001, kPause, At(1));
   CHECK(Asks(step, ReadStep::Call::kFirstPage));
 }
 
-TEST(ReadPlan, a_refusal_is_followed_by_the_same_call) {
+TEST(ReadPlan, a_refused_call_is_repeated) {
   plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
   CHECK(Asks(plan.OnFailure(0.5, At(1.4), At(1.4)), ReadStep::Call::kRecords));
 }
 
-TEST(ReadPlan, after_silence_what_was_missed_is_not_read_one_by_one) {
+TEST(ReadPlan, reads_the_newest_records_after_a_long_silence) {
   plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
   CHECK(Asks(plan.OnFailure(0.5, At(1.2), At(3)), ReadStep::Call::kFirstPage));
   CHECK(Asks(plan.OnFailure(0.5, At(4), At(5)), ReadStep::Call::kSamePage));
 }
 
-TEST(ReadPlan, beats_are_read_in_order_after_silence) {
-  // A claim of this router is granted when its own record comes back.
+TEST(ReadPlan, heartbeats_are_read_in_order_after_a_silence) {
+  // A claim is granted when its own record is read in log order.
   ReadPlan beats{BeatPlan()};
   beats.OnNewest(100, 1'000, At(0));
   CHECK(Asks(beats.OnFailure(0.5, At(8), At(9)), ReadStep::Call::kRecords));
 }
 
-TEST(ReadPlan, waits_longer_after_each_refusal_and_never_without_a_bound) {
+TEST(ReadPlan, backoff_grows_with_each_refusal_up_to_a_maximum) {
   core::Duration last{};
   for (int i = 0; i < 10; ++i) {
     const ReadStep step = plan.OnFailure(0, At(1), At(1));
@@ -87,8 +87,9 @@
   CHECK(last <= core::Duration(400'000));
 }
 
-TEST(ReadPlan, after_a_call_without_an_answer_the_next_one_is_soon) {
-  // A cut ends, and callers are refused until the longest pause is over.
+TEST(ReadPlan, backoff_is_short_after_a_call_without_an_answer) {
+  // Otherwise callers are refused after a partition until the longest backoff
+  // is over.
   core::Duration longest{};
   for (int i = 0; i < 10; ++i) {
     longest = std::max(longest, plan.OnFailure(0.9, At(i), At(i + 0.4)).delay);
@@ -96,7 +97,7 @@
   CHECK(longest <= core::Duration(200'000));
 }
 
-TEST(ReadPlan, an_answer_that_is_coming_is_waited_for_and_a_silent_one_is_not) {
+TEST(ReadPlan, timeouts_depend_on_the_progress_of_the_call) {
   const CallPatience patience{
       core::Duration(400'000), core::Duration(1'000'000),
       core::Duration(800'000), core::Duration(6'000'000)};
--- a/tests/entry/unit-return-after-cut.cc
+++ b/tests/entry/unit-return-after-cut.cc
@@ -23,14 +23,15 @@
 constexpr double kStoreBytesPerSecond = 80e6;  // shared by all readers
 constexpr double kLinkBytesPerSecond = 2.5e6;  // of one small VM
 constexpr double kCallSeconds = 0.01;
-constexpr double kTextPerByte = 4.0 / 3;  // of the newest records
+constexpr double kTextPerByte = 4.0 / 3;  // pages of newest records are text
 constexpr double kCutFrom = 6.2;
 constexpr double kCutUntil = 13.8;
-// Written during the cut, and the newest as it ends.
+// Versions written during the partition; the last one is the newest when it
+// ends.
 constexpr uint64_t kVersions = 18;
 constexpr double kVersionBytes = 200e3;
 
-/// @brief How a router reads: what it asks for, and how long it waits.
+/// @brief How a router reads: its requests and timeouts.
 struct Reading {
   ReadPlanOptions plan;
   CallPatience patience;
@@ -45,8 +46,8 @@
   return reading;
 }
 
-// Every version in turn, up to a megabyte a call, all of it within the time in
-// which the answer must begin.
+// Reads every version in order, up to one megabyte per call, and must receive
+// the whole answer within the first-byte timeout.
 Reading OneByOne() {
   Reading reading;
   reading.plan.most_bytes = 1024 * 1024;
@@ -57,15 +58,15 @@
   return reading;
 }
 
-/// @brief Routers that follow the configuration before a store whose rate they
-/// share, each behind a link of its own, in virtual time.
+/// @brief Simulates in virtual time routers that follow the configuration. They
+/// share the rate of the store, and each has its own link.
 class Fleet {
  public:
   explicit Fleet(const Reading& reading)
       : m_reading(reading), m_readers(kRouters, Reader(reading)) {
     for (size_t i = 0; i < kRouters; ++i) {
       m_readers[i].plan.OnNewest(reading.keys, 0, At(kCutFrom - 0.1));
-      // The read that hung when the cut began is given up during it.
+      // The call in progress when the partition began times out during it.
       Later(kCutFrom + 1 + Draw(), [this, i] { Fail(i, kCutFrom - 0.8); });
     }
   }
@@ -103,7 +104,7 @@
   void Later(double at, std::function<void()> run) {
     m_events.push({at, ++m_order, std::move(run)});
   }
-  // Spread evenly, and the same in every run.
+  // Evenly distributed and deterministic.
   double Draw() {
     constexpr double kGoldenRatio = 0.618033988749895;
     m_draw = std::fmod(m_draw + kGoldenRatio, 1.0);
@@ -139,11 +140,11 @@
     const uint64_t records =
         newest ? 1 : std::min(kVersions - next, std::max<uint64_t>(fit, 1));
     if (records == 0) {
-      return;  // it waits for the next version
+      return;  // waits for the next version
     }
     const double bytes = static_cast<double>(records) * kVersionBytes *
                          (newest ? kTextPerByte : 1);
-    // The store sends what it was asked for, whoever has given up on it.
+    // The store also sends answers to calls that have timed out.
     m_store_free = std::max(m_store_free, m_now + kCallSeconds) +
                    bytes / kStoreBytesPerSecond;
     const double begins = m_store_free;
@@ -186,17 +187,19 @@
 TEST_GROUP(ReturnAfterCut) {};
 // clang-format on
 
-// Callers are refused on routes that have been in force for seconds. All
-// routers of a large fleet are cut off from the store while 18 large versions
-// are written, and come back together: what they missed is more than the store
-// can send, and on most links more than fits the time of a call.
+// Guards against refusing callers on routes that have been in force for
+// seconds. All routers of a large fleet are partitioned from the store while 18
+// large versions are written, and reconnect together. The missed versions
+// exceed what the store can send, and on most links what fits the timeout of a
+// call.
 TEST(ReturnAfterCut, the_newest_configuration_is_in_force_within_two_seconds) {
   Fleet fleet(AsShipped());
   DOUBLES_EQUAL(kCutUntil, fleet.AllInForceAt(40), 2);
 }
 
-// What the test above is good for: the same load, read version by version.
-TEST(ReturnAfterCut, version_by_version_the_fleet_takes_longer_than_the_cut) {
+// Shows that the test above detects the failure: the same load, read version by
+// version.
+TEST(ReturnAfterCut, reading_every_version_takes_longer_than_the_partition) {
   Fleet fleet(OneByOne());
   CHECK(fleet.AllInForceAt(40) > kCutUntil + (kCutUntil - kCutFrom));
 }
--- a/tests/entry/unit-succession.cc
+++ b/tests/entry/unit-succession.cc
@@ -20,17 +20,17 @@
 };
 // clang-format on
 
-TEST(Succession, a_quick_restart_on_the_same_boot_proves_it) {
+TEST(Succession, a_quick_restart_in_the_same_boot_is_a_proof) {
   CHECK(HeldBack(last, next));
 }
 
-TEST(Succession, after_the_stated_time_nothing_is_proved) {
+TEST(Succession, a_restart_after_the_stated_time_is_no_proof) {
   next.alone_since = At(102.5);
   CHECK_FALSE(HeldBack(last, next));
 }
 
-TEST(Succession, another_boot_proves_nothing) {
-  // The VM lost power; its clock began anew and may show any time.
+TEST(Succession, a_restart_after_a_reboot_is_no_proof) {
+  // The VM lost power; its clock restarted and may show any time.
   next.boot = "boot-2";
   CHECK_FALSE(HeldBack(last, next));
   next.boot = "";
@@ -38,18 +38,18 @@
   CHECK_FALSE(HeldBack(last, next));
 }
 
-TEST(Succession, a_clock_that_went_back_proves_nothing) {
+TEST(Succession, a_clock_that_was_set_back_is_no_proof) {
   next.alone_since = At(99);
   CHECK_FALSE(HeldBack(last, next));
 }
 
-TEST(Succession, a_start_that_may_have_company_proves_nothing) {
-  // The port was not to be had: the start before may live.
+TEST(Succession, no_proof_if_the_previous_incarnation_may_be_alive) {
+  // The port could not be bound, so the previous incarnation may be alive.
   next.alone_since.reset();
   CHECK_FALSE(HeldBack(last, next));
 }
 
-TEST(Succession, a_record_that_does_not_vouch_proves_nothing) {
+TEST(Succession, a_record_without_a_time_is_no_proof) {
   last.set_not_before(0);
   CHECK_FALSE(HeldBack(last, next));
 }
--- a/tests/entry/unit-urgent-first.cc
+++ b/tests/entry/unit-urgent-first.cc
@@ -15,23 +15,24 @@
 constexpr core::Tokens kChatTokens(1'000);
 constexpr core::Tokens kDraftTokens(12'000);
 
-/// @brief What callers of one kind got.
+/// @brief Results of the callers of one kind.
 struct Served {
   int asked = 0;
   int served = 0;
   double Part() const { return asked == 0 ? 0 : 1.0 * served / asked; }
 };
 
-/// @brief One router with an account's tokens and two kinds of callers, in
-/// virtual time: eight chats and eight drafts a second.
+/// @brief Simulates one router with an account and two kinds of callers in
+/// virtual time: eight chats and eight drafts per second.
 class Desk {
  public:
   explicit Desk(core::Duration urgent_ahead) : m_book(Options(urgent_ahead)) {
     m_book.OnConfiguration(Prepaid(3'000'000));
   }
 
-  /// @brief All power was lost: of what is not spent more than half went with
-  /// the claims of the dead, and the rest would last four seconds.
+  /// @brief Simulates a power failure: more than half of the unspent tokens
+  /// were lost with claims of the failed routers, and the rest would last four
+  /// seconds.
   void LoseMost() {
     v1::RouterBeat last;
     v1::AccountClaim* claim = last.add_claims();
@@ -41,7 +42,8 @@
     m_book.OnPredecessor(last);
   }
 
-  /// @brief The store answers; a claim that callers lack is written at once.
+  /// @brief Serves requests with a reachable store; missing tokens are claimed
+  /// at once.
   void Serve(double seconds) {
     for (int step = 0; step * kStep < seconds; ++step) {
       const core::TimePoint now = At(step * kStep);
@@ -105,23 +107,23 @@
 };
 // clang-format on
 
-// After a loss of all power callers at a gate are refused until an operator
-// tops the account up: the tokens that they need, one in thirteen, went to
-// drafts that may wait.
-TEST(UrgentFirst, after_a_loss_urgent_callers_are_served_while_tokens_last) {
+// Guards against refusing urgent callers after a power failure of all VMs until
+// an operator tops up the account, because drafts that can wait used their
+// tokens, one in thirteen of all.
+TEST(UrgentFirst, after_a_loss_urgent_requests_are_served_first) {
   Desk desk(BookOptions{}.urgent_ahead);
   PlayLoss(desk);
   CHECK(desk.chats().Part() >= 0.9);
   Desk first_come{core::Duration::zero()};
   PlayLoss(first_come);
   CHECK(first_come.chats().Part() <= 0.6);
-  // It costs the drafts no more than the chats use.
+  // The drafts lose no more tokens than the chats use.
   const int fewer = first_come.drafts().served - desk.drafts().served;
   CHECK(fewer * kDraftTokens.value() <=
         (desk.chats().asked + 12) * kChatTokens.value());
 }
 
-TEST(UrgentFirst, while_tokens_are_plenty_nobody_is_refused) {
+TEST(UrgentFirst, no_request_is_refused_while_tokens_are_plentiful) {
   Desk desk(BookOptions{}.urgent_ahead);
   desk.Serve(10);
   DOUBLES_EQUAL(1, desk.chats().Part(), 0.001);
