--- a/bench/ceiling/fleet.cc
+++ b/bench/ceiling/fleet.cc
@@ -3,24 +3,24 @@
 #include <algorithm>  // max
 #include <cmath>      // log
 
-#include "coppervalve/entry/succession.h"
+#include "coppervalve/entry/predecessor_info.h"
 
 namespace coppervalve::bench {
 
 namespace {
 
 constexpr double kStep = 0.01;  // seconds
-constexpr double kBeatPeriod = 0.6;
-constexpr double kHurry = 0.03;
-constexpr double kPatience = 0.4;  // seconds that a request waits for a claim
+constexpr double kHeartbeatPeriod = 0.6;
+constexpr double kExpeditedDelay = 0.03;
+constexpr double kClaimWaitTimeout = 0.4;  // seconds
 constexpr double kRestart = 1;
 constexpr double kRunTime = 1.5;
-constexpr double kLateSpan = 5;
+constexpr double kFinalSpan = 5;
 // About a fifth of the requests are large, like group itineraries.
-constexpr double kLargeShare = 0.22;
+constexpr double kLargeRequestShare = 0.22;
 constexpr int64_t kLargeTokens = 12'000;
 constexpr int64_t kSmallTokens = 1'500;
-constexpr double kUsedOfMost = 0.9;
+constexpr double kUsedShareOfMax = 0.9;
 constexpr double kSpread = 0.6;
 
 core::TimePoint At(double seconds) {
@@ -42,7 +42,7 @@
       m_policy(policy),
       m_random(options.seed),
       m_routers(options.routers),
-      m_pressure(options.accounts, 1.0),
+      m_load_factors(options.accounts, 1.0),
       m_spent(options.accounts),
       m_in_use(options.accounts) {
   double sum = 0;
@@ -50,10 +50,11 @@
     m_weights.push_back(1.0 / (i + 1));
     sum += m_weights.back();
   }
-  const double mean = kLargeShare * static_cast<double>(kLargeTokens) +
-                      (1 - kLargeShare) * static_cast<double>(kSmallTokens);
+  const double mean =
+      kLargeRequestShare * static_cast<double>(kLargeTokens) +
+      (1 - kLargeRequestShare) * static_cast<double>(kSmallTokens);
   const double all = options.requests_per_second * options.end * mean *
-                     kUsedOfMost * options.prepaid_ratio;
+                     kUsedShareOfMax * options.prepaid_ratio;
   for (double& weight : m_weights) {
     weight /= sum;
     m_totals.push_back(static_cast<int64_t>(all * weight));
@@ -72,7 +73,7 @@
   return static_cast<double>(m_random() >> 11) / kBits;
 }
 
-entry::Configuration Fleet::ConfigurationOf() const {
+entry::Configuration Fleet::MakeConfiguration() const {
   entry::Configuration configuration;
   for (uint32_t i = 0; i < m_options.accounts; ++i) {
     entry::Account account;
@@ -89,9 +90,9 @@
   ++router.epoch;
   router.sequence = 0;
   router.read = 0;
-  router.next_beat = m_now + 0.05;
-  router.book = std::make_unique<entry::AllotmentBook>(m_options.book);
-  router.book->OnConfiguration(ConfigurationOf());
+  router.next_heartbeat = m_now + 0.05;
+  router.book = std::make_unique<entry::AllocationLedger>(m_options.book);
+  router.book->OnConfiguration(MakeConfiguration());
   v1::RouterBeat own;
   for (; router.read < m_log.size(); ++router.read) {
     const Record& record = m_log[router.read];
@@ -99,12 +100,13 @@
       own = record.beat;
       continue;
     }
-    router.book->OnOtherBeat(RouterName(record.router), record.beat, At(m_now));
+    router.book->OnPeerHeartbeat(RouterName(record.router), record.beat,
+                                 At(m_now));
   }
-  entry::Succession succession;
-  succession.boot = std::to_string(router.boot);
-  succession.alone_since = At(m_now);
-  const bool held_back = entry::HeldBack(own, succession);
+  entry::PredecessorInfo predecessor;
+  predecessor.boot = std::to_string(router.boot);
+  predecessor.ended_by = At(m_now);
+  const bool held_back = entry::ReserveUntouched(own, predecessor);
   CountStranded(router, own, held_back);
   router.book->OnPredecessor(own, held_back);
 }
@@ -128,18 +130,18 @@
   for (; router.read < m_log.size(); ++router.read) {
     const Record& record = m_log[router.read];
     if (record.router != index) {
-      router.book->OnOtherBeat(RouterName(record.router), record.beat,
-                               At(m_now));
+      router.book->OnPeerHeartbeat(RouterName(record.router), record.beat,
+                                   At(m_now));
       continue;
     }
     if (record.beat.epoch() == router.epoch) {
-      router.book->OnWritten(record.beat.sequence(), At(m_now));
-      router.book->OnOwnBeat(record.beat);
+      router.book->OnAcknowledged(record.beat.sequence(), At(m_now));
+      router.book->OnOwnHeartbeat(record.beat);
     }
   }
 }
 
-void Fleet::Beat(uint32_t index, bool closing) {
+void Fleet::WriteHeartbeat(uint32_t index, bool closing) {
   Router& router = m_routers[index];
   Record record;
   record.router = index;
@@ -155,43 +157,43 @@
   router.book->WriteClaims(record.beat, context, At(m_now));
   m_log.push_back(std::move(record));
   ++m_outcome.records;
-  router.next_beat = m_now + kBeatPeriod;
+  router.next_heartbeat = m_now + kHeartbeatPeriod;
 }
 
 void Fleet::EndRequests(Router& router) {
   while (!router.running.empty() && router.running.front().ends <= m_now) {
     const Request request = router.running.front();
     router.running.pop_front();
-    m_in_use[request.account] -= request.most;
+    m_in_use[request.account] -= request.max_tokens;
     m_spent[request.account] += request.used;
     if (m_policy == Policy::kCeilings) {
       router.book->Settle(AccountName(request.account),
-                          core::Tokens(request.most),
+                          core::Tokens(request.max_tokens),
                           core::Tokens(request.used), At(m_now));
     } else {
-      router.split[request.account] += request.most - request.used;
+      router.split[request.account] += request.max_tokens - request.used;
     }
   }
 }
 
-bool Fleet::Late() const {
-  return m_now >= m_options.end - kLateSpan;
+bool Fleet::InFinalSpan() const {
+  return m_now >= m_options.end - kFinalSpan;
 }
 
 bool Fleet::TryServe(Router& router, const Request& request) {
   if (m_policy == Policy::kEqualSplit) {
-    if (router.split[request.account] < request.most) {
+    if (router.split[request.account] < request.max_tokens) {
       return false;
     }
-    router.split[request.account] -= request.most;
-  } else if (router.book->Reserve(AccountName(request.account),
-                                  core::Tokens(request.most),
-                                  At(m_now)) != entry::Reservation::kHeld) {
+    router.split[request.account] -= request.max_tokens;
+  } else if (router.book->Reserve(
+                 AccountName(request.account), core::Tokens(request.max_tokens),
+                 At(m_now)) != entry::ReserveResult::kReserved) {
     return false;
   }
-  m_in_use[request.account] += request.most;
+  m_in_use[request.account] += request.max_tokens;
   ++m_outcome.served;
-  m_outcome.late_served += Late() ? 1 : 0;
+  m_outcome.late_served += InFinalSpan() ? 1 : 0;
   Request running = request;
   running.ends = m_now + kRunTime;
   router.running.push_back(running);
@@ -201,14 +203,14 @@
 void Fleet::Refuse(const Request& request) {
   const int64_t left = m_totals[request.account] - m_spent[request.account] -
                        m_in_use[request.account];
-  if (left >= request.most) {
+  if (left >= request.max_tokens) {
     ++m_outcome.false_refusals;
   }
 }
 
 uint32_t Fleet::RouterFor(uint32_t account) {
   const auto draw = static_cast<uint32_t>(m_random() >> 32);
-  if (account < m_options.accounts_of_two) {
+  if (account < m_options.two_router_accounts) {
     return (account * 2 + draw % 2) % m_options.routers;
   }
   return draw % m_options.routers;
@@ -220,44 +222,48 @@
     return;  // no router to call: not counted as a refusal
   }
   ++m_outcome.requests;
-  m_outcome.late_requests += Late() ? 1 : 0;
+  m_outcome.late_requests += InFinalSpan() ? 1 : 0;
   router.book->OnDemand(AccountName(request.account),
-                        core::Tokens(request.most), At(m_now));
+                        core::Tokens(request.max_tokens), At(m_now));
   if (TryServe(router, request)) {
     return;
   }
-  if (router.cut || m_policy == Policy::kEqualSplit ||
-      !router.book->MayBeCovered(AccountName(request.account),
-                                 core::Tokens(request.most))) {
+  if (router.partitioned || m_policy == Policy::kEqualSplit ||
+      !router.book->MayBecomeSpendable(AccountName(request.account),
+                                       core::Tokens(request.max_tokens))) {
     Refuse(request);
     return;
   }
   Request waiting = request;
-  waiting.ends = m_now + kPatience;
+  waiting.ends = m_now + kClaimWaitTimeout;
   router.waiting.push_back(waiting);
-  router.next_beat = std::min(router.next_beat, m_now + kHurry);
+  router.next_heartbeat =
+      std::min(router.next_heartbeat, m_now + kExpeditedDelay);
 }
 
-void Fleet::Arrivals() {
-  double pressure = 0;
+void Fleet::GenerateRequests() {
+  double weighted_load = 0;
   for (uint32_t i = 0; i < m_options.accounts; ++i) {
-    pressure += m_weights[i] * m_pressure[i];
+    weighted_load += m_weights[i] * m_load_factors[i];
   }
-  double expected = m_options.requests_per_second * pressure * kStep;
+  double expected = m_options.requests_per_second * weighted_load * kStep;
   while (Uniform() < expected) {
     expected -= 1;
     Request request;
-    double draw = Uniform() * pressure;
+    double draw = Uniform() * weighted_load;
     while (request.account + 1 < m_options.accounts &&
-           draw >= m_weights[request.account] * m_pressure[request.account]) {
-      draw -= m_weights[request.account] * m_pressure[request.account];
+           draw >=
+               m_weights[request.account] * m_load_factors[request.account]) {
+      draw -= m_weights[request.account] * m_load_factors[request.account];
       ++request.account;
     }
-    const int64_t mean = Uniform() < kLargeShare ? kLargeTokens : kSmallTokens;
+    const int64_t mean =
+        Uniform() < kLargeRequestShare ? kLargeTokens : kSmallTokens;
     const double factor = 1 - kSpread / 2 + kSpread * Uniform();
-    request.most = static_cast<int64_t>(static_cast<double>(mean) * factor);
-    request.used =
-        static_cast<int64_t>(static_cast<double>(request.most) * kUsedOfMost);
+    request.max_tokens =
+        static_cast<int64_t>(static_cast<double>(mean) * factor);
+    request.used = static_cast<int64_t>(
+        static_cast<double>(request.max_tokens) * kUsedShareOfMax);
     Serve(RouterFor(request.account), request);
   }
 }
@@ -266,19 +272,19 @@
   m_now += kStep;
   for (uint32_t i = 0; i < m_routers.size(); ++i) {
     Router& router = m_routers[i];
-    if (!router.up && m_now >= router.starts_at && !router.cut) {
+    if (!router.up && m_now >= router.starts_at && !router.partitioned) {
       StartRouter(i);
     }
     if (!router.up) {
       continue;
     }
     EndRequests(router);
-    if (m_policy == Policy::kEqualSplit || router.cut) {
+    if (m_policy == Policy::kEqualSplit || router.partitioned) {
       continue;
     }
     ReadLog(i);
-    if (m_now >= router.next_beat) {
-      Beat(i);
+    if (m_now >= router.next_heartbeat) {
+      WriteHeartbeat(i);
     }
     std::deque<Request> waiting = std::exchange(router.waiting, {});
     for (const Request& request : waiting) {
@@ -286,16 +292,17 @@
         continue;
       }
       if (m_now >= request.ends ||
-          !router.book->MayBeCovered(AccountName(request.account),
-                                     core::Tokens(request.most))) {
+          !router.book->MayBecomeSpendable(AccountName(request.account),
+                                           core::Tokens(request.max_tokens))) {
         Refuse(request);
         continue;
       }
       router.waiting.push_back(request);
-      router.next_beat = std::min(router.next_beat, m_now + kHurry);
+      router.next_heartbeat =
+          std::min(router.next_heartbeat, m_now + kExpeditedDelay);
     }
   }
-  Arrivals();
+  GenerateRequests();
 }
 
 void Fleet::RunUntil(double seconds) {
@@ -304,9 +311,9 @@
   }
 }
 
-void Fleet::Cut(uint32_t first, uint32_t last, bool cut) {
+void Fleet::SetPartitioned(uint32_t first, uint32_t last, bool partitioned) {
   for (uint32_t i = first; i < last; ++i) {
-    m_routers[i].cut = cut;
+    m_routers[i].partitioned = partitioned;
   }
 }
 
@@ -317,11 +324,11 @@
   }
   router.up = false;
   router.starts_at = m_now + kRestart;
-  router.boot += end == End::kPower ? 1 : 0;
+  router.boot += end == End::kPowerFailure ? 1 : 0;
   // Running requests are charged their maximum: upstreams may have run them.
   for (const Request& request : router.running) {
-    m_in_use[request.account] -= request.most;
-    m_spent[request.account] += request.most;
+    m_in_use[request.account] -= request.max_tokens;
+    m_spent[request.account] += request.max_tokens;
   }
   router.running.clear();
   router.waiting.clear();
@@ -349,19 +356,19 @@
 // Running requests finish before the process exits.
 void Fleet::Drain(uint32_t index) {
   Router& router = m_routers[index];
-  if (!router.up || router.cut) {
+  if (!router.up || router.partitioned) {
     return;
   }
   for (Request& request : router.running) {
     request.ends = m_now;
   }
   EndRequests(router);
-  Beat(index, true);
+  WriteHeartbeat(index, true);
   Kill(index, End::kProcess);
 }
 
-void Fleet::Press(uint32_t account, double times) {
-  m_pressure[account] = times;
+void Fleet::SetLoadFactor(uint32_t account, double times) {
+  m_load_factors[account] = times;
 }
 
 Outcome Fleet::Finish() {
--- a/bench/ceiling/fleet.h
+++ b/bench/ceiling/fleet.h
@@ -9,7 +9,7 @@
 #include <string>  // string
 #include <vector>  // vector
 
-#include "coppervalve/entry/allotment_book.h"
+#include "coppervalve/entry/allocation_ledger.h"
 
 namespace coppervalve::bench {
 
@@ -24,13 +24,13 @@
   uint32_t routers = 6;
   uint32_t accounts = 10;
   /// Number of accounts that use only two routers each.
-  uint32_t accounts_of_two = 2;
+  uint32_t two_router_accounts = 2;
   double requests_per_second = 110;
   /// Ratio of the prepaid totals to the expected use until the end.
   double prepaid_ratio = 1.3;
   double end = 50;  ///< seconds
   uint64_t seed = 1;
-  entry::BookOptions book;
+  entry::AllocationOptions book;
 };
 
 /// @brief Results of a run.
@@ -56,11 +56,11 @@
   /// @brief Simulates requests until a time in seconds.
   void RunUntil(double seconds);
   /// @brief Disconnects routers [first, last) from the log, or reconnects them.
-  void Cut(uint32_t first, uint32_t last, bool cut);
+  void SetPartitioned(uint32_t first, uint32_t last, bool partitioned);
   /// @brief How a router ends. It restarts after one second.
   enum class End : uint8_t {
-    kProcess,  ///< the process ends, the VM keeps running
-    kPower,    ///< the VM reboots
+    kProcess,       ///< the process ends, the VM keeps running
+    kPowerFailure,  ///< the VM reboots
   };
   void Kill(uint32_t router, End end);
   void KillAll(End end);
@@ -68,28 +68,28 @@
   /// and restarts.
   void Drain(uint32_t router);
   /// @brief Multiplies the original load of an account by `times`.
-  void Press(uint32_t account, double times);
+  void SetLoadFactor(uint32_t account, double times);
   Outcome Finish();
 
  private:
   struct Request {
     uint32_t account = 0;
-    int64_t most = 0;
+    int64_t max_tokens = 0;
     int64_t used = 0;
     double ends = 0;  ///< in seconds; of a waiting request: its timeout
   };
   struct Router {
-    std::unique_ptr<entry::AllotmentBook> book;
+    std::unique_ptr<entry::AllocationLedger> book;
     std::vector<int64_t> split;  ///< rest of its fixed share, by account
     uint64_t epoch = 0;
     uint64_t sequence = 0;
     size_t read = 0;  ///< records read from the log
-    double next_beat = 0;
+    double next_heartbeat = 0;
     double starts_at = 0;
     uint64_t boot = 1;          ///< boot number of the VM
     std::vector<int64_t> used;  ///< by the ended incarnation, by account
     bool up = false;
-    bool cut = false;
+    bool partitioned = false;
     std::deque<Request> waiting;
     std::deque<Request> running;
   };
@@ -99,21 +99,21 @@
   };
 
   void Step();
-  bool Late() const;
+  bool InFinalSpan() const;
   void StartRouter(uint32_t index);
   void CountStranded(const Router& router,
                      const v1::RouterBeat& last,
                      bool held_back);
   void ReadLog(uint32_t index);
-  void Beat(uint32_t index, bool closing = false);
+  void WriteHeartbeat(uint32_t index, bool closing = false);
   void EndRequests(Router& router);
-  void Arrivals();
+  void GenerateRequests();
   void Serve(uint32_t index, const Request& request);
   bool TryServe(Router& router, const Request& request);
   void Refuse(const Request& request);
   uint32_t RouterFor(uint32_t account);
   double Uniform();
-  entry::Configuration ConfigurationOf() const;
+  entry::Configuration MakeConfiguration() const;
 
   FleetOptions m_options;
   Policy m_policy;
@@ -121,11 +121,11 @@
   double m_now = 0;
   std::vector<Router> m_routers;
   std::vector<Record> m_log;
-  std::vector<double> m_weights;   ///< share of the requests, by account
-  std::vector<double> m_pressure;  ///< factor on that share, by account
-  std::vector<int64_t> m_totals;   ///< by account
-  std::vector<int64_t> m_spent;    ///< actually spent, by account
-  std::vector<int64_t> m_in_use;   ///< currently reserved, by account
+  std::vector<double> m_weights;       ///< share of the requests, by account
+  std::vector<double> m_load_factors;  ///< factor on that share, by account
+  std::vector<int64_t> m_totals;       ///< by account
+  std::vector<int64_t> m_spent;        ///< actually spent, by account
+  std::vector<int64_t> m_in_use;       ///< currently reserved, by account
   Outcome m_outcome;
 };
 
--- a/bench/ceiling/main.cc
+++ b/bench/ceiling/main.cc
@@ -23,24 +23,24 @@
   double records = 0;
 };
 
-struct Bounded {
+struct BoundedSchedule {
   Schedule schedule;
   Bounds bounds;
 };
 
-std::vector<Bounded> Schedules() {
+std::vector<BoundedSchedule> Schedules() {
   return {
       {{"calm", [](Fleet&, const FleetOptions&) {}},
        {.false_refusals = 1, .records = 2.2}},
       {{"all_cut_twice",
         [](Fleet& fleet, const FleetOptions& options) {
-          CutAll(fleet, options, 5, 9);
-          CutAll(fleet, options, 23, 8.5);
+          PartitionAll(fleet, options, 5, 9);
+          PartitionAll(fleet, options, 23, 8.5);
         }},
        {.false_refusals = 9, .records = 1.4}},
       {{"all_power_lost",
         [](Fleet& fleet, const FleetOptions&) {
-          LoseAll(fleet, 34, Fleet::End::kPower);
+          KillAllAt(fleet, 34, Fleet::End::kPowerFailure);
         }},
        {.false_refusals = 17,
         .stranded = 175,
@@ -48,7 +48,7 @@
         .records = 4}},
       {{"all_power_lost_and_little_left",
         [](Fleet& fleet, const FleetOptions&) {
-          LoseAll(fleet, 34, Fleet::End::kPower);
+          KillAllAt(fleet, 34, Fleet::End::kPowerFailure);
         },
         0.95},
        {.false_refusals = 100,
@@ -57,7 +57,7 @@
         .records = 4.8}},
       {{"all_processes_killed",
         [](Fleet& fleet, const FleetOptions&) {
-          LoseAll(fleet, 34, Fleet::End::kProcess);
+          KillAllAt(fleet, 34, Fleet::End::kProcess);
         }},
        {.false_refusals = 8,
         .stranded = 70,
@@ -65,9 +65,9 @@
         .records = 2.5}},
       {{"cut_then_power_lost",
         [](Fleet& fleet, const FleetOptions& options) {
-          CutAll(fleet, options, 5, 9);
-          CutAll(fleet, options, 23, 8.5);
-          LoseAll(fleet, 34, Fleet::End::kPower);
+          PartitionAll(fleet, options, 5, 9);
+          PartitionAll(fleet, options, 23, 8.5);
+          KillAllAt(fleet, 34, Fleet::End::kPowerFailure);
         }},
        {.false_refusals = 19,
         .stranded = 180,
@@ -87,9 +87,9 @@
       {{"half_turned_away",
         [](Fleet& fleet, const FleetOptions& options) {
           fleet.RunUntil(8);
-          fleet.Cut(0, options.routers / 2, true);
+          fleet.SetPartitioned(0, options.routers / 2, true);
           fleet.RunUntil(17);
-          fleet.Cut(0, options.routers / 2, false);
+          fleet.SetPartitioned(0, options.routers / 2, false);
         }},
        {.false_refusals = 4, .records = 2}},
   };
@@ -99,11 +99,11 @@
 
 int main() {
   Report report;
-  for (const Bounded& bounded : Schedules()) {
+  for (const BoundedSchedule& bounded : Schedules()) {
     const Schedule& schedule = bounded.schedule;
     const Bounds& bounds = bounded.bounds;
-    const Outcome own = PlayAll(schedule, Policy::kCeilings);
-    const Outcome split = PlayAll(schedule, Policy::kEqualSplit);
+    const Outcome own = RunAllSeeds(schedule, Policy::kCeilings);
+    const Outcome split = RunAllSeeds(schedule, Policy::kEqualSplit);
     const auto requests = static_cast<double>(own.requests);
     const auto total = static_cast<double>(own.total);
     const auto line = [&](const std::string& figure, double value,
--- a/bench/ceiling/schedule.cc
+++ b/bench/ceiling/schedule.cc
@@ -2,26 +2,29 @@
 
 namespace coppervalve::bench {
 
-void CutAll(Fleet& fleet, const FleetOptions& options, double at, double span) {
+void PartitionAll(Fleet& fleet,
+                  const FleetOptions& options,
+                  double at,
+                  double span) {
   fleet.RunUntil(at);
-  fleet.Cut(0, options.routers, true);
+  fleet.SetPartitioned(0, options.routers, true);
   fleet.RunUntil(at + span);
-  fleet.Cut(0, options.routers, false);
+  fleet.SetPartitioned(0, options.routers, false);
 }
 
-void LoseAll(Fleet& fleet, double at, Fleet::End end) {
+void KillAllAt(Fleet& fleet, double at, Fleet::End end) {
   fleet.RunUntil(at);
   fleet.KillAll(end);
 }
 
-Outcome PlayAll(const Schedule& schedule, Policy policy) {
+Outcome RunAllSeeds(const Schedule& schedule, Policy policy) {
   Outcome sum;
   for (uint64_t seed = 1; seed <= kScheduleSeeds; ++seed) {
     FleetOptions options;
     options.seed = seed;
     options.prepaid_ratio = schedule.prepaid_ratio;
     Fleet fleet(options, policy);
-    schedule.play(fleet, options);
+    schedule.run(fleet, options);
     const Outcome one = fleet.Finish();
     sum.requests += one.requests;
     sum.served += one.served;
--- a/bench/ceiling/schedule.h
+++ b/bench/ceiling/schedule.h
@@ -11,22 +11,25 @@
 /// @brief A sequence of faults injected into a fleet.
 struct Schedule {
   std::string name;
-  std::function<void(Fleet&, const FleetOptions&)> play;
+  std::function<void(Fleet&, const FleetOptions&)> run;
   double prepaid_ratio = FleetOptions{}.prepaid_ratio;
 };
 
 /// @brief Runs until `at`, then disconnects all routers from the log for
 /// `span`; both in seconds.
-void CutAll(Fleet& fleet, const FleetOptions& options, double at, double span);
+void PartitionAll(Fleet& fleet,
+                  const FleetOptions& options,
+                  double at,
+                  double span);
 
 /// @brief Runs until `at` seconds, then ends all routers at once.
-void LoseAll(Fleet& fleet, double at, Fleet::End end);
+void KillAllAt(Fleet& fleet, double at, Fleet::End end);
 
 /// @brief Number of seeds that RunAllSeeds() runs.
 constexpr uint64_t kScheduleSeeds = 4;
 
 /// @return the sum of the outcomes of all seeds
-Outcome PlayAll(const Schedule& schedule, Policy policy);
+Outcome RunAllSeeds(const Schedule& schedule, Policy policy);
 
 /// @return `part` of `whole`, per thousand
 double PerThousand(double part, double whole);
--- a/bench/losses/main.cc
+++ b/bench/losses/main.cc
@@ -5,10 +5,11 @@
 // otherwise. When every incarnation claimed as much as the first one, each loss
 // took a third of the remaining tokens.
 //
-// Measured then: after five losses, half to two thirds of every account was
-// lost with crashed routers and almost nothing was free. Routers were ready at
-// once and knew their configuration, and the result was the same without
-// rationing. With a tenth of the tokens claimed ahead, callers were served.
+// After five losses, half to two thirds of every account was lost with crashed
+// routers and almost nothing was free. Startup was not the cause: routers were
+// ready at once and knew their configuration. Neither was rationing: the result
+// was the same without it. With a tenth of the tokens claimed ahead, callers
+// were served.
 //
 // `bench-losses` simulates losses of all routers: alone, in series, and
 // combined with partitions, drains and an account with high load. It reports
@@ -27,7 +28,7 @@
 
 /// @brief A schedule and limits on its outcome. All its requests spend tokens,
 /// as requests without tokens are served in any case.
-struct Bounded {
+struct BoundedSchedule {
   Schedule schedule;
   /// Minimum of the requests in the last five seconds. Service counts as
   /// restored if a quarter is served.
@@ -36,76 +37,76 @@
   double stranded_per_thousand = 0;
 };
 
-constexpr double kSeriesOfLosses[] = {8, 16, 24, 28, 34};
+constexpr double kLossTimes[] = {8, 16, 24, 28, 34};
 constexpr double kLastLoss = 34;
 
-void LoseInSeries(Fleet& fleet, End end) {
-  for (const double at : kSeriesOfLosses) {
-    LoseAll(fleet, at, end);
+void KillAllInSeries(Fleet& fleet, End end) {
+  for (const double at : kLossTimes) {
+    KillAllAt(fleet, at, end);
   }
 }
 
-std::vector<Bounded> Schedules() {
+std::vector<BoundedSchedule> Schedules() {
   return {
       {{"one_loss",
         [](Fleet& fleet, const FleetOptions&) {
-          LoseAll(fleet, kLastLoss, End::kPower);
+          KillAllAt(fleet, kLastLoss, End::kPowerFailure);
         }},
        900,
        180},
       {{"losses_in_series",
         [](Fleet& fleet, const FleetOptions&) {
-          LoseInSeries(fleet, End::kPower);
+          KillAllInSeries(fleet, End::kPowerFailure);
         }},
        500,
        400},
       {{"crashes_in_series",
         [](Fleet& fleet, const FleetOptions&) {
-          LoseInSeries(fleet, End::kProcess);
+          KillAllInSeries(fleet, End::kProcess);
         }},
        700,
        250},
       {{"losses_every_three_seconds",
         [](Fleet& fleet, const FleetOptions&) {
           for (double at = 4; at < kLastLoss; at += 3) {
-            LoseAll(fleet, at, End::kPower);
+            KillAllAt(fleet, at, End::kPowerFailure);
           }
         }},
        500,
        450},
       {{"losses_and_little_left",
         [](Fleet& fleet, const FleetOptions&) {
-          LoseAll(fleet, 16, End::kPower);
-          LoseAll(fleet, kLastLoss, End::kPower);
+          KillAllAt(fleet, 16, End::kPowerFailure);
+          KillAllAt(fleet, kLastLoss, End::kPowerFailure);
         },
         0.95},
        250,
        300},
       {{"loss_between_cuts",
         [](Fleet& fleet, const FleetOptions& options) {
-          CutAll(fleet, options, 4, 8);
-          LoseAll(fleet, 16, End::kPower);
-          CutAll(fleet, options, 23, 8);
-          LoseAll(fleet, kLastLoss, End::kPower);
+          PartitionAll(fleet, options, 4, 8);
+          KillAllAt(fleet, 16, End::kPowerFailure);
+          PartitionAll(fleet, options, 23, 8);
+          KillAllAt(fleet, kLastLoss, End::kPowerFailure);
         }},
        500,
        350},
       {{"loss_in_a_cut",
         [](Fleet& fleet, const FleetOptions& options) {
           fleet.RunUntil(5);
-          fleet.Cut(0, options.routers, true);
-          LoseAll(fleet, 9, End::kPower);
+          fleet.SetPartitioned(0, options.routers, true);
+          KillAllAt(fleet, 9, End::kPowerFailure);
           fleet.RunUntil(13);
-          fleet.Cut(0, options.routers, false);
-          LoseAll(fleet, kLastLoss, End::kPower);
+          fleet.SetPartitioned(0, options.routers, false);
+          KillAllAt(fleet, kLastLoss, End::kPowerFailure);
         }},
        500,
        400},
       {{"loss_right_after_each_cut",
         [](Fleet& fleet, const FleetOptions& options) {
           for (const double at : {5.0, 17.0, 26.0}) {
-            CutAll(fleet, options, at, 7);
-            LoseAll(fleet, at + 8, End::kPower);
+            PartitionAll(fleet, options, at, 7);
+            KillAllAt(fleet, at + 8, End::kPowerFailure);
           }
         }},
        500,
@@ -113,10 +114,10 @@
       {{"losses_with_half_cut_off",
         [](Fleet& fleet, const FleetOptions& options) {
           for (const double at : {10.0, 22.0, kLastLoss}) {
-            LoseAll(fleet, at, End::kPower);
-            fleet.Cut(0, options.routers / 2, true);
+            KillAllAt(fleet, at, End::kPowerFailure);
+            fleet.SetPartitioned(0, options.routers / 2, true);
             fleet.RunUntil(at + 4);
-            fleet.Cut(0, options.routers / 2, false);
+            fleet.SetPartitioned(0, options.routers / 2, false);
           }
         }},
        500,
@@ -124,13 +125,13 @@
       {{"losses_with_a_hot_account",
         [](Fleet& fleet, const FleetOptions&) {
           fleet.RunUntil(3);
-          fleet.Press(3, 6);
-          LoseAll(fleet, 9, End::kPower);
-          LoseAll(fleet, 18, End::kPower);
+          fleet.SetLoadFactor(3, 6);
+          KillAllAt(fleet, 9, End::kPowerFailure);
+          KillAllAt(fleet, 18, End::kPowerFailure);
           fleet.RunUntil(23);
-          fleet.Press(3, 1);
-          LoseAll(fleet, 27, End::kPower);
-          LoseAll(fleet, kLastLoss, End::kPower);
+          fleet.SetLoadFactor(3, 1);
+          KillAllAt(fleet, 27, End::kPowerFailure);
+          KillAllAt(fleet, kLastLoss, End::kPowerFailure);
         }},
        400,
        400},
@@ -140,8 +141,8 @@
             fleet.RunUntil(4 + 4 * i);
             fleet.Drain(i);
           }
-          LoseAll(fleet, 26, End::kPower);
-          LoseAll(fleet, kLastLoss, End::kPower);
+          KillAllAt(fleet, 26, End::kPowerFailure);
+          KillAllAt(fleet, kLastLoss, End::kPowerFailure);
         }},
        500,
        350},
@@ -152,9 +153,9 @@
 
 int main() {
   Report report;
-  for (const Bounded& bounded : Schedules()) {
+  for (const BoundedSchedule& bounded : Schedules()) {
     const std::string& name = bounded.schedule.name;
-    const Outcome outcome = PlayAll(bounded.schedule, Policy::kCeilings);
+    const Outcome outcome = RunAllSeeds(bounded.schedule, Policy::kCeilings);
     const auto requests = static_cast<double>(outcome.requests);
     const auto total = static_cast<double>(outcome.total);
     report.Print(name + ".overspend", static_cast<double>(outcome.overspend),
--- a/include/coppervalve/entry/active_set.h
+++ b/include/coppervalve/entry/active_set.h
@@ -16,9 +16,9 @@
 };
 
 /// @brief Requirements on the set of active routers.
-struct ActiveNeed {
+struct ActiveSetRequirements {
   double requests_per_second = 0;
-  size_t least = 8;  ///< routers, if there are that many candidates
+  size_t min_routers = 8;  ///< routers, if there are that many candidates
 };
 
 /// @brief Selects the active routers, which receive callers: the router with
@@ -27,12 +27,13 @@
 /// same selection on every router.
 /// @return the selected candidates in order of selection
 /// @complexity n log n in the candidates
-std::vector<Candidate> ChooseInOrder(std::vector<Candidate> candidates,
-                                     const ActiveNeed& need);
+std::vector<Candidate> SelectActive(std::vector<Candidate> candidates,
+                                    const ActiveSetRequirements& requirements);
 
 /// @brief The names of the selected routers, in the same order.
-std::vector<core::RouterId> ChooseActive(std::vector<Candidate> candidates,
-                                         const ActiveNeed& need);
+std::vector<core::RouterId> SelectActiveNames(
+    std::vector<Candidate> candidates,
+    const ActiveSetRequirements& requirements);
 
 }  // namespace coppervalve::entry
 
--- a/include/coppervalve/entry/allotment_book.h
+++ b/include/coppervalve/entry/allocation_ledger.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_ALLOTMENT_BOOK_H_
-#define COPPERVALVE_ENTRY_ALLOTMENT_BOOK_H_
+#ifndef COPPERVALVE_ENTRY_ALLOCATION_LEDGER_H_
+#define COPPERVALVE_ENTRY_ALLOCATION_LEDGER_H_
 
 #include <cstdint>        // uint8_t, uint32_t, uint64_t
 #include <deque>          // deque
@@ -10,48 +10,48 @@
 #include "coppervalve/beat.pb.h"
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/entry/beat_rate.h"
 #include "coppervalve/entry/configuration.h"
 #include "coppervalve/entry/demand.h"
-#include "coppervalve/entry/hold_ahead.h"
+#include "coppervalve/entry/heartbeat_rate.h"
+#include "coppervalve/entry/hold_factor.h"
 #include "coppervalve/entry/ranked_demand.h"
 
 namespace coppervalve::entry {
 
 /// @brief Outcome of an attempt to reserve tokens.
-enum class Reservation : uint8_t {
-  kHeld,
-  kUnlimited,     ///< the account has no prepaid total
-  kShort,         ///< exceeds this router's current ceiling
-  kLeftToUrgent,  ///< fits, but is kept for more urgent requests
+enum class ReserveResult : uint8_t {
+  kReserved,
+  kUnlimited,      ///< the account has no prepaid total
+  kAboveCeiling,   ///< exceeds this router's current ceiling
+  kKeptForUrgent,  ///< fits, but is kept for more urgent requests
   /// The tokens that may still be unspent, on any router, are too few.
   kExhausted,
 };
 
 /// @brief Limits how far a router's ceiling exceeds its use (the headroom).
-struct BookOptions {
+struct AllocationOptions {
   /// Headroom in time: how long a router can serve without the store.
   core::Duration ahead{9'000'000};
   /// Headroom of a leaving router: its callers are moving to other routers.
-  core::Duration ahead_leaving{1'500'000};
+  core::Duration ahead_when_leaving{1'500'000};
   /// Standard deviations of the demand within `ahead` that are added to its
   /// mean.
   double spread = 1.0;
   /// Share of the spendable tokens that all routers together claim before they
   /// have seen any demand.
   double first_share = 0.4;
-  core::Duration learning{8'000'000};
+  core::Duration learning_period{8'000'000};
   /// Maximum share of the spendable tokens that all routers together hold
   /// ahead. The rest stays free for routers whose demand grows.
   double most_held = 0.35;
   /// After a loss, the remaining tokens of an account are claimed at a rate
   /// that would use them up in about this time.
   core::Duration spread_rest{2'500'000};
-  /// Claims are rationed only if the tokens lost exceed this share of the
-  /// spendable ones,
+  /// Claims are rationed only if the lost tokens exceed this share of the
+  /// spendable ones.
   double loss_counts = 0.25;
-  /// and if the spendable tokens would last less than this at the current
-  /// demand.
+  /// Claims are rationed only if the spendable tokens would last less than this
+  /// at the current demand.
   core::Duration scarce_below{6'000'000};
   /// The reserve of a claim is not spent before this time has passed since the
   /// claim was written, so a process whose successor started sooner cannot have
@@ -65,7 +65,7 @@
   HoldOptions hold;
   /// An outage is recorded if the store acknowledged no claim for this long
   /// beyond the claim period.
-  core::Duration outage_counts{2'000'000};
+  core::Duration min_outage{2'000'000};
   /// Estimate this router's share from the requests it received so far;
   /// otherwise assume equal shares.
   bool own_share = true;
@@ -92,7 +92,7 @@
   bool active = true;     ///< this router is active
   bool leaving = false;   ///< its callers are moving away: keep little headroom
   bool closing = false;   ///< claim only tokens in use
-  core::Duration period = kQuietBeatPeriod;  ///< time between claims
+  core::Duration period = kDefaultHeartbeatPeriod;  ///< time between claims
 };
 
 /// @brief This router's allocation of every account's prepaid total.
@@ -102,28 +102,29 @@
 /// same incarnation lowers it in a later record. So the sum of all ceilings
 /// never exceeds the total, even if routers crash, pause or are partitioned,
 /// and no clock is needed for this guarantee (verified in model/ceiling.pml).
-class AllotmentBook {
+class AllocationLedger {
  public:
-  explicit AllotmentBook(BookOptions options) : m_options(options) {}
+  explicit AllocationLedger(AllocationOptions options) : m_options(options) {}
 
   /// @brief Takes over the totals of the configuration in force.
   void OnConfiguration(const Configuration& configuration);
   /// @brief Takes over the last record of this router's previous incarnation:
   /// its ceilings count as used. Call it once, before the first claim.
-  /// @param held_back whether the previous incarnation provably did not spend
-  /// its reserve
-  void OnPredecessor(const v1::RouterBeat& beat, bool held_back = false);
+  /// @param reserve_untouched whether the previous incarnation provably did not
+  /// spend its reserve
+  void OnPredecessor(const v1::RouterBeat& beat,
+                     bool reserve_untouched = false);
   /// @brief Processes a record of another router, in log order.
-  void OnOtherBeat(const core::RouterId& router,
-                   const v1::RouterBeat& beat,
-                   core::TimePoint now);
+  void OnPeerHeartbeat(const core::RouterId& router,
+                       const v1::RouterBeat& beat,
+                       core::TimePoint now);
   /// @brief Processes a record of this incarnation that was read back from the
-  /// log, after every earlier record was passed to OnOtherBeat().
-  void OnOwnBeat(const v1::RouterBeat& beat);
+  /// log, after every earlier record was passed to OnPeerHeartbeat().
+  void OnOwnHeartbeat(const v1::RouterBeat& beat);
 
   /// @brief The store acknowledged the claims of this incarnation up to a
   /// sequence number, so they are known to be in the log.
-  void OnWritten(uint64_t sequence, core::TimePoint now);
+  void OnAcknowledged(uint64_t sequence, core::TimePoint now);
 
   /// @brief Counts a request towards the demand. Call it once for each request.
   void OnDemand(const core::AccountId& account,
@@ -132,10 +133,10 @@
                 uint8_t rank = 0);
   /// @brief Reserves the maximum that a request may use.
   /// @param rank of the request; 0 is the most urgent
-  Reservation Reserve(const core::AccountId& account,
-                      core::Tokens tokens,
-                      core::TimePoint now,
-                      uint8_t rank = 0);
+  ReserveResult Reserve(const core::AccountId& account,
+                        core::Tokens tokens,
+                        core::TimePoint now,
+                        uint8_t rank = 0);
   /// @brief Replaces a reservation by the tokens that were used.
   /// @pre the tokens were reserved and `used` is at most `reserved`
   void Settle(const core::AccountId& account,
@@ -147,46 +148,47 @@
   /// claim covers them even if either router crashes.
   /// @return between `least` and `wanted`, or 0 if this router needs them
   /// itself
-  core::Tokens Give(const core::AccountId& account,
-                    core::Tokens least,
-                    core::Tokens wanted,
-                    core::TimePoint now);
+  core::Tokens TransferOut(const core::AccountId& account,
+                           core::Tokens least,
+                           core::Tokens wanted,
+                           core::TimePoint now);
   /// @brief Makes the next claim cover this many tokens more.
-  void Want(const core::AccountId& account, core::Tokens tokens);
+  void RequestTokens(const core::AccountId& account, core::Tokens tokens);
   /// @brief Adds tokens that another router transferred to this one.
-  void OnGift(const core::AccountId& account, core::Tokens tokens);
+  void OnTransfer(const core::AccountId& account, core::Tokens tokens);
   /// @brief Reserves transferred tokens.
   /// @return false if there are too few
-  bool ReserveGiven(const core::AccountId& account, core::Tokens tokens);
+  bool ReserveTransferred(const core::AccountId& account, core::Tokens tokens);
   /// @brief Keeps the unused part of a reservation for later requests.
-  void SettleGiven(const core::AccountId& account,
-                   core::Tokens reserved,
-                   core::Tokens used);
+  void SettleTransferred(const core::AccountId& account,
+                         core::Tokens reserved,
+                         core::Tokens used);
   /// @return routers that may be able to transfer this many tokens, those with
   /// the most unspent tokens first
-  std::vector<core::RouterId> Lenders(const core::AccountId& account,
-                                      core::Tokens tokens) const;
+  std::vector<core::RouterId> Donors(const core::AccountId& account,
+                                     core::Tokens tokens) const;
   /// @return the amount to request from other routers if `tokens` are missing:
   /// also enough for the following requests
-  core::Tokens WantedFor(const core::AccountId& account,
-                         core::Tokens tokens,
-                         core::TimePoint now) const;
+  core::Tokens TransferRequestFor(const core::AccountId& account,
+                                  core::Tokens tokens,
+                                  core::TimePoint now) const;
 
   /// @return when the reserve becomes spendable and covers a request, if no new
   /// claim is acknowledged before; nullopt if the ceiling does not cover it
-  std::optional<core::TimePoint> CoveredAt(const core::AccountId& account,
-                                           core::Tokens tokens,
-                                           core::TimePoint now) const;
+  std::optional<core::TimePoint> SpendableAt(const core::AccountId& account,
+                                             core::Tokens tokens,
+                                             core::TimePoint now) const;
 
   /// @brief Writes this router's claims. A lower ceiling applies at once, a
   /// higher one when the record was read back. Reserves are written if the
-  /// beat's `not_before` is set.
+  /// heartbeat's `not_before` is set.
   void WriteClaims(v1::RouterBeat& beat,
                    const ClaimContext& context,
                    core::TimePoint now);
 
   /// @return whether a later claim may cover `tokens`
-  bool MayBeCovered(const core::AccountId& account, core::Tokens tokens) const;
+  bool MayBecomeSpendable(const core::AccountId& account,
+                          core::Tokens tokens) const;
 
   /// @brief State of one account, for logs and metrics.
   struct Figures {
@@ -197,17 +199,17 @@
     core::Tokens others{};  ///< claimed by peers and previous incarnations
     core::Tokens lost{};    ///< part of `others` lost, as far as is known
     core::Tokens free{};    ///< not claimed by any router
-    bool paced = false;     ///< claims are rationed after a loss
+    bool rationed = false;  ///< claims are rationed after a loss
   };
   Figures FiguresOf(const core::AccountId& account) const;
 
   /// @return losses and outages of the whole fleet, summed over all routers
-  LivedThrough Past() const;
+  LossHistory History() const;
   /// @return the factor applied to the headroom, 1 for a fleet without history
-  double HoldFactor() const { return m_hold; }
+  double HoldFactor() const { return m_hold_factor; }
 
  private:
-  struct OtherClaim {
+  struct PeerClaim {
     core::Tokens claimed{};
     core::Tokens retired{};  ///< ceilings of previous incarnations
     core::Tokens unspent{};  ///< of the current incarnation
@@ -217,96 +219,100 @@
     core::Tokens committed{};      ///< spent, and reserved by running requests
   };
   /// A claim that was written and not read back yet.
-  struct Pending {
+  struct PendingClaim {
     uint64_t sequence = 0;
     core::Tokens claim{};
   };
   /// The limit that a claim sets on spending before `not_before`.
-  struct Early {
+  struct SpendLimit {
     uint64_t sequence = 0;
     core::Tokens limit{};
     core::TimePoint not_before;
   };
-  struct Entry {
+  struct AccountState {
     std::optional<core::Tokens> total;
-    std::deque<Pending> pending;  ///< in the order of writing
+    std::deque<PendingClaim> pending;  ///< in the order of writing
     /// Limits of the newest acknowledged claim and of all later ones.
-    std::deque<Early> early;
+    std::deque<SpendLimit> spend_limits;
     core::Tokens retired{};
     core::Tokens retired_spent{};
-    core::Tokens just_lost{};  ///< by the previous incarnation
-    core::Tokens ceiling{};    ///< upper limit of spent and reserved tokens
-    core::Tokens asked{};      ///< ceiling in the newest written record
+    core::Tokens lost_at_restart{};  ///< by the previous incarnation
+    core::Tokens ceiling{};  ///< upper limit of spent and reserved tokens
+    core::Tokens claimed{};  ///< ceiling in the newest written record
     core::Tokens spent{};
     core::Tokens reserved{};
-    core::Tokens given{};  ///< transferred by peers, not part of the ceiling
+    core::Tokens transferred_in{};  ///< by peers, not part of the ceiling
     core::Tokens others_claimed{};
     core::Tokens others_retired{};
     core::Tokens others_unspent{};
     core::Tokens others_lost{};
     core::Tokens others_committed{};  ///< by current incarnations
     core::Tokens largest{};           ///< largest request seen
-    core::Tokens wanted{};   ///< missing for requests that wait for a claim
-    core::Tokens paced{};    ///< increase of the ceiling allowed so far
-    bool must_last = false;  ///< few tokens are left after a loss
-    bool stated = false;     ///< has been written in a record
-    std::unordered_map<core::RouterId, OtherClaim> others;
+    core::Tokens requested{};  ///< missing for requests that wait for a claim
+    core::Tokens ration{};     ///< increase of the ceiling allowed so far
+    bool rationed = false;     ///< few tokens are left after a loss
+    bool written = false;      ///< has been written in a record
+    std::unordered_map<core::RouterId, PeerClaim> others;
     Demand own_demand;    ///< of requests to this router, served or not
     RankedDemand ranked;  ///< the same demand by rank
     Demand fleet_demand;  ///< tokens spent by all routers
   };
-  static core::Tokens InUse(const Entry& entry);
-  static core::Tokens Free(const Entry& entry);
-  static core::Tokens LeastPending(const Entry& entry);
-  static core::Tokens Limit(const Entry& entry, core::TimePoint now);
-  core::Tokens NextEarly(const Entry& entry,
-                         core::Tokens next,
-                         core::TimePoint now) const;
-  void StateReserve(Entry& entry,
+  static core::Tokens InUse(const AccountState& state);
+  static core::Tokens Free(const AccountState& state);
+  static core::Tokens LowestPendingClaim(const AccountState& state);
+  static core::Tokens CurrentSpendLimit(const AccountState& state,
+                                        core::TimePoint now);
+  core::Tokens NextSpendLimit(const AccountState& state,
+                              core::Tokens next,
+                              core::TimePoint now) const;
+  void WriteReserve(AccountState& state,
                     core::Tokens next,
                     const v1::RouterBeat& beat,
                     v1::AccountClaim& claim,
                     core::TimePoint now) const;
-  static core::Tokens Unavailable(const Entry& entry);
-  bool ClaimsGetThrough(core::TimePoint now) const;
-  core::Tokens OwnRest(const Entry& entry, core::TimePoint now) const;
-  bool LeavesEnough(const Entry& entry,
-                    core::Tokens tokens,
-                    uint8_t rank,
-                    core::TimePoint now) const;
-  static core::Tokens Spendable(const Entry& entry);
-  double GuessedShare() const;
-  double OwnShare(const Entry& entry) const;
-  double ShareOverAllStarts(const Entry& entry) const;
-  double ShareOf(const Entry& entry,
-                 core::Tokens own_use,
-                 core::Tokens others_use) const;
-  bool Learning(core::TimePoint now) const;
-  double ExpectedIn(const Entry& entry,
-                    double seconds,
-                    core::TimePoint now) const;
-  core::Tokens Aim(const Entry& entry, core::TimePoint now) const;
-  static core::Tokens Lost(const Entry& entry);
-  bool MustLast(const Entry& entry, core::TimePoint now) const;
-  void Pace(Entry& entry, core::Duration passed) const;
-  bool StandsByWithoutCallers(const Entry& entry) const;
-  core::Tokens NextCeiling(const Entry& entry, core::TimePoint now) const;
-  void CountLoss();
-  double LeastHold() const;
-  void RecallPast(v1::RouterBeat& beat);
+  static core::Tokens Unavailable(const AccountState& state);
+  bool ClaimsAreAcknowledged(core::TimePoint now) const;
+  core::Tokens OwnRemainder(const AccountState& state,
+                            core::TimePoint now) const;
+  bool LeavesEnoughForUrgent(const AccountState& state,
+                             core::Tokens tokens,
+                             uint8_t rank,
+                             core::TimePoint now) const;
+  static core::Tokens Spendable(const AccountState& state);
+  double PriorShare() const;
+  double OwnShare(const AccountState& state) const;
+  double OwnShareOverRestarts(const AccountState& state) const;
+  double EstimateShare(const AccountState& state,
+                       core::Tokens own_use,
+                       core::Tokens others_use) const;
+  bool IsLearning(core::TimePoint now) const;
+  double ExpectedDemand(const AccountState& state,
+                        double seconds,
+                        core::TimePoint now) const;
+  core::Tokens TargetHeadroom(const AccountState& state,
+                              core::TimePoint now) const;
+  static core::Tokens Lost(const AccountState& state);
+  bool NeedsRationing(const AccountState& state, core::TimePoint now) const;
+  void AccrueRation(AccountState& state, core::Duration passed) const;
+  bool IsIdleStandby(const AccountState& state) const;
+  core::Tokens NextCeiling(const AccountState& state,
+                           core::TimePoint now) const;
+  void RecordLoss();
+  double MinHoldFactor() const;
+  void UpdateHistory(v1::RouterBeat& beat);
 
-  BookOptions m_options;
+  AllocationOptions m_options;
   ClaimContext m_context;
-  std::unordered_map<core::AccountId, Entry> m_entries;
+  std::unordered_map<core::AccountId, AccountState> m_accounts;
   std::optional<core::TimePoint> m_first_demand;
   std::optional<core::TimePoint> m_last_claims;
-  std::optional<core::TimePoint> m_last_written;
-  OwnPast m_past;
-  std::unordered_map<core::RouterId, LivedThrough> m_others_past;
-  bool m_loss_counted = false;
-  double m_hold = 1;
+  std::optional<core::TimePoint> m_last_acknowledged;
+  RouterHistory m_history;
+  std::unordered_map<core::RouterId, LossHistory> m_peer_histories;
+  bool m_loss_recorded = false;
+  double m_hold_factor = 1;
 };
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_ALLOTMENT_BOOK_H_
+#endif  // COPPERVALVE_ENTRY_ALLOCATION_LEDGER_H_
--- a/include/coppervalve/entry/call_patience.h
+++ b/include/coppervalve/entry/call_timeouts.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_CALL_PATIENCE_H_
-#define COPPERVALVE_ENTRY_CALL_PATIENCE_H_
+#ifndef COPPERVALVE_ENTRY_CALL_TIMEOUTS_H_
+#define COPPERVALVE_ENTRY_CALL_TIMEOUTS_H_
 
 #include <algorithm>  // min
 #include <optional>   // optional
@@ -10,38 +10,39 @@
 
 /// @brief Progress of a call.
 struct CallProgress {
-  core::TimePoint began;
+  core::TimePoint started_at;
   bool connected = false;
   /// Time of the last received bytes; nullopt before the first ones.
-  std::optional<core::TimePoint> last_part;
+  std::optional<core::TimePoint> last_received;
 };
 
 /// @brief Timeouts of a call to another process.
-struct CallPatience {
+struct CallTimeouts {
   /// Timeout of a new connection. Connecting takes milliseconds within a
   /// region, and a lost SYN packet is retransmitted only after seconds, so a
   /// new attempt is faster.
   core::Duration connect{400'000};
   /// Time until the first byte of the answer. An unreachable process is
   /// detected after this time.
-  core::Duration first{1'000'000};
+  core::Duration first_byte{1'000'000};
   /// Maximum time between two parts of an answer.
-  core::Duration stall{800'000};
+  core::Duration idle{800'000};
   /// Time for the whole answer, which bounds slow answers.
-  core::Duration whole{6'000'000};
+  core::Duration total{6'000'000};
 
   /// @return when the call times out unless it makes progress before
-  core::TimePoint GiveUpAt(const CallProgress& progress) const {
+  core::TimePoint TimesOutAt(const CallProgress& progress) const {
     if (!progress.connected) {
-      return progress.began + connect;
+      return progress.started_at + connect;
     }
-    if (!progress.last_part) {
-      return progress.began + std::min(first, whole);
+    if (!progress.last_received) {
+      return progress.started_at + std::min(first_byte, total);
     }
-    return std::min(*progress.last_part + stall, progress.began + whole);
+    return std::min(*progress.last_received + idle,
+                    progress.started_at + total);
   }
 };
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_CALL_PATIENCE_H_
+#endif  // COPPERVALVE_ENTRY_CALL_TIMEOUTS_H_
--- a/include/coppervalve/entry/demand.h
+++ b/include/coppervalve/entry/demand.h
@@ -20,12 +20,14 @@
  private:
   struct Average {
     double per_second = 0;
-    double At(double seconds_later, double span) const;
+    double DecayedBy(double seconds_later, double time_constant) const;
   };
-  double Corrected(double average, double span, core::TimePoint now) const;
+  double CorrectBias(double average,
+                     double time_constant,
+                     core::TimePoint now) const;
   Average m_fast;
   Average m_slow;
-  std::optional<core::TimePoint> m_began;
+  std::optional<core::TimePoint> m_first_added;
   core::TimePoint m_updated{};
 };
 
--- a/include/coppervalve/entry/beat_reader.h
+++ b/include/coppervalve/entry/heartbeat_parser.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_BEAT_READER_H_
-#define COPPERVALVE_ENTRY_BEAT_READER_H_
+#ifndef COPPERVALVE_ENTRY_HEARTBEAT_PARSER_H_
+#define COPPERVALVE_ENTRY_HEARTBEAT_PARSER_H_
 
 #include <string>  // string
 
@@ -12,8 +12,8 @@
 /// @return kLogRecordInvalid if the bytes are not a message or a value is out
 /// of range: a negative or implausibly large claim, or more tokens spent than
 /// claimed
-core::Result<v1::RouterBeat> ReadBeat(const std::string& bytes);
+core::Result<v1::RouterBeat> ParseHeartbeat(const std::string& bytes);
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_BEAT_READER_H_
+#endif  // COPPERVALVE_ENTRY_HEARTBEAT_PARSER_H_
--- a/include/coppervalve/entry/beat_rate.h
+++ b/include/coppervalve/entry/heartbeat_rate.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_BEAT_RATE_H_
-#define COPPERVALVE_ENTRY_BEAT_RATE_H_
+#ifndef COPPERVALVE_ENTRY_HEARTBEAT_RATE_H_
+#define COPPERVALVE_ENTRY_HEARTBEAT_RATE_H_
 
 #include <cstdint>  // uint32_t
 
@@ -9,10 +9,10 @@
 
 /// @brief Heartbeat period of an active router in a small fleet. What a crashed
 /// process has spent is known except for about one period.
-constexpr core::Duration kQuietBeatPeriod{600'000};
+constexpr core::Duration kDefaultHeartbeatPeriod{600'000};
 
 /// @brief Limits how often a router may write to the store.
-struct BeatLimits {
+struct HeartbeatLimits {
   double store_writes_per_second = 0;  ///< of the whole fleet
   uint32_t live = 1;                   ///< routers that write heartbeats
   uint32_t active = 1;                 ///< active routers among them
@@ -20,12 +20,12 @@
 };
 
 /// @return the regular time between heartbeats
-core::Duration BeatPeriod(const BeatLimits& limits);
+core::Duration HeartbeatPeriod(const HeartbeatLimits& limits);
 
 /// @return the minimum time between heartbeats of a router whose requests wait
 /// for a claim
-core::Duration HurriedGap(const BeatLimits& limits);
+core::Duration ExpeditedDelay(const HeartbeatLimits& limits);
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_BEAT_RATE_H_
+#endif  // COPPERVALVE_ENTRY_HEARTBEAT_RATE_H_
--- a/include/coppervalve/entry/hold_ahead.h
+++ b/include/coppervalve/entry/hold_factor.h
@@ -1,10 +1,10 @@
-#ifndef COPPERVALVE_ENTRY_HOLD_AHEAD_H_
-#define COPPERVALVE_ENTRY_HOLD_AHEAD_H_
+#ifndef COPPERVALVE_ENTRY_HOLD_FACTOR_H_
+#define COPPERVALVE_ENTRY_HOLD_FACTOR_H_
 
 namespace coppervalve::entry {
 
 /// @brief Losses and outages since the first start of the fleet or of a router.
-struct LivedThrough {
+struct LossHistory {
   /// Lost claims, in units of all tokens that the fleet may hold ahead: a
   /// single crash in a fleet of six counts as about one sixth.
   double losses = 0;
@@ -24,25 +24,25 @@
 
 /// @return the factor, from `least` to `most`, by which the tokens held ahead
 /// by a fleet without history are multiplied; 1 without history
-double HoldFactor(const HoldOptions& options, const LivedThrough& lived);
+double HoldFactor(const HoldOptions& options, const LossHistory& history);
 
 /// @brief This router's share of the fleet's history. It is part of every
 /// heartbeat, so it is kept in the store, and the shares of all routers add up.
-class OwnPast {
+class RouterHistory {
  public:
   /// @brief Takes over the counts of the previous incarnation.
-  void Continue(const LivedThrough& told) { m_own = told; }
+  void Restore(const LossHistory& previous) { m_own = previous; }
   /// @param part fraction lost of all tokens that the fleet may hold ahead
   void OnLoss(double part);
   /// @param part fraction of the fleet that was without the store
   void OnOutage(double part);
-  const LivedThrough& own() const { return m_own; }
+  const LossHistory& own() const { return m_own; }
 
  private:
-  void ForgetOld();
-  LivedThrough m_own;
+  void ScaleDown();
+  LossHistory m_own;
 };
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_HOLD_AHEAD_H_
+#endif  // COPPERVALVE_ENTRY_HOLD_FACTOR_H_
--- a/include/coppervalve/entry/member_list.h
+++ b/include/coppervalve/entry/member_list.h
@@ -28,15 +28,15 @@
   MemberList(core::RouterId self,
              core::Duration silence,
              const PeerContact& peers,
-             size_t least_active = ActiveNeed{}.least)
+             size_t least_active = ActiveSetRequirements{}.min_routers)
       : m_self(std::move(self)),
         m_silence(silence),
         m_peers(peers),
         m_least_active(least_active) {}
 
-  void OnBeat(const core::RouterId& router,
-              const v1::RouterBeat& beat,
-              core::TimePoint now);
+  void OnHeartbeat(const core::RouterId& router,
+                   const v1::RouterBeat& beat,
+                   core::TimePoint now);
   /// @param contact with the topic of the heartbeats. Time counts as silence
   /// only while the topic is readable. If no router at all is heard, the list
   /// stays unchanged for a while.
@@ -47,18 +47,18 @@
   /// @return addresses of the other active routers for load reports
   std::vector<std::string> LoadAddresses() const;
   /// @return number of active routers; at least 1
-  uint32_t Active() const;
+  uint32_t ActiveCount() const;
   /// @return whether this router is active
   bool SelfActive() const { return m_active.contains(m_self); }
   /// @return whether this router is active, or would be if twice the capacity
   /// and number of routers were needed
-  bool SelfInTurn() const { return m_self_in_turn; }
+  bool SelfActiveOrNext() const { return m_self_active_or_next; }
   /// @return the highest number of upstreams that a live router knows
-  size_t Upstreams() const;
+  size_t MaxUpstreamCount() const;
   /// @return number of active routers that rendezvous hashing prefers to this
   /// one for a key. Routers with the same list agree on the ranks without
   /// communication.
-  uint32_t ActiveAbove(std::string_view key) const;
+  uint32_t ActiveRankedAbove(std::string_view key) const;
   /// @return a version number of the set of active routers
   uint64_t ActiveVersion() const { return m_active_version; }
   /// @return whether rendezvous hashing assigns a key to this router. Routers
@@ -67,7 +67,7 @@
   /// @return address of a live router for datagrams; empty if it has none
   std::string LoadAddressOf(const core::RouterId& router) const;
   /// @return number of live routers, this one included; at least 1
-  uint32_t Live() const;
+  uint32_t LiveCount() const;
 
  private:
   struct Member {
@@ -84,9 +84,9 @@
     bool live = true;
     core::Duration silent_for{};
   };
-  core::Duration LeastSilence() const;
+  core::Duration ShortestSilence() const;
   void DropSilent();
-  void ChooseActiveAgain(core::TimePoint now);
+  void UpdateActive(core::TimePoint now);
   double Load() const;
 
   core::RouterId m_self;
@@ -96,8 +96,8 @@
   std::map<core::RouterId, Member> m_members;
   std::set<core::RouterId> m_active;
   uint64_t m_active_version = 1;
-  bool m_self_in_turn = false;
-  double m_need = 0;  ///< requests per second that active routers must handle
+  bool m_self_active_or_next = false;
+  double m_required_capacity = 0;  ///< requests per second of active routers
   core::TimePoint m_advanced{};
 };
 
--- a/include/coppervalve/entry/peer_contact.h
+++ b/include/coppervalve/entry/peer_contact.h
@@ -14,10 +14,10 @@
 /// and tells a router without the store whether other routers still reach it.
 class PeerContact {
  public:
-  /// @param silence time without a report after which a router counts as lost
-  /// @param memory time after which a silent router is no longer tracked
-  PeerContact(core::Duration silence, core::Duration memory)
-      : m_silence(silence), m_memory(memory) {}
+  /// @param timeout time without a report after which a router counts as lost
+  /// @param retention time after which a silent router is no longer tracked
+  PeerContact(core::Duration timeout, core::Duration retention)
+      : m_timeout(timeout), m_retention(retention) {}
 
   void OnReport(const core::RouterId& router,
                 bool store_up,
@@ -27,10 +27,10 @@
   /// still heard. A router that hears no one may be cut off itself, so it
   /// reports none as lost. Standbys send no reports, so the retention time is
   /// short.
-  bool Lost(const core::RouterId& router, core::TimePoint now) const;
+  bool IsLost(const core::RouterId& router, core::TimePoint now) const;
   /// @return number of routers whose latest report is recent and says that they
   /// reach the store
-  uint32_t WithStore(core::TimePoint now) const;
+  uint32_t CountReachingStore(core::TimePoint now) const;
   /// @return whether a caller that is sent to another of `active` routers most
   /// likely finds one that reaches the store
   bool OthersReachStore(uint32_t active, core::TimePoint now) const;
@@ -40,11 +40,11 @@
     core::TimePoint heard;
     bool store_up = false;
   };
-  bool Heard(const Peer& peer, core::TimePoint now) const;
+  bool IsHeard(const Peer& peer, core::TimePoint now) const;
   bool HearsAny(core::TimePoint now) const;
 
-  core::Duration m_silence;
-  core::Duration m_memory;
+  core::Duration m_timeout;
+  core::Duration m_retention;
   std::unordered_map<core::RouterId, Peer> m_peers;
 };
 
--- a/include/coppervalve/entry/policy.h
+++ b/include/coppervalve/entry/policy.h
@@ -5,7 +5,7 @@
 #include <vector>       // vector
 
 #include "coppervalve/core/result.h"
-#include "coppervalve/entry/allotment_book.h"
+#include "coppervalve/entry/allocation_ledger.h"
 #include "coppervalve/entry/placement.h"
 #include "coppervalve/entry/shedding.h"
 #include "coppervalve/entry/upstream_senders.h"
@@ -16,7 +16,7 @@
 /// ship. Not a setting of operators: experiments switch one part off by name,
 /// so that its worth is measured without an edit of code.
 struct Policy {
-  BookOptions book;
+  AllocationOptions book;
   PlacementOptions placement;
   SheddingOptions shedding;
   WarmUpOptions warm_up;
--- a/include/coppervalve/entry/ranked_demand.h
+++ b/include/coppervalve/entry/ranked_demand.h
@@ -18,12 +18,12 @@
     m_by_rank[rank].Add(tokens, now);
   }
   /// @return tokens per second of the ranks more urgent than `rank`, counted
-  /// from the most urgent one as long as their sum is at most `small_part` of
+  /// from the most urgent one as long as their sum is at most `max_share` of
   /// the total demand
   /// @complexity linear in the ranks
-  double SmallAndMoreUrgent(uint8_t rank,
-                            double small_part,
-                            core::TimePoint now) const;
+  double MoreUrgentPerSecond(uint8_t rank,
+                             double max_share,
+                             core::TimePoint now) const;
 
  private:
   std::map<uint8_t, Demand> m_by_rank;
--- a/include/coppervalve/entry/read_plan.h
+++ b/include/coppervalve/entry/read_plan.h
@@ -16,10 +16,10 @@
   core::Duration pause{0};
   /// Size limit of one read. An answer must pass the link of a small VM, and
   /// the store's rate shared by all routers, within the call's timeout.
-  size_t most_bytes = 128 * 1024;
+  size_t max_bytes = 128 * 1024;
   /// Only the newest record of each key is needed, so records missed while the
   /// store was unreachable are not read one by one.
-  bool only_newest_matters = true;
+  bool newest_only = true;
   core::Duration first_backoff{100'000};
   core::Duration longest_backoff{800'000};
 };
@@ -31,20 +31,20 @@
 ReadPlanOptions UpstreamPlan();
 /// @brief Options for the heartbeats of the routers. A claim is granted when
 /// its own record is read in log order, so every record is delivered.
-ReadPlanOptions BeatPlan();
+ReadPlanOptions HeartbeatPlan();
 
 /// @brief The next call of a reader.
 struct ReadStep {
   enum class Call : uint8_t {
-    kFirstPage,  ///< newest records by key, from the start
-    kSamePage,   ///< repeat the last requested page
-    kRecords,    ///< records from next() on
+    kFirstNewestPage,  ///< newest records by key, from the start
+    kRepeatPage,       ///< repeat the last requested page
+    kRecords,          ///< records from next() on
   };
-  Call call = Call::kFirstPage;
+  Call call = Call::kFirstNewestPage;
   core::Duration delay{};
   /// Whether `delay` is a pause between reads, which may be cut short, and not
   /// a backoff.
-  bool pausing = false;
+  bool interruptible = false;
 };
 
 /// @brief Decides the next call of a reader of a keyed topic: records in log
@@ -67,10 +67,12 @@
                    core::Duration pause,
                    core::TimePoint now);
   /// @brief The requested offset is no longer in the log.
-  ReadStep OnGap();
-  /// @param draw uniform in [0, 1)
-  /// @param began start of the failed call
-  ReadStep OnFailure(double draw, core::TimePoint began, core::TimePoint now);
+  ReadStep OnOffsetExpired();
+  /// @param jitter uniform in [0, 1)
+  /// @param started_at start of the failed call
+  ReadStep OnFailure(double jitter,
+                     core::TimePoint started_at,
+                     core::TimePoint now);
   /// @brief A page was read, and another one follows.
   void OnPage(core::TimePoint now);
 
@@ -78,14 +80,14 @@
   const ReadPlanOptions& options() const { return m_options; }
 
  private:
-  ReadStep StartOver();
+  ReadStep RestartFromNewest();
 
   ReadPlanOptions m_options;
   uint64_t m_next = 0;
   size_t m_keys = 0;
   bool m_has_newest = false;
   uint32_t m_failures = 0;
-  std::optional<core::TimePoint> m_answered;
+  std::optional<core::TimePoint> m_last_answer;
 };
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/store_contact.h
+++ b/include/coppervalve/entry/store_contact.h
@@ -12,8 +12,8 @@
  public:
   /// @complexity constant, as all of this class
   void OnAnswer(core::TimePoint now);
-  /// @param began start of the failed call
-  void OnFailure(core::TimePoint began);
+  /// @param started_at start of the failed call
+  void OnFailure(core::TimePoint started_at);
 
   /// @return whether the last completed call succeeded
   bool up() const { return m_up; }
@@ -21,12 +21,12 @@
   /// one
   core::Duration SilentFor(core::TimePoint now) const;
   /// @return since when the store has been reachable; nullopt while it is not
-  std::optional<core::TimePoint> regained() const;
+  std::optional<core::TimePoint> reachable_since() const;
 
  private:
   bool m_up = false;
   std::optional<core::TimePoint> m_last_answer;
-  std::optional<core::TimePoint> m_regained;
+  std::optional<core::TimePoint> m_reachable_since;
 };
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/gift_memory.h
+++ b/include/coppervalve/entry/transfer_reply_cache.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_GIFT_MEMORY_H_
-#define COPPERVALVE_ENTRY_GIFT_MEMORY_H_
+#ifndef COPPERVALVE_ENTRY_TRANSFER_REPLY_CACHE_H_
+#define COPPERVALVE_ENTRY_TRANSFER_REPLY_CACHE_H_
 
 #include <cstdint>   // uint64_t
 #include <deque>     // deque
@@ -15,21 +15,21 @@
 
 /// @brief Recent replies to token requests of other routers. A repeated request
 /// gets the same reply and takes tokens only once.
-class GiftMemory {
+class TransferReplyCache {
  public:
-  std::optional<core::Tokens> Answered(const v1::TokenAsk& ask) const;
-  void Remember(const v1::TokenAsk& ask,
-                core::Tokens given,
-                core::TimePoint now);
+  std::optional<core::Tokens> Find(const v1::TokenAsk& request) const;
+  void Insert(const v1::TokenAsk& request,
+              core::Tokens given,
+              core::TimePoint now);
 
  private:
   using Key = std::tuple<core::RouterId, uint64_t, uint64_t>;
-  static Key KeyOf(const v1::TokenAsk& ask);
+  static Key KeyOf(const v1::TokenAsk& request);
 
-  std::map<Key, core::Tokens> m_answers;
+  std::map<Key, core::Tokens> m_replies;
   std::deque<std::pair<core::TimePoint, Key>> m_order;
 };
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_GIFT_MEMORY_H_
+#endif  // COPPERVALVE_ENTRY_TRANSFER_REPLY_CACHE_H_
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -12,7 +12,7 @@
 #include <vector>       // vector
 
 #include "coppervalve/entry/admission.h"
-#include "coppervalve/entry/allotment_book.h"
+#include "coppervalve/entry/allocation_ledger.h"
 #include "coppervalve/entry/member_list.h"
 #include "coppervalve/entry/peer_contact.h"
 #include "coppervalve/entry/placement.h"
@@ -43,7 +43,7 @@
   const entry::Placer& placer;
   entry::ReadingPace& pace;
   entry::RetryAllowance& retries;
-  entry::AllotmentBook& book;
+  entry::AllocationLedger& book;
   const entry::MemberList& members;
   const entry::PeerContact& peers;
   const entry::StoreContact& contact;
--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -11,9 +11,8 @@
 #include <unordered_map>  // unordered_map
 #include <vector>         // vector
 
-#include "coppervalve/entry/allotment_book.h"
-#include "coppervalve/entry/beat_rate.h"
-#include "coppervalve/entry/gift_memory.h"
+#include "coppervalve/entry/allocation_ledger.h"
+#include "coppervalve/entry/heartbeat_rate.h"
 #include "coppervalve/entry/in_force.h"
 #include "coppervalve/entry/member_list.h"
 #include "coppervalve/entry/placement.h"
@@ -21,6 +20,7 @@
 #include "coppervalve/entry/retry_allowance.h"
 #include "coppervalve/entry/store_contact.h"
 #include "coppervalve/entry/table_readers.h"
+#include "coppervalve/entry/transfer_reply_cache.h"
 #include "coppervalve/entry/upstream_directory.h"
 #include "coppervalve/gateway/beat_writer.h"
 #include "coppervalve/gateway/borrower.h"
@@ -126,7 +126,7 @@
   void OnStoreFailure(const std::string& topic,
                       const core::Error& error,
                       core::TimePoint began);
-  entry::BeatLimits Limits() const;
+  entry::HeartbeatLimits Limits() const;
   void ComposeBeat(v1::RouterBeat& beat);
   double Capacity() const;
   void GrantsChanged();
@@ -176,7 +176,7 @@
   entry::PeerContact m_peers;
   entry::ReadingPace m_pace;
   entry::RetryAllowance m_retries;
-  entry::AllotmentBook m_book;
+  entry::AllocationLedger m_book;
   entry::MemberList m_members;
   entry::UpstreamSenders m_senders;
   entry::UpstreamGate m_gate;
@@ -199,7 +199,7 @@
   std::string m_boot;  ///< empty when it can't be told
   std::unique_ptr<Borrower> m_borrower;
   std::unique_ptr<PlaceAsker> m_place_asker;
-  entry::GiftMemory m_gifts;
+  entry::TransferReplyCache m_gifts;
   std::vector<std::shared_ptr<Listener>> m_listeners;
   std::shared_ptr<Listener> m_callers;
   std::vector<std::function<void()>> m_waiting;
--- a/include/coppervalve/gateway/gateway_metrics.h
+++ b/include/coppervalve/gateway/gateway_metrics.h
@@ -8,7 +8,7 @@
 
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/entry/allotment_book.h"
+#include "coppervalve/entry/allocation_ledger.h"
 #include "coppervalve/entry/configuration.h"
 
 namespace coppervalve::gateway {
@@ -51,7 +51,7 @@
   void OnGrantWait(core::Duration waited);
   void OnStoreCall(std::string_view topic, bool answered);
   void OnAccount(const core::AccountId& account,
-                 const entry::AllotmentBook::Figures& figures);
+                 const entry::AllocationLedger::Figures& figures);
   void OnProcess(const ProcessFigures& figures);
 
   /// @return all of it as text, in the format of Prometheus
--- a/include/coppervalve/gateway/http_caller.h
+++ b/include/coppervalve/gateway/http_caller.h
@@ -13,7 +13,7 @@
 
 #include "coppervalve/core/result.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/entry/call_patience.h"
+#include "coppervalve/entry/call_timeouts.h"
 #include "coppervalve/gateway/stream.h"
 #include "coppervalve/http1/response_reader.h"
 
@@ -25,7 +25,7 @@
   std::string target;
   std::string content_type;  ///< empty = no body type is sent
   std::string body;
-  entry::CallPatience patience;
+  entry::CallTimeouts patience;
   /// Of the answer: one that says it is longer, or never ends, is not kept.
   size_t most_bytes = 8 * 1024 * 1024;
 };
@@ -62,7 +62,7 @@
   void OnBytes(std::string_view bytes);
   void OnEnd();
   void Finish(core::Result<HttpReply> result, bool keep_connection);
-  core::TimePoint GiveUpAt() const;
+  core::TimePoint TimesOutAt() const;
   void ArmTimeout();
 
   boost::asio::io_context& m_io;
--- a/include/coppervalve/gateway/topic_follower.h
+++ b/include/coppervalve/gateway/topic_follower.h
@@ -47,7 +47,7 @@
                 const KeyedStore& store,
                 routing::RandomHook random,
                 Hooks hooks);
-  void Start() { Take(m_plan.OnGap()); }
+  void Start() { Take(m_plan.OnOffsetExpired()); }
   /// @brief Reads again from the newest, if reading stopped and the topic is of
   /// use now.
   void Wake();
--- a/src/entry/active_set.cc
+++ b/src/entry/active_set.cc
@@ -13,16 +13,16 @@
 /// @brief The candidates of one failure domain, highest capacity first.
 struct Domain {
   std::vector<Candidate> ranked;
-  size_t chosen = 0;
-  bool HasMore() const { return chosen < ranked.size(); }
+  size_t selected = 0;
+  bool HasMore() const { return selected < ranked.size(); }
 };
 
-bool Better(const Candidate& a, const Candidate& b) {
+bool RanksHigher(const Candidate& a, const Candidate& b) {
   if (a.capacity != b.capacity) {
     return a.capacity > b.capacity;
   }
   // Ties are broken by hash; by name, the same few routers would always be
-  // chosen.
+  // selected.
   return core::Hash64(a.router.value()) < core::Hash64(b.router.value());
 }
 
@@ -34,10 +34,10 @@
     if (!domain.HasMore()) {
       continue;
     }
-    const bool fewer = next == nullptr || domain.chosen < next->chosen;
-    const bool better =
-        next != nullptr && domain.chosen == next->chosen &&
-        Better(domain.ranked[domain.chosen], next->ranked[next->chosen]);
+    const bool fewer = next == nullptr || domain.selected < next->selected;
+    const bool better = next != nullptr && domain.selected == next->selected &&
+                        RanksHigher(domain.ranked[domain.selected],
+                                    next->ranked[next->selected]);
     if (fewer || better) {
       next = &domain;
     }
@@ -51,34 +51,37 @@
 // Split over all routers of a large fleet, the tokens of an account would form
 // shares too small for a large request, and callers that keep one address might
 // stay on a VM that is too weak for them.
-std::vector<Candidate> ChooseInOrder(std::vector<Candidate> candidates,
-                                     const ActiveNeed& need) {
+std::vector<Candidate> SelectActive(std::vector<Candidate> candidates,
+                                    const ActiveSetRequirements& requirements) {
   std::map<core::FailureDomainId, Domain> domains;
   for (Candidate& candidate : candidates) {
     domains[candidate.failure_domain].ranked.push_back(std::move(candidate));
   }
   for (auto& [name, domain] : domains) {
-    std::sort(domain.ranked.begin(), domain.ranked.end(), Better);
+    std::sort(domain.ranked.begin(), domain.ranked.end(), RanksHigher);
   }
-  std::vector<Candidate> chosen;
+  std::vector<Candidate> selected;
   double capacity = 0;
-  while (chosen.size() < need.least || capacity < need.requests_per_second) {
+  while (selected.size() < requirements.min_routers ||
+         capacity < requirements.requests_per_second) {
     Domain* domain = NextDomain(domains);
     if (domain == nullptr) {
       break;
     }
-    Candidate& candidate = domain->ranked[domain->chosen++];
+    Candidate& candidate = domain->ranked[domain->selected++];
     capacity += candidate.capacity;
-    chosen.push_back(std::move(candidate));
+    selected.push_back(std::move(candidate));
   }
-  return chosen;
+  return selected;
 }
 
-std::vector<core::RouterId> ChooseActive(std::vector<Candidate> candidates,
-                                         const ActiveNeed& need) {
+std::vector<core::RouterId> SelectActiveNames(
+    std::vector<Candidate> candidates,
+    const ActiveSetRequirements& requirements) {
   std::vector<core::RouterId> names;
-  for (Candidate& chosen : ChooseInOrder(std::move(candidates), need)) {
-    names.push_back(std::move(chosen.router));
+  for (Candidate& selected :
+       SelectActive(std::move(candidates), requirements)) {
+    names.push_back(std::move(selected.router));
   }
   return names;
 }
--- a/src/entry/demand.cc
+++ b/src/entry/demand.cc
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr double kFastSpan = 2.5;  // seconds
-constexpr double kSlowSpan = 8;    // seconds
+constexpr double kFastTimeConstant = 2.5;  // seconds
+constexpr double kSlowTimeConstant = 8;    // seconds
 // The fast average is noisy, so it only counts where it is well above the slow
 // one.
 constexpr double kFastWeight = 0.75;
 // A single request right after the start is no rate.
-constexpr double kLeastAge = 1.5;  // seconds
+constexpr double kMinAge = 1.5;  // seconds
 
 double SecondsSince(core::TimePoint start, core::TimePoint now) {
   return std::max(0.0, std::chrono::duration<double>(now - start).count());
@@ -21,37 +21,42 @@
 
 }  // namespace
 
-double Demand::Average::At(double seconds_later, double span) const {
-  return per_second * std::exp(-seconds_later / span);
+double Demand::Average::DecayedBy(double seconds_later,
+                                  double time_constant) const {
+  return per_second * std::exp(-seconds_later / time_constant);
 }
 
 void Demand::Add(core::Tokens tokens, core::TimePoint now) {
-  if (!m_began) {
-    m_began = now;
+  if (!m_first_added) {
+    m_first_added = now;
   }
   const double passed = SecondsSince(m_updated, now);
   const auto amount = static_cast<double>(tokens.value());
-  m_fast.per_second = m_fast.At(passed, kFastSpan) + amount / kFastSpan;
-  m_slow.per_second = m_slow.At(passed, kSlowSpan) + amount / kSlowSpan;
+  m_fast.per_second =
+      m_fast.DecayedBy(passed, kFastTimeConstant) + amount / kFastTimeConstant;
+  m_slow.per_second =
+      m_slow.DecayedBy(passed, kSlowTimeConstant) + amount / kSlowTimeConstant;
   m_updated = now;
 }
 
 // Corrects the bias of an average that has not covered its whole time constant
 // yet and would be far too low until then.
-double Demand::Corrected(double average,
-                         double span,
-                         core::TimePoint now) const {
-  const double age = std::max(SecondsSince(*m_began, now), kLeastAge);
-  return average / (1 - std::exp(-age / span));
+double Demand::CorrectBias(double average,
+                           double time_constant,
+                           core::TimePoint now) const {
+  const double age = std::max(SecondsSince(*m_first_added, now), kMinAge);
+  return average / (1 - std::exp(-age / time_constant));
 }
 
 double Demand::PerSecond(core::TimePoint now) const {
-  if (!m_began) {
+  if (!m_first_added) {
     return 0;
   }
   const double passed = SecondsSince(m_updated, now);
-  const double fast = Corrected(m_fast.At(passed, kFastSpan), kFastSpan, now);
-  const double slow = Corrected(m_slow.At(passed, kSlowSpan), kSlowSpan, now);
+  const double fast = CorrectBias(m_fast.DecayedBy(passed, kFastTimeConstant),
+                                  kFastTimeConstant, now);
+  const double slow = CorrectBias(m_slow.DecayedBy(passed, kSlowTimeConstant),
+                                  kSlowTimeConstant, now);
   return std::max(kFastWeight * fast, slow);
 }
 
--- a/src/entry/hold_ahead.cc
+++ b/src/entry/hold_factor.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/hold_ahead.h"
+#include "coppervalve/entry/hold_factor.h"
 
 #include <algorithm>  // clamp, min
 #include <cmath>      // log
@@ -9,7 +9,7 @@
 
 // Maximum number of events of one router. Beyond it the counts are scaled down,
 // so that a fleet that runs for years follows its recent failures.
-constexpr double kMostRemembered = 8;
+constexpr double kMaxEvents = 8;
 
 }  // namespace
 
@@ -19,27 +19,27 @@
 // frequent as losses. So the headroom grows with the logarithm of the ratio of
 // outages to losses. Both counts start with a prior, which observed events
 // outweigh. Only the ratio matters, so no clock is needed.
-double HoldFactor(const HoldOptions& options, const LivedThrough& lived) {
+double HoldFactor(const HoldOptions& options, const LossHistory& history) {
   const double before = options.outages_before / options.losses_before;
-  const double now = (options.outages_before + lived.outages) /
-                     (options.losses_before + lived.losses);
+  const double now = (options.outages_before + history.outages) /
+                     (options.losses_before + history.losses);
   return std::clamp(std::log(now) / std::log(before), options.least,
                     options.most);
 }
 
-void OwnPast::OnLoss(double part) {
+void RouterHistory::OnLoss(double part) {
   m_own.losses += std::clamp(part, 0.0, 1.0);
-  ForgetOld();
+  ScaleDown();
 }
 
-void OwnPast::OnOutage(double part) {
+void RouterHistory::OnOutage(double part) {
   m_own.outages += std::clamp(part, 0.0, 1.0);
-  ForgetOld();
+  ScaleDown();
 }
 
-void OwnPast::ForgetOld() {
+void RouterHistory::ScaleDown() {
   const double kept =
-      std::min(1.0, kMostRemembered / (m_own.losses + m_own.outages));
+      std::min(1.0, kMaxEvents / (m_own.losses + m_own.outages));
   m_own.losses *= kept;
   m_own.outages *= kept;
 }
--- a/src/entry/member_list.cc
+++ b/src/entry/member_list.cc
@@ -12,27 +12,27 @@
 
 // A longer time between two calls means that this process was paused or cut
 // off. It says nothing about other routers.
-constexpr core::Duration kLongestStep{1'000'000};
+constexpr core::Duration kMaxStep{1'000'000};
 // Room for bursts and for the load of routers that fail.
-constexpr double kHeadroom = 1.5;
+constexpr double kLoadHeadroom = 1.5;
 // The required capacity grows at once and shrinks by this factor per step, so
 // that short changes of the load do not make routers switch between active and
 // standby.
-constexpr double kShrink = 0.99;
+constexpr double kCapacityDecay = 0.99;
 // The next standbys have the capacity of the active routers.
-constexpr size_t kWithNext = 2;
+constexpr size_t kNextStandbysFactor = 2;
 // If all other routers are silent, they count as dead only after this many
 // times the silence time of one.
-constexpr int kCommonSilences = 3;
+constexpr int kAllSilentFactor = 3;
 // With one other router, its silence cannot be told from the silence of all
 // others.
-constexpr size_t kTooFewToTell = 2;
+constexpr size_t kMaxAmbiguousMembers = 2;
 
 }  // namespace
 
-void MemberList::OnBeat(const core::RouterId& router,
-                        const v1::RouterBeat& beat,
-                        core::TimePoint now) {
+void MemberList::OnHeartbeat(const core::RouterId& router,
+                             const v1::RouterBeat& beat,
+                             core::TimePoint now) {
   Member& member = m_members[router];
   const bool newer =
       beat.epoch() > member.epoch ||
@@ -54,30 +54,31 @@
   member.load = beat.load();
   member.upstreams = beat.upstreams();
   if (changed) {
-    ChooseActiveAgain(now);
+    UpdateActive(now);
   }
 }
 
 void MemberList::Advance(const StoreContact& contact, core::TimePoint now) {
   const core::Duration step = now - m_advanced;
   m_advanced = now;
-  if (!contact.up() || step > kLongestStep) {
+  if (!contact.up() || step > kMaxStep) {
     return;
   }
   for (auto& [router, member] : m_members) {
     member.silent_for += step;
   }
   DropSilent();
-  m_need = std::max(m_need * kShrink, Load() * kHeadroom);
-  ChooseActiveAgain(now);
+  m_required_capacity =
+      std::max(m_required_capacity * kCapacityDecay, Load() * kLoadHeadroom);
+  UpdateActive(now);
 }
 
-core::Duration MemberList::LeastSilence() const {
-  core::Duration least = core::Duration::max();
+core::Duration MemberList::ShortestSilence() const {
+  core::Duration shortest = core::Duration::max();
   for (const auto& [router, member] : m_members) {
-    least = std::min(least, member.silent_for);
+    shortest = std::min(shortest, member.silent_for);
   }
-  return least;
+  return shortest;
 }
 
 // If hundreds of routers cannot write, or this router cannot read their
@@ -88,9 +89,10 @@
 // its own, the last router of a fleet would keep announcing dead ones.) If
 // there is none for long, all others are considered dead.
 void MemberList::DropSilent() {
-  const core::Duration least = LeastSilence();
-  const bool common = m_members.size() > kTooFewToTell && least >= m_silence;
-  if (common && least < m_silence * kCommonSilences) {
+  const core::Duration shortest = ShortestSilence();
+  const bool all_silent =
+      m_members.size() > kMaxAmbiguousMembers && shortest >= m_silence;
+  if (all_silent && shortest < m_silence * kAllSilentFactor) {
     return;
   }
   for (auto& [router, member] : m_members) {
@@ -109,30 +111,30 @@
 
 // A router whose direct reports stopped is left out sooner than its missing
 // heartbeats would show.
-void MemberList::ChooseActiveAgain(core::TimePoint now) {
+void MemberList::UpdateActive(core::TimePoint now) {
   std::vector<Candidate> candidates;
   for (const auto& [router, member] : m_members) {
-    const bool lost = router != m_self && m_peers.Lost(router, now);
+    const bool lost = router != m_self && m_peers.IsLost(router, now);
     if (member.live && member.ready && !member.leaving && !lost) {
       candidates.push_back({router, member.failure_domain, member.capacity});
     }
   }
-  ActiveNeed need;
-  need.requests_per_second = m_need;
-  need.least = m_least_active;
-  ActiveNeed with_next = need;
-  with_next.requests_per_second *= kWithNext;
-  with_next.least *= kWithNext;
+  ActiveSetRequirements requirements;
+  requirements.requests_per_second = m_required_capacity;
+  requirements.min_routers = m_least_active;
+  ActiveSetRequirements with_next = requirements;
+  with_next.requests_per_second *= kNextStandbysFactor;
+  with_next.min_routers *= kNextStandbysFactor;
   std::set<core::RouterId> active;
-  m_self_in_turn = false;
+  m_self_active_or_next = false;
   double capacity = 0;
   // The selection for lower requirements is a prefix of the one for higher
   // ones.
   for (const Candidate& chosen :
-       ChooseInOrder(std::move(candidates), with_next)) {
-    m_self_in_turn = m_self_in_turn || chosen.router == m_self;
-    const bool enough =
-        active.size() >= need.least && capacity >= need.requests_per_second;
+       SelectActive(std::move(candidates), with_next)) {
+    m_self_active_or_next = m_self_active_or_next || chosen.router == m_self;
+    const bool enough = active.size() >= requirements.min_routers &&
+                        capacity >= requirements.requests_per_second;
     if (!enough) {
       capacity += chosen.capacity;
       active.insert(chosen.router);
@@ -164,10 +166,10 @@
 }
 
 bool MemberList::SelfOwns(std::string_view key) const {
-  return ActiveAbove(key) == 0;
+  return ActiveRankedAbove(key) == 0;
 }
 
-uint32_t MemberList::ActiveAbove(std::string_view key) const {
+uint32_t MemberList::ActiveRankedAbove(std::string_view key) const {
   const uint64_t own = core::RendezvousRank(key, m_self.value());
   return static_cast<uint32_t>(std::count_if(
       m_active.begin(), m_active.end(), [&](const core::RouterId& router) {
@@ -183,19 +185,19 @@
              : std::string();
 }
 
-uint32_t MemberList::Active() const {
+uint32_t MemberList::ActiveCount() const {
   return std::max(static_cast<uint32_t>(m_active.size()), 1U);
 }
 
-size_t MemberList::Upstreams() const {
-  size_t most = 0;
+size_t MemberList::MaxUpstreamCount() const {
+  size_t max_count = 0;
   for (const auto& [router, member] : m_members) {
-    most = std::max(most, member.live ? size_t{member.upstreams} : 0);
+    max_count = std::max(max_count, member.live ? size_t{member.upstreams} : 0);
   }
-  return most;
+  return max_count;
 }
 
-uint32_t MemberList::Live() const {
+uint32_t MemberList::LiveCount() const {
   uint32_t live = 0;
   for (const auto& [router, member] : m_members) {
     live += member.live ? 1 : 0;
--- a/src/entry/peer_contact.cc
+++ b/src/entry/peer_contact.cc
@@ -5,9 +5,9 @@
 namespace {
 
 // Reports are sent every 0.3 s; one of two may be lost.
-constexpr core::Duration kWordHolds{650'000};
+constexpr core::Duration kReportLifetime{650'000};
 // A majority: more than one in two.
-constexpr uint32_t kMostLikely = 2;
+constexpr uint32_t kMajorityFactor = 2;
 
 }  // namespace
 
@@ -17,36 +17,36 @@
   m_peers[router] = {now, store_up};
 }
 
-bool PeerContact::Heard(const Peer& peer, core::TimePoint now) const {
-  return now - peer.heard < m_silence;
+bool PeerContact::IsHeard(const Peer& peer, core::TimePoint now) const {
+  return now - peer.heard < m_timeout;
 }
 
 bool PeerContact::HearsAny(core::TimePoint now) const {
   for (const auto& [router, peer] : m_peers) {
-    if (Heard(peer, now)) {
+    if (IsHeard(peer, now)) {
       return true;
     }
   }
   return false;
 }
 
-bool PeerContact::Lost(const core::RouterId& router,
-                       core::TimePoint now) const {
+bool PeerContact::IsLost(const core::RouterId& router,
+                         core::TimePoint now) const {
   const auto found = m_peers.find(router);
-  if (found == m_peers.end() || Heard(found->second, now)) {
+  if (found == m_peers.end() || IsHeard(found->second, now)) {
     return false;
   }
-  return now - found->second.heard < m_memory && HearsAny(now);
+  return now - found->second.heard < m_retention && HearsAny(now);
 }
 
 // If all routers lose the store at once, each still has earlier reports of the
 // others that they reach it. Callers sent to them were refused again at once,
 // about a hundred per partition. A router notices the loss of the store after
 // 0.9 s at the earliest, and by then such a report has expired.
-uint32_t PeerContact::WithStore(core::TimePoint now) const {
+uint32_t PeerContact::CountReachingStore(core::TimePoint now) const {
   uint32_t count = 0;
   for (const auto& [router, peer] : m_peers) {
-    const bool fresh = now - peer.heard < kWordHolds;
+    const bool fresh = now - peer.heard < kReportLifetime;
     count += fresh && peer.store_up ? 1 : 0;
   }
   return count;
@@ -56,7 +56,7 @@
 // they reach the store, the others are cut off like this router and would
 // refuse the caller again.
 bool PeerContact::OthersReachStore(uint32_t active, core::TimePoint now) const {
-  return WithStore(now) * kMostLikely > active;
+  return CountReachingStore(now) * kMajorityFactor > active;
 }
 
 }  // namespace coppervalve::entry
--- a/src/entry/succession.cc
+++ b/src/entry/predecessor_info.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/succession.h"
+#include "coppervalve/entry/predecessor_info.h"
 
 namespace coppervalve::entry {
 
@@ -8,12 +8,13 @@
 // both incarnations read: the same boot, not set back, and still before the
 // time named in the record. After a reboot the clock proves nothing.
 // model/reserve.pml checks that each condition is needed.
-bool HeldBack(const v1::RouterBeat& last, const Succession& succession) {
-  if (last.not_before() == 0 || succession.boot.empty() ||
-      last.boot() != succession.boot || !succession.alone_since) {
+bool ReserveUntouched(const v1::RouterBeat& last,
+                      const PredecessorInfo& predecessor) {
+  if (last.not_before() == 0 || predecessor.boot.empty() ||
+      last.boot() != predecessor.boot || !predecessor.ended_by) {
     return false;
   }
-  const int64_t at = succession.alone_since->time_since_epoch().count();
+  const int64_t at = predecessor.ended_by->time_since_epoch().count();
   return last.written_at() <= at && at < last.not_before();
 }
 
--- a/src/entry/ranked_demand.cc
+++ b/src/entry/ranked_demand.cc
@@ -5,9 +5,9 @@
 // If urgent requests are most of the demand, the little that others use cannot
 // save them: reserving it would serve few urgent requests and refuse all
 // others.
-double RankedDemand::SmallAndMoreUrgent(uint8_t rank,
-                                        double small_part,
-                                        core::TimePoint now) const {
+double RankedDemand::MoreUrgentPerSecond(uint8_t rank,
+                                         double max_share,
+                                         core::TimePoint now) const {
   double all = 0;
   for (const auto& [other, demand] : m_by_rank) {
     all += demand.PerSecond(now);
@@ -15,7 +15,7 @@
   double urgent = 0;
   for (const auto& [other, demand] : m_by_rank) {
     const double with_it = urgent + demand.PerSecond(now);
-    if (other >= rank || with_it > small_part * all) {
+    if (other >= rank || with_it > max_share * all) {
       break;
     }
     urgent = with_it;
--- a/src/entry/store_contact.cc
+++ b/src/entry/store_contact.cc
@@ -4,7 +4,7 @@
 
 void StoreContact::OnAnswer(core::TimePoint now) {
   if (!m_up) {
-    m_regained = now;
+    m_reachable_since = now;
   }
   m_up = true;
   m_last_answer = now;
@@ -13,20 +13,20 @@
 // A call started before the store came back may fail after other calls were
 // answered. Treating this as a new loss would restart the time in which lapsed
 // entries may return, so upstreams that left would receive requests for longer.
-void StoreContact::OnFailure(core::TimePoint began) {
-  if (m_last_answer && *m_last_answer > began) {
+void StoreContact::OnFailure(core::TimePoint started_at) {
+  if (m_last_answer && *m_last_answer > started_at) {
     return;
   }
   m_up = false;
-  m_regained.reset();
+  m_reachable_since.reset();
 }
 
 core::Duration StoreContact::SilentFor(core::TimePoint now) const {
   return m_last_answer ? now - *m_last_answer : core::Duration::max();
 }
 
-std::optional<core::TimePoint> StoreContact::regained() const {
-  return m_regained;
+std::optional<core::TimePoint> StoreContact::reachable_since() const {
+  return m_reachable_since;
 }
 
 }  // namespace coppervalve::entry
--- a/src/entry/upstream_directory.cc
+++ b/src/entry/upstream_directory.cc
@@ -57,8 +57,8 @@
 
 bool UpstreamDirectory::ReturnsAreOver(const StoreContact& contact,
                                        core::TimePoint now) const {
-  const auto regained = contact.regained();
-  return regained && now - *regained >= m_options.return_time;
+  const auto reachable_since = contact.reachable_since();
+  return reachable_since && now - *reachable_since >= m_options.return_time;
 }
 
 DirectoryChange UpstreamDirectory::OnRecord(const UpstreamRecord& record) {
--- a/src/entry/upstream_senders.cc
+++ b/src/entry/upstream_senders.cc
@@ -22,7 +22,7 @@
 }
 
 uint32_t UpstreamSenders::Routers() const {
-  return m_options.all_live ? m_members.Live() : m_members.Active();
+  return m_options.all_live ? m_members.LiveCount() : m_members.ActiveCount();
 }
 
 void UpstreamSenders::Advance(core::TimePoint now) {
@@ -69,7 +69,8 @@
 uint32_t UpstreamSenders::RankOf(const core::UpstreamId& upstream,
                                  SenderRank& rank) const {
   if (rank.version != m_members.ActiveVersion()) {
-    rank = {m_members.ActiveVersion(), m_members.ActiveAbove(upstream.value())};
+    rank = {m_members.ActiveVersion(),
+            m_members.ActiveRankedAbove(upstream.value())};
   }
   return rank.above;
 }
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -145,14 +145,14 @@
   const core::AccountId& account = m_admitted.account->name;
   switch (m_context.book.Reserve(account, Most(), net::BootNow(),
                                  m_admitted.route->priority)) {
-    case entry::Reservation::kHeld:
+    case entry::ReserveResult::kReserved:
       m_reserved = Most();
       Place();
       return;
-    case entry::Reservation::kUnlimited:
+    case entry::ReserveResult::kUnlimited:
       Place();
       return;
-    case entry::Reservation::kExhausted:
+    case entry::ReserveResult::kExhausted:
       if (TryGiven()) {
         return;
       }
@@ -167,10 +167,10 @@
               "the total may have grown"},
              kAfterACut);
       return;
-    case entry::Reservation::kShort:
+    case entry::ReserveResult::kAboveCeiling:
       WaitForGrant();
       return;
-    case entry::Reservation::kLeftToUrgent:
+    case entry::ReserveResult::kKeptForUrgent:
       if (!TryGiven()) {
         Refuse({core::ErrorId::kBudgetBusy, account.value(),
                 "left to more urgent requests"},
@@ -187,7 +187,7 @@
   const core::TimePoint now = net::BootNow();
   const bool waited_out = m_wait_until && now >= *m_wait_until;
   if (!m_context.contact.up() || waited_out ||
-      !m_context.book.MayBeCovered(m_admitted.account->name, Most())) {
+      !m_context.book.MayBecomeSpendable(m_admitted.account->name, Most())) {
     if (!TryBorrow()) {
       RefuseForWantOfTokens(now);
     }
@@ -207,7 +207,7 @@
 }
 
 bool Exchange::TryGiven() {
-  if (!m_context.book.ReserveGiven(m_admitted.account->name, Most())) {
+  if (!m_context.book.ReserveTransferred(m_admitted.account->name, Most())) {
     return false;
   }
   m_by_gift = true;
@@ -251,19 +251,19 @@
                     "others hold the rest"};
   if (m_context.contact.up()) {
     const auto figures = m_context.book.FiguresOf(account);
-    if (figures.paced && figures.free >= Most()) {
+    if (figures.rationed && figures.free >= Most()) {
       error.detail = "the rest is claimed slowly after a loss";
     }
     Refuse(error, kAfterReading);
     return;
   }
-  const uint32_t active = m_context.members.Active();
+  const uint32_t active = m_context.members.ActiveCount();
   if (m_context.peers.OthersReachStore(active, now)) {
     error.detail = "the store turned this router away, others reach it";
     Refuse(error, kElsewhere);
     return;
   }
-  const auto covered = m_context.book.CoveredAt(account, Most(), now);
+  const auto covered = m_context.book.SpendableAt(account, Most(), now);
   if (covered) {
     error.detail = "held back while the store may still answer";
     Refuse(error, std::max(*covered - now, kElsewhere));
@@ -359,7 +359,7 @@
   query.exclude = m_tried;
   query.engine = service != nullptr && service->engine.has_value();
   query.prompt = m_facts.prompt;
-  query.routers = m_context.members.Active();
+  query.routers = m_context.members.ActiveCount();
   if (m_admitted.route->prefix_affinity) {
     query.shared_prefix = m_facts.shared_prefix;
     query.shared_tokens = std::min(m_facts.shared_tokens, m_facts.prompt);
@@ -368,7 +368,7 @@
     // The upstream resets what comes beyond its own bound, which all routers
     // share; a part stays free for routers that are not known yet.
     const uint32_t share =
-        service->max_connections * 4 / 5 / m_context.members.Active();
+        service->max_connections * 4 / 5 / m_context.members.ActiveCount();
     query.connection_bound = std::max(share, 2U);
   }
   return query;
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -378,8 +378,8 @@
   if (StandingNow() != entry::Standing::kClear) {
     return false;
   }
-  return m_context.retries.Take(m_admitted.service, m_context.members.Live(),
-                                net::BootNow());
+  return m_context.retries.Take(m_admitted.service,
+                                m_context.members.LiveCount(), net::BootNow());
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/exchange_end.cc
+++ b/src/gateway/exchange_end.cc
@@ -74,7 +74,7 @@
   }
   const core::AccountId& account = m_admitted.account->name;
   if (m_by_gift) {
-    m_context.book.SettleGiven(account, m_reserved, used);
+    m_context.book.SettleTransferred(account, m_reserved, used);
   } else {
     m_context.book.Settle(account, m_reserved, used, net::BootNow());
   }
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -180,7 +180,7 @@
 }
 
 void Gateway::TellActive() {
-  const uint32_t active = m_members.Active();
+  const uint32_t active = m_members.ActiveCount();
   if (active == m_active_told && m_members.SelfActive() == m_was_active) {
     return;
   }
@@ -192,7 +192,7 @@
   m_was_active = m_members.SelfActive();
   Lifecycle(LogLine("active_routers")
                 .Number("active", active)
-                .Number("live", m_members.Live())
+                .Number("live", m_members.LiveCount())
                 .Flag("this_one", m_was_active));
 }
 
--- a/src/gateway/gateway_beats.cc
+++ b/src/gateway/gateway_beats.cc
@@ -4,9 +4,9 @@
 #include <cmath>      // abs, lround
 #include <utility>    // move, exchange
 
-#include "coppervalve/entry/beat_rate.h"
-#include "coppervalve/entry/beat_reader.h"
-#include "coppervalve/entry/succession.h"
+#include "coppervalve/entry/heartbeat_parser.h"
+#include "coppervalve/entry/heartbeat_rate.h"
+#include "coppervalve/entry/predecessor_info.h"
 #include "coppervalve/gateway/gateway.h"
 #include "coppervalve/net/clock.h"
 
@@ -30,8 +30,8 @@
 void Gateway::MakeBeatWriter() {
   BeatWriter::Hooks hooks;
   hooks.compose = [this](v1::RouterBeat& beat) { ComposeBeat(beat); };
-  hooks.period = [this] { return entry::BeatPeriod(Limits()); };
-  hooks.hurried_gap = [this] { return entry::HurriedGap(Limits()); };
+  hooks.period = [this] { return entry::HeartbeatPeriod(Limits()); };
+  hooks.hurried_gap = [this] { return entry::ExpeditedDelay(Limits()); };
   hooks.on_fenced = [this](uint64_t epoch, uint64_t end) {
     m_fenced_at = end;
     ShareLoads(epoch);
@@ -42,7 +42,7 @@
   };
   hooks.on_written = [this](const v1::RouterBeat& beat) {
     m_metrics.OnStoreCall("beat_write", true);
-    m_book.OnWritten(beat.sequence(), net::BootNow());
+    m_book.OnAcknowledged(beat.sequence(), net::BootNow());
     if (!m_waiting.empty() || !m_first_beat_back) {
       m_beats->Hurry();
     }
@@ -62,18 +62,18 @@
       m_store, m_random, std::move(hooks));
 }
 
-entry::BeatLimits Gateway::Limits() const {
-  entry::BeatLimits limits;
+entry::HeartbeatLimits Gateway::Limits() const {
+  entry::HeartbeatLimits limits;
   limits.store_writes_per_second = m_settings.store_writes_per_second;
-  limits.live = m_members.Live();
-  limits.active = m_members.Active();
+  limits.live = m_members.LiveCount();
+  limits.active = m_members.ActiveCount();
   limits.self_active = m_members.SelfActive();
   return limits;
 }
 
 std::optional<v1::RouterBeat> Gateway::ReadBeatRecord(
     const KeyedRecord& record) {
-  core::Result<v1::RouterBeat> read = entry::ReadBeat(record.value);
+  core::Result<v1::RouterBeat> read = entry::ParseHeartbeat(record.value);
   if (core::IsOk(read)) {
     return core::TakeValue(std::move(read));
   }
@@ -92,9 +92,9 @@
     }
     const v1::RouterBeat& beat = *read;
     const core::RouterId router(record.key);
-    m_members.OnBeat(router, beat, net::BootNow());
+    m_members.OnHeartbeat(router, beat, net::BootNow());
     if (router != m_settings.router) {
-      m_book.OnOtherBeat(router, beat, net::BootNow());
+      m_book.OnPeerHeartbeat(router, beat, net::BootNow());
       m_crashes.OnBeat(beat);
       continue;
     }
@@ -116,9 +116,9 @@
   }
   const v1::RouterBeat& beat = *read;
   const core::RouterId router(record.key);
-  m_members.OnBeat(router, beat, net::BootNow());
+  m_members.OnHeartbeat(router, beat, net::BootNow());
   if (router != m_settings.router) {
-    m_book.OnOtherBeat(router, beat, net::BootNow());
+    m_book.OnPeerHeartbeat(router, beat, net::BootNow());
     m_crashes.OnBeat(beat);
     return;
   }
@@ -126,7 +126,7 @@
     m_own_record = beat;
     return;
   }
-  m_book.OnOwnBeat(beat);
+  m_book.OnOwnHeartbeat(beat);
   m_first_beat_back = true;
   GrantsChanged();
 }
@@ -138,10 +138,11 @@
     return;
   }
   m_fenced_at.reset();
-  entry::Succession succession;
-  succession.boot = m_boot;
-  succession.alone_since = m_alone_since;
-  const bool held_back = entry::HeldBack(m_own_record, succession);
+  entry::PredecessorInfo predecessor_info;
+  predecessor_info.boot = m_boot;
+  predecessor_info.ended_by = m_alone_since;
+  const bool held_back =
+      entry::ReserveUntouched(m_own_record, predecessor_info);
   TellPredecessor(held_back);
   m_book.OnPredecessor(m_own_record, held_back);
   m_crashes.record().OnOwnPast(m_own_record, net::BootNow());
@@ -181,18 +182,18 @@
   beat.set_capacity(Capacity());
   beat.set_load(m_arrivals.PerSecond(now));
   entry::ClaimContext context;
-  context.routers = m_members.Active();
+  context.routers = m_members.ActiveCount();
   context.standbys =
-      m_members.Live() - std::min(m_members.Live(), context.routers);
+      m_members.LiveCount() - std::min(m_members.LiveCount(), context.routers);
   // After a loss of all power every router starts, and what it was before is
   // in the records. Claiming as if it served, each that stands by would take a
   // part from those that do, until its second claim. The first router of a
   // fleet finds nobody.
-  const bool alone = !m_first_beat_back && m_members.Live() <= 1;
+  const bool alone = !m_first_beat_back && m_members.LiveCount() <= 1;
   context.active = m_members.SelfActive() || alone;
   context.leaving = beat.leaving();
   context.closing = beat.closing();
-  context.period = entry::BeatPeriod(Limits());
+  context.period = entry::HeartbeatPeriod(Limits());
   VouchForReserves(beat, now);
   m_crashes.record().WriteTo(beat, now);
   m_book.WriteClaims(beat, context, now);
@@ -204,7 +205,7 @@
     return;
   }
   m_hold_told = m_book.HoldFactor();
-  const entry::LivedThrough past = m_book.Past();
+  const entry::LossHistory past = m_book.History();
   Lifecycle(LogLine("held_ahead")
                 .Number("per_thousand", PerThousand(m_hold_told))
                 .Number("losses_per_thousand", PerThousand(past.losses))
@@ -220,8 +221,8 @@
     return;
   }
   const core::TimePoint not_before = now + m_policy.book.held_back +
-                                     entry::BeatPeriod(Limits()) -
-                                     entry::kQuietBeatPeriod;
+                                     entry::HeartbeatPeriod(Limits()) -
+                                     entry::kDefaultHeartbeatPeriod;
   beat.set_boot(m_boot);
   beat.set_written_at(now.time_since_epoch().count());
   beat.set_not_before(not_before.time_since_epoch().count());
--- a/src/gateway/gateway_gifts.cc
+++ b/src/gateway/gateway_gifts.cc
@@ -10,7 +10,7 @@
   Borrower::Hooks hooks;
   hooks.lenders = [this](const core::AccountId& account, core::Tokens tokens) {
     std::vector<std::string> addresses;
-    for (const core::RouterId& router : m_book.Lenders(account, tokens)) {
+    for (const core::RouterId& router : m_book.Donors(account, tokens)) {
       std::string address = m_members.LoadAddressOf(router);
       if (!address.empty()) {
         addresses.push_back(std::move(address));
@@ -19,7 +19,7 @@
     return addresses;
   };
   hooks.wanted = [this](const core::AccountId& account, core::Tokens tokens) {
-    return m_book.WantedFor(account, tokens, net::BootNow());
+    return m_book.TransferRequestFor(account, tokens, net::BootNow());
   };
   hooks.send = [this](const std::string& address, const v1::TokenAsk& ask) {
     if (m_loads) {
@@ -30,7 +30,7 @@
   };
   hooks.on_tokens = [this](const core::AccountId& account,
                            core::Tokens tokens) {
-    m_book.OnGift(account, tokens);
+    m_book.OnTransfer(account, tokens);
     m_metrics.OnGift("taken");
     m_log.Write(LineKind::kRoutine, LogLine("tokens_borrowed")
                                         .Text("account", account.value())
@@ -44,11 +44,11 @@
 void Gateway::OnTokenAsk(const v1::TokenAsk& ask) {
   const core::TimePoint now = net::BootNow();
   const core::AccountId account(ask.account());
-  std::optional<core::Tokens> given = m_gifts.Answered(ask);
+  std::optional<core::Tokens> given = m_gifts.Find(ask);
   if (!given) {
-    given = m_book.Give(account, core::Tokens(ask.least()),
-                        core::Tokens(ask.wanted()), now);
-    m_gifts.Remember(ask, *given, now);
+    given = m_book.TransferOut(account, core::Tokens(ask.least()),
+                               core::Tokens(ask.wanted()), now);
+    m_gifts.Insert(ask, *given, now);
     m_metrics.OnGift(*given > core::Tokens(0) ? "given" : "none_to_spare");
     m_log.Write(LineKind::kRoutine, LogLine("tokens_given")
                                         .Text("account", account.value())
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -123,8 +123,9 @@
       .Increment();
 }
 
-void GatewayMetrics::OnAccount(const core::AccountId& account,
-                               const entry::AllotmentBook::Figures& figures) {
+void GatewayMetrics::OnAccount(
+    const core::AccountId& account,
+    const entry::AllocationLedger::Figures& figures) {
   const auto set = [&](const char* state, core::Tokens tokens) {
     m_impl->tokens.Add({{"account", account.value()}, {"state", state}})
         .Set(static_cast<double>(tokens.value()));
--- a/src/gateway/gateway_serve.cc
+++ b/src/gateway/gateway_serve.cc
@@ -149,8 +149,8 @@
       m_metrics.OnAccount(account.name, m_book.FiguresOf(account.name));
     }
   }
-  figures.routers = m_members.Live();
-  figures.active_routers = m_members.Active();
+  figures.routers = m_members.LiveCount();
+  figures.active_routers = m_members.ActiveCount();
   figures.active = m_members.SelfActive();
   figures.upstreams = m_directory.size();
   figures.upstream_connections = m_pool.opened();
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -76,7 +76,7 @@
     BeginBeatsIfAllRead();
   };
   m_beats = std::make_shared<TopicFollower>(
-      m_io, FollowerOptions{layout.beat_topic, entry::BeatPlan()}, m_store,
+      m_io, FollowerOptions{layout.beat_topic, entry::HeartbeatPlan()}, m_store,
       m_random, std::move(of_beats));
 }
 
--- a/src/gateway/gateway_table.cc
+++ b/src/gateway/gateway_table.cc
@@ -15,13 +15,13 @@
   entry::TableCost cost;
   // The beats of others tell how large the fleet is.
   cost.known = m_writer->epoch() != 0;
-  cost.upstreams = std::max(m_directory.size(), m_members.Upstreams());
-  cost.routers = m_members.Live();
+  cost.upstreams = std::max(m_directory.size(), m_members.MaxUpstreamCount());
+  cost.routers = m_members.LiveCount();
   cost.heartbeat = m_settings.upstream_heartbeat;
   cost.store_bytes_per_second = m_settings.store_read_bytes_per_second;
   const bool followed = m_table_readers.follows();
-  const bool follows =
-      m_table_readers.Advance(cost, m_members.SelfInTurn(), net::BootNow());
+  const bool follows = m_table_readers.Advance(
+      cost, m_members.SelfActiveOrNext(), net::BootNow());
   if (follows != followed && cost.known) {
     Lifecycle(LogLine("follows_upstreams")
                   .Flag("follows", follows)
@@ -58,7 +58,7 @@
   entry::Placement placement;
   if (m_upstreams_known) {
     entry::PlacementQuery query = QueryOf(ask);
-    query.routers = m_members.Active();
+    query.routers = m_members.ActiveCount();
     placement = m_placer.Choose(m_directory, query, now);
   }
   if (placement.upstream) {
--- a/src/gateway/http_caller.cc
+++ b/src/gateway/http_caller.cc
@@ -64,7 +64,7 @@
 // takes through a small link, are two things. Thrown away half read, it is
 // asked for again, by all readers at once, and none of them ever gets it.
 void HttpCaller::ArmTimeout() {
-  const core::TimePoint give_up = GiveUpAt();
+  const core::TimePoint give_up = TimesOutAt();
   m_timeout.expires_after(
       std::max(give_up - net::BootNow(), core::Duration::zero()));
   m_timeout.async_wait([self = shared_from_this(), number = m_call_number,
@@ -73,7 +73,7 @@
       return;
     }
     // What came meanwhile doesn't set the timer anew each time.
-    if (self->GiveUpAt() > give_up) {
+    if (self->TimesOutAt() > give_up) {
       self->ArmTimeout();
       return;
     }
@@ -81,8 +81,8 @@
   });
 }
 
-core::TimePoint HttpCaller::GiveUpAt() const {
-  return m_queue.front().call.patience.GiveUpAt(m_progress);
+core::TimePoint HttpCaller::TimesOutAt() const {
+  return m_queue.front().call.patience.TimesOutAt(m_progress);
 }
 
 void HttpCaller::Connect() {
@@ -135,7 +135,7 @@
     m_stream.reset();
     return;
   }
-  m_progress.last_part = net::BootNow();
+  m_progress.last_received = net::BootNow();
   m_received += bytes.size();
   if (m_received > m_queue.front().call.most_bytes) {
     Finish(NoAnswer("the answer is too long"), false);
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -67,7 +67,7 @@
   m_began = net::BootNow();
   m_store.read(
       m_options.topic, m_plan.next(),
-      {m_options.wait, m_options.plan.most_bytes},
+      {m_options.wait, m_options.plan.max_bytes},
       [self = shared_from_this()](const core::Result<RecordBatch>& result) {
         self->OnBatch(result);
       });
@@ -76,7 +76,7 @@
 void TopicFollower::OnBatch(const core::Result<RecordBatch>& result) {
   if (!core::IsOk(result)) {
     if (core::Failure(result).id == core::ErrorId::kLogGap) {
-      Take(m_plan.OnGap());
+      Take(m_plan.OnOffsetExpired());
       return;
     }
     Fail(core::Failure(result));
@@ -94,7 +94,7 @@
 // A configuration costs a small VM tens of milliseconds to read: of several
 // that come together all but the newest would be read for nothing.
 void TopicFollower::HandOn(const std::vector<KeyedRecord>& records) {
-  if (!m_options.plan.only_newest_matters) {
+  if (!m_options.plan.newest_only) {
     for (const KeyedRecord& record : records) {
       m_hooks.on_record(record);
     }
@@ -139,12 +139,12 @@
     m_hooks.on_stopped();
     return;
   }
-  m_pausing = step.pausing;
+  m_pausing = step.interruptible;
   switch (step.call) {
-    case entry::ReadStep::Call::kFirstPage:
+    case entry::ReadStep::Call::kFirstNewestPage:
       After(step.delay, &TopicFollower::ReadNewest);
       return;
-    case entry::ReadStep::Call::kSamePage:
+    case entry::ReadStep::Call::kRepeatPage:
       After(step.delay, &TopicFollower::ReadPage);
       return;
     case entry::ReadStep::Call::kRecords:
--- a/tests/entry/unit-active-set.cc
+++ b/tests/entry/unit-active-set.cc
@@ -29,9 +29,9 @@
 }
 
 std::set<core::RouterId> Chosen(std::vector<Candidate> fleet, double load) {
-  ActiveNeed need;
+  ActiveSetRequirements need;
   need.requests_per_second = load;
-  const auto chosen = ChooseActive(std::move(fleet), need);
+  const auto chosen = SelectActiveNames(std::move(fleet), need);
   return {chosen.begin(), chosen.end()};
 }
 
--- a/tests/entry/unit-past.cc
+++ b/tests/entry/unit-allocation-history.cc
@@ -7,8 +7,8 @@
 
 #include <limits>  // numeric_limits
 
-#include "coppervalve/entry/allotment_book.h"
-#include "coppervalve/entry/beat_reader.h"
+#include "coppervalve/entry/allocation_ledger.h"
+#include "coppervalve/entry/heartbeat_parser.h"
 #include "entry_fixture.h"
 
 using namespace coppervalve;
@@ -24,13 +24,13 @@
 /// A fleet of one router that loses power repeatedly. A new incarnation knows
 /// only its last record.
 struct OneRouter {
-  AllotmentBook book{BookOptions{}};
+  AllocationLedger book{AllocationOptions{}};
   v1::RouterBeat last;
   double now = 0;
   uint64_t epoch = 0;
 
   void Start() {
-    book = AllotmentBook(BookOptions{});
+    book = AllocationLedger(AllocationOptions{});
     book.OnConfiguration(Prepaid(kTotal));
     book.OnPredecessor(last);
     ++epoch;
@@ -41,8 +41,8 @@
     beat.set_sequence(last.epoch() == epoch ? last.sequence() + 1 : 1);
     book.WriteClaims(beat, ClaimContext{}, At(now));
     last = beat;
-    book.OnWritten(beat.sequence(), At(now));
-    book.OnOwnBeat(beat);
+    book.OnAcknowledged(beat.sequence(), At(now));
+    book.OnOwnHeartbeat(beat);
     now += kBeat;
   }
   int64_t HeldAhead() {
@@ -54,13 +54,13 @@
     return (*figures.total - figures.others - figures.spent).value();
   }
   /// Sends requests at a steady rate; they are served while tokens last.
-  void Serve(double seconds, int64_t a_second) {
+  void Serve(double seconds, int64_t per_second) {
     const double until = now + seconds;
     const auto each = core::Tokens(
-        static_cast<int64_t>(static_cast<double>(a_second) * kBeat));
+        static_cast<int64_t>(static_cast<double>(per_second) * kBeat));
     while (now < until) {
       book.OnDemand(kGate, each, At(now));
-      if (book.Reserve(kGate, each, At(now)) == Reservation::kHeld) {
+      if (book.Reserve(kGate, each, At(now)) == ReserveResult::kReserved) {
         book.Settle(kGate, each, each, At(now));
       }
       Beat();
@@ -71,13 +71,14 @@
 }  // namespace
 
 // clang-format off
-TEST_GROUP(Past) {
+TEST_GROUP(AllocationHistory) {
   OneRouter router;
   void setup() override { router.Start(); router.Beat(); }
 };
 // clang-format on
 
-TEST(Past, a_second_loss_takes_a_much_smaller_part_than_the_first) {
+TEST(AllocationHistory,
+     a_second_loss_takes_a_much_smaller_part_than_the_first) {
   const double first = static_cast<double>(router.HeldAhead()) /
                        static_cast<double>(router.Left());
   router.Start();
@@ -88,7 +89,7 @@
   CHECK(second < first / 3);
 }
 
-TEST(Past, after_any_number_of_losses_a_third_remains_spendable) {
+TEST(AllocationHistory, after_any_number_of_losses_a_third_remains_spendable) {
   // The bound stated in the design. Power failures of all routers with nothing
   // in between are the worst case, as no outage raises the hold factor.
   for (int loss = 1; loss <= 10; ++loss) {
@@ -98,7 +99,7 @@
   }
 }
 
-TEST(Past, service_goes_on_after_a_series_of_losses) {
+TEST(AllocationHistory, service_goes_on_after_a_series_of_losses) {
   constexpr int64_t kLoad = 10'000;  // tokens a second
   for (int loss = 0; loss < 5; ++loss) {
     router.Serve(8, kLoad);
@@ -110,7 +111,7 @@
   CHECK(router.book.FiguresOf(kGate).spent.value() - before > 3 * kLoad);
 }
 
-TEST(Past, an_outage_raises_the_hold_factor) {
+TEST(AllocationHistory, an_outage_raises_the_hold_factor) {
   router.Start();
   router.Beat();
   const double before = router.book.HoldFactor();
@@ -121,7 +122,7 @@
   DOUBLES_EQUAL(1, router.last.outages(), 1e-9);
 }
 
-TEST(Past, history_is_kept_across_restarts) {
+TEST(AllocationHistory, history_is_kept_across_restarts) {
   router.Start();
   router.Beat();
   const double losses = router.last.losses();
@@ -131,20 +132,20 @@
   CHECK(router.last.losses() > losses);
 }
 
-TEST(Past, the_history_of_other_routers_counts) {
+TEST(AllocationHistory, the_history_of_other_routers_counts) {
   v1::RouterBeat other;
   other.set_losses(1);
-  router.book.OnOtherBeat(core::RouterId("router-2"), other, At(0));
+  router.book.OnPeerHeartbeat(core::RouterId("router-2"), other, At(0));
   router.Beat();
   CHECK(router.book.HoldFactor() < 0.3);
   // Only the other router reports it; reported by both, it would count twice.
   DOUBLES_EQUAL(0, router.last.losses(), 1e-9);
 }
 
-TEST(Past, a_reserve_that_was_provably_not_spent_is_no_loss) {
+TEST(AllocationHistory, a_reserve_that_was_provably_not_spent_is_no_loss) {
   v1::RouterBeat before = router.last;
   before.mutable_claims(0)->set_reserve(before.claims(0).ceiling());
-  AllotmentBook successor{BookOptions{}};
+  AllocationLedger successor{AllocationOptions{}};
   successor.OnConfiguration(Prepaid(kTotal));
   successor.OnPredecessor(before, true);
   v1::RouterBeat beat;
@@ -152,9 +153,9 @@
   DOUBLES_EQUAL(0, beat.losses(), 1e-9);
 }
 
-TEST(Past, a_loss_is_counted_once_the_totals_are_known) {
+TEST(AllocationHistory, a_loss_is_counted_once_the_totals_are_known) {
   // The record of the previous incarnation is read before the configuration.
-  AllotmentBook successor{BookOptions{}};
+  AllocationLedger successor{AllocationOptions{}};
   successor.OnPredecessor(router.last);
   v1::RouterBeat beat;
   successor.WriteClaims(beat, ClaimContext{}, At(1));
@@ -167,7 +168,7 @@
   DOUBLES_EQUAL(once, beat.losses(), 1e-9);
 }
 
-TEST(Past, a_long_claim_period_raises_the_hold_factor) {
+TEST(AllocationHistory, a_long_claim_period_raises_the_hold_factor) {
   for (int loss = 0; loss < 10; ++loss) {
     router.Start();
     router.Beat();
@@ -180,11 +181,11 @@
   CHECK(router.book.HoldFactor() > 3 * often);
 }
 
-TEST(Past, a_heartbeat_with_an_impossible_history_is_rejected) {
+TEST(AllocationHistory, a_heartbeat_with_an_impossible_history_is_rejected) {
   for (const double losses :
        {-1.0, 1e9, std::numeric_limits<double>::quiet_NaN()}) {
     v1::RouterBeat beat;
     beat.set_losses(losses);
-    CHECK_FALSE(core::IsOk(ReadBeat(beat.SerializeAsString())));
+    CHECK_FALSE(core::IsOk(ParseHeartbeat(beat.SerializeAsString())));
   }
 }
--- a/tests/entry/unit-allotment-book.cc
+++ b/tests/entry/unit-allocation-ledger.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/allotment_book.h"
+#include "coppervalve/entry/allocation_ledger.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -27,8 +27,8 @@
 }  // namespace
 
 // clang-format off
-TEST_GROUP(AllotmentBook) {
-  AllotmentBook book{BookOptions{}};
+TEST_GROUP(AllocationLedger) {
+  AllocationLedger book{AllocationOptions{}};
   v1::RouterBeat written;
   uint64_t sequence = 0;
   void setup() override { book.OnConfiguration(Prepaid(100'000)); }
@@ -44,77 +44,81 @@
   }
   void WriteAndRead(double now, bool closing = false) {
     Write(now, closing);
-    book.OnOwnBeat(written);
+    book.OnOwnHeartbeat(written);
   }
   int64_t Ceiling() { return book.FiguresOf(kGate).ceiling.value(); }
 };
 // clang-format on
 
-TEST(AllotmentBook, nothing_is_spendable_before_the_claim_is_read_back) {
+TEST(AllocationLedger, nothing_is_spendable_before_the_claim_is_read_back) {
   Write(0);
-  CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) == Reservation::kShort);
-  book.OnOwnBeat(written);
-  CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) == Reservation::kHeld);
+  CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) ==
+        ReserveResult::kAboveCeiling);
+  book.OnOwnHeartbeat(written);
+  CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) ==
+        ReserveResult::kReserved);
 }
 
-TEST(AllotmentBook, a_claim_is_granted_only_from_unclaimed_tokens) {
+TEST(AllocationLedger, a_claim_is_granted_only_from_unclaimed_tokens) {
   // Two routers claim most of a budget at the same time. Both records are in
   // the log; the first one is granted, the second one only the rest.
   Write(0);
   written.mutable_claims(0)->set_ceiling(written.claims(0).ceiling());
-  book.OnOtherBeat(kOther, Claim(95'000, 0), At(0));
-  book.OnOwnBeat(written);
+  book.OnPeerHeartbeat(kOther, Claim(95'000, 0), At(0));
+  book.OnOwnHeartbeat(written);
   CHECK(Ceiling() <= 5'000);
 }
 
-TEST(AllotmentBook, claims_of_the_previous_incarnation_count_as_spent) {
+TEST(AllocationLedger, claims_of_the_previous_incarnation_count_as_spent) {
   book.OnPredecessor(Claim(60'000, 1'000, 30'000));
   WriteAndRead(0);
   CHECK(Ceiling() <= 10'000);
   CHECK_EQUAL(90'000, written.claims(0).retired());
 }
 
-TEST(AllotmentBook, closing_returns_all_unspent_tokens) {
+TEST(AllocationLedger, closing_returns_all_unspent_tokens) {
   WriteAndRead(0);
   book.Reserve(kGate, core::Tokens(500), At(0));
   book.Settle(kGate, core::Tokens(500), core::Tokens(300), At(1));
   WriteAndRead(1, true);
   CHECK_EQUAL(300, written.claims(0).ceiling());
-  CHECK(book.Reserve(kGate, core::Tokens(1), At(0)) != Reservation::kHeld);
+  CHECK(book.Reserve(kGate, core::Tokens(1), At(0)) !=
+        ReserveResult::kReserved);
 }
 
-TEST(AllotmentBook, a_lower_ceiling_applies_before_its_record_is_read_back) {
+TEST(AllocationLedger, a_lower_ceiling_applies_before_its_record_is_read_back) {
   WriteAndRead(0);
   const int64_t before = Ceiling();
   // Other routers hold nearly all tokens by now, so the target is lower.
-  book.OnOtherBeat(kOther, Claim(80'000, 80'000), At(20));
+  book.OnPeerHeartbeat(kOther, Claim(80'000, 80'000), At(20));
   Write(20);
   CHECK(Ceiling() < before);
 }
 
-TEST(AllotmentBook, a_record_read_back_late_does_not_undo_a_lower_ceiling) {
+TEST(AllocationLedger, a_record_read_back_late_does_not_undo_a_lower_ceiling) {
   Write(0);
   const v1::RouterBeat raised = written;
-  book.OnOtherBeat(kOther, Claim(80'000, 80'000), At(20));
+  book.OnPeerHeartbeat(kOther, Claim(80'000, 80'000), At(20));
   Write(20);
   const int64_t lowered = written.claims(0).ceiling();
-  book.OnOwnBeat(raised);
+  book.OnOwnHeartbeat(raised);
   CHECK(Ceiling() <= lowered);
 }
 
-TEST(AllotmentBook, exhausted_only_if_no_router_can_grant_the_tokens) {
+TEST(AllocationLedger, exhausted_only_if_no_router_can_grant_the_tokens) {
   // Guards against callers being told that their budget is used up, and giving
   // up for good, while other routers hold the rest of it unspent.
-  book.OnOtherBeat(kOther, Claim(99'990, 0), At(0));
+  book.OnPeerHeartbeat(kOther, Claim(99'990, 0), At(0));
   WriteAndRead(0);
-  CHECK(book.Reserve(kGate, core::Tokens(100), At(0)) == Reservation::kShort);
-  book.OnOtherBeat(kOther, Claim(99'990, 99'950), At(1));
   CHECK(book.Reserve(kGate, core::Tokens(100), At(0)) ==
-        Reservation::kExhausted);
+        ReserveResult::kAboveCeiling);
+  book.OnPeerHeartbeat(kOther, Claim(99'990, 99'950), At(1));
+  CHECK(book.Reserve(kGate, core::Tokens(100), At(0)) ==
+        ReserveResult::kExhausted);
 }
 
-TEST(AllotmentBook, a_top_up_can_be_claimed) {
-  book.OnOtherBeat(kOther, Claim(100'000, 100'000), At(0));
+TEST(AllocationLedger, a_top_up_can_be_claimed) {
+  book.OnPeerHeartbeat(kOther, Claim(100'000, 100'000), At(0));
   WriteAndRead(0);
   CHECK_EQUAL(0, Ceiling());
   book.OnConfiguration(Prepaid(150'000));
@@ -122,21 +126,22 @@
   CHECK(Ceiling() > 0);
 }
 
-TEST(AllotmentBook, the_next_claim_covers_a_waiting_request) {
+TEST(AllocationLedger, the_next_claim_covers_a_waiting_request) {
   WriteAndRead(0);
   const auto large = core::Tokens(Ceiling() + 10'000);
-  CHECK(book.Reserve(kGate, large, At(0)) == Reservation::kShort);
+  CHECK(book.Reserve(kGate, large, At(0)) == ReserveResult::kAboveCeiling);
   WriteAndRead(0.1);
-  CHECK(book.Reserve(kGate, large, At(0)) == Reservation::kHeld);
+  CHECK(book.Reserve(kGate, large, At(0)) == ReserveResult::kReserved);
 }
 
-TEST(AllotmentBook, an_account_that_uses_one_router_gets_its_ceiling_there) {
+TEST(AllocationLedger, an_account_that_uses_one_router_gets_its_ceiling_there) {
   // Guards against an account being refused during a partition at the only
   // router it uses, while other routers hold unused ceilings for it.
   for (int i = 0; i < 100; ++i) {
     const core::TimePoint now = At(i * 0.1);
     book.OnDemand(kGate, core::Tokens(100), now);
-    if (book.Reserve(kGate, core::Tokens(100), now) == Reservation::kHeld) {
+    if (book.Reserve(kGate, core::Tokens(100), now) ==
+        ReserveResult::kReserved) {
       book.Settle(kGate, core::Tokens(100), core::Tokens(100), now);
     }
     if (i % 10 == 0) {
@@ -148,15 +153,15 @@
   CHECK(Ceiling() - book.FiguresOf(kGate).spent.value() > 8'000);
 }
 
-TEST(AllotmentBook, accounts_without_a_total_are_unlimited) {
+TEST(AllocationLedger, accounts_without_a_total_are_unlimited) {
   Configuration configuration = Prepaid(0);
   configuration.accounts[0].prepaid.reset();
   book.OnConfiguration(configuration);
   CHECK(book.Reserve(kGate, core::Tokens(1'000'000), At(0)) ==
-        Reservation::kUnlimited);
+        ReserveResult::kUnlimited);
 }
 
-TEST(AllotmentBook, after_a_loss_the_remaining_tokens_are_rationed) {
+TEST(AllocationLedger, after_a_loss_the_remaining_tokens_are_rationed) {
   // Guards against serving callers for only five seconds after a power failure
   // (142 of 650 requests were served in acuerdo-mx, scale-1 --seed
   // 744884078023). Most remaining tokens were lost with the failed routers, and
@@ -173,7 +178,7 @@
     const core::Tokens free =
         figures.ceiling - figures.spent - figures.reserved;
     if (free > core::Tokens(0) &&
-        book.Reserve(kGate, free, now) == Reservation::kHeld) {
+        book.Reserve(kGate, free, now) == ReserveResult::kReserved) {
       book.Settle(kGate, free, free, now);
     }
     if (tenth == 20) {
@@ -184,18 +189,19 @@
   CHECK(Ceiling() > claimed_early + kRest / 10);
 }
 
-TEST(AllotmentBook, tokens_lost_with_failed_routers_count_as_spent) {
+TEST(AllocationLedger, tokens_lost_with_failed_routers_count_as_spent) {
   // Guards against callers being told to retry for the rest of the day after a
   // power failure of all VMs, although the tokens can never be granted again.
-  book.OnOtherBeat(kOther, Claim(0, 0, 95'000), At(0));
+  book.OnPeerHeartbeat(kOther, Claim(0, 0, 95'000), At(0));
   WriteAndRead(0);
   CHECK(book.Reserve(kGate, core::Tokens(6'000), At(0)) ==
-        Reservation::kExhausted);
-  book.OnOtherBeat(kOther, Claim(95'000, 0), At(1));
-  CHECK(book.Reserve(kGate, core::Tokens(6'000), At(0)) == Reservation::kShort);
+        ReserveResult::kExhausted);
+  book.OnPeerHeartbeat(kOther, Claim(95'000, 0), At(1));
+  CHECK(book.Reserve(kGate, core::Tokens(6'000), At(0)) ==
+        ReserveResult::kAboveCeiling);
 }
 
-TEST(AllotmentBook, a_leaving_router_returns_most_tokens_at_once) {
+TEST(AllocationLedger, a_leaving_router_returns_most_tokens_at_once) {
   // Guards against callers moving to a router without tokens for their account
   // while the leaving router holds nine seconds of their demand until it ends.
   for (int i = 0; i < 200; ++i) {
@@ -211,12 +217,12 @@
   CHECK(Ceiling() < before / 2);
 }
 
-TEST(AllotmentBook, a_standby_claims_little) {
+TEST(AllocationLedger, a_standby_claims_little) {
   // Split over all routers of a large fleet, the tokens of an account would
   // form shares too small for a large request.
   Write(0);
   const int64_t active = written.claims(0).ceiling();
-  AllotmentBook standby{BookOptions{}};
+  AllocationLedger standby{AllocationOptions{}};
   standby.OnConfiguration(Prepaid(100'000));
   ClaimContext context;
   context.routers = 2;
@@ -230,11 +236,11 @@
   CHECK(beat.claims(0).ceiling() * 20 < active);
 }
 
-TEST(AllotmentBook, a_standby_without_requests_claims_nothing) {
+TEST(AllocationLedger, a_standby_without_requests_claims_nothing) {
   // Guards against refusing callers for more than a second after a power
   // failure of all VMs, because each of two hundred routers reads the claims of
   // all others on every account. Claims of standbys serve no callers.
-  AllotmentBook standby{BookOptions{}};
+  AllocationLedger standby{AllocationOptions{}};
   standby.OnConfiguration(Prepaid(100'000));
   ClaimContext context;
   context.active = false;
@@ -244,57 +250,59 @@
   CHECK_EQUAL(0, beat.claims_size());
 }
 
-TEST(AllotmentBook, transferred_tokens_count_as_spent_by_the_donor) {
+TEST(AllocationLedger, transferred_tokens_count_as_spent_by_the_donor) {
   // If the tokens were not deducted first, the next requests of both routers
   // would spend the same tokens.
   WriteAndRead(0);
   const int64_t ceiling = Ceiling();
-  const core::Tokens given =
-      book.Give(kGate, core::Tokens(100), core::Tokens(ceiling - 50), At(0));
+  const core::Tokens given = book.TransferOut(
+      kGate, core::Tokens(100), core::Tokens(ceiling - 50), At(0));
   CHECK_EQUAL(ceiling - 50, given.value());
-  CHECK(book.Reserve(kGate, core::Tokens(51), At(0)) != Reservation::kHeld);
+  CHECK(book.Reserve(kGate, core::Tokens(51), At(0)) !=
+        ReserveResult::kReserved);
   Write(1);
   CHECK(written.claims(0).spent() >= ceiling - 50);
 }
 
-TEST(AllotmentBook, a_donor_keeps_tokens_for_its_own_callers) {
+TEST(AllocationLedger, a_donor_keeps_tokens_for_its_own_callers) {
   WriteAndRead(0);
   const int64_t ceiling = Ceiling();
   for (int i = 0; i < 50; ++i) {
     book.OnDemand(kGate, core::Tokens(ceiling / 5), At(i * 0.1));
   }
   CHECK_EQUAL(
-      0, book.Give(kGate, core::Tokens(100), core::Tokens(100), At(5)).value());
+      0, book.TransferOut(kGate, core::Tokens(100), core::Tokens(100), At(5))
+             .value());
 }
 
-TEST(AllotmentBook, unused_transferred_tokens_serve_the_next_request) {
-  book.OnGift(kGate, core::Tokens(1'000));
-  CHECK(book.ReserveGiven(kGate, core::Tokens(1'000)));
-  CHECK_FALSE(book.ReserveGiven(kGate, core::Tokens(1)));
-  book.SettleGiven(kGate, core::Tokens(1'000), core::Tokens(300));
-  CHECK(book.ReserveGiven(kGate, core::Tokens(700)));
+TEST(AllocationLedger, unused_transferred_tokens_serve_the_next_request) {
+  book.OnTransfer(kGate, core::Tokens(1'000));
+  CHECK(book.ReserveTransferred(kGate, core::Tokens(1'000)));
+  CHECK_FALSE(book.ReserveTransferred(kGate, core::Tokens(1)));
+  book.SettleTransferred(kGate, core::Tokens(1'000), core::Tokens(300));
+  CHECK(book.ReserveTransferred(kGate, core::Tokens(700)));
   Write(0);
   CHECK_EQUAL(0, written.claims(0).spent());
 }
 
-TEST(AllotmentBook, donors_are_ordered_by_unspent_tokens) {
+TEST(AllocationLedger, donors_are_ordered_by_unspent_tokens) {
   const core::RouterId rich("router-3");
-  book.OnOtherBeat(kOther, Claim(2'000, 500), At(0));
-  book.OnOtherBeat(rich, Claim(9'000, 500), At(0));
-  const auto lenders = book.Lenders(kGate, core::Tokens(1'000));
-  CHECK_EQUAL(2, lenders.size());
-  CHECK(lenders.front() == rich);
-  CHECK_EQUAL(1, book.Lenders(kGate, core::Tokens(2'000)).size());
+  book.OnPeerHeartbeat(kOther, Claim(2'000, 500), At(0));
+  book.OnPeerHeartbeat(rich, Claim(9'000, 500), At(0));
+  const auto donors = book.Donors(kGate, core::Tokens(1'000));
+  CHECK_EQUAL(2, donors.size());
+  CHECK(donors.front() == rich);
+  CHECK_EQUAL(1, book.Donors(kGate, core::Tokens(2'000)).size());
 }
 
-TEST(AllotmentBook,
+TEST(AllocationLedger,
      a_claim_lowered_and_raised_again_does_not_grant_an_old_claim) {
   // Guards against an account spending more than its total (1,633,842 of
   // 1,611,251 tokens in fortaleza-cv, trouble-3). A router claims a high, a low
   // and again a high ceiling before it reads any of the records back. Other
   // routers took what the second record returned, so reading the first one must
   // not grant it again.
-  book.Want(kGate, core::Tokens(90'000));
+  book.RequestTokens(kGate, core::Tokens(90'000));
   Write(0);
   const v1::RouterBeat much = written;
   CHECK(much.claims(0).ceiling() >= 60'000);
@@ -302,46 +310,46 @@
   const v1::RouterBeat little = written;
   CHECK(little.claims(0).ceiling() < 40'000);
   const int64_t left = 100'000 - little.claims(0).ceiling();
-  book.Want(kGate, core::Tokens(90'000));
+  book.RequestTokens(kGate, core::Tokens(90'000));
   Write(2);
   const v1::RouterBeat much_again = written;
   CHECK(much_again.claims(0).ceiling() >= 60'000);
-  book.OnOwnBeat(much);
+  book.OnOwnHeartbeat(much);
   CHECK(Ceiling() <= little.claims(0).ceiling());
-  book.OnOwnBeat(little);
-  book.OnOtherBeat(kOther, Claim(left, 0), At(3));
-  book.OnOwnBeat(much_again);
+  book.OnOwnHeartbeat(little);
+  book.OnPeerHeartbeat(kOther, Claim(left, 0), At(3));
+  book.OnOwnHeartbeat(much_again);
   CHECK(Ceiling() <= little.claims(0).ceiling());
 }
 
-TEST(AllotmentBook, tokens_reserved_by_other_routers_are_unavailable) {
+TEST(AllocationLedger, tokens_reserved_by_other_routers_are_unavailable) {
   // Guards against telling a caller to retry for tokens that running requests
   // of other routers will use up.
   v1::RouterBeat beat = Claim(99'000, 10'000);
   beat.mutable_claims(0)->set_committed(98'000);
-  book.OnOtherBeat(kOther, beat, At(0));
+  book.OnPeerHeartbeat(kOther, beat, At(0));
   WriteAndRead(0);
   CHECK(book.Reserve(kGate, core::Tokens(3'000), At(0)) ==
-        Reservation::kExhausted);
-  CHECK(book.Lenders(kGate, core::Tokens(2'000)).empty());
+        ReserveResult::kExhausted);
+  CHECK(book.Donors(kGate, core::Tokens(2'000)).empty());
 }
 
-TEST(AllotmentBook, figures_distinguish_lost_from_free_tokens) {
+TEST(AllocationLedger, figures_distinguish_lost_from_free_tokens) {
   // Refusals after a loss look alike. The right reaction depends on whether
   // tokens are lost with failed routers, held by other routers, or only
   // withheld.
   book.OnPredecessor(Claim(30'000, 10'000));
-  book.OnOtherBeat(kOther, Claim(25'000, 5'000, 0), At(0));
+  book.OnPeerHeartbeat(kOther, Claim(25'000, 5'000, 0), At(0));
   const auto figures = book.FiguresOf(kGate);
   CHECK_EQUAL(20'000, figures.lost.value());
   CHECK_EQUAL(45'000, figures.free.value());
-  CHECK_FALSE(figures.paced);
+  CHECK_FALSE(figures.rationed);
   book.OnDemand(kGate, core::Tokens(90'000), At(0));
   Write(0);
-  CHECK(book.FiguresOf(kGate).paced);
+  CHECK(book.FiguresOf(kGate).rationed);
 }
 
-TEST(AllotmentBook, rationing_follows_the_demand_before_the_loss) {
+TEST(AllocationLedger, rationing_follows_the_demand_before_the_loss) {
   // Callers of an account use two routers of eight. After a power failure of
   // all VMs the rest is rationed; with equal shares, six shares would stay
   // unused while callers are refused for the rest of the day.
@@ -351,19 +359,19 @@
   book.OnPredecessor(Claim(600'000, 500'000));
   v1::RouterBeat other = Claim(0, 0, 200'000);
   other.mutable_claims(0)->set_retired_spent(10'000);
-  book.OnOtherBeat(kOther, other, At(0));
+  book.OnPeerHeartbeat(kOther, other, At(0));
   for (int i = 0; i < kRequests; ++i) {
     book.OnDemand(kGate, kRequest, At(0));
-    CHECK(book.Reserve(kGate, kRequest, At(0)) == Reservation::kShort);
+    CHECK(book.Reserve(kGate, kRequest, At(0)) == ReserveResult::kAboveCeiling);
   }
   ClaimContext context;
   context.routers = 8;
   written.set_epoch(2);
   written.set_sequence(1);
   book.WriteClaims(written, context, At(0.1));
-  book.OnOwnBeat(written);
-  CHECK(book.FiguresOf(kGate).paced);
+  book.OnOwnHeartbeat(written);
+  CHECK(book.FiguresOf(kGate).rationed);
   for (int i = 0; i < kRequests; ++i) {
-    CHECK(book.Reserve(kGate, kRequest, At(0.2)) == Reservation::kHeld);
+    CHECK(book.Reserve(kGate, kRequest, At(0.2)) == ReserveResult::kReserved);
   }
 }
--- a/tests/entry/unit-held-back.cc
+++ b/tests/entry/unit-allocation-reserve.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/allotment_book.h"
+#include "coppervalve/entry/allocation_ledger.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -15,16 +15,16 @@
 }  // namespace
 
 // clang-format off
-TEST_GROUP(HeldBack) {
+TEST_GROUP(AllocationReserve) {
   static constexpr int64_t kTotal = 1'000'000;
-  BookOptions options;
-  AllotmentBook book{options};
+  AllocationOptions options;
+  AllocationLedger book{options};
   v1::RouterBeat written;
   uint64_t sequence = 0;
   void setup() override { book.OnConfiguration(Prepaid(kTotal)); }
 
   /// Writes claims at a time of the VM's clock, without an acknowledgment.
-  void State(double now) {
+  void AppendClaims(double now) {
     written = v1::RouterBeat();
     written.set_epoch(1);
     written.set_sequence(++sequence);
@@ -36,20 +36,20 @@
     context.routers = 3;
     book.WriteClaims(written, context, At(now));
   }
-  void StateAndWrite(double now) {
-    State(now);
-    book.OnWritten(written.sequence(), At(now));
-    book.OnOwnBeat(written);
+  void WriteAndAcknowledge(double now) {
+    AppendClaims(now);
+    book.OnAcknowledged(written.sequence(), At(now));
+    book.OnOwnHeartbeat(written);
   }
   /// Sends requests at a steady rate; they are served while tokens last.
-  int64_t Spend(double from, double to, int64_t a_second) {
+  int64_t Spend(double from, double to, int64_t per_second) {
     constexpr double kStep = 0.05;
     const auto each = core::Tokens(static_cast<int64_t>(
-        static_cast<double>(a_second) * kStep));
+        static_cast<double>(per_second) * kStep));
     int64_t spent = 0;
     for (double now = from; now < to; now += kStep) {
       book.OnDemand(kGate, each, At(now));
-      if (book.Reserve(kGate, each, At(now)) == Reservation::kHeld) {
+      if (book.Reserve(kGate, each, At(now)) == ReserveResult::kReserved) {
         book.Settle(kGate, each, each, At(now));
         spent += each.value();
       }
@@ -58,11 +58,11 @@
   }
   /// The same with claims written twice a second.
   /// @return tokens spent
-  int64_t Run(double to, int64_t a_second) {
+  int64_t Run(double to, int64_t per_second) {
     int64_t spent = 0;
     for (double now = 0; now < to; now += 0.5) {
-      StateAndWrite(now);
-      spent += Spend(now, now + 0.5, a_second);
+      WriteAndAcknowledge(now);
+      spent += Spend(now, now + 0.5, per_second);
     }
     return spent;
   }
@@ -72,12 +72,12 @@
 };
 // clang-format on
 
-TEST(HeldBack, the_reserve_is_not_spent_before_its_time) {
+TEST(AllocationReserve, the_reserve_is_not_spent_before_its_time) {
   // A successor assumes that a crashed process spent only the part of its claim
   // before the reserve. If the reserve were spent before the stated time, its
   // tokens would be granted twice.
   Run(10, 5'000);
-  StateAndWrite(10);
+  WriteAndAcknowledge(10);
   CHECK(written.claims(0).reserve() > 0);
   Spend(10, 12.45, 50'000);
   const auto before = book.FiguresOf(kGate);
@@ -89,59 +89,59 @@
   CHECK((after.spent + after.reserved).value() > Early());
 }
 
-TEST(HeldBack, a_higher_limit_applies_only_once_it_is_acknowledged) {
+TEST(AllocationReserve, a_higher_limit_applies_only_once_it_is_acknowledged) {
   // The process may crash before its higher claim is written; its successor
   // then finds the previous record.
   Run(10, 5'000);
-  StateAndWrite(10);
+  WriteAndAcknowledge(10);
   const int64_t early = Early();
   const auto more =
       core::Tokens(early - book.FiguresOf(kGate).spent.value() + 10);
-  CHECK(book.Reserve(kGate, more, At(10.1)) == Reservation::kShort);
-  State(10.2);
+  CHECK(book.Reserve(kGate, more, At(10.1)) == ReserveResult::kAboveCeiling);
+  AppendClaims(10.2);
   CHECK(Early() > early);
-  CHECK(book.Reserve(kGate, more, At(10.2)) == Reservation::kShort);
-  book.OnWritten(written.sequence(), At(10.2));
-  CHECK(book.Reserve(kGate, more, At(10.2)) == Reservation::kHeld);
+  CHECK(book.Reserve(kGate, more, At(10.2)) == ReserveResult::kAboveCeiling);
+  book.OnAcknowledged(written.sequence(), At(10.2));
+  CHECK(book.Reserve(kGate, more, At(10.2)) == ReserveResult::kReserved);
 }
 
-TEST(HeldBack, a_lower_limit_applies_at_once) {
+TEST(AllocationReserve, a_lower_limit_applies_at_once) {
   Run(10, 5'000);
-  StateAndWrite(10);
+  WriteAndAcknowledge(10);
   const int64_t early = Early();
   // Without requests the next claim is lower.
-  State(30);
+  AppendClaims(30);
   CHECK(Early() < early);
   const auto all = core::Tokens(early - book.FiguresOf(kGate).spent.value());
-  CHECK(book.Reserve(kGate, all, At(30.1)) == Reservation::kShort);
+  CHECK(book.Reserve(kGate, all, At(30.1)) == ReserveResult::kAboveCeiling);
 }
 
-TEST(HeldBack, the_time_when_the_reserve_becomes_spendable_is_known) {
+TEST(AllocationReserve, the_time_when_the_reserve_becomes_spendable_is_known) {
   Run(10, 5'000);
-  StateAndWrite(10);
+  WriteAndAcknowledge(10);
   const auto figures = book.FiguresOf(kGate);
   const core::Tokens all = figures.ceiling - figures.spent;
-  const auto at = book.CoveredAt(kGate, all, At(11));
+  const auto at = book.SpendableAt(kGate, all, At(11));
   CHECK(at && *at == At(10) + options.held_back);
-  CHECK_FALSE(book.CoveredAt(kGate, all + core::Tokens(1), At(11)));
+  CHECK_FALSE(book.SpendableAt(kGate, all + core::Tokens(1), At(11)));
 }
 
-TEST(HeldBack, a_crash_loses_only_the_part_before_the_reserve) {
+TEST(AllocationReserve, a_crash_loses_only_the_part_before_the_reserve) {
   // Guards against refusing callers for the rest of the day after a crash of
   // all processes, when nine seconds of work had been claimed and counted as
   // spent.
   const int64_t spent = Run(15, 10'000);
   const v1::AccountClaim& last = written.claims(0);
   const auto lost_without = last.ceiling() - spent;
-  AllotmentBook successor{options};
+  AllocationLedger successor{options};
   successor.OnConfiguration(Prepaid(kTotal));
   successor.OnPredecessor(written, true);
   const auto counted = successor.FiguresOf(kGate).others.value();
   CHECK(counted >= spent);
   CHECK(counted - spent < lost_without / 2);
   // Without the proof the whole claim is lost.
-  AllotmentBook stranger{options};
-  stranger.OnConfiguration(Prepaid(kTotal));
-  stranger.OnPredecessor(written, false);
-  CHECK_EQUAL(last.ceiling(), stranger.FiguresOf(kGate).others.value());
+  AllocationLedger unproved{options};
+  unproved.OnConfiguration(Prepaid(kTotal));
+  unproved.OnPredecessor(written, false);
+  CHECK_EQUAL(last.ceiling(), unproved.FiguresOf(kGate).others.value());
 }
--- a/tests/entry/unit-urgent-first.cc
+++ b/tests/entry/unit-allocation-urgency.cc
@@ -1,6 +1,6 @@
 #include <CppUTest/TestHarness.h>
 
-#include "coppervalve/entry/allotment_book.h"
+#include "coppervalve/entry/allocation_ledger.h"
 #include "entry_fixture.h"
 
 using namespace coppervalve;
@@ -19,21 +19,22 @@
 struct Served {
   int asked = 0;
   int served = 0;
-  double Part() const { return asked == 0 ? 0 : 1.0 * served / asked; }
+  double ServedShare() const { return asked == 0 ? 0 : 1.0 * served / asked; }
 };
 
 /// @brief Simulates one router with an account and two kinds of callers in
 /// virtual time: eight chats and eight drafts per second.
-class Desk {
+class SimulatedRouter {
  public:
-  explicit Desk(core::Duration urgent_ahead) : m_book(Options(urgent_ahead)) {
+  explicit SimulatedRouter(core::Duration urgent_ahead)
+      : m_book(Options(urgent_ahead)) {
     m_book.OnConfiguration(Prepaid(3'000'000));
   }
 
   /// @brief Simulates a power failure: more than half of the unspent tokens
   /// were lost with claims of the failed routers, and the rest would last four
   /// seconds.
-  void LoseMost() {
+  void LoseMostTokens() {
     v1::RouterBeat last;
     v1::AccountClaim* claim = last.add_claims();
     claim->set_account(kGate.value());
@@ -59,8 +60,8 @@
 
  private:
   static constexpr double kStep = 0.125;
-  static BookOptions Options(core::Duration urgent_ahead) {
-    BookOptions options;
+  static AllocationOptions Options(core::Duration urgent_ahead) {
+    AllocationOptions options;
     options.held_back = core::Duration::zero();
     options.urgent_ahead = urgent_ahead;
     return options;
@@ -70,8 +71,8 @@
     beat.set_epoch(1);
     beat.set_sequence(++m_sequence);
     m_book.WriteClaims(beat, {}, now);
-    m_book.OnWritten(m_sequence, now);
-    m_book.OnOwnBeat(beat);
+    m_book.OnAcknowledged(m_sequence, now);
+    m_book.OnOwnHeartbeat(beat);
   }
   void Ask(uint8_t rank,
            core::Tokens tokens,
@@ -79,18 +80,18 @@
            Served& served) {
     ++served.asked;
     m_book.OnDemand(kGate, tokens, now, rank);
-    Reservation got = m_book.Reserve(kGate, tokens, now, rank);
-    if (got == Reservation::kShort) {
+    ReserveResult got = m_book.Reserve(kGate, tokens, now, rank);
+    if (got == ReserveResult::kAboveCeiling) {
       Claim(now);
       got = m_book.Reserve(kGate, tokens, now, rank);
     }
-    if (got == Reservation::kHeld) {
+    if (got == ReserveResult::kReserved) {
       ++served.served;
       m_book.Settle(kGate, tokens, tokens, now);
     }
   }
 
-  AllotmentBook m_book;
+  AllocationLedger m_book;
   uint64_t m_sequence = 0;
   Served m_chats;
   Served m_drafts;
@@ -99,10 +100,10 @@
 }  // namespace
 
 // clang-format off
-TEST_GROUP(UrgentFirst) {
-  void PlayLoss(Desk& desk) {
-    desk.LoseMost();
-    desk.Serve(15);
+TEST_GROUP(AllocationUrgency) {
+  void ServeAfterLoss(SimulatedRouter& router) {
+    router.LoseMostTokens();
+    router.Serve(15);
   }
 };
 // clang-format on
@@ -110,22 +111,22 @@
 // Guards against refusing urgent callers after a power failure of all VMs until
 // an operator tops up the account, because drafts that can wait used their
 // tokens, one in thirteen of all.
-TEST(UrgentFirst, after_a_loss_urgent_requests_are_served_first) {
-  Desk desk(BookOptions{}.urgent_ahead);
-  PlayLoss(desk);
-  CHECK(desk.chats().Part() >= 0.9);
-  Desk first_come{core::Duration::zero()};
-  PlayLoss(first_come);
-  CHECK(first_come.chats().Part() <= 0.6);
+TEST(AllocationUrgency, after_a_loss_urgent_requests_are_served_first) {
+  SimulatedRouter router(AllocationOptions{}.urgent_ahead);
+  ServeAfterLoss(router);
+  CHECK(router.chats().ServedShare() >= 0.9);
+  SimulatedRouter first_come{core::Duration::zero()};
+  ServeAfterLoss(first_come);
+  CHECK(first_come.chats().ServedShare() <= 0.6);
   // The drafts lose no more tokens than the chats use.
-  const int fewer = first_come.drafts().served - desk.drafts().served;
+  const int fewer = first_come.drafts().served - router.drafts().served;
   CHECK(fewer * kDraftTokens.value() <=
-        (desk.chats().asked + 12) * kChatTokens.value());
+        (router.chats().asked + 12) * kChatTokens.value());
 }
 
-TEST(UrgentFirst, no_request_is_refused_while_tokens_are_plentiful) {
-  Desk desk(BookOptions{}.urgent_ahead);
-  desk.Serve(10);
-  DOUBLES_EQUAL(1, desk.chats().Part(), 0.001);
-  DOUBLES_EQUAL(1, desk.drafts().Part(), 0.001);
+TEST(AllocationUrgency, no_request_is_refused_while_tokens_are_plentiful) {
+  SimulatedRouter router(AllocationOptions{}.urgent_ahead);
+  router.Serve(10);
+  DOUBLES_EQUAL(1, router.chats().ServedShare(), 0.001);
+  DOUBLES_EQUAL(1, router.drafts().ServedShare(), 0.001);
 }
--- a/tests/entry/unit-beat-reader.cc
+++ b/tests/entry/unit-heartbeat-parser.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/beat_reader.h"
+#include "coppervalve/entry/heartbeat_parser.h"
 
 #include <CppUTest/TestHarness.h>
 #include <google/protobuf/stubs/logging.h>
@@ -6,7 +6,7 @@
 #include <pcg_random.hpp>
 #include <string>  // string
 
-#include "coppervalve/entry/allotment_book.h"
+#include "coppervalve/entry/allocation_ledger.h"
 #include "entry_fixture.h"
 
 using namespace coppervalve;
@@ -15,7 +15,7 @@
 
 namespace {
 
-v1::RouterBeat GoodBeat() {
+v1::RouterBeat ValidHeartbeat() {
   v1::RouterBeat beat;
   beat.set_epoch(3);
   beat.set_sequence(7);
@@ -34,31 +34,31 @@
 }  // namespace
 
 // clang-format off
-TEST_GROUP(BeatReader){};
+TEST_GROUP(HeartbeatParser){};
 // clang-format on
 
-TEST(BeatReader, a_valid_heartbeat_is_parsed) {
-  CHECK(core::IsOk(ReadBeat(GoodBeat().SerializeAsString())));
+TEST(HeartbeatParser, a_valid_heartbeat_is_parsed) {
+  CHECK(core::IsOk(ParseHeartbeat(ValidHeartbeat().SerializeAsString())));
 }
 
-TEST(BeatReader, inconsistent_claims_are_errors) {
-  v1::RouterBeat beat = GoodBeat();
+TEST(HeartbeatParser, inconsistent_claims_are_errors) {
+  v1::RouterBeat beat = ValidHeartbeat();
   beat.mutable_claims(0)->set_spent(5'001);
-  CHECK_FALSE(core::IsOk(ReadBeat(beat.SerializeAsString())));
-  beat = GoodBeat();
+  CHECK_FALSE(core::IsOk(ParseHeartbeat(beat.SerializeAsString())));
+  beat = ValidHeartbeat();
   beat.mutable_claims(1)->set_ceiling(-1);
-  CHECK_FALSE(core::IsOk(ReadBeat(beat.SerializeAsString())));
-  beat = GoodBeat();
+  CHECK_FALSE(core::IsOk(ParseHeartbeat(beat.SerializeAsString())));
+  beat = ValidHeartbeat();
   beat.mutable_claims(1)->set_retired(INT64_MAX);
-  CHECK_FALSE(core::IsOk(ReadBeat(beat.SerializeAsString())));
+  CHECK_FALSE(core::IsOk(ParseHeartbeat(beat.SerializeAsString())));
 }
 
-TEST(BeatReader, damaged_heartbeats_never_let_a_router_exceed_the_total) {
+TEST(HeartbeatParser, damaged_heartbeats_never_let_a_router_exceed_the_total) {
   // A damaged record may state less than its writer claimed, but a router never
   // grants itself more than the total.
   constexpr int kRounds = 20'000;
   constexpr int64_t kTotal = 100'000;
-  const std::string good = GoodBeat().SerializeAsString();
+  const std::string good = ValidHeartbeat().SerializeAsString();
   google::protobuf::SetLogHandler(nullptr);
   pcg64 random(20261202);
   for (int round = 0; round < kRounds; ++round) {
@@ -66,23 +66,23 @@
     for (uint64_t changes = 1 + random() % 4; changes != 0; --changes) {
       bytes[random() % bytes.size()] = static_cast<char>(random());
     }
-    const auto read = ReadBeat(bytes);
+    const auto read = ParseHeartbeat(bytes);
     if (!core::IsOk(read)) {
       continue;
     }
-    AllotmentBook book{BookOptions{}};
+    AllocationLedger book{AllocationOptions{}};
     Configuration configuration;
     Account account;
     account.name = core::AccountId("gate");
     account.prepaid = core::Tokens(kTotal);
     configuration.accounts = {account};
     book.OnConfiguration(configuration);
-    book.OnOtherBeat(core::RouterId("other"), core::Value(read), At(1));
+    book.OnPeerHeartbeat(core::RouterId("other"), core::Value(read), At(1));
     book.OnDemand(account.name, core::Tokens(1'000), At(1));
     v1::RouterBeat own;
     own.set_sequence(1);
     book.WriteClaims(own, {}, At(1));
-    book.OnOwnBeat(own);
+    book.OnOwnHeartbeat(own);
     const auto figures = book.FiguresOf(account.name);
     CHECK(figures.ceiling >= core::Tokens(0));
     CHECK(figures.ceiling + figures.others <= core::Tokens(kTotal) ||
--- a/tests/entry/unit-member-list.cc
+++ b/tests/entry/unit-member-list.cc
@@ -29,8 +29,10 @@
   StoreContact contact;
   void setup() override {
     contact.OnAnswer(At(0));
-    members.OnBeat(core::RouterId("router-1"), Beat("10.0.0.1:80", 1), At(0));
-    members.OnBeat(core::RouterId("router-2"), Beat("10.0.0.2:80", 1), At(0));
+    members.OnHeartbeat(core::RouterId("router-1"), Beat("10.0.0.1:80", 1),
+                        At(0));
+    members.OnHeartbeat(core::RouterId("router-2"), Beat("10.0.0.2:80", 1),
+                        At(0));
   }
   void Pass(double from, double until) {
     for (double now = from; now <= until; now += 0.2) {
@@ -43,7 +45,7 @@
 TEST(MemberList, a_silent_router_is_not_announced) {
   Pass(0, 4);
   CHECK_EQUAL(1, members.Addresses().size());
-  CHECK_EQUAL(1, members.Live());
+  CHECK_EQUAL(1, members.LiveCount());
 }
 
 TEST(MemberList, a_router_without_the_store_keeps_the_list) {
@@ -64,15 +66,15 @@
 TEST(MemberList, a_leaving_router_is_not_announced) {
   v1::RouterBeat leaving = Beat("10.0.0.2:80", 2);
   leaving.set_leaving(true);
-  members.OnBeat(core::RouterId("router-2"), leaving, At(1));
+  members.OnHeartbeat(core::RouterId("router-2"), leaving, At(1));
   CHECK_EQUAL(1, members.Addresses().size());
-  CHECK_EQUAL(2, members.Live());
+  CHECK_EQUAL(2, members.LiveCount());
 }
 
 TEST(MemberList, an_old_heartbeat_is_ignored) {
   v1::RouterBeat leaving = Beat("10.0.0.2:80", 1);
   leaving.set_leaving(true);
-  members.OnBeat(core::RouterId("router-2"), leaving, At(1));
+  members.OnHeartbeat(core::RouterId("router-2"), leaving, At(1));
   CHECK_EQUAL(2, members.Addresses().size());
 }
 
@@ -80,7 +82,7 @@
   // Guards against callers connecting to a VM that lost power a second ago and
   // waiting a second each; the missing heartbeats show it two seconds later.
   const core::RouterId third("router-3");
-  members.OnBeat(third, Beat("10.0.0.3:80", 1), At(0));
+  members.OnHeartbeat(third, Beat("10.0.0.3:80", 1), At(0));
   peers.OnReport(core::RouterId("router-2"), true, At(0));
   peers.OnReport(third, true, At(0));
   members.Advance(contact, At(0.2));
@@ -88,51 +90,56 @@
   peers.OnReport(third, true, At(1.5));
   Pass(0.4, 1.6);
   CHECK_EQUAL(2, members.Addresses().size());
-  CHECK_EQUAL(3, members.Live());
+  CHECK_EQUAL(3, members.LiveCount());
 }
 
 TEST(MemberList, weak_routers_are_standbys_until_the_load_needs_them) {
   for (int i = 3; i <= 40; ++i) {
     v1::RouterBeat beat = Beat("10.0.0." + std::to_string(i) + ":80", 1);
     beat.set_capacity(25);
-    members.OnBeat(core::RouterId("router-" + std::to_string(i)), beat, At(0));
+    members.OnHeartbeat(core::RouterId("router-" + std::to_string(i)), beat,
+                        At(0));
   }
   members.Advance(contact, At(0.2));
-  CHECK_EQUAL(8, members.Active());
+  CHECK_EQUAL(8, members.ActiveCount());
   v1::RouterBeat busy = Beat("10.0.0.3:80", 2);
   busy.set_capacity(25);
   busy.set_load(200);
-  members.OnBeat(core::RouterId("router-3"), busy, At(0.3));
+  members.OnHeartbeat(core::RouterId("router-3"), busy, At(0.3));
   members.Advance(contact, At(0.4));
-  CHECK(members.Active() >= 12);
+  CHECK(members.ActiveCount() >= 12);
 }
 
 TEST(MemberList, a_fleet_that_cannot_write_does_not_count_as_dead) {
   // The store refuses all writes for some seconds, or this router reads too
   // slowly to see any. Guards against each router considering all others dead,
   // so that a weak standby receives all callers.
-  members.OnBeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1), At(0));
+  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1),
+                      At(0));
   Pass(0, 6);
   CHECK_EQUAL(3, members.Addresses().size());
   // A heartbeat of one router shows that the other one is dead.
-  members.OnBeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 2), At(6));
+  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 2),
+                      At(6));
   Pass(6.2, 6.4);
   CHECK_EQUAL(2, members.Addresses().size());
 }
 
 TEST(MemberList, routers_that_stay_silent_count_as_dead) {
-  members.OnBeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1), At(0));
+  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1),
+                      At(0));
   Pass(0, 11);
   CHECK_EQUAL(1, members.Addresses().size());
 }
 
 TEST(MemberList, the_last_router_of_a_fleet_does_not_announce_dead_ones) {
   // Guards against sending callers to VMs that lost power long ago.
-  members.OnBeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1), At(0));
+  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1),
+                      At(0));
   for (uint64_t i = 0; i < 8; ++i) {
     const double now = 0.6 * static_cast<double>(i);
-    members.OnBeat(core::RouterId("router-1"), Beat("10.0.0.1:80", 2 + i),
-                   At(now));
+    members.OnHeartbeat(core::RouterId("router-1"), Beat("10.0.0.1:80", 2 + i),
+                        At(now));
     Pass(now, now + 0.4);
   }
   CHECK_EQUAL(1, members.Addresses().size());
@@ -146,11 +153,11 @@
     v1::RouterBeat beat = Beat("10.0.0." + number + ":80", 1);
     beat.set_capacity(i == 20 ? 90 : i >= 18 ? 100 : 10);
     beat.set_upstreams(i == 1 ? 700 : 0);
-    last.OnBeat(core::RouterId("router-" + number), beat, At(0));
+    last.OnHeartbeat(core::RouterId("router-" + number), beat, At(0));
   }
   last.Advance(contact, At(0.2));
-  CHECK_EQUAL(2, last.Active());
+  CHECK_EQUAL(2, last.ActiveCount());
   CHECK_FALSE(last.SelfActive());
-  CHECK(last.SelfInTurn());
-  CHECK_EQUAL(700, last.Upstreams());
+  CHECK(last.SelfActiveOrNext());
+  CHECK_EQUAL(700, last.MaxUpstreamCount());
 }
--- a/tests/entry/unit-peer-contact.cc
+++ b/tests/entry/unit-peer-contact.cc
@@ -25,29 +25,29 @@
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, true, At(0));
   peers.OnReport(kThree, true, At(2));
-  CHECK(peers.Lost(kTwo, At(2)));
-  CHECK_FALSE(peers.Lost(kThree, At(2)));
+  CHECK(peers.IsLost(kTwo, At(2)));
+  CHECK_FALSE(peers.IsLost(kThree, At(2)));
 }
 
 TEST(PeerContact, a_router_that_hears_nobody_reports_none_as_lost) {
   // Otherwise a partitioned router would direct all its callers to itself.
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, true, At(0));
-  CHECK_FALSE(peers.Lost(kTwo, At(3)));
+  CHECK_FALSE(peers.IsLost(kTwo, At(3)));
 }
 
 TEST(PeerContact, unknown_and_long_silent_routers_are_not_lost) {
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, true, At(9));
-  CHECK_FALSE(peers.Lost(core::RouterId("router-4"), At(9)));
-  CHECK_FALSE(peers.Lost(kTwo, At(9)));
+  CHECK_FALSE(peers.IsLost(core::RouterId("router-4"), At(9)));
+  CHECK_FALSE(peers.IsLost(kTwo, At(9)));
 }
 
 TEST(PeerContact, only_recent_reports_count_as_reaching_the_store) {
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, false, At(0));
-  CHECK_EQUAL(1, peers.WithStore(At(0.6)));
-  CHECK_EQUAL(0, peers.WithStore(At(0.7)));
+  CHECK_EQUAL(1, peers.CountReachingStore(At(0.6)));
+  CHECK_EQUAL(0, peers.CountReachingStore(At(0.7)));
 }
 
 TEST(PeerContact, no_router_reaches_the_store_in_a_partition_of_all) {
@@ -56,7 +56,7 @@
   // they notice 0.9 s later.
   peers.OnReport(kTwo, true, At(0));
   peers.OnReport(kThree, true, At(0));
-  CHECK_EQUAL(0, peers.WithStore(At(0.9)));
+  CHECK_EQUAL(0, peers.CountReachingStore(At(0.9)));
 }
 
 TEST(PeerContact, others_reach_the_store_only_if_a_majority_does) {
--- a/tests/entry/unit-policy.cc
+++ b/tests/entry/unit-policy.cc
@@ -14,7 +14,7 @@
 TEST(Policy, without_changes_it_is_what_ships) {
   const Policy policy = core::Value(ReadPolicy(""));
   CHECK(policy.gifts);
-  CHECK_EQUAL(BookOptions{}.most_held, policy.book.most_held);
+  CHECK_EQUAL(AllocationOptions{}.most_held, policy.book.most_held);
 }
 
 TEST(Policy, parts_are_changed_by_name) {
--- a/tests/entry/unit-return-after-cut.cc
+++ b/tests/entry/unit-read-after-partition.cc
@@ -9,7 +9,7 @@
 #include <queue>       // priority_queue
 #include <vector>      // vector
 
-#include "coppervalve/entry/call_patience.h"
+#include "coppervalve/entry/call_timeouts.h"
 #include "coppervalve/entry/read_plan.h"
 #include "entry_fixture.h"
 
@@ -24,8 +24,8 @@
 constexpr double kLinkBytesPerSecond = 2.5e6;  // of one small VM
 constexpr double kCallSeconds = 0.01;
 constexpr double kTextPerByte = 4.0 / 3;  // pages of newest records are text
-constexpr double kCutFrom = 6.2;
-constexpr double kCutUntil = 13.8;
+constexpr double kPartitionStart = 6.2;
+constexpr double kPartitionEnd = 13.8;
 // Versions written during the partition; the last one is the newest when it
 // ends.
 constexpr uint64_t kVersions = 18;
@@ -34,15 +34,15 @@
 /// @brief How a router reads: its requests and timeouts.
 struct Reading {
   ReadPlanOptions plan;
-  CallPatience patience;
+  CallTimeouts timeouts;
   size_t keys = 1;
 };
 
-Reading AsShipped() {
+Reading ProductReading() {
   Reading reading;
   reading.plan = ConfigurationPlan();
-  reading.patience.first = core::Duration(1'800'000);
-  reading.patience.whole = core::Duration(6'000'000);
+  reading.timeouts.first_byte = core::Duration(1'800'000);
+  reading.timeouts.total = core::Duration(6'000'000);
   return reading;
 }
 
@@ -50,10 +50,10 @@
 // the whole answer within the first-byte timeout.
 Reading OneByOne() {
   Reading reading;
-  reading.plan.most_bytes = 1024 * 1024;
-  reading.plan.only_newest_matters = false;
-  reading.patience.first = core::Duration(1'800'000);
-  reading.patience.whole = reading.patience.first;
+  reading.plan.max_bytes = 1024 * 1024;
+  reading.plan.newest_only = false;
+  reading.timeouts.first_byte = core::Duration(1'800'000);
+  reading.timeouts.total = reading.timeouts.first_byte;
   reading.keys = 1'000;
   return reading;
 }
@@ -65,9 +65,10 @@
   explicit Fleet(const Reading& reading)
       : m_reading(reading), m_readers(kRouters, Reader(reading)) {
     for (size_t i = 0; i < kRouters; ++i) {
-      m_readers[i].plan.OnNewest(reading.keys, 0, At(kCutFrom - 0.1));
+      m_readers[i].plan.OnNewest(reading.keys, 0, At(kPartitionStart - 0.1));
       // The call in progress when the partition began times out during it.
-      Later(kCutFrom + 1 + Draw(), [this, i] { Fail(i, kCutFrom - 0.8); });
+      Schedule(kPartitionStart + 1 + NextFraction(),
+               [this, i] { Fail(i, kPartitionStart - 0.8); });
     }
   }
 
@@ -101,42 +102,43 @@
     }
   };
 
-  void Later(double at, std::function<void()> run) {
+  void Schedule(double at, std::function<void()> run) {
     m_events.push({at, ++m_order, std::move(run)});
   }
   // Evenly distributed and deterministic.
-  double Draw() {
+  double NextFraction() {
     constexpr double kGoldenRatio = 0.618033988749895;
-    m_draw = std::fmod(m_draw + kGoldenRatio, 1.0);
-    return m_draw;
+    m_fraction = std::fmod(m_fraction + kGoldenRatio, 1.0);
+    return m_fraction;
   }
 
-  void Take(size_t i, const ReadStep& step) {
+  void ScheduleStep(size_t i, const ReadStep& step) {
     const double at = m_now + std::chrono::duration<double>(step.delay).count();
     const bool newest = step.call != ReadStep::Call::kRecords;
-    Later(at, [this, i, newest] { Call(i, newest); });
+    Schedule(at, [this, i, newest] { Call(i, newest); });
   }
 
   void FailAfter(size_t i, core::TimePoint give_up) {
     const double began = m_now;
     const double at =
         std::chrono::duration<double>(give_up.time_since_epoch()).count();
-    Later(at, [this, i, began] { Fail(i, began); });
+    Schedule(at, [this, i, began] { Fail(i, began); });
   }
 
   void Fail(size_t i, double began) {
-    Take(i, m_readers[i].plan.OnFailure(Draw(), At(began), At(m_now)));
+    ScheduleStep(
+        i, m_readers[i].plan.OnFailure(NextFraction(), At(began), At(m_now)));
   }
 
   void Call(size_t i, bool newest) {
-    const CallPatience& patience = m_reading.patience;
-    if (m_now < kCutUntil) {
-      FailAfter(i, patience.GiveUpAt({At(m_now), false, std::nullopt}));
+    const CallTimeouts& timeouts = m_reading.timeouts;
+    if (m_now < kPartitionEnd) {
+      FailAfter(i, timeouts.TimesOutAt({At(m_now), false, std::nullopt}));
       return;
     }
     const uint64_t next = m_readers[i].plan.next();
     const uint64_t fit = static_cast<uint64_t>(
-        static_cast<double>(m_reading.plan.most_bytes) / kVersionBytes);
+        static_cast<double>(m_reading.plan.max_bytes) / kVersionBytes);
     const uint64_t records =
         newest ? 1 : std::min(kVersions - next, std::max<uint64_t>(fit, 1));
     if (records == 0) {
@@ -149,15 +151,15 @@
                    bytes / kStoreBytesPerSecond;
     const double begins = m_store_free;
     const double ends = begins + bytes / kLinkBytesPerSecond;
-    const core::TimePoint no_start =
-        patience.GiveUpAt({At(m_now), true, std::nullopt});
-    const core::TimePoint no_end =
-        patience.GiveUpAt({At(m_now), true, At(ends)});
-    if (At(begins) > no_start || At(ends) > no_end) {
-      FailAfter(i, std::max(no_start, no_end));
+    const core::TimePoint first_byte_timeout =
+        timeouts.TimesOutAt({At(m_now), true, std::nullopt});
+    const core::TimePoint total_timeout =
+        timeouts.TimesOutAt({At(m_now), true, At(ends)});
+    if (At(begins) > first_byte_timeout || At(ends) > total_timeout) {
+      FailAfter(i, std::max(first_byte_timeout, total_timeout));
       return;
     }
-    Later(ends, [this, i, newest, next, records] {
+    Schedule(ends, [this, i, newest, next, records] {
       OnAnswer(i, newest, newest ? kVersions : next + records);
     });
   }
@@ -167,9 +169,9 @@
     if (next == kVersions && !reader.in_force_at) {
       reader.in_force_at = m_now;
     }
-    Take(i, newest
-                ? reader.plan.OnNewest(m_reading.keys, next, At(m_now))
-                : reader.plan.OnBatch(false, next, kVersions, {}, At(m_now)));
+    ScheduleStep(
+        i, newest ? reader.plan.OnNewest(m_reading.keys, next, At(m_now))
+                  : reader.plan.OnBatch(false, next, kVersions, {}, At(m_now)));
   }
 
   Reading m_reading;
@@ -177,14 +179,14 @@
   std::priority_queue<Event> m_events;
   uint64_t m_order = 0;
   double m_now = 0;
-  double m_draw = 0;
+  double m_fraction = 0;
   double m_store_free = 0;
 };
 
 }  // namespace
 
 // clang-format off
-TEST_GROUP(ReturnAfterCut) {};
+TEST_GROUP(ReadAfterPartition) {};
 // clang-format on
 
 // Guards against refusing callers on routes that have been in force for
@@ -192,14 +194,17 @@
 // large versions are written, and reconnect together. The missed versions
 // exceed what the store can send, and on most links what fits the timeout of a
 // call.
-TEST(ReturnAfterCut, the_newest_configuration_is_in_force_within_two_seconds) {
-  Fleet fleet(AsShipped());
-  DOUBLES_EQUAL(kCutUntil, fleet.AllInForceAt(40), 2);
+TEST(ReadAfterPartition,
+     the_newest_configuration_is_in_force_within_two_seconds) {
+  Fleet fleet(ProductReading());
+  DOUBLES_EQUAL(kPartitionEnd, fleet.AllInForceAt(40), 2);
 }
 
 // Shows that the test above detects the failure: the same load, read version by
 // version.
-TEST(ReturnAfterCut, reading_every_version_takes_longer_than_the_partition) {
+TEST(ReadAfterPartition,
+     reading_every_version_takes_longer_than_the_partition) {
   Fleet fleet(OneByOne());
-  CHECK(fleet.AllInForceAt(40) > kCutUntil + (kCutUntil - kCutFrom));
+  CHECK(fleet.AllInForceAt(40) >
+        kPartitionEnd + (kPartitionEnd - kPartitionStart));
 }
--- a/tests/entry/unit-read-plan.cc
+++ b/tests/entry/unit-read-plan.cc
@@ -5,7 +5,7 @@
 #include <algorithm>  // max
 #include <optional>   // nullopt
 
-#include "coppervalve/entry/call_patience.h"
+#include "coppervalve/entry/call_timeouts.h"
 #include "entry_fixture.h"
 
 using namespace coppervalve;
@@ -32,7 +32,7 @@
 TEST(ReadPlan, continues_after_a_pause_while_it_keeps_up) {
   const ReadStep step = plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
   CHECK(Asks(step, ReadStep::Call::kRecords));
-  CHECK(step.pausing);
+  CHECK(step.interruptible);
   CHECK(kPause == step.delay);
   CHECK_EQUAL(1'020, plan.next());
 }
@@ -51,12 +51,12 @@
 
 TEST(ReadPlan, reads_the_newest_records_if_it_missed_more_than_there_are_keys) {
   const ReadStep step = plan.OnBatch(false, 1'020, 1'500, kPause, At(1));
-  CHECK(Asks(step, ReadStep::Call::kFirstPage));
+  CHECK(Asks(step, ReadStep::Call::kFirstNewestPage));
 }
 
 TEST(ReadPlan, a_record_larger_than_a_read_is_not_requested_forever) {
   const ReadStep step = plan.OnBatch(true, 1'000, 1'001, kPause, At(1));
-  CHECK(Asks(step, ReadStep::Call::kFirstPage));
+  CHECK(Asks(step, ReadStep::Call::kFirstNewestPage));
 }
 
 TEST(ReadPlan, a_refused_call_is_repeated) {
@@ -66,13 +66,14 @@
 
 TEST(ReadPlan, reads_the_newest_records_after_a_long_silence) {
   plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
-  CHECK(Asks(plan.OnFailure(0.5, At(1.2), At(3)), ReadStep::Call::kFirstPage));
-  CHECK(Asks(plan.OnFailure(0.5, At(4), At(5)), ReadStep::Call::kSamePage));
+  CHECK(Asks(plan.OnFailure(0.5, At(1.2), At(3)),
+             ReadStep::Call::kFirstNewestPage));
+  CHECK(Asks(plan.OnFailure(0.5, At(4), At(5)), ReadStep::Call::kRepeatPage));
 }
 
 TEST(ReadPlan, heartbeats_are_read_in_order_after_a_silence) {
   // A claim is granted when its own record is read in log order.
-  ReadPlan beats{BeatPlan()};
+  ReadPlan beats{HeartbeatPlan()};
   beats.OnNewest(100, 1'000, At(0));
   CHECK(Asks(beats.OnFailure(0.5, At(8), At(9)), ReadStep::Call::kRecords));
 }
@@ -98,11 +99,11 @@
 }
 
 TEST(ReadPlan, timeouts_depend_on_the_progress_of_the_call) {
-  const CallPatience patience{
+  const CallTimeouts timeouts{
       core::Duration(400'000), core::Duration(1'000'000),
       core::Duration(800'000), core::Duration(6'000'000)};
-  CHECK(At(0.4) == patience.GiveUpAt({At(0), false, std::nullopt}));
-  CHECK(At(1) == patience.GiveUpAt({At(0), true, std::nullopt}));
-  CHECK(At(3.3) == patience.GiveUpAt({At(0), true, At(2.5)}));
-  CHECK(At(6) == patience.GiveUpAt({At(0), true, At(5.9)}));
+  CHECK(At(0.4) == timeouts.TimesOutAt({At(0), false, std::nullopt}));
+  CHECK(At(1) == timeouts.TimesOutAt({At(0), true, std::nullopt}));
+  CHECK(At(3.3) == timeouts.TimesOutAt({At(0), true, At(2.5)}));
+  CHECK(At(6) == timeouts.TimesOutAt({At(0), true, At(5.9)}));
 }
--- a/tests/entry/unit-upstream-gate.cc
+++ b/tests/entry/unit-upstream-gate.cc
@@ -37,7 +37,7 @@
     beat.set_caller_address("10.0.0." + std::to_string(router) + ":80");
     beat.set_failure_domain("fd-" + std::to_string(router));
     beat.set_capacity(100);
-    members.OnBeat(core::RouterId("router-" + std::to_string(router)), beat,
+    members.OnHeartbeat(core::RouterId("router-" + std::to_string(router)), beat,
                    At(0));
   }
   void Settle(double from, double to) {
@@ -150,11 +150,11 @@
     beat.set_epoch(1);
     beat.set_sequence(2);
     beat.set_leaving(true);
-    members.OnBeat(core::RouterId("router-" + std::to_string(router)), beat,
-                   At(4));
+    members.OnHeartbeat(core::RouterId("router-" + std::to_string(router)),
+                        beat, At(4));
   }
   Settle(4, 8);
-  CHECK_EQUAL(1, members.Active());
+  CHECK_EQUAL(1, members.ActiveCount());
   CHECK_EQUAL(4,
               senders.PartOf(fresh->entry.id, fresh->sender_rank, 26, At(8)));
   Settle(8, 24);
--- a/tests/entry/upstream_fleet.cc
+++ b/tests/entry/upstream_fleet.cc
@@ -350,7 +350,7 @@
            m_beats[knows.beats_read].at <= until;
          ++knows.beats_read) {
       const WrittenBeat& read = m_beats[knows.beats_read];
-      knows.members.OnBeat(read.router, read.beat, Now());
+      knows.members.OnHeartbeat(read.router, read.beat, Now());
     }
   }
 
@@ -473,7 +473,7 @@
     query.shared_prefix = Chance(m_play.hot_part)
                               ? "hot"
                               : "p" + std::to_string(m_random() % 600);
-    query.routers = vm.knows->members.Active();
+    query.routers = vm.knows->members.ActiveCount();
     for (int i = 0; i < kMostTries; ++i) {
       const Placement placement =
           vm.knows->placer.Choose(vm.knows->directory, query, Now());
--- a/tests/gateway/unit-http-caller.cc
+++ b/tests/gateway/unit-http-caller.cc
@@ -50,9 +50,9 @@
     HttpCall call;
     call.method = "GET";
     call.target = "/x";
-    call.patience.first = kStep * 3;
-    call.patience.stall = std::chrono::seconds(5);
-    call.patience.whole = std::chrono::seconds(20);
+    call.patience.first_byte = kStep * 3;
+    call.patience.idle = std::chrono::seconds(5);
+    call.patience.total = std::chrono::seconds(20);
     return call;
   }
   void Make(const HttpCall& call) {
@@ -92,7 +92,7 @@
     stream->Send("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nx");
   });
   HttpCall call = Get();
-  call.patience.stall = kStep;
+  call.patience.idle = kStep;
   Make(call);
   CHECK_FALSE(core::IsOk(*result));
   CHECK(core::ErrorId::kLogUnavailable == core::Failure(*result).id);
--- a/tests/gateway/unit-topic-follower.cc
+++ b/tests/gateway/unit-topic-follower.cc
@@ -79,7 +79,7 @@
 TEST(TopicFollower, more_than_a_read_holds_is_skipped_to_the_newest) {
   store.Put("config", "config", "1");
   entry::ReadPlanOptions plan = entry::ConfigurationPlan();
-  plan.most_bytes = 10;
+  plan.max_bytes = 10;
   Follow(plan);
   store.Put("config", "config", "2");
   Until([this] { return next == 2; });
@@ -90,7 +90,7 @@
 }
 
 TEST(TopicFollower, all_beats_are_handed_on_in_order) {
-  Follow(entry::BeatPlan());
+  Follow(entry::HeartbeatPlan());
   store.Put("config", "a", "1");
   Until([this] { return next == 1; });
   store.Put("config", "a", "2");
