--- a/include/coppervalve/entry/allocation_ledger.h
+++ b/include/coppervalve/entry/allocation_ledger.h
@@ -238,7 +238,7 @@
     core::Tokens retired_spent{};
     core::Tokens lost_at_restart{};  ///< by the previous incarnation
     core::Tokens ceiling{};  ///< upper limit of spent and reserved tokens
-    core::Tokens claimed{};  ///< ceiling in the newest written record
+    core::Tokens written_ceiling{};  ///< of the newest written record
     core::Tokens spent{};
     core::Tokens reserved{};
     core::Tokens transferred_in{};  ///< by peers, not part of the ceiling
--- a/src/entry/allocation_ledger.cc
+++ b/src/entry/allocation_ledger.cc
@@ -35,7 +35,8 @@
 
 // Tokens that no router has claimed. Negative while claims race.
 core::Tokens AllocationLedger::Free(const AccountState& state) {
-  return *state.total - state.others_claimed - state.retired - state.claimed;
+  return *state.total - state.others_claimed - state.retired -
+         state.written_ceiling;
 }
 
 // Tokens that no live router can grant any more. Tokens lost with a previous
@@ -50,8 +51,8 @@
 // Tokens that are neither spent nor lost with a previous incarnation:
 // unclaimed, or claimed by a live router.
 core::Tokens AllocationLedger::Spendable(const AccountState& state) {
-  return ClampToZero(ClampToZero(Free(state)) + state.claimed - InUse(state) +
-                     state.others_unspent);
+  return ClampToZero(ClampToZero(Free(state)) + state.written_ceiling -
+                     InUse(state) + state.others_unspent);
 }
 
 void AllocationLedger::OnConfiguration(const Configuration& configuration) {
@@ -335,7 +336,7 @@
     return state.ceiling;
   }
   const core::Tokens free =
-      ClampToZero(Free(state) + state.claimed - state.ceiling);
+      ClampToZero(Free(state) + state.written_ceiling - state.ceiling);
   const double share =
       std::max(1.0 / std::max(m_context.routers, 1U), kMinShareOfFree);
   core::Tokens fair =
@@ -368,7 +369,7 @@
     }
     state.ration =
         ClampToZero(state.ration - ClampToZero(next - state.ceiling));
-    state.claimed = next;
+    state.written_ceiling = next;
     state.ceiling = std::min(state.ceiling, next);
     const bool claims_nothing =
         next == core::Tokens(0) && state.retired == core::Tokens(0);
