--- a/src/entry/heartbeat_parser.cc
+++ b/src/entry/heartbeat_parser.cc
@@ -11,8 +11,8 @@
 // Routers report fewer events than this.
 constexpr double kMaxEvents = 1'000;
 
-bool IsInRange(int64_t value, int64_t most) {
-  return value >= 0 && value <= most;
+bool IsInRange(int64_t value, int64_t max) {
+  return value >= 0 && value <= max;
 }
 
 bool IsPlausible(const v1::AccountClaim& claim) {
--- a/tests/entry/unit-allocation-history.cc
+++ b/tests/entry/unit-allocation-history.cc
@@ -19,7 +19,7 @@
 
 const core::AccountId kGate("gate");
 constexpr int64_t kTotal = 1'000'000;
-constexpr double kBeat = 0.5;  // seconds
+constexpr double kHeartbeatPeriod = 0.5;  // seconds
 
 /// A fleet of one router that loses power repeatedly. A new incarnation knows
 /// only its last record.
@@ -43,7 +43,7 @@
     last = beat;
     book.OnAcknowledged(beat.sequence(), At(now));
     book.OnOwnHeartbeat(beat);
-    now += kBeat;
+    now += kHeartbeatPeriod;
   }
   int64_t HeldAhead() {
     const auto figures = book.FiguresOf(kGate);
@@ -56,8 +56,8 @@
   /// Sends requests at a steady rate; they are served while tokens last.
   void Serve(double seconds, int64_t per_second) {
     const double until = now + seconds;
-    const auto each = core::Tokens(
-        static_cast<int64_t>(static_cast<double>(per_second) * kBeat));
+    const auto each = core::Tokens(static_cast<int64_t>(
+        static_cast<double>(per_second) * kHeartbeatPeriod));
     while (now < until) {
       book.OnDemand(kGate, each, At(now));
       if (book.Reserve(kGate, each, At(now)) == ReserveResult::kReserved) {
--- a/tests/entry/unit-read-after-partition.cc
+++ b/tests/entry/unit-read-after-partition.cc
@@ -48,7 +48,7 @@
 
 // Reads every version in order, up to one megabyte per call, and must receive
 // the whole answer within the first-byte timeout.
-Reading OneByOne() {
+Reading VersionByVersion() {
   Reading reading;
   reading.plan.max_bytes = 1024 * 1024;
   reading.plan.newest_only = false;
@@ -204,7 +204,7 @@
 // version.
 TEST(ReadAfterPartition,
      reading_every_version_takes_longer_than_the_partition) {
-  Fleet fleet(OneByOne());
+  Fleet fleet(VersionByVersion());
   CHECK(fleet.AllInForceAt(40) >
         kPartitionEnd + (kPartitionEnd - kPartitionStart));
 }
--- a/tests/entry/unit-read-plan.cc
+++ b/tests/entry/unit-read-plan.cc
@@ -16,7 +16,7 @@
 
 constexpr core::Duration kPause{300'000};
 
-bool Asks(const ReadStep& step, ReadStep::Call call) {
+bool IsCall(const ReadStep& step, ReadStep::Call call) {
   return step.call == call;
 }
 
@@ -31,7 +31,7 @@
 
 TEST(ReadPlan, continues_after_a_pause_while_it_keeps_up) {
   const ReadStep step = plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
-  CHECK(Asks(step, ReadStep::Call::kRecords));
+  CHECK(IsCall(step, ReadStep::Call::kRecords));
   CHECK(step.interruptible);
   CHECK(kPause == step.delay);
   CHECK_EQUAL(1'020, plan.next());
@@ -39,43 +39,44 @@
 
 TEST(ReadPlan, continues_at_once_after_an_empty_batch) {
   const ReadStep step = plan.OnBatch(true, 1'000, 1'000, kPause, At(1));
-  CHECK(Asks(step, ReadStep::Call::kRecords));
+  CHECK(IsCall(step, ReadStep::Call::kRecords));
   CHECK(core::Duration::zero() == step.delay);
 }
 
 TEST(ReadPlan, continues_at_once_after_a_partial_batch) {
   const ReadStep step = plan.OnBatch(false, 1'020, 1'050, kPause, At(1));
-  CHECK(Asks(step, ReadStep::Call::kRecords));
+  CHECK(IsCall(step, ReadStep::Call::kRecords));
   CHECK(core::Duration::zero() == step.delay);
 }
 
 TEST(ReadPlan, reads_the_newest_records_if_it_missed_more_than_there_are_keys) {
   const ReadStep step = plan.OnBatch(false, 1'020, 1'500, kPause, At(1));
-  CHECK(Asks(step, ReadStep::Call::kFirstNewestPage));
+  CHECK(IsCall(step, ReadStep::Call::kFirstNewestPage));
 }
 
 TEST(ReadPlan, a_record_larger_than_a_read_is_not_requested_forever) {
   const ReadStep step = plan.OnBatch(true, 1'000, 1'001, kPause, At(1));
-  CHECK(Asks(step, ReadStep::Call::kFirstNewestPage));
+  CHECK(IsCall(step, ReadStep::Call::kFirstNewestPage));
 }
 
 TEST(ReadPlan, a_refused_call_is_repeated) {
   plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
-  CHECK(Asks(plan.OnFailure(0.5, At(1.4), At(1.4)), ReadStep::Call::kRecords));
+  CHECK(
+      IsCall(plan.OnFailure(0.5, At(1.4), At(1.4)), ReadStep::Call::kRecords));
 }
 
 TEST(ReadPlan, reads_the_newest_records_after_a_long_silence) {
   plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
-  CHECK(Asks(plan.OnFailure(0.5, At(1.2), At(3)),
-             ReadStep::Call::kFirstNewestPage));
-  CHECK(Asks(plan.OnFailure(0.5, At(4), At(5)), ReadStep::Call::kRepeatPage));
+  CHECK(IsCall(plan.OnFailure(0.5, At(1.2), At(3)),
+               ReadStep::Call::kFirstNewestPage));
+  CHECK(IsCall(plan.OnFailure(0.5, At(4), At(5)), ReadStep::Call::kRepeatPage));
 }
 
 TEST(ReadPlan, heartbeats_are_read_in_order_after_a_silence) {
   // A claim is granted when its own record is read in log order.
   ReadPlan beats{HeartbeatPlan()};
   beats.OnNewest(100, 1'000, At(0));
-  CHECK(Asks(beats.OnFailure(0.5, At(8), At(9)), ReadStep::Call::kRecords));
+  CHECK(IsCall(beats.OnFailure(0.5, At(8), At(9)), ReadStep::Call::kRecords));
 }
 
 TEST(ReadPlan, backoff_grows_with_each_refusal_up_to_a_maximum) {
