--- a/include/coppervalve/entry/demand.h
+++ b/include/coppervalve/entry/demand.h
@@ -7,24 +7,25 @@
 
 namespace coppervalve::entry {
 
-/// @brief Tokens a second that are asked for, smoothed over two spans so that
-/// a sudden rise counts at once and a lull does not.
+/// @brief Rate of requested tokens per second: the larger of two exponential
+/// moving averages, so that it follows an increase at once and a decrease
+/// slowly.
 class Demand {
  public:
   /// @complexity constant, as all of this class
   void Add(core::Tokens tokens, core::TimePoint now);
-  /// @return the larger of the two averages
+  /// @return the estimated rate
   double PerSecond(core::TimePoint now) const;
 
  private:
   struct Average {
     double per_second = 0;
-    double At(double seconds_later, double span) const;
+    double DecayedBy(double seconds_later, double time_constant) const;
   };
-  double Corrected(double average, double span, core::TimePoint now) const;
+  double CorrectBias(double average, double time_constant, core::TimePoint now) const;
   Average m_fast;
   Average m_slow;
-  std::optional<core::TimePoint> m_began;
+  std::optional<core::TimePoint> m_first_added;
   core::TimePoint m_updated{};
 };
 
--- /dev/null
+++ b/include/coppervalve/entry/heartbeat_rate.h
@@ -0,0 +1,31 @@
+#ifndef COPPERVALVE_ENTRY_HEARTBEAT_RATE_H_
+#define COPPERVALVE_ENTRY_HEARTBEAT_RATE_H_
+
+#include <cstdint>  // uint32_t
+
+#include "coppervalve/core/units.h"
+
+namespace coppervalve::entry {
+
+/// @brief Heartbeat period of an active router in a small fleet. What a crashed
+/// process has spent is known except for about one period.
+constexpr core::Duration kDefaultHeartbeatPeriod{600'000};
+
+/// @brief Limits how often a router may write to the store.
+struct HeartbeatLimits {
+  double store_writes_per_second = 0;  ///< of the whole fleet
+  uint32_t live = 1;                   ///< routers that write heartbeats
+  uint32_t active = 1;                 ///< active routers among them
+  bool self_active = true;
+};
+
+/// @return the regular time between heartbeats
+core::Duration HeartbeatPeriod(const HeartbeatLimits& limits);
+
+/// @return the minimum time between heartbeats of a router whose requests wait
+/// for a claim
+core::Duration ExpeditedDelay(const HeartbeatLimits& limits);
+
+}  // namespace coppervalve::entry
+
+#endif  // COPPERVALVE_ENTRY_HEARTBEAT_RATE_H_
--- a/include/coppervalve/gateway/http_client.h
+++ b/include/coppervalve/gateway/http_client.h
@@ -13,7 +13,7 @@
 
 #include "coppervalve/core/result.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/entry/call_patience.h"
+#include "coppervalve/entry/call_timeouts.h"
 #include "coppervalve/gateway/stream.h"
 #include "coppervalve/http1/response_reader.h"
 
@@ -25,7 +25,7 @@
   std::string target;
   std::string content_type;  ///< empty: no Content-Type is sent
   std::string body;
-  entry::CallPatience patience;
+  entry::CallTimeouts patience;
   /// Limit of the response's size, head included. Without it a response that
   /// never ends would be buffered without bound.
   size_t max_bytes = 8 * 1024 * 1024;
@@ -64,7 +64,7 @@
   void OnBytes(std::string_view bytes);
   void OnEnd();
   void Finish(core::Result<HttpReply> result, bool keep_connection);
-  core::TimePoint GiveUpAt() const;
+  core::TimePoint TimesOutAt() const;
   void ArmTimeout();
 
   boost::asio::io_context& m_io;
--- a/src/entry/peer_contact.cc
+++ b/src/entry/peer_contact.cc
@@ -4,10 +4,10 @@
 
 namespace {
 
-// Reports are repeated every 0.3 s: one of two may be lost.
-constexpr core::Duration kWordHolds{650'000};
-// One of so many is less than half.
-constexpr uint32_t kMostLikely = 2;
+// Reports are sent every 0.3 s; one of two may be lost.
+constexpr core::Duration kReportLifetime{650'000};
+// A majority: more than one in two.
+constexpr uint32_t kMajorityFactor = 2;
 
 }  // namespace
 
@@ -17,46 +17,46 @@
   m_peers[router] = {now, store_up};
 }
 
-bool PeerContact::Heard(const Peer& peer, core::TimePoint now) const {
-  return now - peer.heard < m_silence;
+bool PeerContact::IsHeard(const Peer& peer, core::TimePoint now) const {
+  return now - peer.heard < m_timeout;
 }
 
 bool PeerContact::HearsAny(core::TimePoint now) const {
   for (const auto& [router, peer] : m_peers) {
-    if (Heard(peer, now)) {
+    if (IsHeard(peer, now)) {
       return true;
     }
   }
   return false;
 }
 
-bool PeerContact::Lost(const core::RouterId& router,
+bool PeerContact::IsLost(const core::RouterId& router,
                        core::TimePoint now) const {
   const auto found = m_peers.find(router);
-  if (found == m_peers.end() || Heard(found->second, now)) {
+  if (found == m_peers.end() || IsHeard(found->second, now)) {
     return false;
   }
-  return now - found->second.heard < m_memory && HearsAny(now);
+  return now - found->second.heard < m_retention && HearsAny(now);
 }
 
-// In a cut of all routers each still had the others' word from before it, that
-// they reach the store, and sent its callers to them: they were refused again
-// at once, a hundred a cut. A router that lost the store knows so after nine
-// tenths of a second at the earliest, and by then such a word is too old.
-uint32_t PeerContact::WithStore(core::TimePoint now) const {
+// If all routers lose the store at once, each still has earlier reports of the
+// others that they reach it. Callers sent to them were refused again at once,
+// about a hundred per partition. A router notices the loss of the store after
+// 0.9 s at the earliest, and by then such a report has expired.
+uint32_t PeerContact::CountReachingStore(core::TimePoint now) const {
   uint32_t count = 0;
   for (const auto& [router, peer] : m_peers) {
-    const bool fresh = now - peer.heard < kWordHolds;
+    const bool fresh = now - peer.heard < kReportLifetime;
     count += fresh && peer.store_up ? 1 : 0;
   }
   return count;
 }
 
-// A caller picks one of the active routers by chance. Where only a few of them
-// say that they reach the store, all others are cut off as this one is, and
-// each refuses the caller anew.
+// A caller picks an active router at random. If only a few of them report that
+// they reach the store, the others are cut off like this router and would
+// refuse the caller again.
 bool PeerContact::OthersReachStore(uint32_t active, core::TimePoint now) const {
-  return WithStore(now) * kMostLikely > active;
+  return CountReachingStore(now) * kMajorityFactor > active;
 }
 
 }  // namespace coppervalve::entry
--- a/src/entry/ranked_demand.cc
+++ b/src/entry/ranked_demand.cc
@@ -2,10 +2,11 @@
 
 namespace coppervalve::entry {
 
-// Urgent work that is most of all work can't be saved by what little else there
-// is: kept for it, the tokens of all others serve few of its callers.
-double RankedDemand::SmallAndMoreUrgent(uint8_t rank,
-                                        double small_part,
+// If urgent requests are most of the demand, the little that others use cannot
+// save them: reserving it would serve few urgent requests and refuse all
+// others.
+double RankedDemand::MoreUrgentPerSecond(uint8_t rank,
+                                        double max_share,
                                         core::TimePoint now) const {
   double all = 0;
   for (const auto& [other, demand] : m_by_rank) {
@@ -14,7 +15,7 @@
   double urgent = 0;
   for (const auto& [other, demand] : m_by_rank) {
     const double with_it = urgent + demand.PerSecond(now);
-    if (other >= rank || with_it > small_part * all) {
+    if (other >= rank || with_it > max_share * all) {
       break;
     }
     urgent = with_it;
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -148,14 +148,14 @@
   const core::AccountId& account = m_admitted.account->name;
   switch (m_context.book.Reserve(account, MaxTokens(), net::BootNow(),
                                  m_admitted.route->priority)) {
-    case entry::Reservation::kHeld:
+    case entry::ReserveResult::kReserved:
       m_reserved = MaxTokens();
       Place();
       return;
-    case entry::Reservation::kUnlimited:
+    case entry::ReserveResult::kUnlimited:
       Place();
       return;
-    case entry::Reservation::kExhausted:
+    case entry::ReserveResult::kExhausted:
       if (TryReserveTransferred()) {
         return;
       }
@@ -171,10 +171,10 @@
               "a newer configuration may have raised the total"},
              kRetryAfterOutage);
       return;
-    case entry::Reservation::kShort:
+    case entry::ReserveResult::kAboveCeiling:
       WaitForGrant();
       return;
-    case entry::Reservation::kLeftToUrgent:
+    case entry::ReserveResult::kKeptForUrgent:
       if (!TryReserveTransferred()) {
         Refuse({core::ErrorId::kBudgetBusy, account.value(),
                 "left to more urgent requests"},
@@ -191,7 +191,7 @@
   const core::TimePoint now = net::BootNow();
   const bool wait_expired = m_wait_until && now >= *m_wait_until;
   if (!m_context.contact.up() || wait_expired ||
-      !m_context.book.MayBeCovered(m_admitted.account->name, MaxTokens())) {
+      !m_context.book.MayBecomeSpendable(m_admitted.account->name, MaxTokens())) {
     if (!TryBorrow()) {
       RefuseForLackOfTokens(now);
     }
@@ -211,7 +211,7 @@
 }
 
 bool Exchange::TryReserveTransferred() {
-  if (!m_context.book.ReserveGiven(m_admitted.account->name, MaxTokens())) {
+  if (!m_context.book.ReserveTransferred(m_admitted.account->name, MaxTokens())) {
     return false;
   }
   m_from_transfer = true;
@@ -257,19 +257,19 @@
                     "other routers hold the remaining tokens"};
   if (m_context.contact.up()) {
     const auto figures = m_context.book.FiguresOf(account);
-    if (figures.paced && figures.free >= MaxTokens()) {
+    if (figures.rationed && figures.free >= MaxTokens()) {
       error.detail = "the rest is claimed slowly after a loss";
     }
     Refuse(error, kRetryAfterStoreUpdate);
     return;
   }
-  const uint32_t active = m_context.members.Active();
+  const uint32_t active = m_context.members.ActiveCount();
   if (m_context.peers.OthersReachStore(active, now)) {
     error.detail = "only other routers can reach the store";
     Refuse(error, kRetryElsewhere);
     return;
   }
-  const auto covered = m_context.book.CoveredAt(account, MaxTokens(), now);
+  const auto covered = m_context.book.SpendableAt(account, MaxTokens(), now);
   if (covered) {
     error.detail = "held-back tokens are not spendable yet";
     Refuse(error, std::max(*covered - now, kRetryElsewhere));
@@ -368,7 +368,7 @@
   query.exclude = m_tried;
   query.engine = service != nullptr && service->engine.has_value();
   query.prompt = m_facts.prompt;
-  query.routers = m_context.members.Active();
+  query.routers = m_context.members.ActiveCount();
   if (m_admitted.route->prefix_affinity) {
     query.shared_prefix = m_facts.shared_prefix;
     query.shared_tokens = std::min(m_facts.shared_tokens, m_facts.prompt);
@@ -377,7 +377,7 @@
     // The upstream resets connections beyond its limit, which all routers
     // share. A fifth of it stays free for routers that are not known yet.
     const uint32_t share =
-        service->max_connections * 4 / 5 / m_context.members.Active();
+        service->max_connections * 4 / 5 / m_context.members.ActiveCount();
     query.connection_bound = std::max(share, 2U);
   }
   return query;
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -382,7 +382,7 @@
   if (CurrentQuarantineState() != entry::Standing::kClear) {
     return false;
   }
-  return m_context.retries.Take(m_admitted.service, m_context.members.Live(),
+  return m_context.retries.Take(m_admitted.service, m_context.members.LiveCount(),
                                 net::BootNow());
 }
 
--- a/src/gateway/http_client.cc
+++ b/src/gateway/http_client.cc
@@ -64,7 +64,7 @@
 // take long on a slow link. If readers gave up half-read responses, all of them
 // would request these again at once, and none would ever complete.
 void HttpClient::ArmTimeout() {
-  const core::TimePoint give_up = GiveUpAt();
+  const core::TimePoint give_up = TimesOutAt();
   m_timeout.expires_after(
       std::max(give_up - net::BootNow(), core::Duration::zero()));
   m_timeout.async_wait([self = shared_from_this(), number = m_call_number,
@@ -74,7 +74,7 @@
     }
     // Bytes that arrive extend the deadline; the timer is re-armed only here
     // instead of at each arrival.
-    if (self->GiveUpAt() > give_up) {
+    if (self->TimesOutAt() > give_up) {
       self->ArmTimeout();
       return;
     }
@@ -82,8 +82,8 @@
   });
 }
 
-core::TimePoint HttpClient::GiveUpAt() const {
-  return m_queue.front().call.patience.GiveUpAt(m_progress);
+core::TimePoint HttpClient::TimesOutAt() const {
+  return m_queue.front().call.patience.TimesOutAt(m_progress);
 }
 
 void HttpClient::Connect() {
@@ -136,7 +136,7 @@
     m_stream.reset();
     return;
   }
-  m_progress.last_part = net::BootNow();
+  m_progress.last_received = net::BootNow();
   m_received += bytes.size();
   if (m_received > m_queue.front().call.max_bytes) {
     Finish(NoAnswer("the answer is too long"), false);
