--- a/include/coppervalve/gateway/event_log.h
+++ b/include/coppervalve/gateway/event_log.h
@@ -14,9 +14,9 @@
 namespace coppervalve::gateway {
 
 /// @brief What a line is about; the last to be left out is the last here.
-enum class LineKind : uint8_t {
+enum class LogCategory : uint8_t {
   kRoutine,    ///< a request that was served
-  kTrouble,    ///< a request that was refused or failed
+  kFailure,    ///< a request that was refused or failed
   kLifecycle,  ///< start, stop, reload, a dependency lost or regained
 };
 
@@ -47,32 +47,32 @@
   /// @brief Bounds, by kind of line.
   struct Bounds {
     std::array<uint64_t, 3> lines_per_second{80, 200, 100};
-    std::array<size_t, 3> held_bytes{65'536, 196'608, 262'144};
+    std::array<size_t, 3> buffered_bytes{65'536, 196'608, 262'144};
   };
 
   EventLog(boost::asio::io_context& io, int descriptor, Bounds bounds);
 
-  void Write(LineKind kind, LogLine line);
+  void Write(LogCategory kind, LogLine line);
   /// @brief Writes what the descriptor takes now.
   void Flush();
   /// @return lines left out so far, of all kinds
-  uint64_t left_out() const { return m_left_out; }
-  size_t held_bytes() const { return m_held.size(); }
+  uint64_t dropped() const { return m_dropped; }
+  size_t buffered_bytes() const { return m_buffer.size(); }
 
  private:
-  bool Admit(LineKind kind, size_t size);
-  void ArmTimer();
-  void StateLeftOut();
+  bool Admit(LogCategory kind, size_t size);
+  void ScheduleFlush();
+  void AppendDroppedNotice();
 
   boost::asio::steady_timer m_timer;
   int m_descriptor;
   Bounds m_bounds;
-  std::string m_held;
-  std::array<uint64_t, 3> m_this_second{};
+  std::string m_buffer;
+  std::array<uint64_t, 3> m_lines_this_second{};
   int64_t m_second = 0;
-  uint64_t m_left_out = 0;
-  uint64_t m_stated = 0;
-  bool m_armed = false;
+  uint64_t m_dropped = 0;
+  uint64_t m_dropped_reported = 0;
+  bool m_flush_scheduled = false;
 };
 
 }  // namespace coppervalve::gateway
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -24,19 +24,19 @@
 #include "coppervalve/entry/upstream_gate.h"
 #include "coppervalve/gateway/caller_connection.h"
 #include "coppervalve/gateway/crash_watch.h"
-#include "coppervalve/gateway/dialect.h"
 #include "coppervalve/gateway/event_log.h"
 #include "coppervalve/gateway/gateway_metrics.h"
+#include "coppervalve/gateway/platform_adapter.h"
 #include "coppervalve/gateway/unknown_words.h"
 #include "coppervalve/gateway/upstream_pool.h"
-#include "coppervalve/http1/event_cutter.h"
+#include "coppervalve/http1/sse_splitter.h"
 
 namespace coppervalve::gateway {
 
 /// @brief What requests share; outlives all of them.
 struct ExchangeContext {
   boost::asio::io_context& io;
-  const Dialect& dialect;
+  const PlatformAdapter& adapter;
   entry::UpstreamDirectory& directory;
   const entry::Policy& policy;
   const entry::UpstreamGate& gate;
@@ -66,7 +66,7 @@
   std::function<bool()> knows_upstreams;
   /// Asks routers that read it where a request goes.
   std::function<void(const entry::PlacementQuery&,
-                     std::function<void(const entry::Placement&)> on_told)>
+                     std::function<void(const entry::Placement&)> on_placement)>
       ask_where;
 };
 
@@ -88,7 +88,7 @@
     entry::UpstreamRef upstream;
     UpstreamConnectionRef connection;
     core::TimePoint began;
-    AnswerFacts answer;
+    UpstreamResponseInfo answer;
     double reading = 0;       ///< its part of the upstream's in_prefill
     double to_read = 0;       ///< that and what waited, at usual pace
     double cost = 0;          ///< expected when it was placed
@@ -118,7 +118,7 @@
   void Send(const entry::Placement& placement);
   /// @brief The last question before bytes go out on a new connection.
   bool PassGate(entry::Upstream& upstream) const;
-  std::string RequestText(const SendFacts& facts) const;
+  std::string RequestText(const UpstreamRequestContext& facts) const;
 
   void HeedUpstream();
   void HeedLimit(const entry::UpstreamRef& speaker);
@@ -145,7 +145,7 @@
   void TellSurvived();
   bool IsStream() const;
   bool Repeatable() const;
-  bool AfterAnEvent() const { return m_cutter.events() != 0; }
+  bool AfterAnEvent() const { return m_sse_splitter.events() != 0; }
   /// @brief Whether another upstream may be sent this request; takes the
   /// right to from the allowance.
   bool TakeRepeat();
@@ -179,7 +179,7 @@
   std::vector<core::UpstreamId> m_tried;
   std::optional<http1::ResponseHead> m_head;
   std::string m_body;
-  http1::EventCutter m_cutter;
+  http1::SseSplitter m_sse_splitter;
   core::TimePoint m_watch_from;  ///< silence of the upstream counts from here
   core::Duration m_first_byte{};
   uint32_t m_sends = 0;         ///< upstreams that got some of it
--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -22,17 +22,17 @@
 #include "coppervalve/entry/store_contact.h"
 #include "coppervalve/entry/table_readers.h"
 #include "coppervalve/entry/upstream_directory.h"
-#include "coppervalve/gateway/beat_writer.h"
-#include "coppervalve/gateway/borrower.h"
 #include "coppervalve/gateway/crash_watch.h"
-#include "coppervalve/gateway/dialect.h"
 #include "coppervalve/gateway/event_log.h"
 #include "coppervalve/gateway/exchange.h"
 #include "coppervalve/gateway/gateway_metrics.h"
+#include "coppervalve/gateway/heartbeat_writer.h"
 #include "coppervalve/gateway/keyed_store.h"
 #include "coppervalve/gateway/listener.h"
-#include "coppervalve/gateway/load_exchange.h"
-#include "coppervalve/gateway/place_asker.h"
+#include "coppervalve/gateway/peer_messenger.h"
+#include "coppervalve/gateway/placement_client.h"
+#include "coppervalve/gateway/platform_adapter.h"
+#include "coppervalve/gateway/token_requester.h"
 #include "coppervalve/gateway/topic_follower.h"
 #include "coppervalve/gateway/unknown_words.h"
 #include "coppervalve/gateway/upstream_pool.h"
@@ -47,7 +47,7 @@
   /// configuration. Empty = none are read.
   std::string evacuation_prefix;
   std::string upstream_topic;
-  std::string beat_topic;
+  std::string heartbeat_topic;
 };
 
 /// @brief What a router is told when it starts.
@@ -65,7 +65,7 @@
   entry::RetryBounds retries;
   entry::WarmUpBounds warm_up;
   /// Keys are not honoured past this age of the configuration; 0 = for ever.
-  core::Duration keys_expire{};
+  core::Duration key_expiry{};
   /// Writes a second that the store takes from the whole fleet.
   double store_writes_per_second = 600;
   /// Bytes a second that the store sends to the whole fleet; 0 = not said.
@@ -86,7 +86,7 @@
  public:
   Gateway(boost::asio::io_context& io,
           GatewaySettings settings,
-          Dialect dialect,
+          PlatformAdapter adapter,
           KeyedStore store,
           entry::Policy policy = {});
   ~Gateway();
@@ -106,59 +106,59 @@
  private:
   void OnOperatorRecord(const KeyedRecord& record);
   void OnNewestOperatorRecords(const std::vector<KeyedRecord>& records);
-  void Configure(const std::string& document);
+  void ApplyConfiguration(const std::string& document);
   std::optional<core::FailureDomainId> ReadEvacuation(
       const KeyedRecord& record);
-  void TellEvacuation(const entry::EvacuationChange& change);
+  void LogEvacuationChange(const entry::EvacuationChange& change);
   void OnUpstreamRecord(const KeyedRecord& record);
-  bool OnlySaysItLives(const KeyedRecord& record);
+  bool IsHeartbeatOnly(const KeyedRecord& record);
   entry::UpstreamRecord ReadUpstreamRecord(const KeyedRecord& record);
   void OnNewestUpstreams(const std::vector<KeyedRecord>& records);
-  std::optional<v1::RouterBeat> ReadBeatRecord(const KeyedRecord& record);
-  void OnBeatRecord(const KeyedRecord& record);
-  void OnNewestBeats(const std::vector<KeyedRecord>& records);
-  void BeginBeatsIfAllRead();
-  void TellPredecessor(bool held_back);
-  void TellHold();
-  void VouchForReserves(v1::RouterBeat& beat, core::TimePoint now) const;
+  std::optional<v1::RouterBeat> ParseHeartbeatRecord(const KeyedRecord& record);
+  void OnHeartbeatRecord(const KeyedRecord& record);
+  void OnNewestHeartbeats(const std::vector<KeyedRecord>& records);
+  void StartHeartbeatsIfCaughtUp();
+  void LogPredecessor(bool held_back);
+  void LogHoldFactor();
+  void SetReserveTimes(v1::RouterBeat& beat, core::TimePoint now) const;
   entry::StoreContact& ContactOf(const std::string& topic);
   void OnStoreAnswer(const std::string& topic);
   void OnStoreFailure(const std::string& topic,
                       const core::Error& error,
                       core::TimePoint began);
   entry::BeatLimits Limits() const;
-  void ComposeBeat(v1::RouterBeat& beat);
+  void ComposeHeartbeat(v1::RouterBeat& beat);
   double Capacity() const;
-  void GrantsChanged();
+  void NotifyGrantWaiters();
   void Tick();
-  void TryToEnd();
-  void TellActive();
-  std::optional<core::Duration> TimeToStop() const;
+  void TryFinishDrain();
+  void LogActiveRouters();
+  std::optional<core::Duration> TimeUntilShutdown() const;
   bool Ready() const;
   bool KnowsUpstreams() const;
-  void ChooseTableReaders();
-  void OnTableStopped();
+  void UpdateTableReading();
+  void OnTableReadingStopped();
   entry::ConfigurationView View() const;
 
   void MakeFollowers();
-  void MakeBeatWriter();
-  void TakePort();
-  void MakeLoadExchange();
-  void ShareLoads(uint64_t epoch);
-  void MakeBorrower();
+  void MakeHeartbeatWriter();
+  void BindLoadPort();
+  void MakePeerMessenger();
+  void StartLoadReports(uint64_t epoch);
+  void MakeTokenRequester();
   void OnTokenAsk(const v1::TokenAsk& ask);
-  void MakePlaceAsker();
+  void MakePlacementClient();
   void OnPlaceAsk(const v1::PlaceAsk& ask);
   core::Status MakeListeners();
   CallerConnection::Hooks CallerHooks(
       std::function<void(const CallerRef&, CallerRequest)> on_request);
   void ServeMetrics(const CallerRef& caller);
-  void Lifecycle(LogLine line);
+  void LogLifecycle(LogLine line);
 
   boost::asio::io_context& m_io;
   GatewaySettings m_settings;
   entry::Policy m_policy;
-  Dialect m_dialect;
+  PlatformAdapter m_adapter;
   KeyedStore m_store;
   routing::RandomHook m_random;
   EventLog m_log;
@@ -190,33 +190,33 @@
   std::unordered_map<std::string, std::string> m_upstream_documents;
   std::shared_ptr<TopicFollower> m_configuration;
   std::shared_ptr<TopicFollower> m_upstreams;
-  std::shared_ptr<TopicFollower> m_beats;
-  std::shared_ptr<BeatWriter> m_writer;
-  std::unique_ptr<LoadExchange> m_loads;
+  std::shared_ptr<TopicFollower> m_heartbeats;
+  std::shared_ptr<HeartbeatWriter> m_heartbeat_writer;
+  std::unique_ptr<PeerMessenger> m_peer_messenger;
   /// Since when no earlier process of this VM can live; none: can't be told.
-  std::optional<core::TimePoint> m_alone_since;
-  bool m_sharing = false;
+  std::optional<core::TimePoint> m_load_port_bound_since;
+  bool m_load_reports_started = false;
   std::string m_boot;  ///< empty when it can't be told
-  std::unique_ptr<Borrower> m_borrower;
-  std::unique_ptr<PlaceAsker> m_place_asker;
-  entry::GiftMemory m_gifts;
+  std::unique_ptr<TokenRequester> m_token_requester;
+  std::unique_ptr<PlacementClient> m_placement_client;
+  entry::GiftMemory m_transfer_replies;
   std::vector<std::shared_ptr<Listener>> m_listeners;
   std::shared_ptr<Listener> m_callers;
-  std::vector<std::function<void()>> m_waiting;
+  std::vector<std::function<void()>> m_grant_waiters;
   entry::Demand m_arrivals;  ///< requests, not tokens
   boost::asio::steady_timer m_tick;
 
-  v1::RouterBeat m_own_record;          ///< newest of an earlier start
-  std::optional<uint64_t> m_fenced_at;  ///< earlier starts write below it
+  v1::RouterBeat m_own_record;              ///< newest of an earlier start
+  std::optional<uint64_t> m_epoch_log_end;  ///< earlier starts write below it
   /// Longest time for which an evacuation can have been unknown here.
   core::Duration m_evacuation_known_within{};
-  uint64_t m_beats_read = 0;  ///< all records below it are known
+  uint64_t m_heartbeats_read_to = 0;  ///< all records below it are known
   bool m_upstreams_known = false;
-  bool m_first_beat_back = false;
+  bool m_first_heartbeat_read = false;
   bool m_was_ready = false;
   bool m_was_active = false;
-  uint32_t m_active_told = 0;
-  double m_hold_told = 1;
+  uint32_t m_active_logged = 0;
+  double m_hold_logged = 1;
   std::optional<core::TimePoint> m_leaving_since;
   std::optional<core::TimePoint> m_closing_since;
   bool m_last_claim_written = false;
--- a/include/coppervalve/gateway/gateway_metrics.h
+++ b/include/coppervalve/gateway/gateway_metrics.h
@@ -14,7 +14,7 @@
 namespace coppervalve::gateway {
 
 /// @brief Figures of the process that change by themselves.
-struct ProcessFigures {
+struct ProcessStats {
   core::ConfigVersion version;
   core::Duration configuration_age{};
   uint32_t routers = 0;
@@ -52,7 +52,7 @@
   void OnStoreCall(std::string_view topic, bool answered);
   void OnAccount(const core::AccountId& account,
                  const entry::AllotmentBook::Figures& figures);
-  void OnProcess(const ProcessFigures& figures);
+  void OnProcess(const ProcessStats& figures);
 
   /// @return all of it as text, in the format of Prometheus
   std::string Text() const;
--- a/include/coppervalve/gateway/beat_writer.h
+++ b/include/coppervalve/gateway/heartbeat_writer.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_GATEWAY_BEAT_WRITER_H_
-#define COPPERVALVE_GATEWAY_BEAT_WRITER_H_
+#ifndef COPPERVALVE_GATEWAY_HEARTBEAT_WRITER_H_
+#define COPPERVALVE_GATEWAY_HEARTBEAT_WRITER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -15,7 +15,7 @@
 namespace coppervalve::gateway {
 
 /// @brief Constants of the writer.
-struct BeatOptions {
+struct HeartbeatOptions {
   std::string topic;
   std::string router;  ///< key of the record and name of the writer
   core::Duration retry{150'000};
@@ -27,7 +27,7 @@
 /// it may still be done: a newer one that overtook it could be replaced by it
 /// in the log. The store recognises the repeat by its sequence. The epoch is
 /// announced before the first beat and shuts out writes of earlier starts.
-class BeatWriter : public std::enable_shared_from_this<BeatWriter> {
+class HeartbeatWriter : public std::enable_shared_from_this<HeartbeatWriter> {
  public:
   struct Hooks {
     /// Fills in what the router states now.
@@ -35,37 +35,37 @@
     /// Time between beats that nothing hurries.
     std::function<core::Duration()> period;
     /// Least time before a beat that is hurried.
-    std::function<core::Duration()> hurried_gap;
+    std::function<core::Duration()> expedited_delay;
     /// The epoch is announced: no earlier start can write past `end`.
-    std::function<void(uint64_t epoch, uint64_t end)> on_fenced;
+    std::function<void(uint64_t epoch, uint64_t end)> on_epoch_announced;
     std::function<void(const v1::RouterBeat& beat)> on_written;
     std::function<void(const core::Error&)> on_failure;
     /// A newer start of the same router exists: nothing is written any more.
-    std::function<void()> on_retired;
+    std::function<void()> on_superseded;
   };
 
-  BeatWriter(boost::asio::io_context& io,
-             BeatOptions options,
-             const KeyedStore& store,
-             routing::RandomHook random,
-             Hooks hooks);
+  HeartbeatWriter(boost::asio::io_context& io,
+                  HeartbeatOptions options,
+                  const KeyedStore& store,
+                  routing::RandomHook random,
+                  Hooks hooks);
 
   /// @param last_epoch of this router's newest record; 0 when it has none
   void Start(uint64_t last_epoch);
   /// @brief Everything before the first beat is known: beats may go out.
-  void BeginBeats();
+  void StartHeartbeats();
   /// @brief Writes a beat soon instead of at its turn.
-  void Hurry();
+  void Expedite();
   uint64_t epoch() const { return m_epoch; }
 
  private:
-  void Announce();
+  void AnnounceEpoch();
   void Compose();
   void Append();
   void OnAppended(const core::Result<WriteReceipt>& result);
-  void Schedule(core::Duration delay, void (BeatWriter::*step)());
+  void Schedule(core::Duration delay, void (HeartbeatWriter::*step)());
 
-  BeatOptions m_options;
+  HeartbeatOptions m_options;
   const KeyedStore& m_store;
   routing::RandomHook m_random;
   Hooks m_hooks;
@@ -73,12 +73,12 @@
   v1::RouterBeat m_beat;
   uint64_t m_epoch = 0;
   uint64_t m_sequence = 0;
-  bool m_begun = false;
+  bool m_heartbeats_started = false;
   bool m_in_flight = false;
-  bool m_hurried = false;
+  bool m_expedited = false;
   bool m_stopped = false;
 };
 
 }  // namespace coppervalve::gateway
 
-#endif  // COPPERVALVE_GATEWAY_BEAT_WRITER_H_
+#endif  // COPPERVALVE_GATEWAY_HEARTBEAT_WRITER_H_
--- a/include/coppervalve/gateway/load_exchange.h
+++ b/include/coppervalve/gateway/peer_messenger.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_GATEWAY_LOAD_EXCHANGE_H_
-#define COPPERVALVE_GATEWAY_LOAD_EXCHANGE_H_
+#ifndef COPPERVALVE_GATEWAY_PEER_MESSENGER_H_
+#define COPPERVALVE_GATEWAY_PEER_MESSENGER_H_
 
 #include <array>  // array
 #include <boost/asio/io_context.hpp>
@@ -19,7 +19,7 @@
 /// @brief Datagrams between routers: tells the others what is in progress here,
 /// and carries asks for tokens and their answers. Nothing depends on any of it
 /// arriving.
-class LoadExchange {
+class PeerMessenger {
  public:
   struct Hooks {
     /// Addresses of the others, "ip:port".
@@ -33,7 +33,7 @@
     std::function<void(const v1::PlaceAnswer&)> on_place_answer;
   };
 
-  LoadExchange(boost::asio::io_context& io, std::string router, Hooks hooks);
+  PeerMessenger(boost::asio::io_context& io, std::string router, Hooks hooks);
   /// @brief Takes the port, alone: as long as this object lives, no other
   /// process of the VM has it.
   /// @param address "ip:port" to take reports on
@@ -46,8 +46,8 @@
 
  private:
   void Receive();
-  void OnDatagram(size_t size);
-  void Tick();
+  void HandleDatagram(size_t size);
+  void SendReport();
   void SendTo(const std::string& address, const std::string& bytes);
 
   boost::asio::ip::udp::socket m_socket;
@@ -62,4 +62,4 @@
 
 }  // namespace coppervalve::gateway
 
-#endif  // COPPERVALVE_GATEWAY_LOAD_EXCHANGE_H_
+#endif  // COPPERVALVE_GATEWAY_PEER_MESSENGER_H_
--- a/include/coppervalve/gateway/place_asker.h
+++ b/include/coppervalve/gateway/placement_client.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_GATEWAY_PLACE_ASKER_H_
-#define COPPERVALVE_GATEWAY_PLACE_ASKER_H_
+#ifndef COPPERVALVE_GATEWAY_PLACEMENT_CLIENT_H_
+#define COPPERVALVE_GATEWAY_PLACEMENT_CLIENT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -21,7 +21,7 @@
 /// A router that stands by in a large fleet does not follow the table, and what
 /// it read before may name upstreams that left. An answer is as new as the
 /// table of the router that gives it.
-class PlaceAsker {
+class PlacementClient {
  public:
   struct Hooks {
     /// Addresses of routers that callers are led to, this one left out.
@@ -29,16 +29,17 @@
     std::function<void(const std::string& address, const v1::PlaceAsk&)> send;
   };
   /// @param placement without an upstream when nobody told of one
-  using OnTold = std::function<void(const entry::Placement& placement)>;
+  using PlacementCallback =
+      std::function<void(const entry::Placement& placement)>;
 
-  PlaceAsker(boost::asio::io_context& io,
-             std::string reply_address,
-             Hooks hooks,
-             routing::RandomHook random);
+  PlacementClient(boost::asio::io_context& io,
+                  std::string reply_address,
+                  Hooks hooks,
+                  routing::RandomHook random);
   void SetEpoch(uint64_t epoch) { m_epoch = epoch; }
 
-  /// @param on_told called once, never from within
-  void Ask(const entry::PlacementQuery& query, OnTold on_told);
+  /// @param on_placement called once, never from within
+  void Ask(const entry::PlacementQuery& query, PlacementCallback on_placement);
   void OnAnswer(const v1::PlaceAnswer& answer);
 
  private:
@@ -46,11 +47,11 @@
     v1::PlaceAsk ask;
     std::vector<std::string> peers;
     size_t tries = 0;
-    OnTold on_told;
+    PlacementCallback on_placement;
     std::shared_ptr<boost::asio::steady_timer> timer;
   };
-  void Next(uint64_t id);
-  void End(uint64_t id, const entry::Placement& placement);
+  void SendToNextPeer(uint64_t id);
+  void Finish(uint64_t id, const entry::Placement& placement);
 
   boost::asio::io_context& m_io;
   std::string m_reply_address;
@@ -62,12 +63,12 @@
 };
 
 /// @brief What is asked, put into a message and taken out of it.
-v1::PlaceAsk AskFor(const entry::PlacementQuery& query);
-entry::PlacementQuery QueryOf(const v1::PlaceAsk& ask);
+v1::PlaceAsk ToPlaceAsk(const entry::PlacementQuery& query);
+entry::PlacementQuery ToPlacementQuery(const v1::PlaceAsk& ask);
 /// @brief What is answered.
-v1::PlaceAnswer AnswerTo(const v1::PlaceAsk& ask,
-                         const entry::Placement& placement);
+v1::PlaceAnswer ToPlaceAnswer(const v1::PlaceAsk& ask,
+                              const entry::Placement& placement);
 
 }  // namespace coppervalve::gateway
 
-#endif  // COPPERVALVE_GATEWAY_PLACE_ASKER_H_
+#endif  // COPPERVALVE_GATEWAY_PLACEMENT_CLIENT_H_
--- a/include/coppervalve/gateway/dialect.h
+++ b/include/coppervalve/gateway/platform_adapter.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_GATEWAY_DIALECT_H_
-#define COPPERVALVE_GATEWAY_DIALECT_H_
+#ifndef COPPERVALVE_GATEWAY_PLATFORM_ADAPTER_H_
+#define COPPERVALVE_GATEWAY_PLATFORM_ADAPTER_H_
 
 #include <cstdint>     // uint8_t
 #include <functional>  // function
@@ -20,8 +20,8 @@
 namespace coppervalve::gateway {
 
 /// @brief What an upstream is told beside the caller's own request.
-struct SendFacts {
-  core::Duration left{};  ///< until the final answer is due
+struct UpstreamRequestContext {
+  core::Duration time_left{};  ///< until the final answer is due
   core::UpstreamId upstream;
   core::AccountId account;  ///< empty on a public route
   bool has_accounts = false;
@@ -30,31 +30,32 @@
 };
 
 /// @brief What an upstream's answer says about itself.
-struct AnswerFacts {
+struct UpstreamResponseInfo {
   std::string request_id;  ///< echoed; empty when it wasn't
   bool not_run = false;
-  bool other_upstream = false;  ///< the address belongs to another one now
-  bool genuine = true;          ///< may be passed on as a success
-  bool leaving = false;         ///< the upstream takes no new work
+  bool misdirected = false;  ///< the address belongs to another one now
+  bool genuine = true;       ///< may be passed on as a success
+  bool leaving = false;      ///< the upstream takes no new work
   /// The upstream, too busy for this request, wants no other for so long.
-  std::optional<core::Duration> wait;
+  std::optional<core::Duration> retry_after;
   /// Requests a second that the upstream takes from all routers together.
   std::optional<double> limit;
   /// It named a limit that can't be read.
-  bool limit_unreadable = false;
-  /// Headers that the dialect does not know.
+  bool limit_malformed = false;
+  /// Headers that the adapter does not know.
   std::vector<std::string> unknown;
 };
 
 /// @brief How requests, answers and documents are put where the router runs.
 /// All of it translates; none of it decides or remembers.
-struct Dialect {
+struct PlatformAdapter {
   std::function<core::Result<entry::RequestFacts>(const http1::RequestHead&)>
       read_request;
   /// All headers of the request to an upstream but the framing.
-  std::function<http1::HeaderList(const http1::RequestHead&, const SendFacts&)>
+  std::function<http1::HeaderList(const http1::RequestHead&,
+                                  const UpstreamRequestContext&)>
       upstream_headers;
-  std::function<AnswerFacts(const http1::ResponseHead&)> read_answer;
+  std::function<UpstreamResponseInfo(const http1::ResponseHead&)> read_answer;
   /// A refusal or failure of the router's own.
   std::function<LocalAnswer(const core::Error&, std::optional<core::Duration>)>
       refusal;
@@ -72,9 +73,9 @@
   /// Whether the later document of an upstream says no more than the earlier
   /// one but that it still lives; none: not to be told without reading both.
   std::function<bool(const std::string& earlier, const std::string& later)>
-      same_upstream;
+      upstream_unchanged;
 };
 
 }  // namespace coppervalve::gateway
 
-#endif  // COPPERVALVE_GATEWAY_DIALECT_H_
+#endif  // COPPERVALVE_GATEWAY_PLATFORM_ADAPTER_H_
--- a/include/coppervalve/gateway/borrower.h
+++ b/include/coppervalve/gateway/token_requester.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_GATEWAY_BORROWER_H_
-#define COPPERVALVE_GATEWAY_BORROWER_H_
+#ifndef COPPERVALVE_GATEWAY_TOKEN_REQUESTER_H_
+#define COPPERVALVE_GATEWAY_TOKEN_REQUESTER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -20,47 +20,48 @@
 /// @brief Asks other routers for tokens that this one can't claim: the store
 /// is away, or what is left lies in the others' ceilings.
 ///
-/// One ask an account is out at a time; requests that come meanwhile wait for
-/// its answer. Where nobody answers, no request is held for the next while.
-class Borrower {
+/// One pending an account is out at a time; requests that come meanwhile wait
+/// for its answer. Where nobody answers, no request is held for the next_donor
+/// while.
+class TokenRequester {
  public:
   struct Hooks {
     /// Addresses of routers that may spare so many, the richest first.
     std::function<std::vector<std::string>(const core::AccountId&,
                                            core::Tokens)>
-        lenders;
+        donors;
     std::function<core::Tokens(const core::AccountId&, core::Tokens)> wanted;
     std::function<void(const std::string& address, const v1::TokenAsk&)> send;
     std::function<void(const core::AccountId&, core::Tokens)> on_tokens;
   };
 
-  Borrower(boost::asio::io_context& io,
-           std::string router,
-           std::string reply_address,
-           Hooks hooks);
+  TokenRequester(boost::asio::io_context& io,
+                 std::string router,
+                 std::string reply_address,
+                 Hooks hooks);
   void SetEpoch(uint64_t epoch) { m_epoch = epoch; }
 
   /// @param on_done tokens came, or none will; never called from within
-  /// @return false when there is nobody to ask
-  bool Borrow(const core::AccountId& account,
-              core::Tokens tokens,
-              std::function<void()> on_done);
+  /// @return false when there is nobody to pending
+  bool RequestTokens(const core::AccountId& account,
+                     core::Tokens tokens,
+                     std::function<void()> on_done);
   void OnGift(const v1::TokenGift& gift);
 
  private:
-  struct Ask {
-    core::Tokens least{};
-    std::vector<std::string> lenders;
-    size_t next = 0;       ///< lender to ask
-    uint64_t message = 0;  ///< id of the one that is out
-    std::vector<std::function<void()>> waiting;
+  struct PendingRequest {
+    core::Tokens min_tokens{};
+    std::vector<std::string> donors;
+    size_t next_donor = 0;    ///< lender to pending
+    uint64_t message_id = 0;  ///< id of the one that is out
+    std::vector<std::function<void()>> callbacks;
     std::shared_ptr<boost::asio::steady_timer> timer;
   };
-  bool Silent(core::TimePoint now) const;
-  void AskNext(const core::AccountId& account);
-  void AskNextOrEnd(const core::AccountId& account);
-  void OnNoAnswer(const core::AccountId& account, uint64_t message);
-  void End(const core::AccountId& account);
+  bool RecentlyUnanswered(core::TimePoint now) const;
+  void SendToNextDonor(const core::AccountId& account);
+  void SendToNextDonorOrFinish(const core::AccountId& account);
+  void OnTimeout(const core::AccountId& account, uint64_t message_id);
+  void Finish(const core::AccountId& account);
 
   boost::asio::io_context& m_io;
   std::string m_router;
@@ -68,12 +69,12 @@
   Hooks m_hooks;
   uint64_t m_epoch = 0;
   uint64_t m_last_message = 0;
-  std::unordered_map<core::AccountId, Ask> m_asks;
+  std::unordered_map<core::AccountId, PendingRequest> m_pending;
   /// Messages that no gift came for yet; each takes one, also a late one.
-  std::unordered_map<uint64_t, core::AccountId> m_sent;
-  std::optional<core::TimePoint> m_unanswered_at;
+  std::unordered_map<uint64_t, core::AccountId> m_unanswered;
+  std::optional<core::TimePoint> m_last_no_reply;
 };
 
 }  // namespace coppervalve::gateway
 
-#endif  // COPPERVALVE_GATEWAY_BORROWER_H_
+#endif  // COPPERVALVE_GATEWAY_TOKEN_REQUESTER_H_
--- a/include/coppervalve/gateway/topic_follower.h
+++ b/include/coppervalve/gateway/topic_follower.h
@@ -47,24 +47,24 @@
                 const KeyedStore& store,
                 routing::RandomHook random,
                 Hooks hooks);
-  void Start() { Take(m_plan.OnGap()); }
+  void Start() { ScheduleStep(m_plan.OnGap()); }
   /// @brief Reads again from the newest, if reading stopped and the topic is of
   /// use now.
-  void Wake();
+  void Resume();
   /// @brief Cuts the pause after a read short: something that matters was
   /// just written.
-  void Hurry();
+  void Expedite();
 
  private:
   void ReadNewest();
   void ReadPage();
   void OnPage(const core::Result<NewestPage>& result);
-  void ReadOn();
+  void ReadBatch();
   void OnBatch(const core::Result<RecordBatch>& result);
-  void HandOn(const std::vector<KeyedRecord>& records);
-  void Fail(const core::Error& error);
-  void Take(const entry::ReadStep& step);
-  void After(core::Duration delay, void (TopicFollower::*step)());
+  void Deliver(const std::vector<KeyedRecord>& records);
+  void HandleFailure(const core::Error& error);
+  void ScheduleStep(const entry::ReadStep& step);
+  void RunAfter(core::Duration delay, void (TopicFollower::*step)());
 
   FollowerOptions m_options;
   const KeyedStore& m_store;
@@ -75,8 +75,8 @@
   std::vector<KeyedRecord> m_newest;  ///< of the pages read so far
   uint64_t m_end = 0;                 ///< of the log, at the first of them
   std::string m_after;
-  core::TimePoint m_began;
-  bool m_pausing = false;
+  core::TimePoint m_call_started;
+  bool m_pausing_between_reads = false;
   bool m_stopped = false;
 };
 
--- a/include/coppervalve/http1/header_list.h
+++ b/include/coppervalve/http1/header_list.h
@@ -15,7 +15,7 @@
 };
 
 /// @return whether two header names or tokens are equal but for case
-bool SameToken(std::string_view a, std::string_view b);
+bool EqualsIgnoreCase(std::string_view a, std::string_view b);
 
 /// @brief Headers in the order they came; names compare without case.
 class HeaderList {
--- a/include/coppervalve/http1/response_reader.h
+++ b/include/coppervalve/http1/response_reader.h
@@ -38,7 +38,7 @@
   core::Result<size_t> Feed(std::string_view bytes);
   /// @brief The connection ended in order.
   /// @return whether that is a proper end of this response
-  bool FinishAtEnd();
+  bool FinishAtEof();
 
   bool head_done() const;
   bool done() const;
@@ -48,7 +48,7 @@
 
  private:
   class Parser;
-  void Renew();
+  void ResetParser();
 
   bool m_without_body;
   std::unique_ptr<Parser> m_parser;
--- a/include/coppervalve/http1/retry_after.h
+++ b/include/coppervalve/http1/retry_after.h
@@ -12,7 +12,7 @@
 /// stands more than once.
 /// @return none for what is no number above 0, dates among it; at most the
 /// longest wait that is believed
-std::optional<core::Duration> RetryAfterOf(const HeaderList& headers);
+std::optional<core::Duration> ParseRetryAfter(const HeaderList& headers);
 
 }  // namespace coppervalve::http1
 
--- a/include/coppervalve/http1/event_cutter.h
+++ b/include/coppervalve/http1/sse_splitter.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_HTTP1_EVENT_CUTTER_H_
-#define COPPERVALVE_HTTP1_EVENT_CUTTER_H_
+#ifndef COPPERVALVE_HTTP1_SSE_SPLITTER_H_
+#define COPPERVALVE_HTTP1_SSE_SPLITTER_H_
 
 #include <cstddef>      // size_t
 #include <cstdint>      // uint64_t
@@ -12,7 +12,7 @@
 ///
 /// What is passed on ends with a whole event, so that a stream that breaks
 /// can be continued from another upstream without a torn or doubled event.
-class EventCutter {
+class SseSplitter {
  public:
   /// @return the bytes of all events that are whole by now
   /// @complexity linear in the bytes
@@ -21,18 +21,18 @@
   uint64_t events() const { return m_events; }
   /// @return id of the last whole event; empty when none had one
   const std::string& last_id() const { return m_last_id; }
-  size_t held_bytes() const { return m_tail.size(); }
+  size_t buffered_bytes() const { return m_partial.size(); }
   /// @return the bytes of the unfinished event, which are then forgotten
-  std::string TakeTail();
+  std::string TakePartialEvent();
 
  private:
-  void Count(std::string_view events);
+  void CountEvents(std::string_view events);
 
-  std::string m_tail;
+  std::string m_partial;
   std::string m_last_id;
   uint64_t m_events = 0;
 };
 
 }  // namespace coppervalve::http1
 
-#endif  // COPPERVALVE_HTTP1_EVENT_CUTTER_H_
+#endif  // COPPERVALVE_HTTP1_SSE_SPLITTER_H_
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -26,7 +26,7 @@
   if (under.empty()) {
     return;
   }
-  m_log.Write(LineKind::kLifecycle,
+  m_log.Write(LogCategory::kLifecycle,
               LogLine("upstream_ended")
                   .Text("upstream", entry.id.value())
                   .Text("address", entry.address)
@@ -56,7 +56,7 @@
 void CrashWatch::TellQuarantined(const entry::RequestPrint& request,
                                  std::string_view by) {
   m_log.Write(
-      LineKind::kLifecycle,
+      LogCategory::kLifecycle,
       LogLine("request_quarantined")
           .Text("content", request.Short())
           .Text("by", by)
--- a/src/gateway/event_log.cc
+++ b/src/gateway/event_log.cc
@@ -15,16 +15,16 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kFlushEvery{250};
+constexpr std::chrono::milliseconds kFlushInterval{250};
 // A pipe that polls as writable takes this much without blocking.
-constexpr size_t kAtOnce = 4'096;
+constexpr size_t kMaxWriteBytes = 4'096;
 
 int64_t WallMillis() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-bool TakesBytes(int descriptor) {
+bool IsWritable(int descriptor) {
   pollfd ready{descriptor, POLLOUT, 0};
   return poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0;
 }
@@ -82,74 +82,76 @@
 EventLog::EventLog(boost::asio::io_context& io, int descriptor, Bounds bounds)
     : m_timer(io), m_descriptor(descriptor), m_bounds(bounds) {}
 
-bool EventLog::Admit(LineKind kind, size_t size) {
-  const auto index = static_cast<size_t>(kind);
+bool EventLog::Admit(LogCategory category, size_t size) {
+  const auto index = static_cast<size_t>(category);
   const auto now = net::BootNow().time_since_epoch();
   const int64_t second =
       std::chrono::duration_cast<std::chrono::seconds>(now).count();
   if (second != m_second) {
     m_second = second;
-    m_this_second = {};
+    m_lines_this_second = {};
   }
-  if (m_held.size() + size > m_bounds.held_bytes[index] ||
-      m_this_second[index] >= m_bounds.lines_per_second[index]) {
-    ++m_left_out;
+  if (m_buffer.size() + size > m_bounds.buffered_bytes[index] ||
+      m_lines_this_second[index] >= m_bounds.lines_per_second[index]) {
+    ++m_dropped;
     return false;
   }
-  ++m_this_second[index];
+  ++m_lines_this_second[index];
   return true;
 }
 
-void EventLog::Write(LineKind kind, LogLine line) {
+void EventLog::Write(LogCategory category, LogLine line) {
   const std::string text = line.Finish();
-  if (!Admit(kind, text.size())) {
+  if (!Admit(category, text.size())) {
     return;
   }
-  m_held += text;
-  ArmTimer();
+  m_buffer += text;
+  ScheduleFlush();
 }
 
-void EventLog::ArmTimer() {
-  if (m_armed) {
+void EventLog::ScheduleFlush() {
+  if (m_flush_scheduled) {
     return;
   }
-  m_armed = true;
-  m_timer.expires_after(kFlushEvery);
+  m_flush_scheduled = true;
+  m_timer.expires_after(kFlushInterval);
   m_timer.async_wait([this](const boost::system::error_code& code) {
     if (code) {
       return;
     }
-    m_armed = false;
+    m_flush_scheduled = false;
     Flush();
-    if (!m_held.empty()) {
-      ArmTimer();
+    if (!m_buffer.empty()) {
+      ScheduleFlush();
     }
   });
 }
 
-void EventLog::StateLeftOut() {
-  if (m_left_out == m_stated) {
+void EventLog::AppendDroppedNotice() {
+  if (m_dropped == m_dropped_reported) {
     return;
   }
-  m_held += LogLine("log_lines_left_out")
-                .Number("count", static_cast<int64_t>(m_left_out - m_stated))
-                .Finish();
-  m_stated = m_left_out;
+  m_buffer +=
+      LogLine("log_lines_left_out")
+          .Number("count", static_cast<int64_t>(m_dropped - m_dropped_reported))
+          .Finish();
+  m_dropped_reported = m_dropped;
 }
 
 void EventLog::Flush() {
   size_t written = 0;
-  while (written < m_held.size() && TakesBytes(m_descriptor)) {
-    const ssize_t count = write(m_descriptor, m_held.data() + written,
-                                std::min(kAtOnce, m_held.size() - written));
+  while (written < m_buffer.size() && IsWritable(m_descriptor)) {
+    const ssize_t count =
+        write(m_descriptor, m_buffer.data() + written,
+              std::min(kMaxWriteBytes, m_buffer.size() - written));
     if (count <= 0) {
       break;
     }
     written += static_cast<size_t>(count);
   }
-  m_held.erase(0, written);
-  if (m_held.empty()) {
-    StateLeftOut();
+  m_buffer.erase(0, written);
+  if (m_buffer.empty()) {
+    AppendDroppedNotice();
   }
 }
 
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -68,7 +68,7 @@
 
 void Exchange::Admit() {
   const core::Result<entry::RequestFacts> facts =
-      m_context.dialect.read_request(m_request.head);
+      m_context.adapter.read_request(m_request.head);
   if (!core::IsOk(facts)) {
     Refuse(core::Failure(facts), std::nullopt);
     return;
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -58,11 +58,11 @@
 
 }  // namespace
 
-std::string Exchange::RequestText(const SendFacts& facts) const {
+std::string Exchange::RequestText(const UpstreamRequestContext& facts) const {
   const http1::RequestHead& head = m_request.head;
   std::string text = head.method + " " + head.target + " HTTP/1.1\r\n";
   for (const http1::Header& header :
-       m_context.dialect.upstream_headers(head, facts)) {
+       m_context.adapter.upstream_headers(head, facts)) {
     text += header.name + ": " + header.value + "\r\n";
   }
   const bool framed = head.headers.Find("content-length") != nullptr ||
@@ -78,8 +78,8 @@
 void Exchange::Send(const entry::Placement& placement) {
   const core::TimePoint now = net::BootNow();
   const entry::UpstreamRef& upstream = placement.upstream;
-  SendFacts facts;
-  facts.left = m_limit_at - now;
+  UpstreamRequestContext facts;
+  facts.time_left = m_limit_at - now;
   facts.upstream = upstream->entry.id;
   facts.has_accounts = m_admitted.in_force->has_accounts();
   if (m_admitted.account != nullptr) {
@@ -87,7 +87,7 @@
   }
   facts.priority = m_admitted.priority;
   facts.resume_after =
-      AfterAnEvent() ? m_cutter.last_id() : m_facts.resume_after;
+      AfterAnEvent() ? m_sse_splitter.last_id() : m_facts.resume_after;
   m_tried.push_back(upstream->entry.id);
 
   Attempt attempt;
@@ -143,7 +143,7 @@
 
 void Exchange::OnHead(const http1::ResponseHead& head) {
   Attempt& attempt = *m_attempt;
-  attempt.answer = m_context.dialect.read_answer(head);
+  attempt.answer = m_context.adapter.read_answer(head);
   m_watch_from = net::BootNow();
   HeedUpstream();
   EndReading();
@@ -179,7 +179,7 @@
     return;
   }
   if (attempt.passing_on) {
-    const std::string whole = m_cutter.Feed(body);
+    const std::string whole = m_sse_splitter.Feed(body);
     if (!whole.empty()) {
       PassOn(whole);
     }
@@ -292,11 +292,11 @@
 // An upstream's own word is the only proof that a request it was sent did not
 // run.
 void Exchange::OnDeclined() {
-  if (m_attempt->answer.other_upstream) {
+  if (m_attempt->answer.misdirected) {
     m_context.crashes.OnEnded(m_attempt->upstream->entry, "address_taken");
   }
-  LeaveUpstream(m_attempt->answer.other_upstream ? AttemptOutcome::kMisaddressed
-                                                 : AttemptOutcome::kDeclined);
+  LeaveUpstream(m_attempt->answer.misdirected ? AttemptOutcome::kMisaddressed
+                                              : AttemptOutcome::kDeclined);
   m_attempt.reset();
   ForgetAnswer();
   if (TakeRepeat()) {
@@ -332,7 +332,7 @@
   const int status = m_head->status;
   if (streamed) {
     // Bytes behind the last event: the upstream ended its stream with them.
-    PassOn(m_cutter.TakeTail());
+    PassOn(m_sse_splitter.TakePartialEvent());
     m_caller->EndAnswer();
   } else {
     m_first_byte = net::BootNow() - m_request.arrived;
@@ -362,7 +362,7 @@
 
 // What was not passed on of a broken answer is never joined with another.
 void Exchange::ForgetAnswer() {
-  m_cutter.TakeTail();
+  m_sse_splitter.TakePartialEvent();
   if (!m_answer_begun) {
     m_head.reset();
     m_body.clear();
--- a/src/gateway/exchange_end.cc
+++ b/src/gateway/exchange_end.cc
@@ -23,7 +23,7 @@
                       std::optional<core::Duration> retry_after) {
   const core::ErrorInfo& info = core::Describe(error.id);
   m_last_failure = error.subject + ": " + error.detail;
-  m_caller->Answer(m_context.dialect.refusal(error, retry_after));
+  m_caller->Answer(m_context.adapter.refusal(error, retry_after));
   Finish(info.name, info.http_status);
 }
 
@@ -37,7 +37,7 @@
     Finish("answer_cut", 0);
     return;
   }
-  m_caller->Answer(m_context.dialect.refusal(error, std::nullopt));
+  m_caller->Answer(m_context.adapter.refusal(error, std::nullopt));
   Finish(info.name, info.http_status);
 }
 
@@ -68,7 +68,7 @@
                                    ? service->engine->tokens_per_event
                                    : 1;
     const core::Tokens output(
-        static_cast<int64_t>(m_cutter.events() * per_event));
+        static_cast<int64_t>(m_sse_splitter.events() * per_event));
     used = std::min(m_reserved,
                     m_facts.prompt + std::min(output, m_facts.most_output));
   }
@@ -131,12 +131,12 @@
   if (!m_last_failure.empty()) {
     line.Text("why", m_last_failure);
   }
-  line.Number("events", static_cast<int64_t>(m_cutter.events()))
+  line.Number("events", static_cast<int64_t>(m_sse_splitter.events()))
       .Millis("first_ms", m_first_byte)
       .Millis("whole_ms", net::BootNow() - m_request.arrived)
       .Number("store_up", m_context.contact.up() ? 1 : 0);
   m_context.log.Write(
-      cause == "served" ? LineKind::kRoutine : LineKind::kTrouble, line);
+      cause == "served" ? LogCategory::kRoutine : LogCategory::kFailure, line);
 }
 
 std::optional<core::TimePoint> Exchange::WatchTime() const {
--- a/src/gateway/exchange_heed.cc
+++ b/src/gateway/exchange_heed.cc
@@ -9,9 +9,9 @@
 // The record in the store tells the same later, and not at all while the store
 // is away; the upstream itself knows first.
 void Exchange::HeedUpstream() {
-  const AnswerFacts& answer = m_attempt->answer;
+  const UpstreamResponseInfo& answer = m_attempt->answer;
   const entry::UpstreamRef speaker =
-      answer.other_upstream
+      answer.misdirected
           ? m_context.directory.OtherAtAddress(*m_attempt->upstream)
           : m_attempt->upstream;
   if (!speaker) {
@@ -19,33 +19,33 @@
   }
   HeedLimit(speaker);
   TellUnknownWords(speaker->entry.id);
-  if (!answer.leaving && !answer.wait) {
+  if (!answer.leaving && !answer.retry_after) {
     return;
   }
   const bool known_to_leave = speaker->entry.leaving;
   if (answer.leaving && m_context.directory.OnLeavingWord(speaker)) {
     m_context.pool.Forget(speaker->entry.id);
   }
-  if (answer.wait) {
+  if (answer.retry_after) {
     speaker->hold_until =
-        std::max(speaker->hold_until, net::BootNow() + *answer.wait);
+        std::max(speaker->hold_until, net::BootNow() + *answer.retry_after);
   }
-  if (known_to_leave && !answer.wait) {
+  if (known_to_leave && !answer.retry_after) {
     return;  // told already
   }
-  m_context.log.Write(
-      LineKind::kLifecycle,
-      LogLine("upstream_says")
-          .Text("upstream", speaker->entry.id.value())
-          .Flag("leaving", answer.leaving)
-          .Flag("known_to_leave", known_to_leave)
-          .Millis("wait_ms", answer.wait.value_or(core::Duration::zero())));
+  m_context.log.Write(LogCategory::kLifecycle,
+                      LogLine("upstream_says")
+                          .Text("upstream", speaker->entry.id.value())
+                          .Flag("leaving", answer.leaving)
+                          .Flag("known_to_leave", known_to_leave)
+                          .Millis("wait_ms", answer.retry_after.value_or(
+                                                 core::Duration::zero())));
 }
 
 void Exchange::TellUnknownWords(const core::UpstreamId& upstream) {
   for (const std::string& name : m_attempt->answer.unknown) {
     if (m_context.unknown_words.IsNew(name)) {
-      m_context.log.Write(LineKind::kLifecycle,
+      m_context.log.Write(LogCategory::kLifecycle,
                           LogLine("upstream_word_unknown")
                               .Text("upstream", upstream.value())
                               .Text("name", name));
@@ -56,12 +56,12 @@
 // Only the upstream's own answer to this very request shows that it names no
 // limit any more.
 void Exchange::HeedLimit(const entry::UpstreamRef& speaker) {
-  const AnswerFacts& answer = m_attempt->answer;
+  const UpstreamResponseInfo& answer = m_attempt->answer;
   const bool own_answer = answer.request_id == m_facts.id &&
-                          !answer.other_upstream &&
+                          !answer.misdirected &&
                           (answer.genuine || answer.not_run);
   bool news = false;
-  if (answer.limit_unreadable) {
+  if (answer.limit_malformed) {
     news = speaker->limit.OnUnreadable();
   } else if (answer.limit || own_answer) {
     news = m_context.directory.OnLimitWord(speaker, answer.limit,
@@ -70,12 +70,12 @@
   if (!news) {
     return;
   }
-  m_context.log.Write(LineKind::kLifecycle,
+  m_context.log.Write(LogCategory::kLifecycle,
                       LogLine("upstream_limit")
                           .Text("upstream", speaker->entry.id.value())
                           .Flag("limited", answer.limit.has_value())
                           .Decimal("per_s", answer.limit.value_or(0))
-                          .Flag("unreadable", answer.limit_unreadable));
+                          .Flag("unreadable", answer.limit_malformed));
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -14,26 +14,26 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kTick{200};
+constexpr std::chrono::milliseconds kTickInterval{200};
 // A configuration counts as the newest while its topic answered this recently.
-constexpr core::Duration kFreshFor{1'900'000};
-constexpr core::Duration kLoadLifetime{800'000};
-constexpr core::Duration kPeerSilence{1'200'000};
-constexpr core::Duration kPeerMemory{5'000'000};
-constexpr core::Duration kRouterSilence{3'500'000};
+constexpr core::Duration kConfigurationFreshness{1'900'000};
+constexpr core::Duration kLoadReportLifetime{800'000};
+constexpr core::Duration kPeerTimeout{1'200'000};
+constexpr core::Duration kPeerRetention{5'000'000};
+constexpr core::Duration kRouterTimeout{3'500'000};
 // How long callers may still come after the address list stopped naming us.
-constexpr core::Duration kLeaveIdleAfter{3'000'000};
-constexpr core::Duration kEndAheadOfGrace{900'000};
-constexpr core::Duration kEarlyArrival{2'500'000};
-constexpr core::Duration kClosingTime{400'000};
-constexpr core::Duration kQuietBeforeEnd{1'500'000};
+constexpr core::Duration kMinDrainTime{3'000'000};
+constexpr core::Duration kGraceMargin{900'000};
+constexpr core::Duration kDrainAcceptAllTime{2'500'000};
+constexpr core::Duration kClosingTimeout{400'000};
+constexpr core::Duration kDrainQuietTime{1'500'000};
 
 routing::RandomHook SeededRandom() {
-  constexpr unsigned kBitsOfSeed = 32;
+  constexpr unsigned kSeedWordBits = 32;
   std::random_device device;
   const uint64_t high = device();
   const uint64_t low = device();
-  const auto generator = std::make_shared<pcg64>((high << kBitsOfSeed) | low);
+  const auto generator = std::make_shared<pcg64>((high << kSeedWordBits) | low);
   return [generator] { return (*generator)(); };
 }
 
@@ -41,13 +41,13 @@
 
 Gateway::Gateway(boost::asio::io_context& io,
                  GatewaySettings settings,
-                 Dialect dialect,
+                 PlatformAdapter adapter,
                  KeyedStore store,
                  entry::Policy policy)
     : m_io(io),
       m_settings(std::move(settings)),
       m_policy(policy),
-      m_dialect(std::move(dialect)),
+      m_adapter(std::move(adapter)),
       m_store(std::move(store)),
       m_random(SeededRandom()),
       m_log(io, STDOUT_FILENO, {}),
@@ -55,12 +55,12 @@
                   [this](const entry::UpstreamEntry& entry) {
                     m_crashes.OnEnded(entry, "entry");
                   }),
-      m_peer_loads(kLoadLifetime),
-      m_peers(kPeerSilence, kPeerMemory),
+      m_peer_loads(kLoadReportLifetime),
+      m_peers(kPeerTimeout, kPeerRetention),
       m_retries(m_settings.retries),
       m_book(policy.book),
       m_members(m_settings.router,
-                kRouterSilence,
+                kRouterTimeout,
                 m_peers,
                 static_cast<size_t>(policy.least_active)),
       m_senders(m_members, policy.warm_up),
@@ -71,11 +71,11 @@
                m_gate,
                m_random),
       m_pool(io),
-      m_crashes(io, m_log, {[this] { m_writer->Hurry(); }}),
+      m_crashes(io, m_log, {[this] { m_heartbeat_writer->Expedite(); }}),
       m_tick(io) {
   m_context.emplace(ExchangeContext{
       m_io,
-      m_dialect,
+      m_adapter,
       m_directory,
       m_policy,
       m_gate,
@@ -94,59 +94,60 @@
       m_random,
       [this] { return View(); },
       [this](std::function<void()> on_grant) {
-        m_waiting.push_back(std::move(on_grant));
-        m_writer->Hurry();
+        m_grant_waiters.push_back(std::move(on_grant));
+        m_heartbeat_writer->Expedite();
       },
       [this](const core::AccountId& account, core::Tokens tokens,
              std::function<void()> on_done) {
-        return m_policy.gifts &&
-               m_borrower->Borrow(account, tokens, std::move(on_done));
+        return m_policy.gifts && m_token_requester->RequestTokens(
+                                     account, tokens, std::move(on_done));
       },
-      [this] { return TimeToStop(); },
+      [this] { return TimeUntilShutdown(); },
       [this] { return m_upstreams_known; },
       [this](const entry::PlacementQuery& query,
-             std::function<void(const entry::Placement&)> on_told) {
-        m_place_asker->Ask(query, std::move(on_told));
+             std::function<void(const entry::Placement&)> on_placement) {
+        m_placement_client->Ask(query, std::move(on_placement));
       }});
-  MakeBorrower();
-  MakePlaceAsker();
+  MakeTokenRequester();
+  MakePlacementClient();
 }
 
 Gateway::~Gateway() = default;
 
 core::Status Gateway::Start() {
-  Lifecycle(LogLine("started")
-                .Text("router", m_settings.router.value())
-                .Text("failure_domain", m_settings.failure_domain.value())
-                .Text("callers", m_settings.caller_address));
+  LogLifecycle(LogLine("started")
+                   .Text("router", m_settings.router.value())
+                   .Text("failure_domain", m_settings.failure_domain.value())
+                   .Text("callers", m_settings.caller_address));
   core::Status listening = MakeListeners();
   if (!core::IsOk(listening)) {
     return listening;
   }
   m_boot = net::BootId();
-  TakePort();
-  MakeBeatWriter();
+  BindLoadPort();
+  MakeHeartbeatWriter();
   MakeFollowers();
   m_configuration->Start();
-  ChooseTableReaders();
+  UpdateTableReading();
   m_upstreams->Start();
-  m_beats->Start();
+  m_heartbeats->Start();
   Tick();
   return core::Ok();
 }
 
-void Gateway::Lifecycle(LogLine line) {
-  m_log.Write(LineKind::kLifecycle, std::move(line));
+void Gateway::LogLifecycle(LogLine line) {
+  m_log.Write(LogCategory::kLifecycle, std::move(line));
 }
 
 entry::ConfigurationView Gateway::View() const {
   const core::Duration age = m_config_contact.SilentFor(net::BootNow());
-  const bool expires = m_settings.keys_expire > core::Duration::zero();
-  return {m_in_force, age < kFreshFor, expires && age > m_settings.keys_expire};
+  const bool expires = m_settings.key_expiry > core::Duration::zero();
+  return {m_in_force, age < kConfigurationFreshness,
+          expires && age > m_settings.key_expiry};
 }
 
 bool Gateway::Ready() const {
-  return m_in_force && KnowsUpstreams() && m_first_beat_back &&
+  return m_in_force && KnowsUpstreams() && m_first_heartbeat_read &&
          !m_leaving_since;
 }
 
@@ -155,23 +156,23 @@
   for (const core::UpstreamId& id :
        m_directory.DropLapsed(m_upstream_contact, now)) {
     m_pool.Forget(id);
-    Lifecycle(LogLine("upstream_gone").Text("upstream", id.value()));
+    LogLifecycle(LogLine("upstream_gone").Text("upstream", id.value()));
   }
   m_members.Advance(m_beat_contact, now);
   m_senders.Advance(now);
-  ChooseTableReaders();
-  TellActive();
+  UpdateTableReading();
+  LogActiveRouters();
   m_peer_loads.Advance(now);
   m_crashes.record().Advance(now);
   m_pool.CloseOld(now);
   if (Ready() != m_was_ready) {
     m_was_ready = Ready();
-    Lifecycle(LogLine("readiness").Flag("ready", m_was_ready));
+    LogLifecycle(LogLine("readiness").Flag("ready", m_was_ready));
   }
   if (m_leaving_since) {
-    TryToEnd();
+    TryFinishDrain();
   }
-  m_tick.expires_after(kTick);
+  m_tick.expires_after(kTickInterval);
   m_tick.async_wait([this](const boost::system::error_code& code) {
     if (!code) {
       Tick();
@@ -179,21 +180,21 @@
   });
 }
 
-void Gateway::TellActive() {
+void Gateway::LogActiveRouters() {
   const uint32_t active = m_members.Active();
-  if (active == m_active_told && m_members.SelfActive() == m_was_active) {
+  if (active == m_active_logged && m_members.SelfActive() == m_was_active) {
     return;
   }
   if (m_members.SelfActive() != m_was_active) {
     // Its claims follow what it is now.
-    m_writer->Hurry();
+    m_heartbeat_writer->Expedite();
   }
-  m_active_told = active;
+  m_active_logged = active;
   m_was_active = m_members.SelfActive();
-  Lifecycle(LogLine("active_routers")
-                .Number("active", active)
-                .Number("live", m_members.Live())
-                .Flag("this_one", m_was_active));
+  LogLifecycle(LogLine("active_routers")
+                   .Number("active", active)
+                   .Number("live", m_members.Live())
+                   .Flag("this_one", m_was_active));
 }
 
 void Gateway::Drain(std::function<void()> on_done) {
@@ -202,15 +203,15 @@
   }
   m_on_drained = std::move(on_done);
   m_leaving_since = net::BootNow();
-  Lifecycle(LogLine("leaving").Number("in_progress",
-                                      static_cast<int64_t>(m_callers->Busy())));
-  m_writer->Hurry();
+  LogLifecycle(LogLine("leaving").Number(
+      "in_progress", static_cast<int64_t>(m_callers->Busy())));
+  m_heartbeat_writer->Expedite();
 }
 
 // Callers keep addresses for a while and go on coming after the signal. Those
 // that come early have the grace to end in; a late one is taken only when it
 // is sure to end in what is left of it.
-std::optional<core::Duration> Gateway::TimeToStop() const {
+std::optional<core::Duration> Gateway::TimeUntilShutdown() const {
   if (!m_leaving_since) {
     return std::nullopt;
   }
@@ -218,24 +219,24 @@
     return core::Duration::zero();
   }
   const core::Duration since = net::BootNow() - *m_leaving_since;
-  if (since < kEarlyArrival) {
+  if (since < kDrainAcceptAllTime) {
     return std::nullopt;
   }
-  return m_settings.grace - kEndAheadOfGrace - since;
+  return m_settings.grace - kGraceMargin - since;
 }
 
-void Gateway::TryToEnd() {
+void Gateway::TryFinishDrain() {
   const core::TimePoint now = net::BootNow();
   const core::Duration since = now - *m_leaving_since;
-  const core::Duration last = m_settings.grace - kEndAheadOfGrace;
+  const core::Duration last = m_settings.grace - kGraceMargin;
   const bool busy = m_callers->Busy() != 0;
-  const bool quiet = !busy && since >= kLeaveIdleAfter &&
-                     now - m_last_request >= kQuietBeforeEnd;
+  const bool quiet = !busy && since >= kMinDrainTime &&
+                     now - m_last_request >= kDrainQuietTime;
   if (!m_closing_since && (quiet || since >= last)) {
     // From here on nothing new is taken, so that nothing is cut off while the
     // last claim is written.
     m_closing_since = now;
-    m_writer->Hurry();
+    m_heartbeat_writer->Expedite();
   }
   if (!m_closing_since) {
     return;
@@ -243,11 +244,11 @@
   m_callers->CloseIdle();
   // The store may be away: the ceilings then stay claimed.
   const bool claimed =
-      m_last_claim_written || now - *m_closing_since >= kClosingTime;
-  if ((claimed && !busy) || since >= last + kClosingTime) {
-    Lifecycle(LogLine("stopped")
-                  .Number("in_progress", busy ? 1 : 0)
-                  .Flag("ceilings_returned", m_last_claim_written));
+      m_last_claim_written || now - *m_closing_since >= kClosingTimeout;
+  if ((claimed && !busy) || since >= last + kClosingTimeout) {
+    LogLifecycle(LogLine("stopped")
+                     .Number("in_progress", busy ? 1 : 0)
+                     .Flag("ceilings_returned", m_last_claim_written));
     m_log.Flush();
     m_on_drained();
   }
@@ -256,8 +257,8 @@
 void Gateway::OnReload(const GatewaySettings& settings) {
   m_settings.address_lifetime = settings.address_lifetime;
   m_settings.grace = settings.grace;
-  m_settings.keys_expire = settings.keys_expire;
-  Lifecycle(LogLine("settings_reloaded"));
+  m_settings.key_expiry = settings.key_expiry;
+  LogLifecycle(LogLine("settings_reloaded"));
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/gateway_operator.cc
+++ b/src/gateway/gateway_configuration.cc
@@ -12,7 +12,7 @@
 void Gateway::OnOperatorRecord(const KeyedRecord& record) {
   if (record.key == m_settings.layout.configuration_key) {
     if (!record.value.empty()) {
-      Configure(record.value);
+      ApplyConfiguration(record.value);
     }
     return;
   }
@@ -23,7 +23,7 @@
   const auto change =
       m_gate.evacuations().OnRecord(*domain, !record.value.empty());
   if (change) {
-    TellEvacuation(*change);
+    LogEvacuationChange(*change);
   }
 }
 
@@ -34,7 +34,7 @@
       continue;
     }
     if (record.key == m_settings.layout.configuration_key) {
-      Configure(record.value);
+      ApplyConfiguration(record.value);
       continue;
     }
     if (const auto domain = ReadEvacuation(record)) {
@@ -42,16 +42,16 @@
     }
   }
   for (const auto& change : m_gate.evacuations().ReplaceAll(evacuated)) {
-    TellEvacuation(change);
+    LogEvacuationChange(change);
   }
 }
 
-void Gateway::Configure(const std::string& document) {
+void Gateway::ApplyConfiguration(const std::string& document) {
   core::Result<entry::Configuration> read =
-      m_dialect.read_configuration(document);
+      m_adapter.read_configuration(document);
   if (!core::IsOk(read)) {
-    Lifecycle(LogLine("configuration_unreadable")
-                  .Text("why", core::ToString(core::Failure(read))));
+    LogLifecycle(LogLine("configuration_unreadable")
+                     .Text("why", core::ToString(core::Failure(read))));
     return;
   }
   const core::ConfigVersion version = core::Value(read).version;
@@ -63,13 +63,13 @@
       std::make_shared<const entry::InForce>(core::TakeValue(std::move(read)));
   m_book.OnConfiguration(m_in_force->configuration());
   m_gate.OnConfiguration(m_in_force->configuration());
-  Lifecycle(
+  LogLifecycle(
       LogLine("configuration_in_force")
           .Number("version", static_cast<int64_t>(version.value()))
           .Number("routes", static_cast<int64_t>(
                                 m_in_force->configuration().routes.size())));
   // Totals may have grown, and the first ones bring the first ceilings.
-  m_writer->Hurry();
+  m_heartbeat_writer->Expedite();
 }
 
 // Only the key says something: what stands in the record may change.
@@ -81,16 +81,16 @@
     return std::nullopt;
   }
   if (!core::IsOk(*read)) {
-    Lifecycle(LogLine("evacuation_unreadable")
-                  .Text("key", record.key)
-                  .Text("why", core::ToString(core::Failure(*read))));
+    LogLifecycle(LogLine("evacuation_unreadable")
+                     .Text("key", record.key)
+                     .Text("why", core::ToString(core::Failure(*read))));
     return std::nullopt;
   }
   return core::Value(*read);
 }
 
 // Records bear no time: it was written after the last answer before this one.
-void Gateway::TellEvacuation(const entry::EvacuationChange& change) {
+void Gateway::LogEvacuationChange(const entry::EvacuationChange& change) {
   if (!change.evacuated) {
     m_directory.OnTakenBack(change.domain, net::BootNow());
   }
@@ -105,7 +105,7 @@
   if (!began_before_start) {
     line.Millis("known_within_ms", within);
   }
-  Lifecycle(std::move(line));
+  LogLifecycle(std::move(line));
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/gateway_beats.cc
+++ b/src/gateway/gateway_heartbeats.cc
@@ -17,9 +17,9 @@
 // A third of what a core and a link were measured to take: bursts need room.
 constexpr double kRequestsPerCore = 500;
 constexpr double kRequestsPerMegabit = 2.5;
-constexpr double kUnsaidCapacity = 1'000;
+constexpr double kDefaultCapacity = 1'000;
 // Smaller changes of what is held ahead are not told.
-constexpr double kHoldChange = 0.05;
+constexpr double kMinLoggedHoldChange = 0.05;
 
 int64_t PerThousand(double part) {
   return std::lround(part * 1'000);
@@ -27,38 +27,39 @@
 
 }  // namespace
 
-void Gateway::MakeBeatWriter() {
-  BeatWriter::Hooks hooks;
-  hooks.compose = [this](v1::RouterBeat& beat) { ComposeBeat(beat); };
+void Gateway::MakeHeartbeatWriter() {
+  HeartbeatWriter::Hooks hooks;
+  hooks.compose = [this](v1::RouterBeat& beat) { ComposeHeartbeat(beat); };
   hooks.period = [this] { return entry::BeatPeriod(Limits()); };
-  hooks.hurried_gap = [this] { return entry::HurriedGap(Limits()); };
-  hooks.on_fenced = [this](uint64_t epoch, uint64_t end) {
-    m_fenced_at = end;
-    ShareLoads(epoch);
-    BeginBeatsIfAllRead();
-    Lifecycle(LogLine("epoch_announced")
-                  .Number("epoch", static_cast<int64_t>(epoch))
-                  .Number("log_end", static_cast<int64_t>(end)));
+  hooks.expedited_delay = [this] { return entry::HurriedGap(Limits()); };
+  hooks.on_epoch_announced = [this](uint64_t epoch, uint64_t end) {
+    m_epoch_log_end = end;
+    StartLoadReports(epoch);
+    StartHeartbeatsIfCaughtUp();
+    LogLifecycle(LogLine("epoch_announced")
+                     .Number("epoch", static_cast<int64_t>(epoch))
+                     .Number("log_end", static_cast<int64_t>(end)));
   };
   hooks.on_written = [this](const v1::RouterBeat& beat) {
     m_metrics.OnStoreCall("beat_write", true);
     m_book.OnWritten(beat.sequence(), net::BootNow());
-    if (!m_waiting.empty() || !m_first_beat_back) {
-      m_beats->Hurry();
+    if (!m_grant_waiters.empty() || !m_first_heartbeat_read) {
+      m_heartbeats->Expedite();
     }
     m_last_claim_written = beat.closing();
-    GrantsChanged();
+    NotifyGrantWaiters();
   };
   hooks.on_failure = [this](const core::Error& error) {
     m_metrics.OnStoreCall("beat_write", false);
-    Lifecycle(LogLine("beat_not_written").Text("why", error.detail));
+    LogLifecycle(LogLine("beat_not_written").Text("why", error.detail));
   };
-  hooks.on_retired = [this] {
-    Lifecycle(LogLine("retired").Text("why", "a newer start exists"));
+  hooks.on_superseded = [this] {
+    LogLifecycle(LogLine("retired").Text("why", "a newer start exists"));
   };
-  m_writer = std::make_shared<BeatWriter>(
+  m_heartbeat_writer = std::make_shared<HeartbeatWriter>(
       m_io,
-      BeatOptions{m_settings.layout.beat_topic, m_settings.router.value()},
+      HeartbeatOptions{m_settings.layout.heartbeat_topic,
+                       m_settings.router.value()},
       m_store, m_random, std::move(hooks));
 }
 
@@ -71,22 +72,22 @@
   return limits;
 }
 
-std::optional<v1::RouterBeat> Gateway::ReadBeatRecord(
+std::optional<v1::RouterBeat> Gateway::ParseHeartbeatRecord(
     const KeyedRecord& record) {
   core::Result<v1::RouterBeat> read = entry::ReadBeat(record.value);
   if (core::IsOk(read)) {
     return core::TakeValue(std::move(read));
   }
-  Lifecycle(LogLine("beat_unreadable")
-                .Text("router", record.key)
-                .Text("why", core::Failure(read).detail));
+  LogLifecycle(LogLine("beat_unreadable")
+                   .Text("router", record.key)
+                   .Text("why", core::Failure(read).detail));
   return std::nullopt;
 }
 
-void Gateway::OnNewestBeats(const std::vector<KeyedRecord>& records) {
+void Gateway::OnNewestHeartbeats(const std::vector<KeyedRecord>& records) {
   uint64_t last_epoch = 0;
   for (const KeyedRecord& record : records) {
-    const std::optional<v1::RouterBeat> read = ReadBeatRecord(record);
+    const std::optional<v1::RouterBeat> read = ParseHeartbeatRecord(record);
     if (!read) {
       continue;
     }
@@ -103,14 +104,14 @@
     last_epoch = beat.epoch();
     m_own_record = beat;
   }
-  if (m_writer->epoch() == 0) {
-    m_writer->Start(last_epoch);
-    ChooseTableReaders();
+  if (m_heartbeat_writer->epoch() == 0) {
+    m_heartbeat_writer->Start(last_epoch);
+    UpdateTableReading();
   }
 }
 
-void Gateway::OnBeatRecord(const KeyedRecord& record) {
-  const std::optional<v1::RouterBeat> read = ReadBeatRecord(record);
+void Gateway::OnHeartbeatRecord(const KeyedRecord& record) {
+  const std::optional<v1::RouterBeat> read = ParseHeartbeatRecord(record);
   if (!read) {
     return;
   }
@@ -122,33 +123,33 @@
     m_crashes.OnBeat(beat);
     return;
   }
-  if (beat.epoch() != m_writer->epoch()) {
+  if (beat.epoch() != m_heartbeat_writer->epoch()) {
     m_own_record = beat;
     return;
   }
   m_book.OnOwnBeat(beat);
-  m_first_beat_back = true;
-  GrantsChanged();
+  m_first_heartbeat_read = true;
+  NotifyGrantWaiters();
 }
 
 // Once everything below the announced epoch is read, no record of an earlier
 // start can follow: what it claimed last is final and counts as used.
-void Gateway::BeginBeatsIfAllRead() {
-  if (!m_fenced_at || m_beats_read < *m_fenced_at) {
+void Gateway::StartHeartbeatsIfCaughtUp() {
+  if (!m_epoch_log_end || m_heartbeats_read_to < *m_epoch_log_end) {
     return;
   }
-  m_fenced_at.reset();
+  m_epoch_log_end.reset();
   entry::Succession succession;
   succession.boot = m_boot;
-  succession.alone_since = m_alone_since;
+  succession.alone_since = m_load_port_bound_since;
   const bool held_back = entry::HeldBack(m_own_record, succession);
-  TellPredecessor(held_back);
+  LogPredecessor(held_back);
   m_book.OnPredecessor(m_own_record, held_back);
   m_crashes.record().OnOwnPast(m_own_record, net::BootNow());
-  m_writer->BeginBeats();
+  m_heartbeat_writer->StartHeartbeats();
 }
 
-void Gateway::TellPredecessor(bool held_back) {
+void Gateway::LogPredecessor(bool held_back) {
   int64_t claimed = 0;
   int64_t spent = 0;
   int64_t reserved = 0;
@@ -159,15 +160,15 @@
     spent += claim.spent();
     reserved += claim.reserve();
   }
-  Lifecycle(LogLine("predecessor")
-                .Number("epoch", static_cast<int64_t>(m_own_record.epoch()))
-                .Number("claimed", claimed)
-                .Number("spent", spent)
-                .Number("lost_before", lost_before)
-                .Number("held_back", held_back ? reserved : 0));
+  LogLifecycle(LogLine("predecessor")
+                   .Number("epoch", static_cast<int64_t>(m_own_record.epoch()))
+                   .Number("claimed", claimed)
+                   .Number("spent", spent)
+                   .Number("lost_before", lost_before)
+                   .Number("held_back", held_back ? reserved : 0));
 }
 
-void Gateway::ComposeBeat(v1::RouterBeat& beat) {
+void Gateway::ComposeHeartbeat(v1::RouterBeat& beat) {
   beat.set_caller_address(m_settings.caller_address);
   beat.set_load_address(m_settings.load_address);
   beat.set_failure_domain(m_settings.failure_domain.value());
@@ -188,34 +189,33 @@
   // in the records. Claiming as if it served, each that stands by would take a
   // part from those that do, until its second claim. The first router of a
   // fleet finds nobody.
-  const bool alone = !m_first_beat_back && m_members.Live() <= 1;
+  const bool alone = !m_first_heartbeat_read && m_members.Live() <= 1;
   context.active = m_members.SelfActive() || alone;
   context.leaving = beat.leaving();
   context.closing = beat.closing();
   context.period = entry::BeatPeriod(Limits());
-  VouchForReserves(beat, now);
+  SetReserveTimes(beat, now);
   m_crashes.record().WriteTo(beat, now);
   m_book.WriteClaims(beat, context, now);
-  TellHold();
+  LogHoldFactor();
 }
 
-void Gateway::TellHold() {
-  if (std::abs(m_book.HoldFactor() - m_hold_told) < kHoldChange) {
+void Gateway::LogHoldFactor() {
+  if (std::abs(m_book.HoldFactor() - m_hold_logged) < kMinLoggedHoldChange) {
     return;
   }
-  m_hold_told = m_book.HoldFactor();
+  m_hold_logged = m_book.HoldFactor();
   const entry::LivedThrough past = m_book.Past();
-  Lifecycle(LogLine("held_ahead")
-                .Number("per_thousand", PerThousand(m_hold_told))
-                .Number("losses_per_thousand", PerThousand(past.losses))
-                .Number("outages_per_thousand", PerThousand(past.outages)));
+  LogLifecycle(LogLine("held_ahead")
+                   .Number("per_thousand", PerThousand(m_hold_logged))
+                   .Number("losses_per_thousand", PerThousand(past.losses))
+                   .Number("outages_per_thousand", PerThousand(past.outages)));
 }
 
 // Only a router that has the VM's port to itself can be told dead by its
 // successor. Where beats come more seldom, the time is longer by as much.
-void Gateway::VouchForReserves(v1::RouterBeat& beat,
-                               core::TimePoint now) const {
-  if (!m_alone_since || m_boot.empty() ||
+void Gateway::SetReserveTimes(v1::RouterBeat& beat, core::TimePoint now) const {
+  if (!m_load_port_bound_since || m_boot.empty() ||
       m_policy.book.held_back == core::Duration::zero()) {
     return;
   }
@@ -233,18 +233,18 @@
   const double by_processor =
       m_settings.processor_cores > 0
           ? m_settings.processor_cores * kRequestsPerCore
-          : kUnsaidCapacity;
+          : kDefaultCapacity;
   const double by_link =
       m_settings.link_megabits_per_second > 0
           ? m_settings.link_megabits_per_second * kRequestsPerMegabit
-          : kUnsaidCapacity;
+          : kDefaultCapacity;
   return std::min(by_processor, by_link);
 }
 
-void Gateway::GrantsChanged() {
+void Gateway::NotifyGrantWaiters() {
   // Those that are still short wait again, in a new list.
   const std::vector<std::function<void()>> waiting =
-      std::exchange(m_waiting, {});
+      std::exchange(m_grant_waiters, {});
   for (const auto& on_grant : waiting) {
     on_grant();
   }
--- a/src/gateway/gateway_serve.cc
+++ b/src/gateway/gateway_listeners.cc
@@ -11,35 +11,35 @@
 
 // The port is taken before anything else: from then on no earlier process of
 // this VM lives, and what it held back stays untouched.
-void Gateway::TakePort() {
-  if (m_settings.load_address.empty() || m_alone_since) {
+void Gateway::BindLoadPort() {
+  if (m_settings.load_address.empty() || m_load_port_bound_since) {
     return;
   }
-  if (!m_loads) {
-    MakeLoadExchange();
+  if (!m_peer_messenger) {
+    MakePeerMessenger();
   }
-  const core::Status bound = m_loads->Bind(m_settings.load_address);
+  const core::Status bound = m_peer_messenger->Bind(m_settings.load_address);
   if (core::IsOk(bound)) {
-    m_alone_since = net::BootNow();
+    m_load_port_bound_since = net::BootNow();
     return;
   }
-  Lifecycle(LogLine("loads_not_shared")
-                .Text("why", core::ToString(core::Failure(bound))));
+  LogLifecycle(LogLine("loads_not_shared")
+                   .Text("why", core::ToString(core::Failure(bound))));
 }
 
-void Gateway::ShareLoads(uint64_t epoch) {
-  TakePort();
-  if (!m_alone_since || m_sharing) {
+void Gateway::StartLoadReports(uint64_t epoch) {
+  BindLoadPort();
+  if (!m_load_port_bound_since || m_load_reports_started) {
     return;
   }
-  m_sharing = true;
-  m_borrower->SetEpoch(epoch);
-  m_place_asker->SetEpoch(epoch);
-  m_loads->Start(epoch);
+  m_load_reports_started = true;
+  m_token_requester->SetEpoch(epoch);
+  m_placement_client->SetEpoch(epoch);
+  m_peer_messenger->Start(epoch);
 }
 
-void Gateway::MakeLoadExchange() {
-  LoadExchange::Hooks hooks;
+void Gateway::MakePeerMessenger() {
+  PeerMessenger::Hooks hooks;
   hooks.peers = [this] { return m_members.LoadAddresses(); };
   hooks.compose = [this](v1::LoadReport& report) {
     report.set_store_up(m_contact.up());
@@ -66,13 +66,13 @@
   hooks.on_ask = [this](const v1::TokenAsk& ask) { OnTokenAsk(ask); };
   hooks.on_place_ask = [this](const v1::PlaceAsk& ask) { OnPlaceAsk(ask); };
   hooks.on_place_answer = [this](const v1::PlaceAnswer& answer) {
-    m_place_asker->OnAnswer(answer);
+    m_placement_client->OnAnswer(answer);
   };
   hooks.on_gift = [this](const v1::TokenGift& gift) {
-    m_borrower->OnGift(gift);
+    m_token_requester->OnGift(gift);
   };
-  m_loads = std::make_unique<LoadExchange>(m_io, m_settings.router.value(),
-                                           std::move(hooks));
+  m_peer_messenger = std::make_unique<PeerMessenger>(
+      m_io, m_settings.router.value(), std::move(hooks));
 }
 
 CallerConnection::Hooks Gateway::CallerHooks(
@@ -82,11 +82,11 @@
   hooks.on_bad_request = [this](const core::Error& error) {
     const core::ErrorInfo& info = core::Describe(error.id);
     m_metrics.OnRequest(entry::RouteKind::kAtMostOnce, info.name);
-    m_log.Write(LineKind::kTrouble, LogLine("request")
-                                        .Text("id", "")
-                                        .Text("outcome", info.name)
-                                        .Number("status", info.http_status)
-                                        .Text("why", error.detail));
+    m_log.Write(LogCategory::kFailure, LogLine("request")
+                                           .Text("id", "")
+                                           .Text("outcome", info.name)
+                                           .Number("status", info.http_status)
+                                           .Text("why", error.detail));
   };
   hooks.bounds = [this] {
     return m_in_force ? m_in_force->configuration().bounds
@@ -112,11 +112,11 @@
        }},
       {m_settings.readiness_address,
        [this](const CallerRef& caller, const CallerRequest& request) {
-         caller->Answer(m_dialect.readiness(request.head, Ready()));
+         caller->Answer(m_adapter.readiness(request.head, Ready()));
        }},
       {m_settings.directory_address,
        [this](const CallerRef& caller, const CallerRequest& request) {
-         caller->Answer(m_dialect.addresses(request.head, m_members.Addresses(),
+         caller->Answer(m_adapter.addresses(request.head, m_members.Addresses(),
                                             m_settings.address_lifetime));
        }},
       {m_settings.metrics_address,
@@ -141,7 +141,7 @@
 
 void Gateway::ServeMetrics(const CallerRef& caller) {
   const core::TimePoint now = net::BootNow();
-  ProcessFigures figures;
+  ProcessStats figures;
   if (m_in_force) {
     figures.version = m_in_force->version();
     figures.configuration_age = m_config_contact.SilentFor(now);
@@ -154,7 +154,7 @@
   figures.active = m_members.SelfActive();
   figures.upstreams = m_directory.size();
   figures.upstream_connections = m_pool.opened();
-  figures.log_lines_left_out = m_log.left_out();
+  figures.log_lines_left_out = m_log.dropped();
   figures.ready = Ready();
   figures.store_up = m_contact.up();
   figures.quarantined_requests = m_crashes.record().quarantined();
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -26,19 +26,21 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-Family<Counter>& CounterOf(Registry& registry,
-                           const char* name,
-                           const char* help) {
+Family<Counter>& RegisterCounter(Registry& registry,
+                                 const char* name,
+                                 const char* help) {
   return prometheus::BuildCounter().Name(name).Help(help).Register(registry);
 }
 
-Family<Gauge>& GaugeOf(Registry& registry, const char* name, const char* help) {
+Family<Gauge>& RegisterGauge(Registry& registry,
+                             const char* name,
+                             const char* help) {
   return prometheus::BuildGauge().Name(name).Help(help).Register(registry);
 }
 
-Family<Histogram>& HistogramOf(Registry& registry,
-                               const char* name,
-                               const char* help) {
+Family<Histogram>& RegisterHistogram(Registry& registry,
+                                     const char* name,
+                                     const char* help) {
   return prometheus::BuildHistogram().Name(name).Help(help).Register(registry);
 }
 
@@ -46,39 +48,41 @@
 
 struct GatewayMetrics::Impl {
   Registry registry;
-  Family<Counter>& requests = CounterOf(registry,
-                                        "coppervalve_entry_requests_total",
-                                        "Requests ended, by kind and cause");
-  Family<Counter>& attempts = CounterOf(registry,
-                                        "coppervalve_entry_attempts_total",
-                                        "Attempts at upstreams, by outcome");
-  Family<Counter>& gifts =
-      CounterOf(registry,
-                "coppervalve_entry_gifts_total",
-                "Tokens asked of other routers and given to them, by way");
+  Family<Counter>& requests =
+      RegisterCounter(registry,
+                      "coppervalve_entry_requests_total",
+                      "Requests ended, by kind and cause");
+  Family<Counter>& attempts =
+      RegisterCounter(registry,
+                      "coppervalve_entry_attempts_total",
+                      "Attempts at upstreams, by outcome");
+  Family<Counter>& gifts = RegisterCounter(
+      registry,
+      "coppervalve_entry_gifts_total",
+      "Tokens asked of other routers and given to them, by way");
   Family<Counter>& store_calls =
-      CounterOf(registry,
-                "coppervalve_entry_store_calls_total",
-                "Calls to the durable store, by topic and result");
+      RegisterCounter(registry,
+                      "coppervalve_entry_store_calls_total",
+                      "Calls to the durable store, by topic and result");
   Family<Histogram>& first_byte =
-      HistogramOf(registry,
-                  "coppervalve_entry_first_byte_seconds",
-                  "From a request's last byte to its answer's first");
+      RegisterHistogram(registry,
+                        "coppervalve_entry_first_byte_seconds",
+                        "From a request's last byte to its answer's first");
   Family<Histogram>& whole =
-      HistogramOf(registry,
-                  "coppervalve_entry_whole_answer_seconds",
-                  "From a request's last byte to its answer's last");
+      RegisterHistogram(registry,
+                        "coppervalve_entry_whole_answer_seconds",
+                        "From a request's last byte to its answer's last");
   Family<Histogram>& grant_wait =
-      HistogramOf(registry,
-                  "coppervalve_entry_grant_wait_seconds",
-                  "Time requests waited for a higher ceiling");
+      RegisterHistogram(registry,
+                        "coppervalve_entry_grant_wait_seconds",
+                        "Time requests waited for a higher ceiling");
   Family<Gauge>& tokens =
-      GaugeOf(registry,
-              "coppervalve_entry_account_tokens",
-              "Tokens of an account at this router, by state");
-  Family<Gauge>& process = GaugeOf(registry,
-                                   "coppervalve_entry_state",
-                                   "State of the router, by figure");
+      RegisterGauge(registry,
+                    "coppervalve_entry_account_tokens",
+                    "Tokens of an account at this router, by state");
+  Family<Gauge>& process = RegisterGauge(registry,
+                                         "coppervalve_entry_state",
+                                         "State of the router, by figure");
 };
 
 GatewayMetrics::GatewayMetrics() : m_impl(std::make_unique<Impl>()) {}
@@ -136,7 +140,7 @@
   set("claimed_elsewhere", figures.others);
 }
 
-void GatewayMetrics::OnProcess(const ProcessFigures& figures) {
+void GatewayMetrics::OnProcess(const ProcessStats& figures) {
   const auto set = [&](const char* figure, double value) {
     m_impl->process.Add({{"figure", figure}}).Set(value);
   };
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -52,7 +52,7 @@
     OnUpstreamRecord(record);
   };
   of_upstreams.wanted = [this] { return m_table_readers.follows(); };
-  of_upstreams.on_stopped = [this] { OnTableStopped(); };
+  of_upstreams.on_stopped = [this] { OnTableReadingStopped(); };
   of_upstreams.on_newest = [this](const std::vector<KeyedRecord>& records) {
     OnNewestUpstreams(records);
   };
@@ -60,34 +60,34 @@
       m_io, FollowerOptions{layout.upstream_topic, entry::UpstreamPlan()},
       m_store, m_random, std::move(of_upstreams));
 
-  TopicFollower::Hooks of_beats = hooks(layout.beat_topic);
+  TopicFollower::Hooks of_beats = hooks(layout.heartbeat_topic);
   of_beats.on_record = [this](const KeyedRecord& record) {
-    OnBeatRecord(record);
+    OnHeartbeatRecord(record);
   };
   of_beats.on_newest = [this](const std::vector<KeyedRecord>& records) {
-    OnNewestBeats(records);
+    OnNewestHeartbeats(records);
   };
   of_beats.pause = [this, usual = of_beats.pause](core::Duration pause) {
-    return m_first_beat_back ? usual(pause) : kStartingPause;
+    return m_first_heartbeat_read ? usual(pause) : kStartingPause;
   };
-  of_beats.on_read = [this, topic = layout.beat_topic](uint64_t next) {
+  of_beats.on_read = [this, topic = layout.heartbeat_topic](uint64_t next) {
     OnStoreAnswer(topic);
-    m_beats_read = next;
-    BeginBeatsIfAllRead();
+    m_heartbeats_read_to = next;
+    StartHeartbeatsIfCaughtUp();
   };
-  m_beats = std::make_shared<TopicFollower>(
-      m_io, FollowerOptions{layout.beat_topic, entry::BeatPlan()}, m_store,
+  m_heartbeats = std::make_shared<TopicFollower>(
+      m_io, FollowerOptions{layout.heartbeat_topic, entry::BeatPlan()}, m_store,
       m_random, std::move(of_beats));
 }
 
 // Of a large table nearly every record does, and reading it whole costs most of
 // what a router spends while nothing happens.
-bool Gateway::OnlySaysItLives(const KeyedRecord& record) {
+bool Gateway::IsHeartbeatOnly(const KeyedRecord& record) {
   std::string& last = m_upstream_documents[record.key];
   const entry::UpstreamRef known =
       m_directory.Find(core::UpstreamId(record.key));
-  const bool same = known && !known->lapsed && m_dialect.same_upstream &&
-                    m_dialect.same_upstream(last, record.value);
+  const bool same = known && !known->lapsed && m_adapter.upstream_unchanged &&
+                    m_adapter.upstream_unchanged(last, record.value);
   last = record.value;
   return same;
 }
@@ -95,7 +95,7 @@
 void Gateway::OnUpstreamRecord(const KeyedRecord& record) {
   if (record.value.empty()) {
     m_upstream_documents.erase(record.key);
-  } else if (OnlySaysItLives(record)) {
+  } else if (IsHeartbeatOnly(record)) {
     return;
   }
   const core::UpstreamId id(record.key);
@@ -105,9 +105,9 @@
     if (gone) {
       m_pool.Forget(id);
     }
-    Lifecycle(LogLine("upstream_entry_removed")
-                  .Text("upstream", record.key)
-                  .Flag("gone", gone));
+    LogLifecycle(LogLine("upstream_entry_removed")
+                     .Text("upstream", record.key)
+                     .Flag("gone", gone));
     return;
   }
   const entry::UpstreamRecord read = ReadUpstreamRecord(record);
@@ -121,29 +121,29 @@
     m_pool.Forget(id);
   }
   if (worth == entry::RecordWorth::kNone) {
-    Lifecycle(LogLine("upstream_dropped").Text("upstream", record.key));
+    LogLifecycle(LogLine("upstream_dropped").Text("upstream", record.key));
     return;
   }
-  Lifecycle(LogLine("upstream_entry")
-                .Text("upstream", record.key)
-                .Text("service", read.entry->service.value())
-                .Text("address", read.entry->address)
-                .Flag("leaving", read.entry->leaving)
-                .Flag("new_start", new_start));
+  LogLifecycle(LogLine("upstream_entry")
+                   .Text("upstream", record.key)
+                   .Text("service", read.entry->service.value())
+                   .Text("address", read.entry->address)
+                   .Flag("leaving", read.entry->leaving)
+                   .Flag("new_start", new_start));
 }
 
 entry::UpstreamRecord Gateway::ReadUpstreamRecord(const KeyedRecord& record) {
   entry::UpstreamRecord read{core::UpstreamId(record.key), std::nullopt,
                              net::BootNow()};
   core::Result<entry::UpstreamEntry> entry =
-      m_dialect.read_upstream(record.key, record.value);
+      m_adapter.read_upstream(record.key, record.value);
   if (core::IsOk(entry)) {
     read.entry = core::TakeValue(std::move(entry));
     return read;
   }
-  Lifecycle(LogLine("upstream_entry_unreadable")
-                .Text("upstream", record.key)
-                .Text("why", core::ToString(core::Failure(entry))));
+  LogLifecycle(LogLine("upstream_entry_unreadable")
+                   .Text("upstream", record.key)
+                   .Text("why", core::ToString(core::Failure(entry))));
   return read;
 }
 
@@ -162,11 +162,11 @@
     m_upstreams_known = true;
     // The first beat may have said that this router is not ready; left at that,
     // it stands by until its next one.
-    m_writer->Hurry();
+    m_heartbeat_writer->Expedite();
   }
-  Lifecycle(LogLine("upstreams_read")
-                .Number("listed", static_cast<int64_t>(read.size()))
-                .Number("kept", static_cast<int64_t>(m_directory.size())));
+  LogLifecycle(LogLine("upstreams_read")
+                   .Number("listed", static_cast<int64_t>(read.size()))
+                   .Number("kept", static_cast<int64_t>(m_directory.size())));
 }
 
 entry::StoreContact& Gateway::ContactOf(const std::string& topic) {
@@ -184,8 +184,8 @@
   ContactOf(topic).OnAnswer(now);
   m_metrics.OnStoreCall(topic, true);
   if (!was_up) {
-    Lifecycle(LogLine("store_regained").Text("topic", topic));
-    m_writer->Hurry();
+    LogLifecycle(LogLine("store_regained").Text("topic", topic));
+    m_heartbeat_writer->Expedite();
   }
 }
 
@@ -197,7 +197,7 @@
   ContactOf(topic).OnFailure(began);
   m_metrics.OnStoreCall(topic, false);
   if (was_up && !m_contact.up()) {
-    Lifecycle(
+    LogLifecycle(
         LogLine("store_lost").Text("topic", topic).Text("why", error.detail));
   }
 }
--- a/src/gateway/gateway_gifts.cc
+++ b/src/gateway/gateway_transfers.cc
@@ -6,9 +6,9 @@
 
 namespace coppervalve::gateway {
 
-void Gateway::MakeBorrower() {
-  Borrower::Hooks hooks;
-  hooks.lenders = [this](const core::AccountId& account, core::Tokens tokens) {
+void Gateway::MakeTokenRequester() {
+  TokenRequester::Hooks hooks;
+  hooks.donors = [this](const core::AccountId& account, core::Tokens tokens) {
     std::vector<std::string> addresses;
     for (const core::RouterId& router : m_book.Lenders(account, tokens)) {
       std::string address = m_members.LoadAddressOf(router);
@@ -22,39 +22,39 @@
     return m_book.WantedFor(account, tokens, net::BootNow());
   };
   hooks.send = [this](const std::string& address, const v1::TokenAsk& ask) {
-    if (m_loads) {
+    if (m_peer_messenger) {
       v1::PeerDatagram datagram;
       *datagram.mutable_ask() = ask;
-      m_loads->Send(address, datagram);
+      m_peer_messenger->Send(address, datagram);
     }
   };
   hooks.on_tokens = [this](const core::AccountId& account,
                            core::Tokens tokens) {
     m_book.OnGift(account, tokens);
     m_metrics.OnGift("taken");
-    m_log.Write(LineKind::kRoutine, LogLine("tokens_borrowed")
-                                        .Text("account", account.value())
-                                        .Number("tokens", tokens.value()));
+    m_log.Write(LogCategory::kRoutine, LogLine("tokens_borrowed")
+                                           .Text("account", account.value())
+                                           .Number("tokens", tokens.value()));
   };
-  m_borrower =
-      std::make_unique<Borrower>(m_io, m_settings.router.value(),
-                                 m_settings.load_address, std::move(hooks));
+  m_token_requester = std::make_unique<TokenRequester>(
+      m_io, m_settings.router.value(), m_settings.load_address,
+      std::move(hooks));
 }
 
 void Gateway::OnTokenAsk(const v1::TokenAsk& ask) {
   const core::TimePoint now = net::BootNow();
   const core::AccountId account(ask.account());
-  std::optional<core::Tokens> given = m_gifts.Answered(ask);
+  std::optional<core::Tokens> given = m_transfer_replies.Answered(ask);
   if (!given) {
     given = m_book.Give(account, core::Tokens(ask.least()),
                         core::Tokens(ask.wanted()), now);
-    m_gifts.Remember(ask, *given, now);
+    m_transfer_replies.Remember(ask, *given, now);
     m_metrics.OnGift(*given > core::Tokens(0) ? "given" : "none_to_spare");
-    m_log.Write(LineKind::kRoutine, LogLine("tokens_given")
-                                        .Text("account", account.value())
-                                        .Text("to", ask.router())
-                                        .Number("asked", ask.least())
-                                        .Number("tokens", given->value()));
+    m_log.Write(LogCategory::kRoutine, LogLine("tokens_given")
+                                           .Text("account", account.value())
+                                           .Text("to", ask.router())
+                                           .Number("asked", ask.least())
+                                           .Number("tokens", given->value()));
   }
   v1::PeerDatagram datagram;
   v1::TokenGift& gift = *datagram.mutable_gift();
@@ -62,7 +62,7 @@
   gift.set_ask_epoch(ask.epoch());
   gift.set_ask_id(ask.id());
   gift.set_tokens(given->value());
-  m_loads->Send(ask.reply_address(), datagram);
+  m_peer_messenger->Send(ask.reply_address(), datagram);
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/gateway_table.cc
+++ b/src/gateway/gateway_upstream_table.cc
@@ -11,10 +11,10 @@
   return m_upstreams_known || !m_table_readers.follows();
 }
 
-void Gateway::ChooseTableReaders() {
+void Gateway::UpdateTableReading() {
   entry::TableCost cost;
   // The beats of others tell how large the fleet is.
-  cost.known = m_writer->epoch() != 0;
+  cost.known = m_heartbeat_writer->epoch() != 0;
   cost.upstreams = std::max(m_directory.size(), m_members.Upstreams());
   cost.routers = m_members.Live();
   cost.heartbeat = m_settings.upstream_heartbeat;
@@ -23,33 +23,33 @@
   const bool follows =
       m_table_readers.Advance(cost, m_members.SelfInTurn(), net::BootNow());
   if (follows != followed && cost.known) {
-    Lifecycle(LogLine("follows_upstreams")
-                  .Flag("follows", follows)
-                  .Number("upstreams", static_cast<int64_t>(cost.upstreams))
-                  .Number("routers", static_cast<int64_t>(cost.routers)));
+    LogLifecycle(LogLine("follows_upstreams")
+                     .Flag("follows", follows)
+                     .Number("upstreams", static_cast<int64_t>(cost.upstreams))
+                     .Number("routers", static_cast<int64_t>(cost.routers)));
   }
   if (follows) {
-    m_upstreams->Wake();
+    m_upstreams->Resume();
   }
 }
 
-void Gateway::OnTableStopped() {
+void Gateway::OnTableReadingStopped() {
   m_upstreams_known = false;
   m_upstream_documents.clear();
 }
 
-void Gateway::MakePlaceAsker() {
-  PlaceAsker::Hooks hooks;
+void Gateway::MakePlacementClient() {
+  PlacementClient::Hooks hooks;
   hooks.peers = [this] { return m_members.LoadAddresses(); };
   hooks.send = [this](const std::string& address, const v1::PlaceAsk& ask) {
-    if (m_loads) {
+    if (m_peer_messenger) {
       v1::PeerDatagram datagram;
       *datagram.mutable_place_ask() = ask;
-      m_loads->Send(address, datagram);
+      m_peer_messenger->Send(address, datagram);
     }
   };
-  m_place_asker = std::make_unique<PlaceAsker>(m_io, m_settings.load_address,
-                                               std::move(hooks), m_random);
+  m_placement_client = std::make_unique<PlacementClient>(
+      m_io, m_settings.load_address, std::move(hooks), m_random);
 }
 
 // The send that follows counts as this router's where the upstream is cold.
@@ -57,7 +57,7 @@
   const core::TimePoint now = net::BootNow();
   entry::Placement placement;
   if (m_upstreams_known) {
-    entry::PlacementQuery query = QueryOf(ask);
+    entry::PlacementQuery query = ToPlacementQuery(ask);
     query.routers = m_members.Active();
     placement = m_placer.Choose(m_directory, query, now);
   }
@@ -65,8 +65,8 @@
     m_gate.OnSend(*placement.upstream, now);
   }
   v1::PeerDatagram datagram;
-  *datagram.mutable_place_answer() = AnswerTo(ask, placement);
-  m_loads->Send(ask.reply_address(), datagram);
+  *datagram.mutable_place_answer() = ToPlaceAnswer(ask, placement);
+  m_peer_messenger->Send(ask.reply_address(), datagram);
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/beat_writer.cc
+++ b/src/gateway/heartbeat_writer.cc
@@ -1,26 +1,26 @@
-#include "coppervalve/gateway/beat_writer.h"
+#include "coppervalve/gateway/heartbeat_writer.h"
 
 #include <utility>  // move
 
 namespace coppervalve::gateway {
 
-BeatWriter::BeatWriter(boost::asio::io_context& io,
-                       BeatOptions options,
-                       const KeyedStore& store,
-                       routing::RandomHook random,
-                       Hooks hooks)
+HeartbeatWriter::HeartbeatWriter(boost::asio::io_context& io,
+                                 HeartbeatOptions options,
+                                 const KeyedStore& store,
+                                 routing::RandomHook random,
+                                 Hooks hooks)
     : m_options(std::move(options)),
       m_store(store),
       m_random(std::move(random)),
       m_hooks(std::move(hooks)),
       m_timer(io) {}
 
-void BeatWriter::Start(uint64_t last_epoch) {
+void HeartbeatWriter::Start(uint64_t last_epoch) {
   m_epoch = last_epoch + 1;
-  Announce();
+  AnnounceEpoch();
 }
 
-void BeatWriter::Announce() {
+void HeartbeatWriter::AnnounceEpoch() {
   m_store.append(
       m_options.topic, KeyedRecord{}, {m_options.router, m_epoch, 0},
       [self = shared_from_this()](const core::Result<WriteReceipt>& result) {
@@ -28,7 +28,8 @@
           return;
         }
         if (core::IsOk(result)) {
-          self->m_hooks.on_fenced(self->m_epoch, core::Value(result).end);
+          self->m_hooks.on_epoch_announced(self->m_epoch,
+                                           core::Value(result).end);
           return;
         }
         const core::Error& error = core::Failure(result);
@@ -37,30 +38,30 @@
           ++self->m_epoch;
         }
         self->m_hooks.on_failure(error);
-        self->Schedule(self->m_options.retry, &BeatWriter::Announce);
+        self->Schedule(self->m_options.retry, &HeartbeatWriter::AnnounceEpoch);
       });
 }
 
-void BeatWriter::BeginBeats() {
-  if (m_begun) {
+void HeartbeatWriter::StartHeartbeats() {
+  if (m_heartbeats_started) {
     return;
   }
-  m_begun = true;
+  m_heartbeats_started = true;
   Compose();
 }
 
-void BeatWriter::Hurry() {
-  if (!m_begun || m_hurried || m_stopped) {
+void HeartbeatWriter::Expedite() {
+  if (!m_heartbeats_started || m_expedited || m_stopped) {
     return;
   }
-  m_hurried = true;
+  m_expedited = true;
   if (!m_in_flight) {
-    Schedule(m_hooks.hurried_gap(), &BeatWriter::Compose);
+    Schedule(m_hooks.expedited_delay(), &HeartbeatWriter::Compose);
   }
 }
 
-void BeatWriter::Compose() {
-  m_hurried = false;
+void HeartbeatWriter::Compose() {
+  m_expedited = false;
   m_in_flight = true;
   ++m_sequence;
   m_beat = v1::RouterBeat();
@@ -70,7 +71,7 @@
   Append();
 }
 
-void BeatWriter::Append() {
+void HeartbeatWriter::Append() {
   m_store.append(
       m_options.topic, {m_options.router, m_beat.SerializeAsString(), 0},
       {m_options.router, m_epoch, m_sequence},
@@ -79,7 +80,7 @@
       });
 }
 
-void BeatWriter::OnAppended(const core::Result<WriteReceipt>& result) {
+void HeartbeatWriter::OnAppended(const core::Result<WriteReceipt>& result) {
   if (m_stopped) {
     return;
   }
@@ -89,26 +90,27 @@
     const core::Duration period = m_hooks.period();
     const core::Duration spread =
         routing::UniformDuration(m_random, period / 8);
-    Schedule(m_hurried ? m_hooks.hurried_gap() : period + spread,
-             &BeatWriter::Compose);
+    Schedule(m_expedited ? m_hooks.expedited_delay() : period + spread,
+             &HeartbeatWriter::Compose);
     return;
   }
   const core::Error& error = core::Failure(result);
   if (error.id == core::ErrorId::kRetiredInLog) {
     m_stopped = true;
-    m_hooks.on_retired();
+    m_hooks.on_superseded();
     return;
   }
   m_hooks.on_failure(error);
   // What it states is old by the time it gets through: the next one follows
   // at once.
-  m_hurried = true;
+  m_expedited = true;
   Schedule(
       m_options.retry + routing::UniformDuration(m_random, m_options.retry * 2),
-      &BeatWriter::Append);
+      &HeartbeatWriter::Append);
 }
 
-void BeatWriter::Schedule(core::Duration delay, void (BeatWriter::*step)()) {
+void HeartbeatWriter::Schedule(core::Duration delay,
+                               void (HeartbeatWriter::*step)()) {
   m_timer.expires_after(delay);
   m_timer.async_wait(
       [self = shared_from_this(), step](const boost::system::error_code& code) {
--- a/src/gateway/load_exchange.cc
+++ b/src/gateway/peer_messenger.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/gateway/load_exchange.h"
+#include "coppervalve/gateway/peer_messenger.h"
 
 #include <algorithm>                  // min
 #include <boost/asio/buffer.hpp>      // buffer
@@ -15,23 +15,23 @@
 using boost::asio::ip::udp;
 using ErrorCode = boost::system::error_code;
 
-constexpr std::chrono::milliseconds kEvery{50};
+constexpr std::chrono::milliseconds kReportInterval{50};
 // In a large fleet each report goes to some in turn: what a router sends and
 // hears does not grow with the fleet, only the age of what it knows.
-constexpr size_t kMostPeers = 8;
+constexpr size_t kMaxPeersPerReport = 8;
 // An unchanged report is repeated this seldom, to tell that we are there.
-constexpr uint64_t kRepeatRounds = 6;
+constexpr uint64_t kUnchangedReportRounds = 6;
 
 }  // namespace
 
-LoadExchange::LoadExchange(boost::asio::io_context& io,
-                           std::string router,
-                           Hooks hooks)
+PeerMessenger::PeerMessenger(boost::asio::io_context& io,
+                             std::string router,
+                             Hooks hooks)
     : m_socket(io), m_timer(io), m_buffer{}, m_hooks(std::move(hooks)) {
   m_report.set_router(std::move(router));
 }
 
-core::Status LoadExchange::Bind(const std::string& address) {
+core::Status PeerMessenger::Bind(const std::string& address) {
   const auto endpoint = net::ReadEndpoint(address);
   ErrorCode code;
   const auto ip = boost::asio::ip::make_address(
@@ -52,13 +52,13 @@
   return core::Ok();
 }
 
-void LoadExchange::Start(uint64_t epoch) {
+void PeerMessenger::Start(uint64_t epoch) {
   m_report.set_epoch(epoch);
   Receive();
-  Tick();
+  SendReport();
 }
 
-void LoadExchange::Receive() {
+void PeerMessenger::Receive() {
   m_socket.async_receive_from(
       boost::asio::buffer(m_buffer), m_sender,
       [this](const ErrorCode& code, size_t size) {
@@ -66,13 +66,13 @@
           return;
         }
         if (!code) {
-          OnDatagram(size);
+          HandleDatagram(size);
         }
         Receive();
       });
 }
 
-void LoadExchange::OnDatagram(size_t size) {
+void PeerMessenger::HandleDatagram(size_t size) {
   v1::PeerDatagram datagram;
   if (!datagram.ParseFromArray(m_buffer.data(), static_cast<int>(size))) {
     return;
@@ -94,42 +94,42 @@
   }
 }
 
-void LoadExchange::Send(const std::string& address,
-                        const v1::PeerDatagram& datagram) {
+void PeerMessenger::Send(const std::string& address,
+                         const v1::PeerDatagram& datagram) {
   if (m_socket.is_open()) {
     SendTo(address, datagram.SerializeAsString());
   }
 }
 
-void LoadExchange::Tick() {
+void PeerMessenger::SendReport() {
   ++m_round;
   m_report.clear_loads();
   m_report.clear_limits();
   m_hooks.compose(m_report);
   m_report.clear_sequence();
   const std::string loads = m_report.SerializeAsString();
-  if (loads != m_last_loads || m_round % kRepeatRounds == 0) {
+  if (loads != m_last_loads || m_round % kUnchangedReportRounds == 0) {
     m_last_loads = loads;
     m_report.set_sequence(m_round);
     v1::PeerDatagram datagram;
     *datagram.mutable_load() = m_report;
     const std::string bytes = datagram.SerializeAsString();
     const std::vector<std::string> peers = m_hooks.peers();
-    const size_t count = std::min(peers.size(), kMostPeers);
+    const size_t count = std::min(peers.size(), kMaxPeersPerReport);
     for (size_t i = 0; i < count; ++i) {
-      SendTo(peers[(m_round * kMostPeers + i) % peers.size()], bytes);
+      SendTo(peers[(m_round * kMaxPeersPerReport + i) % peers.size()], bytes);
     }
   }
-  m_timer.expires_after(kEvery);
+  m_timer.expires_after(kReportInterval);
   m_timer.async_wait([this](const ErrorCode& code) {
     if (!code) {
-      Tick();
+      SendReport();
     }
   });
 }
 
-void LoadExchange::SendTo(const std::string& address,
-                          const std::string& bytes) {
+void PeerMessenger::SendTo(const std::string& address,
+                           const std::string& bytes) {
   const auto endpoint = net::ReadEndpoint(address);
   ErrorCode code;
   const auto ip = boost::asio::ip::make_address(
--- a/src/gateway/place_asker.cc
+++ b/src/gateway/placement_client.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/gateway/place_asker.h"
+#include "coppervalve/gateway/placement_client.h"
 
 #include <boost/asio/post.hpp>  // post
 #include <chrono>               // milliseconds
@@ -9,13 +9,13 @@
 namespace {
 
 // Longer than a round trip within a region; short beside what callers wait.
-constexpr std::chrono::milliseconds kAnswerTime{40};
+constexpr std::chrono::milliseconds kReplyTimeout{40};
 // Datagrams get lost now and then.
-constexpr size_t kMostTries = 3;
+constexpr size_t kMaxTries = 3;
 
 }  // namespace
 
-v1::PlaceAsk AskFor(const entry::PlacementQuery& query) {
+v1::PlaceAsk ToPlaceAsk(const entry::PlacementQuery& query) {
   v1::PlaceAsk ask;
   ask.set_service(query.service.value());
   ask.set_engine(query.engine);
@@ -28,7 +28,7 @@
   return ask;
 }
 
-entry::PlacementQuery QueryOf(const v1::PlaceAsk& ask) {
+entry::PlacementQuery ToPlacementQuery(const v1::PlaceAsk& ask) {
   entry::PlacementQuery query;
   query.service = core::ServiceId(ask.service());
   query.engine = ask.engine();
@@ -41,8 +41,8 @@
   return query;
 }
 
-v1::PlaceAnswer AnswerTo(const v1::PlaceAsk& ask,
-                         const entry::Placement& placement) {
+v1::PlaceAnswer ToPlaceAnswer(const v1::PlaceAsk& ask,
+                              const entry::Placement& placement) {
   v1::PlaceAnswer answer;
   answer.set_ask_epoch(ask.epoch());
   answer.set_ask_id(ask.id());
@@ -57,57 +57,58 @@
   return answer;
 }
 
-PlaceAsker::PlaceAsker(boost::asio::io_context& io,
-                       std::string reply_address,
-                       Hooks hooks,
-                       routing::RandomHook random)
+PlacementClient::PlacementClient(boost::asio::io_context& io,
+                                 std::string reply_address,
+                                 Hooks hooks,
+                                 routing::RandomHook random)
     : m_io(io),
       m_reply_address(std::move(reply_address)),
       m_hooks(std::move(hooks)),
       m_random(std::move(random)) {}
 
-void PlaceAsker::Ask(const entry::PlacementQuery& query, OnTold on_told) {
+void PlacementClient::Ask(const entry::PlacementQuery& query,
+                          PlacementCallback on_placement) {
   const uint64_t id = ++m_last_id;
   Pending pending;
-  pending.ask = AskFor(query);
+  pending.ask = ToPlaceAsk(query);
   pending.ask.set_epoch(m_epoch);
   pending.ask.set_id(id);
   pending.ask.set_reply_address(m_reply_address);
   pending.peers = m_hooks.peers();
-  pending.on_told = std::move(on_told);
+  pending.on_placement = std::move(on_placement);
   pending.timer = std::make_shared<boost::asio::steady_timer>(m_io);
   m_pending.emplace(id, std::move(pending));
-  boost::asio::post(m_io, [this, id] { Next(id); });
+  boost::asio::post(m_io, [this, id] { SendToNextPeer(id); });
 }
 
-void PlaceAsker::Next(uint64_t id) {
+void PlacementClient::SendToNextPeer(uint64_t id) {
   const auto found = m_pending.find(id);
   if (found == m_pending.end()) {
     return;
   }
   Pending& pending = found->second;
-  if (pending.peers.empty() || pending.tries == kMostTries) {
-    End(id, {});
+  if (pending.peers.empty() || pending.tries == kMaxTries) {
+    Finish(id, {});
     return;
   }
   ++pending.tries;
   const uint64_t peer = routing::UniformBelow(m_random, pending.peers.size());
   m_hooks.send(pending.peers[peer], pending.ask);
-  pending.timer->expires_after(kAnswerTime);
+  pending.timer->expires_after(kReplyTimeout);
   pending.timer->async_wait(
       [this, id, timer = pending.timer](const boost::system::error_code& code) {
         if (!code) {
-          Next(id);
+          SendToNextPeer(id);
         }
       });
 }
 
-void PlaceAsker::OnAnswer(const v1::PlaceAnswer& answer) {
+void PlacementClient::OnAnswer(const v1::PlaceAnswer& answer) {
   if (answer.ask_epoch() != m_epoch || !m_pending.contains(answer.ask_id())) {
     return;
   }
   if (answer.upstream().empty()) {
-    Next(answer.ask_id());
+    SendToNextPeer(answer.ask_id());
     return;
   }
   entry::Placement placement;
@@ -119,15 +120,15 @@
   entry.address = answer.address();
   entry.failure_domain = core::FailureDomainId(answer.failure_domain());
   entry.slots = answer.slots();
-  End(answer.ask_id(), placement);
+  Finish(answer.ask_id(), placement);
 }
 
-void PlaceAsker::End(uint64_t id, const entry::Placement& placement) {
+void PlacementClient::Finish(uint64_t id, const entry::Placement& placement) {
   const auto found = m_pending.find(id);
   const Pending pending = std::move(found->second);
   m_pending.erase(found);
   pending.timer->cancel();
-  pending.on_told(placement);
+  pending.on_placement(placement);
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -26,7 +26,7 @@
 }
 
 void TopicFollower::ReadPage() {
-  m_began = net::BootNow();
+  m_call_started = net::BootNow();
   m_store.newest(
       m_options.topic, m_after,
       [self = shared_from_this()](const core::Result<NewestPage>& result) {
@@ -39,7 +39,7 @@
 // refusal and keep the store at its bound for good.
 void TopicFollower::OnPage(const core::Result<NewestPage>& result) {
   if (!core::IsOk(result)) {
-    Fail(core::Failure(result));
+    HandleFailure(core::Failure(result));
     return;
   }
   const NewestPage& page = core::Value(result);
@@ -59,12 +59,12 @@
   m_hooks.on_newest(m_newest);
   m_newest = {};
   m_hooks.on_read(m_end);
-  Take(step);
+  ScheduleStep(step);
 }
 
-void TopicFollower::ReadOn() {
-  m_pausing = false;
-  m_began = net::BootNow();
+void TopicFollower::ReadBatch() {
+  m_pausing_between_reads = false;
+  m_call_started = net::BootNow();
   m_store.read(
       m_options.topic, m_plan.next(),
       {m_options.wait, m_options.plan.most_bytes},
@@ -76,24 +76,25 @@
 void TopicFollower::OnBatch(const core::Result<RecordBatch>& result) {
   if (!core::IsOk(result)) {
     if (core::Failure(result).id == core::ErrorId::kLogGap) {
-      Take(m_plan.OnGap());
+      ScheduleStep(m_plan.OnGap());
       return;
     }
-    Fail(core::Failure(result));
+    HandleFailure(core::Failure(result));
     return;
   }
   const RecordBatch& batch = core::Value(result);
-  HandOn(batch.records);
+  Deliver(batch.records);
   m_hooks.on_read(batch.next);
   const core::Duration usual = m_options.plan.pause;
   const bool varies = usual > core::Duration::zero() && m_hooks.pause;
-  Take(m_plan.OnBatch(batch.records.empty(), batch.next, batch.end,
-                      varies ? m_hooks.pause(usual) : usual, net::BootNow()));
+  ScheduleStep(m_plan.OnBatch(batch.records.empty(), batch.next, batch.end,
+                              varies ? m_hooks.pause(usual) : usual,
+                              net::BootNow()));
 }
 
 // A configuration costs a small VM tens of milliseconds to read: of several
 // that come together all but the newest would be read for nothing.
-void TopicFollower::HandOn(const std::vector<KeyedRecord>& records) {
+void TopicFollower::Deliver(const std::vector<KeyedRecord>& records) {
   if (!m_options.plan.only_newest_matters) {
     for (const KeyedRecord& record : records) {
       m_hooks.on_record(record);
@@ -111,50 +112,51 @@
   }
 }
 
-void TopicFollower::Hurry() {
-  if (m_pausing) {
-    After(core::Duration::zero(), &TopicFollower::ReadOn);
+void TopicFollower::Expedite() {
+  if (m_pausing_between_reads) {
+    RunAfter(core::Duration::zero(), &TopicFollower::ReadBatch);
   }
 }
 
-void TopicFollower::Fail(const core::Error& error) {
-  m_hooks.on_failure(error, m_began);
+void TopicFollower::HandleFailure(const core::Error& error) {
+  m_hooks.on_failure(error, m_call_started);
   constexpr uint64_t kSteps = 1'000'000;
   const double draw =
       static_cast<double>(routing::UniformBelow(m_random, kSteps)) / kSteps;
-  Take(m_plan.OnFailure(draw, m_began, net::BootNow()));
+  ScheduleStep(m_plan.OnFailure(draw, m_call_started, net::BootNow()));
 }
 
-void TopicFollower::Wake() {
+void TopicFollower::Resume() {
   if (m_stopped) {
     m_stopped = false;
     Start();
   }
 }
 
-void TopicFollower::Take(const entry::ReadStep& step) {
+void TopicFollower::ScheduleStep(const entry::ReadStep& step) {
   if (m_hooks.wanted && !m_hooks.wanted()) {
     m_stopped = true;
-    m_pausing = false;
+    m_pausing_between_reads = false;
     m_hooks.on_stopped();
     return;
   }
-  m_pausing = step.pausing;
+  m_pausing_between_reads = step.pausing;
   switch (step.call) {
     case entry::ReadStep::Call::kFirstPage:
-      After(step.delay, &TopicFollower::ReadNewest);
+      RunAfter(step.delay, &TopicFollower::ReadNewest);
       return;
     case entry::ReadStep::Call::kSamePage:
-      After(step.delay, &TopicFollower::ReadPage);
+      RunAfter(step.delay, &TopicFollower::ReadPage);
       return;
     case entry::ReadStep::Call::kRecords:
-      After(step.delay, &TopicFollower::ReadOn);
+      RunAfter(step.delay, &TopicFollower::ReadBatch);
       return;
   }
 }
 
 // Without a delay the call is made at once: a wait for nothing is a wake-up.
-void TopicFollower::After(core::Duration delay, void (TopicFollower::*step)()) {
+void TopicFollower::RunAfter(core::Duration delay,
+                             void (TopicFollower::*step)()) {
   if (delay == core::Duration::zero()) {
     m_timer.cancel();
     (this->*step)();
--- a/src/gateway/upstream_connection.cc
+++ b/src/gateway/upstream_connection.cc
@@ -173,7 +173,7 @@
   }
   // An answer without a length ends with its connection, but only with an
   // orderly end: one that was reset on the way may lack its tail.
-  if (end == StreamEnd::kOrderly && m_reader->FinishAtEnd()) {
+  if (end == StreamEnd::kOrderly && m_reader->FinishAtEof()) {
     Deliver();
     return;
   }
--- a/src/http1/header_list.cc
+++ b/src/http1/header_list.cc
@@ -12,7 +12,7 @@
      "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade",
      "content-length", "expect"});
 
-char Lower(char c) {
+char ToLower(char c) {
   return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
 
@@ -26,10 +26,10 @@
   return text;
 }
 
-bool ListNames(std::string_view list, std::string_view name) {
+bool ListContains(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const size_t comma = list.find(',');
-    if (SameToken(Trim(list.substr(0, comma)), name)) {
+    if (EqualsIgnoreCase(Trim(list.substr(0, comma)), name)) {
       return true;
     }
     if (comma == std::string_view::npos) {
@@ -42,9 +42,9 @@
 
 }  // namespace
 
-bool SameToken(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return Lower(x) == Lower(y); });
+                    [](char x, char y) { return ToLower(x) == ToLower(y); });
 }
 
 void HeaderList::Add(std::string_view name, std::string_view value) {
@@ -53,7 +53,7 @@
 
 const std::string* HeaderList::Find(std::string_view name) const {
   for (const Header& header : m_headers) {
-    if (SameToken(header.name, name)) {
+    if (EqualsIgnoreCase(header.name, name)) {
       return &header.value;
     }
   }
@@ -63,22 +63,22 @@
 size_t HeaderList::Count(std::string_view name) const {
   size_t count = 0;
   for (const Header& header : m_headers) {
-    count += SameToken(header.name, name) ? 1 : 0;
+    count += EqualsIgnoreCase(header.name, name) ? 1 : 0;
   }
   return count;
 }
 
 bool IsHopByHop(const HeaderList& headers, std::string_view name) {
   for (const std::string_view fixed : kHopByHop) {
-    if (SameToken(fixed, name)) {
+    if (EqualsIgnoreCase(fixed, name)) {
       return true;
     }
   }
   for (const Header& header : headers) {
-    if (!SameToken(header.name, "connection")) {
+    if (!EqualsIgnoreCase(header.name, "connection")) {
       continue;
     }
-    if (ListNames(header.value, name)) {
+    if (ListContains(header.value, name)) {
       return true;
     }
   }
--- a/src/http1/request_reader.cc
+++ b/src/http1/request_reader.cc
@@ -10,7 +10,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-core::Error ErrorOf(const beast::error_code& code) {
+core::Error ToError(const beast::error_code& code) {
   if (code == http::error::header_limit) {
     return {core::ErrorId::kHeaderTooLarge, "request", code.message()};
   }
@@ -30,7 +30,7 @@
   std::string m_body;
 
  private:
-  bool Ambiguous() const;
+  bool HasAmbiguousFraming() const;
 
   void on_request_impl(http::verb /*verb*/,
                        beast::string_view method,
@@ -100,7 +100,7 @@
 // Two readers that choose differently among repeated or conflicting framing
 // headers see different requests: the rest of one becomes a request that no
 // caller sent. Such a request is refused, not repaired.
-bool RequestReader::Parser::Ambiguous() const {
+bool RequestReader::Parser::HasAmbiguousFraming() const {
   const HeaderList& headers = m_head.headers;
   if (headers.Count("host") != 1 || headers.Count("content-length") > 1 ||
       headers.Count("transfer-encoding") > 1) {
@@ -110,14 +110,14 @@
   if (encoding == nullptr) {
     return false;
   }
-  return !SameToken(*encoding, "chunked") ||
+  return !EqualsIgnoreCase(*encoding, "chunked") ||
          headers.Find("content-length") != nullptr;
 }
 
 void RequestReader::Parser::on_header_impl(beast::error_code& ec) {
   m_head_read = true;
   m_head.keep_alive = keep_alive();
-  if (Ambiguous()) {
+  if (HasAmbiguousFraming()) {
     ec = http::error::bad_transfer_encoding;
   }
 }
@@ -132,7 +132,7 @@
       break;
     }
     if (code) {
-      return ErrorOf(code);
+      return ToError(code);
     }
   }
   return used;
--- a/src/http1/response_reader.cc
+++ b/src/http1/response_reader.cc
@@ -74,14 +74,14 @@
 
 ResponseReader::ResponseReader(bool without_body)
     : m_without_body(without_body) {
-  Renew();
+  ResetParser();
 }
 
 ResponseReader::~ResponseReader() = default;
 ResponseReader::ResponseReader(ResponseReader&&) noexcept = default;
 ResponseReader& ResponseReader::operator=(ResponseReader&&) noexcept = default;
 
-void ResponseReader::Renew() {
+void ResponseReader::ResetParser() {
   m_parser = std::make_unique<Parser>();
   m_parser->header_limit(kHeaderLimit);
   m_parser->body_limit(boost::none);
@@ -103,13 +103,13 @@
                          code.message()};
     }
     if (m_parser->is_done() && m_parser->m_head.status < kFirstFinalStatus) {
-      Renew();
+      ResetParser();
     }
   }
   return used;
 }
 
-bool ResponseReader::FinishAtEnd() {
+bool ResponseReader::FinishAtEof() {
   if (done()) {
     return true;
   }
--- a/src/http1/retry_after.cc
+++ b/src/http1/retry_after.cc
@@ -11,10 +11,10 @@
 
 // A wait in the wrong unit must not lose an upstream for the day: it is asked
 // again after this, and may say so again.
-constexpr double kMostSeconds = 300;
+constexpr double kMaxSeconds = 300;
 constexpr double kMicros = 1e6;
 
-double SecondsOf(std::string_view text) {
+double ParseSeconds(std::string_view text) {
   double seconds = 0;
   const char* end = text.data() + text.size();
   const auto read = std::from_chars(text.data(), end, seconds);
@@ -24,18 +24,18 @@
 
 }  // namespace
 
-std::optional<core::Duration> RetryAfterOf(const HeaderList& headers) {
+std::optional<core::Duration> ParseRetryAfter(const HeaderList& headers) {
   double longest = 0;
   for (const Header& header : headers) {
-    if (SameToken(header.name, "Retry-After")) {
-      longest = std::max(longest, SecondsOf(header.value));
+    if (EqualsIgnoreCase(header.name, "Retry-After")) {
+      longest = std::max(longest, ParseSeconds(header.value));
     }
   }
   if (longest <= 0) {
     return std::nullopt;
   }
   return core::Duration(
-      static_cast<int64_t>(std::min(longest, kMostSeconds) * kMicros));
+      static_cast<int64_t>(std::min(longest, kMaxSeconds) * kMicros));
 }
 
 }  // namespace coppervalve::http1
--- a/src/http1/event_cutter.cc
+++ b/src/http1/sse_splitter.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/http1/event_cutter.h"
+#include "coppervalve/http1/sse_splitter.h"
 
 #include <algorithm>  // max
 #include <utility>    // exchange
@@ -23,7 +23,7 @@
   return end;
 }
 
-std::string_view ValueOf(std::string_view line) {
+std::string_view FieldValue(std::string_view line) {
   line.remove_prefix(kIdField.size());
   if (line.starts_with(' ')) {
     line.remove_prefix(1);
@@ -33,23 +33,23 @@
 
 }  // namespace
 
-std::string EventCutter::Feed(std::string_view bytes) {
-  m_tail.append(bytes);
-  const size_t end = EndOfLastEvent(m_tail);
+std::string SseSplitter::Feed(std::string_view bytes) {
+  m_partial.append(bytes);
+  const size_t end = EndOfLastEvent(m_partial);
   if (end == 0) {
     return {};
   }
-  std::string whole = m_tail.substr(0, end);
-  m_tail.erase(0, end);
-  Count(whole);
+  std::string whole = m_partial.substr(0, end);
+  m_partial.erase(0, end);
+  CountEvents(whole);
   return whole;
 }
 
-std::string EventCutter::TakeTail() {
-  return std::exchange(m_tail, {});
+std::string SseSplitter::TakePartialEvent() {
+  return std::exchange(m_partial, {});
 }
 
-void EventCutter::Count(std::string_view events) {
+void SseSplitter::CountEvents(std::string_view events) {
   bool in_event = false;
   while (!events.empty()) {
     const size_t newline = events.find('\n');
@@ -65,7 +65,7 @@
     }
     in_event = true;
     if (line.starts_with(kIdField)) {
-      m_last_id = ValueOf(line);
+      m_last_id = FieldValue(line);
     }
   }
 }
--- a/tests/gateway/fake_store.cc
+++ b/tests/gateway/fake_store.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-core::Error Away() {
+core::Error Unavailable() {
   return {core::ErrorId::kLogUnavailable, "store", "away"};
 }
 
@@ -52,8 +52,8 @@
                      KeyedStore::Handler<RecordBatch> handler) {
   const Topic& kept = m_topics[topic];
   if (from < kept.first) {
-    Later<RecordBatch>(std::move(handler),
-                       core::Error{core::ErrorId::kLogGap, topic, "compacted"});
+    Post<RecordBatch>(std::move(handler),
+                      core::Error{core::ErrorId::kLogGap, topic, "compacted"});
     return;
   }
   if (from >= EndOf(kept)) {
@@ -73,7 +73,7 @@
     batch.records.push_back(record);
     batch.next = offset + 1;
   }
-  Later<RecordBatch>(std::move(handler), batch);
+  Post<RecordBatch>(std::move(handler), batch);
 }
 
 void FakeStore::WakeReaders() {
@@ -88,11 +88,11 @@
   KeyedStore calls;
   calls.newest = [this](const std::string& topic, const std::string& after,
                         auto handler) {
-    ++reads_of_newest;
+    ++newest_calls;
     const bool unanswered = away || topic == unreadable;
     if (unanswered || refuse_newest > 0) {
       refuse_newest -= unanswered ? 0 : 1;
-      Later<NewestPage>(handler, Away());
+      Post<NewestPage>(handler, Unavailable());
       return;
     }
     const Topic& kept = m_topics[topic];
@@ -106,12 +106,12 @@
       }
       page.records.push_back(found->second);
     }
-    Later<NewestPage>(handler, page);
+    Post<NewestPage>(handler, page);
   };
   calls.read = [this](const std::string& topic, uint64_t from,
                       const ReadBounds& bounds, auto handler) {
     if (away || topic == unreadable) {
-      Later<RecordBatch>(handler, Away());
+      Post<RecordBatch>(handler, Unavailable());
       return;
     }
     Read(topic, from, bounds.most_bytes, handler);
@@ -120,12 +120,12 @@
                         const WriterPosition& position, auto handler) {
     ++appends;
     if (away) {
-      Later<WriteReceipt>(handler, Away());
+      Post<WriteReceipt>(handler, Unavailable());
       return;
     }
     WriterPosition& known = m_topics[topic].writers[position.writer];
     if (position.epoch < known.epoch) {
-      Later<WriteReceipt>(
+      Post<WriteReceipt>(
           handler, core::Error{core::ErrorId::kRetiredInLog, topic, "fenced"});
       return;
     }
@@ -135,12 +135,12 @@
     if (!repeat && !record.key.empty()) {
       Put(topic, record.key, record.value);
     }
-    if (lose_answers > 0) {
-      --lose_answers;
-      Later<WriteReceipt>(handler, Away());
+    if (lose_replies > 0) {
+      --lose_replies;
+      Post<WriteReceipt>(handler, Unavailable());
       return;
     }
-    Later<WriteReceipt>(handler, WriteReceipt{EndOf(m_topics[topic])});
+    Post<WriteReceipt>(handler, WriteReceipt{EndOf(m_topics[topic])});
   };
   return calls;
 }
--- a/tests/gateway/fake_store.h
+++ b/tests/gateway/fake_store.h
@@ -28,11 +28,11 @@
 
   bool away = false;       ///< no call is answered in time
   std::string unreadable;  ///< topic whose reads are not answered in time
-  int lose_answers = 0;    ///< of the next appends, which are done
+  int lose_replies = 0;    ///< of the next appends, which are done
   int refuse_newest = 0;   ///< of the next pages
   size_t page_size = 500;
-  int appends = 0;          ///< calls
-  int reads_of_newest = 0;  ///< calls
+  int appends = 0;       ///< calls
+  int newest_calls = 0;  ///< calls
   /// Newest record of a key; empty when there is none.
   std::string Newest(const std::string& topic, const std::string& key) const;
   size_t waiting_readers() const { return m_waiting.size(); }
@@ -60,7 +60,7 @@
             KeyedStore::Handler<RecordBatch> handler);
   void WakeReaders();
   template <typename T>
-  void Later(KeyedStore::Handler<T> handler, core::Result<T> result) {
+  void Post(KeyedStore::Handler<T> handler, core::Result<T> result) {
     boost::asio::post(m_io, [handler, result] { handler(result); });
   }
 
--- a/tests/gateway/gateway_fixture.cc
+++ b/tests/gateway/gateway_fixture.cc
@@ -87,7 +87,7 @@
 }
 
 http1::HeaderList UpstreamHeaders(const http1::RequestHead& head,
-                                  const SendFacts& facts) {
+                                  const UpstreamRequestContext& facts) {
   http1::HeaderList headers;
   for (const http1::Header& header : head.headers) {
     if (!http1::IsHopByHop(head.headers, header.name)) {
@@ -100,8 +100,8 @@
   return headers;
 }
 
-AnswerFacts ReadAnswer(const http1::ResponseHead& head) {
-  AnswerFacts facts;
+UpstreamResponseInfo ReadAnswer(const http1::ResponseHead& head) {
+  UpstreamResponseInfo facts;
   const std::string* id = head.headers.Find("X-Id");
   facts.request_id = id == nullptr ? std::string() : *id;
   facts.not_run = head.headers.Find("X-Not-Run") != nullptr;
@@ -112,13 +112,13 @@
   return facts;
 }
 
-Dialect TestDialect() {
-  Dialect dialect;
-  dialect.read_configuration = ReadConfiguration;
-  dialect.read_request = ReadRequest;
-  dialect.upstream_headers = UpstreamHeaders;
-  dialect.read_answer = ReadAnswer;
-  dialect.read_upstream =
+PlatformAdapter TestAdapter() {
+  PlatformAdapter adapter;
+  adapter.read_configuration = ReadConfiguration;
+  adapter.read_request = ReadRequest;
+  adapter.upstream_headers = UpstreamHeaders;
+  adapter.read_answer = ReadAnswer;
+  adapter.read_upstream =
       [](const std::string& key,
          const std::string& document) -> core::Result<entry::UpstreamEntry> {
     std::istringstream words(document);
@@ -140,7 +140,7 @@
     entry.slots = 8;
     return entry;
   };
-  dialect.refusal = [](const core::Error& error,
+  adapter.refusal = [](const core::Error& error,
                        std::optional<core::Duration> retry_after) {
     LocalAnswer answer;
     answer.status = core::Describe(error.id).http_status;
@@ -152,7 +152,7 @@
     answer.body = core::ToString(error);
     return answer;
   };
-  dialect.addresses = [](const http1::RequestHead&,
+  adapter.addresses = [](const http1::RequestHead&,
                          const std::vector<std::string>& addresses,
                          core::Duration) {
     LocalAnswer answer;
@@ -161,12 +161,12 @@
     }
     return answer;
   };
-  dialect.readiness = [](const http1::RequestHead&, bool ready) {
+  adapter.readiness = [](const http1::RequestHead&, bool ready) {
     LocalAnswer answer;
     answer.status = ready ? 200 : 503;
     return answer;
   };
-  return dialect;
+  return adapter;
 }
 
 }  // namespace
@@ -291,7 +291,7 @@
 void Router::Start(int64_t prepaid) {
   store.Put("config", "config", "1 " + std::to_string(prepaid));
   gateway =
-      std::make_unique<Gateway>(io, settings, TestDialect(), store.Calls());
+      std::make_unique<Gateway>(io, settings, TestAdapter(), store.Calls());
   gateway->Start();
   // The first claim is in the log and was read back.
   Until([this] { return store.RecordsOf("routers") != 0; });
@@ -304,7 +304,7 @@
   other.caller_address = FreeAddress(io);
   other.load_address = FreeAddress(io);
   auto peer =
-      std::make_unique<Gateway>(io, other, TestDialect(), store.Calls());
+      std::make_unique<Gateway>(io, other, TestAdapter(), store.Calls());
   peer->Start();
   Until([&] { return !store.Newest("routers", name).empty(); });
   // Both know what the other claims by now.
--- a/tests/gateway/unit-event-log.cc
+++ b/tests/gateway/unit-event-log.cc
@@ -33,7 +33,7 @@
 
 TEST(EventLog, writes_an_event_as_a_line_of_json) {
   EventLog log(io, ends[1], {});
-  log.Write(LineKind::kTrouble,
+  log.Write(LogCategory::kFailure,
             LogLine("request").Text("id", "a\"b\n").Number("status", 503));
   log.Flush();
   const std::string text = ReadAll();
@@ -47,11 +47,11 @@
   EventLog log(io, ends[1], {});
   const std::string padding(200, 'x');
   for (int i = 0; i < 20'000; ++i) {
-    log.Write(LineKind::kTrouble, LogLine("request").Text("id", padding));
+    log.Write(LogCategory::kFailure, LogLine("request").Text("id", padding));
     log.Flush();
   }
-  CHECK(log.held_bytes() <= EventLog::Bounds{}.held_bytes[1]);
-  CHECK(log.left_out() > 0);
+  CHECK(log.buffered_bytes() <= EventLog::Bounds{}.buffered_bytes[1]);
+  CHECK(log.dropped() > 0);
 }
 
 TEST(EventLog, says_how_much_was_left_out) {
@@ -59,7 +59,7 @@
   bounds.lines_per_second = {1, 1, 1};
   EventLog log(io, ends[1], bounds);
   for (int i = 0; i < 10; ++i) {
-    log.Write(LineKind::kRoutine, LogLine("request"));
+    log.Write(LogCategory::kRoutine, LogLine("request"));
   }
   log.Flush();
   log.Flush();
@@ -68,12 +68,12 @@
 
 TEST(EventLog, routine_lines_give_way_to_trouble) {
   EventLog::Bounds bounds;
-  bounds.held_bytes = {200, 2'000, 2'000};
+  bounds.buffered_bytes = {200, 2'000, 2'000};
   EventLog log(io, ends[1], bounds);
   for (int i = 0; i < 10; ++i) {
-    log.Write(LineKind::kRoutine, LogLine("served"));
+    log.Write(LogCategory::kRoutine, LogLine("served"));
   }
-  const size_t before = log.held_bytes();
-  log.Write(LineKind::kTrouble, LogLine("refused"));
-  CHECK(log.held_bytes() > before);
+  const size_t before = log.buffered_bytes();
+  log.Write(LogCategory::kFailure, LogLine("refused"));
+  CHECK(log.buffered_bytes() > before);
 }
--- a/tests/gateway/unit-lifecycle.cc
+++ b/tests/gateway/unit-lifecycle.cc
@@ -45,7 +45,7 @@
 }
 
 TEST(Lifecycle, a_write_without_an_answer_is_repeated_and_done_once) {
-  router.store.lose_answers = 2;
+  router.store.lose_replies = 2;
   router.Start();
   CHECK(router.Until([&] { return NewestBeat(router).sequence() >= 2; }));
   CHECK_EQUAL(router.store.RecordsOf("routers"), NewestBeat(router).sequence());
@@ -77,10 +77,10 @@
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(Signed(request, "held"));
   });
-  const int before = router.store.reads_of_newest;
+  const int before = router.store.newest_calls;
   router.store.Put("upstreams", "two", "hold " + one.address());
   router.store.Compact("upstreams");
-  CHECK(router.Until([&] { return router.store.reads_of_newest > before; }));
+  CHECK(router.Until([&] { return router.store.newest_calls > before; }));
   CHECK(Has(router.Ask("/hold/x"), "held"));
 }
 
@@ -148,7 +148,7 @@
   CHECK(Has(answer, "held"));
   // One page of the configuration and of the beats, six of the upstreams, and
   // the three that were turned away.
-  CHECK_EQUAL(1 + 1 + 6 + 3, router.store.reads_of_newest);
+  CHECK_EQUAL(1 + 1 + 6 + 3, router.store.newest_calls);
 }
 
 TEST(Lifecycle, a_connection_of_an_earlier_start_gets_no_work_of_the_next) {
--- a/tests/gateway/unit-place-asker.cc
+++ b/tests/gateway/unit-placement-client.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/gateway/place_asker.h"
+#include "coppervalve/gateway/placement_client.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -11,13 +11,13 @@
 using namespace coppervalve::gateway;
 
 // clang-format off
-TEST_GROUP(PlaceAsker) {
+TEST_GROUP(PlacementClient) {
   boost::asio::io_context io;
   std::vector<std::string> peers{"10.0.0.2:1"};
   std::vector<v1::PlaceAsk> sent;
   std::optional<entry::Placement> told;
   entry::PlacementQuery query;
-  PlaceAsker asker{io, "10.0.0.1:1",
+  PlacementClient client{io, "10.0.0.1:1",
                    {[this] { return peers; },
                     [this](const std::string&, const v1::PlaceAsk& ask) {
                       sent.push_back(ask);
@@ -25,7 +25,7 @@
                    [] { return uint64_t{7}; }};
 
   void setup() override {
-    asker.SetEpoch(3);
+    client.SetEpoch(3);
     query.service = core::ServiceId("engines");
     query.engine = true;
     query.shared_prefix = "castle";
@@ -33,7 +33,7 @@
     query.exclude = {core::UpstreamId("tried")};
   }
   void Ask() {
-    asker.Ask(query, [this](const entry::Placement& one) { told = one; });
+    client.Ask(query, [this](const entry::Placement& one) { told = one; });
     io.restart();
     io.run_for(std::chrono::milliseconds(5));
   }
@@ -51,35 +51,35 @@
 };
 // clang-format on
 
-TEST(PlaceAsker, what_is_asked_and_answered_comes_through_messages) {
+TEST(PlacementClient, what_is_asked_and_answered_comes_through_messages) {
   Ask();
   CHECK_EQUAL(1, sent.size());
-  const entry::PlacementQuery read = QueryOf(sent[0]);
+  const entry::PlacementQuery read = ToPlacementQuery(sent[0]);
   CHECK(read.service == query.service && read.engine);
   CHECK(read.shared_prefix == query.shared_prefix);
   CHECK(read.prompt == query.prompt && read.exclude == query.exclude);
-  asker.OnAnswer(AnswerTo(sent[0], Chosen()));
+  client.OnAnswer(ToPlaceAnswer(sent[0], Chosen()));
   CHECK(told && told->upstream);
   STRCMP_EQUAL("one", told->upstream->entry.id.value().c_str());
   STRCMP_EQUAL("10.0.1.1:80", told->upstream->entry.address.c_str());
 }
 
-TEST(PlaceAsker, a_lost_datagram_is_sent_again) {
+TEST(PlacementClient, a_lost_datagram_is_sent_again) {
   Ask();
   Pass(60);
   CHECK_EQUAL(2, sent.size());
-  asker.OnAnswer(AnswerTo(sent[0], Chosen()));
+  client.OnAnswer(ToPlaceAnswer(sent[0], Chosen()));
   CHECK(told && told->upstream);
 }
 
-TEST(PlaceAsker, one_that_knows_none_sends_the_ask_on) {
+TEST(PlacementClient, one_that_knows_none_sends_the_ask_on) {
   Ask();
-  asker.OnAnswer(AnswerTo(sent[0], {}));
+  client.OnAnswer(ToPlaceAnswer(sent[0], {}));
   CHECK_EQUAL(2, sent.size());
   CHECK_FALSE(told.has_value());
 }
 
-TEST(PlaceAsker, with_nobody_who_answers_the_asker_is_told_none) {
+TEST(PlacementClient, with_nobody_who_answers_the_asker_is_told_none) {
   Ask();
   Pass(200);
   CHECK(told && !told->upstream);
@@ -90,17 +90,17 @@
   CHECK(told && !told->upstream);
 }
 
-TEST(PlaceAsker,
+TEST(PlacementClient,
      answers_that_come_late_twice_or_to_an_earlier_start_are_dropped) {
   Ask();
-  v1::PlaceAnswer answer = AnswerTo(sent[0], Chosen());
+  v1::PlaceAnswer answer = ToPlaceAnswer(sent[0], Chosen());
   answer.set_ask_epoch(2);
-  asker.OnAnswer(answer);
+  client.OnAnswer(answer);
   CHECK_FALSE(told.has_value());
   answer.set_ask_epoch(3);
-  asker.OnAnswer(answer);
+  client.OnAnswer(answer);
   CHECK(told.has_value());
   told.reset();
-  asker.OnAnswer(answer);
+  client.OnAnswer(answer);
   CHECK_FALSE(told.has_value());
 }
--- a/tests/gateway/unit-topic-follower.cc
+++ b/tests/gateway/unit-topic-follower.cc
@@ -114,7 +114,7 @@
   store.Put("config", "config", "3");
   CHECK_EQUAL(0, store.waiting_readers());
   wanted = true;
-  follower->Wake();
+  follower->Resume();
   Until([this] { return store.waiting_readers() == 1; });
   CHECK((std::vector<std::string>{"1", "2", "3"}) == read);
 }
--- a/tests/http1/unit-response-reader.cc
+++ b/tests/http1/unit-response-reader.cc
@@ -30,20 +30,20 @@
 
 TEST(ResponseReader, a_truncated_body_is_not_whole) {
   reader.Feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok");
-  CHECK_FALSE(reader.FinishAtEnd());
+  CHECK_FALSE(reader.FinishAtEof());
 }
 
 TEST(ResponseReader, chunks_without_their_end_are_not_whole) {
   reader.Feed(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n");
-  CHECK_FALSE(reader.FinishAtEnd());
+  CHECK_FALSE(reader.FinishAtEof());
 }
 
 TEST(ResponseReader, a_body_without_a_length_ends_with_the_connection) {
   reader.Feed("HTTP/1.1 200 OK\r\n\r\nok");
   CHECK_FALSE(reader.done());
   CHECK(reader.head().ends_with_connection);
-  CHECK(reader.FinishAtEnd());
+  CHECK(reader.FinishAtEof());
 }
 
 TEST(ResponseReader, bytes_that_are_no_answer_are_an_error) {
--- a/tests/http1/unit-retry-after.cc
+++ b/tests/http1/unit-retry-after.cc
@@ -10,12 +10,12 @@
 
 namespace {
 
-int64_t MillisOf(const std::vector<std::string>& values) {
+int64_t ParsedMillis(const std::vector<std::string>& values) {
   HeaderList headers;
   for (const std::string& value : values) {
     headers.Add("retry-after", value);
   }
-  const auto wait = RetryAfterOf(headers);
+  const auto wait = ParseRetryAfter(headers);
   return wait ? wait->count() / 1'000 : -1;
 }
 
@@ -27,13 +27,13 @@
 // clang-format on
 
 TEST(RetryAfter, seconds_and_fractions_are_read) {
-  CHECK_EQUAL(2'000, MillisOf({"2"}));
-  CHECK_EQUAL(350, MillisOf({"0.35"}));
+  CHECK_EQUAL(2'000, ParsedMillis({"2"}));
+  CHECK_EQUAL(350, ParsedMillis({"0.35"}));
 }
 
 TEST(RetryAfter, of_two_the_longer_counts) {
-  CHECK_EQUAL(3'000, MillisOf({"1", "3"}));
-  CHECK_EQUAL(1'000, MillisOf({"1", "soon"}));
+  CHECK_EQUAL(3'000, ParsedMillis({"1", "3"}));
+  CHECK_EQUAL(1'000, ParsedMillis({"1", "soon"}));
 }
 
 TEST(RetryAfter, what_is_no_time_to_come_is_no_wait) {
@@ -42,12 +42,12 @@
       "inf",  "1s", "0x5", "1 2",  "Thu, 03 Dec 2026 06:41:57 GMT",
       "1e999"};
   for (const std::string& value : bad) {
-    CHECK_EQUAL(-1, MillisOf({value}));
+    CHECK_EQUAL(-1, ParsedMillis({value}));
   }
-  CHECK_EQUAL(-1, MillisOf({}));
+  CHECK_EQUAL(-1, ParsedMillis({}));
 }
 
 TEST(RetryAfter, a_huge_one_is_believed_up_to_a_bound) {
-  CHECK_EQUAL(300'000, MillisOf({"86400"}));
-  CHECK_EQUAL(300'000, MillisOf({"1e300"}));
+  CHECK_EQUAL(300'000, ParsedMillis({"86400"}));
+  CHECK_EQUAL(300'000, ParsedMillis({"1e300"}));
 }
--- a/tests/platform/unit-damaged-input.cc
+++ b/tests/platform/unit-damaged-input.cc
@@ -42,12 +42,13 @@
 )";
 
 // Bytes that mean something to a reader are the likelier ones.
-char AnyByte(pcg64& random) {
-  constexpr std::string_view kTelling = "{}[]\",:0123456789-+.eEtrufalsn\\\n= ";
+char RandomByte(pcg64& random) {
+  constexpr std::string_view kSignificantBytes =
+      "{}[]\",:0123456789-+.eEtrufalsn\\\n= ";
   if (random() % 3 == 0) {
     return static_cast<char>(random());
   }
-  return kTelling[random() % kTelling.size()];
+  return kSignificantBytes[random() % kSignificantBytes.size()];
 }
 
 std::string Damaged(std::string text, pcg64& random) {
@@ -55,11 +56,11 @@
     const size_t at = random() % text.size();
     switch (random() % 3) {
       case 0:
-        text[at] = AnyByte(random);
+        text[at] = RandomByte(random);
         break;
       case 1:
         text.insert(text.begin() + static_cast<std::ptrdiff_t>(at),
-                    AnyByte(random));
+                    RandomByte(random));
         break;
       default:
         text.erase(at, 1 + random() % 5);
--- a/tests/platform/unit-documents.cc
+++ b/tests/platform/unit-documents.cc
@@ -176,14 +176,14 @@
 TEST(Documents, an_entry_that_only_counts_on_is_told_without_reading_it) {
   const std::string before =
       R"({"service":"s","state":"ready","sequence":9,"zone":"z"})";
-  CHECK(SameUpstream(
+  CHECK(UpstreamUnchanged(
       before, R"({"service":"s","state":"ready","sequence":10,"zone":"z"})"));
-  CHECK_FALSE(SameUpstream(
+  CHECK_FALSE(UpstreamUnchanged(
       before, R"({"service":"s","state":"ready","sequence":9,"zone":"y"})"));
-  CHECK_FALSE(SameUpstream(
+  CHECK_FALSE(UpstreamUnchanged(
       before, R"({"service":"s","state":"draining","sequence":9,"zone":"z"})"));
-  CHECK_FALSE(SameUpstream("", before));
-  CHECK_FALSE(SameUpstream(before, ""));
-  CHECK_FALSE(SameUpstream(before, before.substr(0, 40)));
-  CHECK_FALSE(SameUpstream(R"({"a":1})", R"({"a":1})"));
+  CHECK_FALSE(UpstreamUnchanged("", before));
+  CHECK_FALSE(UpstreamUnchanged(before, ""));
+  CHECK_FALSE(UpstreamUnchanged(before, before.substr(0, 40)));
+  CHECK_FALSE(UpstreamUnchanged(R"({"a":1})", R"({"a":1})"));
 }
--- a/tests/platform/unit-settings.cc
+++ b/tests/platform/unit-settings.cc
@@ -47,7 +47,7 @@
   CHECK(settings.gateway.grace == std::chrono::seconds(8));
   CHECK(settings.gateway.address_lifetime == std::chrono::seconds(1));
   DOUBLES_EQUAL(0.25, settings.gateway.retries.ratio, 0.001);
-  CHECK(settings.gateway.keys_expire == core::Duration::zero());
+  CHECK(settings.gateway.key_expiry == core::Duration::zero());
 }
 
 TEST(Settings, that_lack_an_address_are_refused_by_name) {
