--- a/include/coppervalve/gateway/event_log.h
+++ b/include/coppervalve/gateway/event_log.h
@@ -13,25 +13,26 @@
 
 namespace coppervalve::gateway {
 
-/// @brief What a line is about; the last to be left out is the last here.
+/// @brief Category of a log line, in ascending priority: under pressure, lines
+/// of the first category are dropped first.
 enum class LogCategory : uint8_t {
-  kRoutine,    ///< a request that was served
-  kFailure,    ///< a request that was refused or failed
+  kRoutine,    ///< served request
+  kFailure,    ///< refused or failed request
   kLifecycle,  ///< start, stop, reload, a dependency lost or regained
 };
 
-/// @brief One event as a JSON object on one line.
+/// @brief Builds a log line: one event as a JSON object.
 class LogLine {
  public:
   explicit LogLine(std::string_view event);
   LogLine& Text(std::string_view name, std::string_view value);
   LogLine& Number(std::string_view name, int64_t value);
-  /// @brief Whole milliseconds.
+  /// @brief Adds a duration in whole milliseconds.
   LogLine& Millis(std::string_view name, core::Duration value);
-  /// @brief A number with three decimals.
+  /// @brief Adds a number with three decimals.
   LogLine& Decimal(std::string_view name, double value);
   LogLine& Flag(std::string_view name, bool value);
-  /// @return the object with its closing brace
+  /// @return the finished object, terminated by a newline
   std::string Finish();
 
  private:
@@ -40,11 +41,13 @@
   std::string m_text;
 };
 
-/// @brief Lines on a descriptor that are written when it takes them and left
-/// out, counted, when it does not: serving never waits for a reader of logs.
+/// @brief Buffered, non-blocking log on a file descriptor.
+///
+/// Lines that exceed the rate or buffer limits are dropped and counted, so that
+/// a stalled log reader never blocks the serving of requests.
 class EventLog {
  public:
-  /// @brief Bounds, by kind of line.
+  /// @brief Limits, indexed by LogCategory.
   struct Bounds {
     std::array<uint64_t, 3> lines_per_second{80, 200, 100};
     std::array<size_t, 3> buffered_bytes{65'536, 196'608, 262'144};
@@ -53,9 +56,9 @@
   EventLog(boost::asio::io_context& io, int descriptor, Bounds bounds);
 
   void Write(LogCategory kind, LogLine line);
-  /// @brief Writes what the descriptor takes now.
+  /// @brief Writes as much as the descriptor accepts without blocking.
   void Flush();
-  /// @return lines left out so far, of all kinds
+  /// @return number of dropped lines of all categories
   uint64_t dropped() const { return m_dropped; }
   size_t buffered_bytes() const { return m_buffer.size(); }
 
--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -39,49 +39,51 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Where the durable store keeps what the router reads and writes.
+/// @brief Topics and keys of the durable store that the router uses.
 struct StoreLayout {
   std::string configuration_topic;
   std::string configuration_key;
-  /// Before the failure domain in the keys of evacuations; of the topic of the
-  /// configuration. Empty = none are read.
+  /// Prefix of the keys of evacuations, followed by the failure domain. They
+  /// are stored in the configuration topic; empty = evacuations are not read.
   std::string evacuation_prefix;
   std::string upstream_topic;
   std::string heartbeat_topic;
 };
 
-/// @brief What a router is told when it starts.
+/// @brief Startup settings of a router.
 struct GatewaySettings {
   core::RouterId router;
   core::FailureDomainId failure_domain;
-  std::string caller_address;     ///< listened on, and given to callers
-  std::string readiness_address;  ///< empty = not served
-  std::string directory_address;  ///< empty = not served
-  std::string metrics_address;    ///< empty = not served
-  std::string load_address;       ///< of load reports; empty = none
-  /// From the signal to end until the process is ended by force.
+  std::string caller_address;     ///< listened on and advertised to callers
+  std::string readiness_address;  ///< empty = disabled
+  std::string directory_address;  ///< empty = disabled
+  std::string metrics_address;    ///< empty = disabled
+  std::string load_address;  ///< for datagrams of other routers; empty = none
+  /// Time between the termination signal and the forced end of the process.
   core::Duration grace{8'000'000};
   core::Duration address_lifetime{2'000'000};
   entry::RetryBounds retries;
   entry::WarmUpBounds warm_up;
-  /// Keys are not honoured past this age of the configuration; 0 = for ever.
+  /// API keys are rejected once the configuration is older than this; 0 =
+  /// never.
   core::Duration key_expiry{};
-  /// Writes a second that the store takes from the whole fleet.
+  /// Store writes per second available to the whole fleet.
   double store_writes_per_second = 600;
-  /// Bytes a second that the store sends to the whole fleet; 0 = not said.
+  /// Bytes per second that the store sends to the whole fleet; 0 = unknown.
   double store_read_bytes_per_second = 0;
-  /// Between records of one upstream; 0 = not said.
+  /// Interval between two records of the same upstream; 0 = unknown.
   core::Duration upstream_heartbeat{};
-  /// Of this VM; 0 = not said.
+  /// Size of this VM; 0 = unknown.
   double processor_cores = 0;
   double link_megabits_per_second = 0;
   StoreLayout layout;
 };
 
-/// @brief One router of the entry fleet: callers' requests in, upstreams'
-/// answers out; configuration, upstreams and budgets from the durable store.
+/// @brief One router of the entry fleet.
 ///
-/// All of it runs on the thread of the io_context.
+/// Forwards callers' requests to upstreams and returns their responses.
+/// Configuration, upstreams and budgets come from the durable store. Everything
+/// runs on the thread of the io_context.
 class Gateway {
  public:
   Gateway(boost::asio::io_context& io,
@@ -93,14 +95,14 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  /// @return kSettingBadValue when an address can't be listened on
+  /// @return kSettingBadValue when listening on an address fails
   core::Status Start();
-  /// @brief Leaves in order: out of the address list first, then the requests
-  /// in progress end, then the ceilings are given back.
-  /// @param on_done when nothing is left to do
+  /// @brief Shuts down gracefully: leaves the address list, lets requests in
+  /// progress finish, then returns the claimed ceilings.
+  /// @param on_done called when the shutdown is complete
   void Drain(std::function<void()> on_done);
-  /// @brief The settings were read again. What changes at run time is taken
-  /// over; addresses stay as they were.
+  /// @brief Applies reloaded settings. Addresses cannot change at run time and
+  /// are ignored.
   void OnReload(const GatewaySettings& settings);
 
  private:
@@ -165,9 +167,9 @@
   GatewayMetrics m_metrics;
 
   std::shared_ptr<const entry::InForce> m_in_force;
-  entry::StoreContact m_contact;  ///< of all topics
-  /// Of each topic alone. What a topic doesn't say proves something only while
-  /// that topic itself is read: another one's answers don't.
+  entry::StoreContact m_contact;  ///< contact with any topic
+  /// Contact with each topic. A missing record proves something only while its
+  /// own topic is being read; replies for other topics do not count.
   entry::StoreContact m_config_contact;
   entry::StoreContact m_upstream_contact;
   entry::StoreContact m_beat_contact;
@@ -193,24 +195,27 @@
   std::shared_ptr<TopicFollower> m_heartbeats;
   std::shared_ptr<HeartbeatWriter> m_heartbeat_writer;
   std::unique_ptr<PeerMessenger> m_peer_messenger;
-  /// Since when no earlier process of this VM can live; none: can't be told.
+  /// Since then no earlier process of this VM can be running, because it would
+  /// hold the load port; none: the port could not be bound.
   std::optional<core::TimePoint> m_load_port_bound_since;
   bool m_load_reports_started = false;
-  std::string m_boot;  ///< empty when it can't be told
+  std::string m_boot;  ///< boot id of the VM; empty when unknown
   std::unique_ptr<TokenRequester> m_token_requester;
   std::unique_ptr<PlacementClient> m_placement_client;
   entry::GiftMemory m_transfer_replies;
   std::vector<std::shared_ptr<Listener>> m_listeners;
   std::shared_ptr<Listener> m_callers;
   std::vector<std::function<void()>> m_grant_waiters;
-  entry::Demand m_arrivals;  ///< requests, not tokens
+  entry::Demand m_arrivals;  ///< counts requests, not tokens
   boost::asio::steady_timer m_tick;
 
-  v1::RouterBeat m_own_record;              ///< newest of an earlier start
-  std::optional<uint64_t> m_epoch_log_end;  ///< earlier starts write below it
-  /// Longest time for which an evacuation can have been unknown here.
+  v1::RouterBeat m_own_record;  ///< newest one of an earlier start
+  std::optional<uint64_t>
+      m_epoch_log_end;  ///< no earlier start can write at or after it
+  /// Longest time for which an evacuation can have been unknown to this router.
   core::Duration m_evacuation_known_within{};
-  uint64_t m_heartbeats_read_to = 0;  ///< all records below it are known
+  uint64_t m_heartbeats_read_to =
+      0;  ///< all records before this offset are known
   bool m_upstreams_known = false;
   bool m_first_heartbeat_read = false;
   bool m_was_ready = false;
--- a/include/coppervalve/gateway/gateway_metrics.h
+++ b/include/coppervalve/gateway/gateway_metrics.h
@@ -13,7 +13,7 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Figures of the process that change by themselves.
+/// @brief Current state of the process, sampled for each scrape.
 struct ProcessStats {
   core::ConfigVersion version;
   core::Duration configuration_age{};
@@ -25,23 +25,23 @@
   uint64_t log_lines_left_out = 0;
   bool ready = false;
   bool store_up = false;
-  uint64_t quarantined_requests = 0;  ///< by content
-  bool follows_upstreams = true;      ///< reads their table
+  uint64_t quarantined_requests = 0;  ///< identified by their content
+  bool follows_upstreams = true;      ///< whether this router reads their table
   uint64_t evacuated_domains = 0;
-  uint64_t limited_upstreams = 0;  ///< that name a limit, as far as is known
-  /// Longest time for which an evacuation can have been unknown here.
+  uint64_t limited_upstreams = 0;  ///< known to declare a limit
+  /// Longest time for which an evacuation can have been unknown to this router.
   core::Duration evacuation_known_within{};
-  double held_ahead = 1;  ///< part of what a fleet without a past holds
+  double held_ahead = 1;  ///< relative to a fleet without losses or outages
 };
 
-/// @brief Counters and histograms of a router, as docs/OPERATIONS.md lists
-/// them.
+/// @brief Metrics of a router, documented in docs/OPERATIONS.md.
 class GatewayMetrics {
  public:
   GatewayMetrics();
   ~GatewayMetrics();
 
-  /// @param cause stable name of what decided, "served" for a whole answer
+  /// @param cause name of the error or rule that decided; "served" for a
+  /// complete response
   void OnRequest(entry::RouteKind kind, std::string_view cause);
   void OnFirstByte(entry::RouteKind kind, core::Duration since_arrival);
   void OnServed(entry::RouteKind kind, core::Duration since_arrival);
@@ -54,7 +54,7 @@
                  const entry::AllotmentBook::Figures& figures);
   void OnProcess(const ProcessStats& figures);
 
-  /// @return all of it as text, in the format of Prometheus
+  /// @return all metrics in the Prometheus text format
   std::string Text() const;
 
  private:
--- a/include/coppervalve/gateway/heartbeat_writer.h
+++ b/include/coppervalve/gateway/heartbeat_writer.h
@@ -14,33 +14,35 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Constants of the writer.
+/// @brief Options of the writer.
 struct HeartbeatOptions {
   std::string topic;
-  std::string router;  ///< key of the record and name of the writer
+  std::string router;  ///< key of the record and id of the writer
   core::Duration retry{150'000};
 };
 
-/// @brief Writes this router's beats, one at a time and in order.
+/// @brief Writes this router's heartbeats to the store, one at a time and in
+/// order.
 ///
-/// A write without an answer is repeated as it is until it is answered, since
-/// it may still be done: a newer one that overtook it could be replaced by it
-/// in the log. The store recognises the repeat by its sequence. The epoch is
-/// announced before the first beat and shuts out writes of earlier starts.
+/// A write without a reply may still take effect. It is retried unchanged until
+/// it is answered; otherwise a newer heartbeat could be overwritten by the late
+/// one. The store recognizes a retry by its sequence number. The epoch is
+/// announced before the first heartbeat, which fences off writes of earlier
+/// starts.
 class HeartbeatWriter : public std::enable_shared_from_this<HeartbeatWriter> {
  public:
   struct Hooks {
-    /// Fills in what the router states now.
+    /// Fills in the current state of the router.
     std::function<void(v1::RouterBeat& beat)> compose;
-    /// Time between beats that nothing hurries.
+    /// Regular time between heartbeats.
     std::function<core::Duration()> period;
-    /// Least time before a beat that is hurried.
+    /// Minimum delay before an expedited heartbeat.
     std::function<core::Duration()> expedited_delay;
-    /// The epoch is announced: no earlier start can write past `end`.
+    /// The epoch is announced: earlier starts cannot write at or after `end`.
     std::function<void(uint64_t epoch, uint64_t end)> on_epoch_announced;
     std::function<void(const v1::RouterBeat& beat)> on_written;
     std::function<void(const core::Error&)> on_failure;
-    /// A newer start of the same router exists: nothing is written any more.
+    /// A newer start of the same router exists; this one stops writing.
     std::function<void()> on_superseded;
   };
 
@@ -50,17 +52,17 @@
                   routing::RandomHook random,
                   Hooks hooks);
 
-  /// @param last_epoch of this router's newest record; 0 when it has none
+  /// @param last_epoch epoch of this router's newest record; 0 when it has none
   void Start(uint64_t last_epoch);
-  /// @brief Everything before the first beat is known: beats may go out.
+  /// @brief Starts writing heartbeats, once all earlier records have been read.
   void StartHeartbeats();
-  /// @brief Writes a beat soon instead of at its turn.
+  /// @brief Writes the next heartbeat early.
   void Expedite();
   uint64_t epoch() const { return m_epoch; }
 
  private:
   void AnnounceEpoch();
-  void Compose();
+  void WriteNext();
   void Append();
   void OnAppended(const core::Result<WriteReceipt>& result);
   void Schedule(core::Duration delay, void (HeartbeatWriter::*step)());
--- a/include/coppervalve/gateway/keyed_store.h
+++ b/include/coppervalve/gateway/keyed_store.h
@@ -12,57 +12,60 @@
 
 namespace coppervalve::gateway {
 
-/// @brief One record of a topic in which the newest of each key stays.
+/// @brief A record of a compacted topic, which retains the newest record of
+/// each key.
 struct KeyedRecord {
   std::string key;
-  std::string value;  ///< empty: the key was dropped
+  std::string value;  ///< empty: the key was deleted
   uint64_t offset = 0;
 };
 
-/// @brief A page of the newest records of each key. Pages are not a snapshot:
-/// records from `end` on may be in them already.
+/// @brief A page of the newest records of all keys. Pages are not a snapshot:
+/// they may already contain records from `end` on.
 struct NewestPage {
   std::vector<KeyedRecord> records;
-  uint64_t end = 0;   ///< of the log, when the page was made
-  std::string after;  ///< key to go on after; empty = this was the last page
+  uint64_t end = 0;   ///< end of the log when the page was created
+  std::string after;  ///< last key of this page; empty = no more pages
 };
 
-/// @brief Records in the order of their offsets.
+/// @brief Consecutive records, ordered by offset.
 struct RecordBatch {
   std::vector<KeyedRecord> records;
-  uint64_t next = 0;  ///< offset behind them
-  uint64_t end = 0;   ///< of the log, when the batch was made
+  uint64_t next = 0;  ///< offset after the last record
+  uint64_t end = 0;   ///< end of the log when the batch was created
 };
 
-/// @brief Bounds of one read.
+/// @brief Limits of one read.
 struct ReadBounds {
-  core::Duration wait{};  ///< for the first record
+  core::Duration wait{};  ///< maximum time to wait for the first record
   size_t most_bytes = 0;
 };
 
-/// @brief Lets the store do a repeat only once, and nothing of an old writer.
+/// @brief Identifies a write, so that the store applies a retry only once and
+/// rejects writes of superseded writers.
 struct WriterPosition {
   std::string writer;
   uint64_t epoch = 0;
   uint64_t sequence = 0;
 };
 
-/// @brief Where a write went.
+/// @brief Result of a successful write.
 struct WriteReceipt {
-  uint64_t end = 0;  ///< offset behind the last record
+  uint64_t end = 0;  ///< offset after the last record
 };
 
-/// @brief The durable store, as the product uses it. Calls never block, and
-/// each handler is called once.
+/// @brief Interface of the durable store. Calls never block, and each handler
+/// is called exactly once.
 ///
-/// Errors: kLogUnavailable (it may have been done, or may be done later),
-/// kLogGap (what was asked for is no longer kept), kRetiredInLog (a newer
-/// epoch of the writer exists), kLogRecordInvalid (refused as it is).
+/// Errors: kLogUnavailable (the call may have been executed or may still be),
+/// kLogGap (the requested records are no longer retained), kRetiredInLog (a
+/// newer epoch of the writer exists), kLogRecordInvalid (the record was
+/// rejected).
 struct KeyedStore {
   template <typename T>
   using Handler = std::function<void(const core::Result<T>&)>;
 
-  /// @param after key of the page before; empty = from the first
+  /// @param after last key of the previous page; empty = first page
   std::function<void(const std::string& topic,
                      const std::string& after,
                      Handler<NewestPage>)>
@@ -72,7 +75,7 @@
                      const ReadBounds& bounds,
                      Handler<RecordBatch>)>
       read;
-  /// Appends one record; an empty key only announces the epoch.
+  /// Appends one record; a record with an empty key only announces the epoch.
   std::function<void(const std::string& topic,
                      const KeyedRecord& record,
                      const WriterPosition& position,
--- a/include/coppervalve/gateway/peer_messenger.h
+++ b/include/coppervalve/gateway/peer_messenger.h
@@ -16,15 +16,15 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Datagrams between routers: tells the others what is in progress here,
-/// and carries asks for tokens and their answers. Nothing depends on any of it
-/// arriving.
+/// @brief Exchanges datagrams with other routers: load reports, and requests
+/// for tokens and placements with their replies. Delivery is not guaranteed,
+/// and nothing depends on it.
 class PeerMessenger {
  public:
   struct Hooks {
-    /// Addresses of the others, "ip:port".
+    /// Addresses of the other routers, "ip:port".
     std::function<std::vector<std::string>()> peers;
-    /// Fills in the loads.
+    /// Fills in the current load.
     std::function<void(v1::LoadReport&)> compose;
     std::function<void(const v1::LoadReport&)> on_report;
     std::function<void(const v1::TokenAsk&)> on_ask;
@@ -34,12 +34,12 @@
   };
 
   PeerMessenger(boost::asio::io_context& io, std::string router, Hooks hooks);
-  /// @brief Takes the port, alone: as long as this object lives, no other
-  /// process of the VM has it.
-  /// @param address "ip:port" to take reports on
-  /// @return kSettingBadValue when it can't be had
+  /// @brief Binds the port exclusively: no other process of the VM can have it
+  /// while this object lives.
+  /// @param address "ip:port" to receive on
+  /// @return kSettingBadValue when the port cannot be bound
   core::Status Bind(const std::string& address);
-  /// @brief Begins to report, once Bind() succeeded.
+  /// @brief Starts receiving and reporting, once Bind() has succeeded.
   void Start(uint64_t epoch);
   /// @param address "ip:port" of another router
   void Send(const std::string& address, const v1::PeerDatagram& datagram);
--- a/include/coppervalve/gateway/placement_client.h
+++ b/include/coppervalve/gateway/placement_client.h
@@ -16,19 +16,19 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Asks routers that follow the table of upstreams where a request goes.
+/// @brief Asks routers that follow the upstream table to place a request.
 ///
-/// A router that stands by in a large fleet does not follow the table, and what
-/// it read before may name upstreams that left. An answer is as new as the
-/// table of the router that gives it.
+/// A standby router of a large fleet does not follow the table, and what it
+/// read earlier may name upstreams that have left. A reply is as current as the
+/// table of the router that sends it.
 class PlacementClient {
  public:
   struct Hooks {
-    /// Addresses of routers that callers are led to, this one left out.
+    /// Addresses of the routers that callers are directed to, without this one.
     std::function<std::vector<std::string>()> peers;
     std::function<void(const std::string& address, const v1::PlaceAsk&)> send;
   };
-  /// @param placement without an upstream when nobody told of one
+  /// @param placement has no upstream when no router named one
   using PlacementCallback =
       std::function<void(const entry::Placement& placement)>;
 
@@ -38,7 +38,7 @@
                   routing::RandomHook random);
   void SetEpoch(uint64_t epoch) { m_epoch = epoch; }
 
-  /// @param on_placement called once, never from within
+  /// @param on_placement called exactly once, never from within this call
   void Ask(const entry::PlacementQuery& query, PlacementCallback on_placement);
   void OnAnswer(const v1::PlaceAnswer& answer);
 
@@ -62,10 +62,10 @@
   std::unordered_map<uint64_t, Pending> m_pending;
 };
 
-/// @brief What is asked, put into a message and taken out of it.
+/// @brief Conversions between a query and its message.
 v1::PlaceAsk ToPlaceAsk(const entry::PlacementQuery& query);
 entry::PlacementQuery ToPlacementQuery(const v1::PlaceAsk& ask);
-/// @brief What is answered.
+/// @brief Builds the reply to a request.
 v1::PlaceAnswer ToPlaceAnswer(const v1::PlaceAsk& ask,
                               const entry::Placement& placement);
 
--- a/include/coppervalve/gateway/platform_adapter.h
+++ b/include/coppervalve/gateway/platform_adapter.h
@@ -19,47 +19,50 @@
 
 namespace coppervalve::gateway {
 
-/// @brief What an upstream is told beside the caller's own request.
+/// @brief Information that the router adds to a request it forwards to an
+/// upstream.
 struct UpstreamRequestContext {
-  core::Duration time_left{};  ///< until the final answer is due
+  core::Duration time_left{};  ///< until the complete response is due
   core::UpstreamId upstream;
   core::AccountId account;  ///< empty on a public route
   bool has_accounts = false;
   uint8_t priority = 0;
-  std::string resume_after;  ///< empty: from the start
+  std::string
+      resume_after;  ///< id of the last event received; empty = from the start
 };
 
-/// @brief What an upstream's answer says about itself.
+/// @brief What the response of an upstream says about itself and its sender.
 struct UpstreamResponseInfo {
-  std::string request_id;  ///< echoed; empty when it wasn't
+  std::string request_id;  ///< as echoed; empty if it was not
   bool not_run = false;
-  bool misdirected = false;  ///< the address belongs to another one now
-  bool genuine = true;       ///< may be passed on as a success
-  bool leaving = false;      ///< the upstream takes no new work
-  /// The upstream, too busy for this request, wants no other for so long.
+  bool misdirected = false;  ///< the address now belongs to another upstream
+  bool genuine = true;       ///< sent by the upstream itself, may be forwarded
+  bool leaving = false;      ///< the upstream accepts no new requests
+  /// The upstream was too busy for the request and accepts no other for this
+  /// long.
   std::optional<core::Duration> retry_after;
-  /// Requests a second that the upstream takes from all routers together.
+  /// Requests per second that the upstream accepts from all routers together.
   std::optional<double> limit;
-  /// It named a limit that can't be read.
+  /// The response declares a limit that cannot be parsed.
   bool limit_malformed = false;
-  /// Headers that the adapter does not know.
-  std::vector<std::string> unknown;
+  /// Names of headers that the adapter does not know.
+  std::vector<std::string> unknown_headers;
 };
 
-/// @brief How requests, answers and documents are put where the router runs.
-/// All of it translates; none of it decides or remembers.
+/// @brief Translates requests, responses and documents between the platform's
+/// formats and the router's types. It is stateless and makes no decisions.
 struct PlatformAdapter {
   std::function<core::Result<entry::RequestFacts>(const http1::RequestHead&)>
       read_request;
-  /// All headers of the request to an upstream but the framing.
+  /// All headers of the request to an upstream, except those for framing.
   std::function<http1::HeaderList(const http1::RequestHead&,
                                   const UpstreamRequestContext&)>
       upstream_headers;
   std::function<UpstreamResponseInfo(const http1::ResponseHead&)> read_answer;
-  /// A refusal or failure of the router's own.
+  /// The response for an error that the router itself reports.
   std::function<LocalAnswer(const core::Error&, std::optional<core::Duration>)>
       refusal;
-  /// The answer to "where to connect"; no addresses = not known.
+  /// The response to a query for router addresses; no addresses = none known.
   std::function<LocalAnswer(const http1::RequestHead&,
                             const std::vector<std::string>&,
                             core::Duration lifetime)>
@@ -70,8 +73,8 @@
   std::function<core::Result<entry::UpstreamEntry>(const std::string& key,
                                                    const std::string& document)>
       read_upstream;
-  /// Whether the later document of an upstream says no more than the earlier
-  /// one but that it still lives; none: not to be told without reading both.
+  /// Whether the later document of an upstream only renews the earlier one,
+  /// without a change. If unset, every document is parsed.
   std::function<bool(const std::string& earlier, const std::string& later)>
       upstream_unchanged;
 };
--- a/include/coppervalve/gateway/token_requester.h
+++ b/include/coppervalve/gateway/token_requester.h
@@ -17,16 +17,18 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Asks other routers for tokens that this one can't claim: the store
-/// is away, or what is left lies in the others' ceilings.
+/// @brief Requests tokens from other routers when this one cannot claim them:
+/// the store is unavailable, or the remaining tokens are part of other routers'
+/// ceilings.
 ///
-/// One pending an account is out at a time; requests that come meanwhile wait
-/// for its answer. Where nobody answers, no request is held for the next_donor
-/// while.
+/// At most one request per account is in progress; callers that need tokens
+/// meanwhile wait for its reply. After a request without any reply, no caller
+/// waits until a retry interval has passed.
 class TokenRequester {
  public:
   struct Hooks {
-    /// Addresses of routers that may spare so many, the richest first.
+    /// Addresses of routers that may have that many tokens to spare, those with
+    /// the most first.
     std::function<std::vector<std::string>(const core::AccountId&,
                                            core::Tokens)>
         donors;
@@ -41,8 +43,9 @@
                  Hooks hooks);
   void SetEpoch(uint64_t epoch) { m_epoch = epoch; }
 
-  /// @param on_done tokens came, or none will; never called from within
-  /// @return false when there is nobody to pending
+  /// @param on_done called when tokens have arrived or none will; never called
+  /// from within this call
+  /// @return false when there is no router to pending
   bool RequestTokens(const core::AccountId& account,
                      core::Tokens tokens,
                      std::function<void()> on_done);
@@ -52,8 +55,8 @@
   struct PendingRequest {
     core::Tokens min_tokens{};
     std::vector<std::string> donors;
-    size_t next_donor = 0;    ///< lender to pending
-    uint64_t message_id = 0;  ///< id of the one that is out
+    size_t next_donor = 0;    ///< index of the next donor to pending
+    uint64_t message_id = 0;  ///< id of the message sent last
     std::vector<std::function<void()>> callbacks;
     std::shared_ptr<boost::asio::steady_timer> timer;
   };
@@ -70,7 +73,7 @@
   uint64_t m_epoch = 0;
   uint64_t m_last_message = 0;
   std::unordered_map<core::AccountId, PendingRequest> m_pending;
-  /// Messages that no gift came for yet; each takes one, also a late one.
+  /// Messages without a reply so far. Each accepts one reply, even a late one.
   std::unordered_map<uint64_t, core::AccountId> m_unanswered;
   std::optional<core::TimePoint> m_last_no_reply;
 };
--- a/include/coppervalve/gateway/topic_follower.h
+++ b/include/coppervalve/gateway/topic_follower.h
@@ -15,30 +15,34 @@
 
 namespace coppervalve::gateway {
 
-/// @brief How one topic is followed.
+/// @brief Options for following one topic.
 struct FollowerOptions {
   std::string topic;
   entry::ReadPlanOptions plan;
   core::Duration wait{1'000'000};
 };
 
-/// @brief Reads a topic for good: first the newest of each key, then what
-/// comes. Starts over from the newest when the store kept too little, or when
-/// that costs less than what was missed.
+/// @brief Reads a topic continuously: first the newest record of each key, then
+/// new records as they are appended.
+///
+/// Starts over with the newest records when the store no longer retains the
+/// next offset, or when that is cheaper than reading what was missed.
 class TopicFollower : public std::enable_shared_from_this<TopicFollower> {
  public:
   struct Hooks {
     std::function<void(const std::vector<KeyedRecord>&)> on_newest;
     std::function<void(const KeyedRecord&)> on_record;
-    /// A batch was handed on; all records before `next` are known.
+    /// A batch was delivered; all records before `next` are known.
     std::function<void(uint64_t next)> on_read;
-    /// @param began when the call that failed was made
+    /// @param began start time of the failed call
     std::function<void(const core::Error&, core::TimePoint began)> on_failure;
-    /// The pause to make, where it is not always the usual one.
+    /// The pause to make instead of the usual one; optional.
     std::function<core::Duration(core::Duration usual)> pause;
-    /// Whether the topic is of use now; none: always. Asked after each call.
-    std::function<bool()> wanted;
-    /// It was not, and reading stopped: what was read grows old.
+    /// Whether the topic is needed at present, checked after each call; unset =
+    /// always.
+    std::function<bool()> needed;
+    /// Reading stopped because the topic is not needed; the data read so far
+    /// becomes stale.
     std::function<void()> on_stopped;
   };
 
@@ -48,11 +52,11 @@
                 routing::RandomHook random,
                 Hooks hooks);
   void Start() { ScheduleStep(m_plan.OnGap()); }
-  /// @brief Reads again from the newest, if reading stopped and the topic is of
-  /// use now.
+  /// @brief Starts over with the newest records, if reading has stopped and the
+  /// topic is needed again.
   void Resume();
-  /// @brief Cuts the pause after a read short: something that matters was
-  /// just written.
+  /// @brief Ends the current pause early, because something relevant was just
+  /// written.
   void Expedite();
 
  private:
@@ -72,8 +76,8 @@
   Hooks m_hooks;
   boost::asio::steady_timer m_timer;
   entry::ReadPlan m_plan;
-  std::vector<KeyedRecord> m_newest;  ///< of the pages read so far
-  uint64_t m_end = 0;                 ///< of the log, at the first of them
+  std::vector<KeyedRecord> m_newest;  ///< records of the pages read so far
+  uint64_t m_end = 0;  ///< end of the log when the first page was read
   std::string m_after;
   core::TimePoint m_call_started;
   bool m_pausing_between_reads = false;
--- a/include/coppervalve/http1/header_list.h
+++ b/include/coppervalve/http1/header_list.h
@@ -8,21 +8,22 @@
 
 namespace coppervalve::http1 {
 
-/// @brief One header as it was received.
+/// @brief A header as received.
 struct Header {
   std::string name;
   std::string value;
 };
 
-/// @return whether two header names or tokens are equal but for case
+/// @return whether two header names or tokens are equal, ignoring case
 bool EqualsIgnoreCase(std::string_view a, std::string_view b);
 
-/// @brief Headers in the order they came; names compare without case.
+/// @brief Headers in the order received; names are compared ignoring case.
 class HeaderList {
  public:
   void Add(std::string_view name, std::string_view value);
-  /// @return the first value of that name; null when there is none
-  /// @complexity linear, as all of this class
+  /// @return the value of the first header with that name; null if there is
+  /// none
+  /// @complexity linear, as all functions of this class
   const std::string* Find(std::string_view name) const;
   size_t Count(std::string_view name) const;
 
@@ -34,8 +35,8 @@
   std::vector<Header> m_headers;
 };
 
-/// @brief Whether a header concerns one connection only and is never passed
-/// on: the fixed set of HTTP/1.1, and what `Connection` names.
+/// @brief Whether a header applies to a single connection and must not be
+/// forwarded: the fixed set of HTTP/1.1 and the headers named by `Connection`.
 bool IsHopByHop(const HeaderList& headers, std::string_view name);
 
 }  // namespace coppervalve::http1
--- a/include/coppervalve/http1/request_reader.h
+++ b/include/coppervalve/http1/request_reader.h
@@ -12,13 +12,13 @@
 
 namespace coppervalve::http1 {
 
-/// @brief Bounds of what one request may send.
+/// @brief Size limits of a request.
 struct RequestBounds {
   core::Bytes header{16'384};
   core::Bytes body{4'194'304};
 };
 
-/// @brief A request without its body.
+/// @brief Request line and headers of a request.
 struct RequestHead {
   std::string method;
   std::string target;
@@ -27,8 +27,8 @@
   bool expects_continue = false;
 };
 
-/// @brief Reads one request from a stream of bytes; refuses everything that
-/// two readers could understand in two ways.
+/// @brief Incremental parser of one request. Rejects every request that two
+/// parsers could interpret differently.
 class RequestReader {
  public:
   explicit RequestReader(const RequestBounds& bounds);
@@ -36,17 +36,17 @@
   RequestReader(RequestReader&&) noexcept;
   RequestReader& operator=(RequestReader&&) noexcept;
 
-  /// @brief Reads what it can; bytes that are left must be handed in again,
-  /// with more behind them.
-  /// @return how many bytes were used; kBadRequest, kHeaderTooLarge or
-  /// kBodyTooLarge
+  /// @brief Parses as much as possible. Unused bytes must be passed again,
+  /// followed by more.
+  /// @return number of bytes used; kBadRequest, kHeaderTooLarge or
+  /// kBodyTooLarge on failure
   core::Result<size_t> Feed(std::string_view bytes);
 
   bool begun() const;
   bool head_done() const;
   bool done() const;
   const RequestHead& head() const;
-  /// @brief Moves the body out. @pre done()
+  /// @brief Moves the body out of the reader. @pre done()
   std::string TakeBody();
 
  private:
--- a/include/coppervalve/http1/response_reader.h
+++ b/include/coppervalve/http1/response_reader.h
@@ -13,37 +13,37 @@
 
 namespace coppervalve::http1 {
 
-/// @brief A response without its body.
+/// @brief Status line and headers of a response.
 struct ResponseHead {
   int status = 0;
   std::string reason;
   HeaderList headers;
   bool keep_alive = false;
-  std::optional<uint64_t> length;  ///< of the body, when it was declared
+  std::optional<uint64_t> length;  ///< of the body, if declared
   bool ends_with_connection = false;
 };
 
-/// @brief Reads one response from a stream of bytes. Interim responses (1xx)
-/// are passed over.
+/// @brief Incremental parser of one response. Interim responses (1xx) are
+/// skipped.
 class ResponseReader {
  public:
-  /// @param without_body of a HEAD request
+  /// @param without_body true for the response to a HEAD request
   explicit ResponseReader(bool without_body);
   ~ResponseReader();
   ResponseReader(ResponseReader&&) noexcept;
   ResponseReader& operator=(ResponseReader&&) noexcept;
 
-  /// @brief Reads what it can; bytes that are left must be handed in again.
-  /// @return how many bytes were used, or kUpstreamProtocol
+  /// @brief Parses as much as possible. Unused bytes must be passed again.
+  /// @return number of bytes used, or kUpstreamProtocol
   core::Result<size_t> Feed(std::string_view bytes);
-  /// @brief The connection ended in order.
-  /// @return whether that is a proper end of this response
+  /// @brief Handles the orderly end of the connection.
+  /// @return whether the response is complete
   bool FinishAtEof();
 
   bool head_done() const;
   bool done() const;
   const ResponseHead& head() const;
-  /// @brief Moves out the part of the body that was read since the last call.
+  /// @brief Moves out the part of the body received since the last call.
   std::string TakeBody();
 
  private:
--- a/include/coppervalve/http1/retry_after.h
+++ b/include/coppervalve/http1/retry_after.h
@@ -8,10 +8,10 @@
 
 namespace coppervalve::http1 {
 
-/// @brief Reads `Retry-After` in seconds, fractions too; the longest where it
-/// stands more than once.
-/// @return none for what is no number above 0, dates among it; at most the
-/// longest wait that is believed
+/// @brief Parses `Retry-After` in seconds, including fractions; the longest
+/// value if it is repeated.
+/// @return none for anything but a positive number, including dates; limited to
+/// the longest wait that is accepted
 std::optional<core::Duration> ParseRetryAfter(const HeaderList& headers);
 
 }  // namespace coppervalve::http1
--- a/include/coppervalve/http1/sse_splitter.h
+++ b/include/coppervalve/http1/sse_splitter.h
@@ -8,21 +8,21 @@
 
 namespace coppervalve::http1 {
 
-/// @brief Cuts a stream of server-sent events at the ends of events.
+/// @brief Splits a stream of server-sent events at event boundaries.
 ///
-/// What is passed on ends with a whole event, so that a stream that breaks
-/// can be continued from another upstream without a torn or doubled event.
+/// Only complete events are forwarded, so that an interrupted stream can be
+/// resumed from another upstream without a truncated or duplicated event.
 class SseSplitter {
  public:
-  /// @return the bytes of all events that are whole by now
-  /// @complexity linear in the bytes
+  /// @return the bytes of all events that are complete by now
+  /// @complexity linear in the number of bytes
   std::string Feed(std::string_view bytes);
 
   uint64_t events() const { return m_events; }
-  /// @return id of the last whole event; empty when none had one
+  /// @return id of the last complete event that has one; empty if none had one
   const std::string& last_id() const { return m_last_id; }
   size_t buffered_bytes() const { return m_partial.size(); }
-  /// @return the bytes of the unfinished event, which are then forgotten
+  /// @return the bytes of the incomplete event, which are then discarded
   std::string TakePartialEvent();
 
  private:
--- a/src/gateway/event_log.cc
+++ b/src/gateway/event_log.cc
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kFlushInterval{250};
-// A pipe that polls as writable takes this much without blocking.
+// A pipe that polls as writable accepts this many bytes without blocking.
 constexpr size_t kMaxWriteBytes = 4'096;
 
 int64_t WallMillis() {
--- a/src/gateway/exchange_heed.cc
+++ b/src/gateway/exchange_heed.cc
@@ -43,7 +43,7 @@
 }
 
 void Exchange::TellUnknownWords(const core::UpstreamId& upstream) {
-  for (const std::string& name : m_attempt->answer.unknown) {
+  for (const std::string& name : m_attempt->answer.unknown_headers) {
     if (m_context.unknown_words.IsNew(name)) {
       m_context.log.Write(LogCategory::kLifecycle,
                           LogLine("upstream_word_unknown")
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -15,13 +15,15 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTickInterval{200};
-// A configuration counts as the newest while its topic answered this recently.
+// The configuration counts as current if its topic has answered within this
+// time.
 constexpr core::Duration kConfigurationFreshness{1'900'000};
 constexpr core::Duration kLoadReportLifetime{800'000};
 constexpr core::Duration kPeerTimeout{1'200'000};
 constexpr core::Duration kPeerRetention{5'000'000};
 constexpr core::Duration kRouterTimeout{3'500'000};
-// How long callers may still come after the address list stopped naming us.
+// How long new callers may still arrive after this router has left the address
+// list.
 constexpr core::Duration kMinDrainTime{3'000'000};
 constexpr core::Duration kGraceMargin{900'000};
 constexpr core::Duration kDrainAcceptAllTime{2'500'000};
@@ -186,7 +188,7 @@
     return;
   }
   if (m_members.SelfActive() != m_was_active) {
-    // Its claims follow what it is now.
+    // Claims depend on whether the router is active.
     m_heartbeat_writer->Expedite();
   }
   m_active_logged = active;
@@ -208,9 +210,9 @@
   m_heartbeat_writer->Expedite();
 }
 
-// Callers keep addresses for a while and go on coming after the signal. Those
-// that come early have the grace to end in; a late one is taken only when it
-// is sure to end in what is left of it.
+// Callers cache addresses and keep arriving after the signal. Early requests
+// may use the whole grace period; a late one is accepted only if it is sure to
+// finish in the time left.
 std::optional<core::Duration> Gateway::TimeUntilShutdown() const {
   if (!m_leaving_since) {
     return std::nullopt;
@@ -233,8 +235,8 @@
   const bool quiet = !busy && since >= kMinDrainTime &&
                      now - m_last_request >= kDrainQuietTime;
   if (!m_closing_since && (quiet || since >= last)) {
-    // From here on nothing new is taken, so that nothing is cut off while the
-    // last claim is written.
+    // From here on no request is accepted, so that none is interrupted while
+    // the last claim is written.
     m_closing_since = now;
     m_heartbeat_writer->Expedite();
   }
@@ -242,7 +244,7 @@
     return;
   }
   m_callers->CloseIdle();
-  // The store may be away: the ceilings then stay claimed.
+  // If the store is unavailable, the ceilings stay claimed.
   const bool claimed =
       m_last_claim_written || now - *m_closing_since >= kClosingTimeout;
   if ((claimed && !busy) || since >= last + kClosingTimeout) {
--- a/src/gateway/gateway_configuration.cc
+++ b/src/gateway/gateway_configuration.cc
@@ -1,4 +1,4 @@
-// What operators publish: the configuration, and evacuations of failure
+// Records that operators publish: the configuration and evacuations of failure
 // domains.
 #include <algorithm>  // max
 #include <set>        // set
@@ -55,7 +55,7 @@
     return;
   }
   const core::ConfigVersion version = core::Value(read).version;
-  // A late or repeated record must not bring an older one back.
+  // A late or repeated record must not restore an older configuration.
   if (m_in_force && version <= m_in_force->version()) {
     return;
   }
@@ -68,11 +68,12 @@
           .Number("version", static_cast<int64_t>(version.value()))
           .Number("routes", static_cast<int64_t>(
                                 m_in_force->configuration().routes.size())));
-  // Totals may have grown, and the first ones bring the first ceilings.
+  // Account totals may have grown; after the first configuration, the heartbeat
+  // makes the first claims.
   m_heartbeat_writer->Expedite();
 }
 
-// Only the key says something: what stands in the record may change.
+// Only the key matters; the content of the record may change.
 std::optional<core::FailureDomainId> Gateway::ReadEvacuation(
     const KeyedRecord& record) {
   const auto read =
@@ -89,7 +90,8 @@
   return core::Value(*read);
 }
 
-// Records bear no time: it was written after the last answer before this one.
+// Records carry no timestamp. The record was written after the previous reply
+// of the store, which bounds its age.
 void Gateway::LogEvacuationChange(const entry::EvacuationChange& change) {
   if (!change.evacuated) {
     m_directory.OnTakenBack(change.domain, net::BootNow());
--- a/src/gateway/gateway_heartbeats.cc
+++ b/src/gateway/gateway_heartbeats.cc
@@ -1,5 +1,4 @@
-// What this router writes of itself into the store, and what it reads of
-// others.
+// Writes the heartbeats of this router and processes those of others.
 #include <algorithm>  // max, min
 #include <cmath>      // abs, lround
 #include <utility>    // move, exchange
@@ -14,11 +13,12 @@
 
 namespace {
 
-// A third of what a core and a link were measured to take: bursts need room.
+// A third of the measured capacity of a core and of a link, which leaves room
+// for bursts.
 constexpr double kRequestsPerCore = 500;
 constexpr double kRequestsPerMegabit = 2.5;
 constexpr double kDefaultCapacity = 1'000;
-// Smaller changes of what is held ahead are not told.
+// Smaller changes of the hold factor are not logged.
 constexpr double kMinLoggedHoldChange = 0.05;
 
 int64_t PerThousand(double part) {
@@ -54,7 +54,8 @@
     LogLifecycle(LogLine("beat_not_written").Text("why", error.detail));
   };
   hooks.on_superseded = [this] {
-    LogLifecycle(LogLine("retired").Text("why", "a newer start exists"));
+    LogLifecycle(
+        LogLine("retired").Text("why", "a newer start of this router exists"));
   };
   m_heartbeat_writer = std::make_shared<HeartbeatWriter>(
       m_io,
@@ -99,8 +100,8 @@
       m_crashes.OnBeat(beat);
       continue;
     }
-    // No grant is taken from here: the list is not a snapshot, and a record
-    // of another router that came before ours may be missing in it.
+    // No grant is derived from this list: it is not a snapshot and may lack a
+    // record of another router that precedes ours.
     last_epoch = beat.epoch();
     m_own_record = beat;
   }
@@ -132,8 +133,8 @@
   NotifyGrantWaiters();
 }
 
-// Once everything below the announced epoch is read, no record of an earlier
-// start can follow: what it claimed last is final and counts as used.
+// Once all records below the end of the announced epoch are read, no record of
+// an earlier start can follow. Its last claim is then final and counts as used.
 void Gateway::StartHeartbeatsIfCaughtUp() {
   if (!m_epoch_log_end || m_heartbeats_read_to < *m_epoch_log_end) {
     return;
@@ -172,7 +173,8 @@
   beat.set_caller_address(m_settings.caller_address);
   beat.set_load_address(m_settings.load_address);
   beat.set_failure_domain(m_settings.failure_domain.value());
-  // Ready as soon as this very beat is back: it brings the first ceilings.
+  // The router is ready once this heartbeat has been read back, since that
+  // grants the first ceilings.
   beat.set_ready(m_in_force && KnowsUpstreams() && !m_leaving_since);
   beat.set_upstreams(
       m_upstreams_known ? static_cast<uint32_t>(m_directory.size()) : 0);
@@ -185,10 +187,11 @@
   context.routers = m_members.Active();
   context.standbys =
       m_members.Live() - std::min(m_members.Live(), context.routers);
-  // After a loss of all power every router starts, and what it was before is
-  // in the records. Claiming as if it served, each that stands by would take a
-  // part from those that do, until its second claim. The first router of a
-  // fleet finds nobody.
+  // After a power loss of the whole fleet all routers start at once, and the
+  // records show which of them were active. If each claimed as an active
+  // router, standbys would take a share from the active ones until their second
+  // claim. The first router of a new fleet finds no others and counts as
+  // active.
   const bool alone = !m_first_heartbeat_read && m_members.Live() <= 1;
   context.active = m_members.SelfActive() || alone;
   context.leaving = beat.leaving();
@@ -212,8 +215,9 @@
                    .Number("outages_per_thousand", PerThousand(past.outages)));
 }
 
-// Only a router that has the VM's port to itself can be told dead by its
-// successor. Where beats come more seldom, the time is longer by as much.
+// A successor can tell that this process has ended only if the process holds
+// the VM's port exclusively. The time grows by as much as the heartbeat period
+// exceeds the usual one.
 void Gateway::SetReserveTimes(v1::RouterBeat& beat, core::TimePoint now) const {
   if (!m_load_port_bound_since || m_boot.empty() ||
       m_policy.book.held_back == core::Duration::zero()) {
@@ -227,8 +231,8 @@
   beat.set_not_before(not_before.time_since_epoch().count());
 }
 
-// Estimates from the size of the VM: what a request costs is much the same
-// everywhere, and the rates leave most of the VM free for bursts.
+// Estimates the capacity from the size of the VM. The cost of a request is much
+// the same on all VMs, and the rates leave most of the VM free for bursts.
 double Gateway::Capacity() const {
   const double by_processor =
       m_settings.processor_cores > 0
@@ -242,7 +246,7 @@
 }
 
 void Gateway::NotifyGrantWaiters() {
-  // Those that are still short wait again, in a new list.
+  // Requests that still lack tokens register again, in a new list.
   const std::vector<std::function<void()>> waiting =
       std::exchange(m_grant_waiters, {});
   for (const auto& on_grant : waiting) {
--- a/src/gateway/gateway_listeners.cc
+++ b/src/gateway/gateway_listeners.cc
@@ -9,8 +9,8 @@
 
 namespace coppervalve::gateway {
 
-// The port is taken before anything else: from then on no earlier process of
-// this VM lives, and what it held back stays untouched.
+// The port is bound before anything else: from then on no earlier process of
+// this VM is running, so that its reserve stays untouched.
 void Gateway::BindLoadPort() {
   if (m_settings.load_address.empty() || m_load_port_bound_since) {
     return;
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-// A router that stands by has little to tell and nothing to decide soon: its
-// reads and writes leave the store's rates to those that serve.
+// A standby router has little to report and no urgent decisions. Longer pauses
+// leave the store's read and write rates to the active routers.
 constexpr core::Duration kStandbyPause{800'000};
-// Until its own first beat is back a router serves nobody, and that takes a few
-// reads in a row: with the usual pauses between them a fleet that lost its
-// power was not ready for another second.
+// A router serves no requests until its own first heartbeat has been read back,
+// which takes several reads in sequence. With the usual pauses, a fleet that
+// had lost power needed another second to become ready.
 constexpr core::Duration kStartingPause{30'000};
 }  // namespace
 
@@ -34,7 +34,8 @@
   const StoreLayout& layout = m_settings.layout;
 
   TopicFollower::Hooks of_configuration = hooks(layout.configuration_topic);
-  // In force everywhere within seconds: who stands by reads as often.
+  // Standbys read the configuration as often as active routers, so that it
+  // takes effect everywhere within seconds.
   of_configuration.pause = {};
   of_configuration.on_record = [this](const KeyedRecord& record) {
     OnOperatorRecord(record);
@@ -51,7 +52,7 @@
   of_upstreams.on_record = [this](const KeyedRecord& record) {
     OnUpstreamRecord(record);
   };
-  of_upstreams.wanted = [this] { return m_table_readers.follows(); };
+  of_upstreams.needed = [this] { return m_table_readers.follows(); };
   of_upstreams.on_stopped = [this] { OnTableReadingStopped(); };
   of_upstreams.on_newest = [this](const std::vector<KeyedRecord>& records) {
     OnNewestUpstreams(records);
@@ -80,8 +81,8 @@
       m_random, std::move(of_beats));
 }
 
-// Of a large table nearly every record does, and reading it whole costs most of
-// what a router spends while nothing happens.
+// Nearly all records of a large upstream table only renew an entry. Parsing
+// them in full would be most of the cost of an idle router.
 bool Gateway::IsHeartbeatOnly(const KeyedRecord& record) {
   std::string& last = m_upstream_documents[record.key];
   const entry::UpstreamRef known =
@@ -160,8 +161,8 @@
   }
   if (!m_upstreams_known) {
     m_upstreams_known = true;
-    // The first beat may have said that this router is not ready; left at that,
-    // it stands by until its next one.
+    // The first heartbeat may have said that this router is not ready; without
+    // a correction it would stay a standby until the next one.
     m_heartbeat_writer->Expedite();
   }
   LogLifecycle(LogLine("upstreams_read")
--- a/src/gateway/gateway_transfers.cc
+++ b/src/gateway/gateway_transfers.cc
@@ -1,4 +1,4 @@
-// Tokens asked of other routers, and given to them.
+// Transfers of tokens between routers.
 #include <utility>  // move
 
 #include "coppervalve/gateway/gateway.h"
--- a/src/gateway/gateway_upstream_table.cc
+++ b/src/gateway/gateway_upstream_table.cc
@@ -1,4 +1,5 @@
-// Who follows the table of upstreams, and how the others learn where to send.
+// Decides whether this router follows the upstream table, and places requests
+// for routers that do not.
 #include <algorithm>  // max
 #include <utility>    // move
 
@@ -13,7 +14,7 @@
 
 void Gateway::UpdateTableReading() {
   entry::TableCost cost;
-  // The beats of others tell how large the fleet is.
+  // The size of the fleet is known from the heartbeats of others.
   cost.known = m_heartbeat_writer->epoch() != 0;
   cost.upstreams = std::max(m_directory.size(), m_members.Upstreams());
   cost.routers = m_members.Live();
@@ -52,7 +53,8 @@
       m_io, m_settings.load_address, std::move(hooks), m_random);
 }
 
-// The send that follows counts as this router's where the upstream is cold.
+// The request that follows counts as sent by this router while the upstream is
+// warming up.
 void Gateway::OnPlaceAsk(const v1::PlaceAsk& ask) {
   const core::TimePoint now = net::BootNow();
   entry::Placement placement;
--- a/src/gateway/heartbeat_writer.cc
+++ b/src/gateway/heartbeat_writer.cc
@@ -34,7 +34,7 @@
         }
         const core::Error& error = core::Failure(result);
         if (error.id == core::ErrorId::kRetiredInLog) {
-          // A start before this one announced itself and wrote nothing.
+          // An earlier start announced a newer epoch but wrote no heartbeat.
           ++self->m_epoch;
         }
         self->m_hooks.on_failure(error);
@@ -47,7 +47,7 @@
     return;
   }
   m_heartbeats_started = true;
-  Compose();
+  WriteNext();
 }
 
 void HeartbeatWriter::Expedite() {
@@ -56,11 +56,11 @@
   }
   m_expedited = true;
   if (!m_in_flight) {
-    Schedule(m_hooks.expedited_delay(), &HeartbeatWriter::Compose);
+    Schedule(m_hooks.expedited_delay(), &HeartbeatWriter::WriteNext);
   }
 }
 
-void HeartbeatWriter::Compose() {
+void HeartbeatWriter::WriteNext() {
   m_expedited = false;
   m_in_flight = true;
   ++m_sequence;
@@ -91,7 +91,7 @@
     const core::Duration spread =
         routing::UniformDuration(m_random, period / 8);
     Schedule(m_expedited ? m_hooks.expedited_delay() : period + spread,
-             &HeartbeatWriter::Compose);
+             &HeartbeatWriter::WriteNext);
     return;
   }
   const core::Error& error = core::Failure(result);
@@ -101,8 +101,8 @@
     return;
   }
   m_hooks.on_failure(error);
-  // What it states is old by the time it gets through: the next one follows
-  // at once.
+  // The heartbeat is outdated by the time it is written, so the next one
+  // follows immediately.
   m_expedited = true;
   Schedule(
       m_options.retry + routing::UniformDuration(m_random, m_options.retry * 2),
--- a/src/gateway/peer_messenger.cc
+++ b/src/gateway/peer_messenger.cc
@@ -16,10 +16,11 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr std::chrono::milliseconds kReportInterval{50};
-// In a large fleet each report goes to some in turn: what a router sends and
-// hears does not grow with the fleet, only the age of what it knows.
+// Each report goes to at most this many peers in rotation. The traffic of a
+// router thus does not grow with the fleet; only the age of its information
+// does.
 constexpr size_t kMaxPeersPerReport = 8;
-// An unchanged report is repeated this seldom, to tell that we are there.
+// An unchanged report is repeated only every so many rounds, as a sign of life.
 constexpr uint64_t kUnchangedReportRounds = 6;
 
 }  // namespace
--- a/src/gateway/placement_client.cc
+++ b/src/gateway/placement_client.cc
@@ -8,9 +8,10 @@
 
 namespace {
 
-// Longer than a round trip within a region; short beside what callers wait.
+// Longer than a round trip within a region, but short compared to callers'
+// timeouts.
 constexpr std::chrono::milliseconds kReplyTimeout{40};
-// Datagrams get lost now and then.
+// Datagrams may be lost, so requests are repeated.
 constexpr size_t kMaxTries = 3;
 
 }  // namespace
--- a/src/gateway/token_requester.cc
+++ b/src/gateway/token_requester.cc
@@ -10,11 +10,12 @@
 
 namespace {
 
-// Longer than a round trip within a region; short beside what callers wait.
+// Longer than a round trip within a region, but short compared to callers'
+// timeouts.
 constexpr std::chrono::milliseconds kReplyTimeout{25};
 constexpr size_t kMaxDonors = 3;
-// A router that is cut off hears from nobody: each request would be held for
-// three round trips in vain.
+// A partitioned router gets no replies, and each request would wait in vain for
+// three reply timeouts.
 constexpr core::Duration kRetryAfterNoReply{400'000};
 constexpr size_t kMaxUnansweredMessages = 1'024;
 
@@ -58,8 +59,8 @@
   return true;
 }
 
-// Each message has an id of its own: what two donors give must both be taken,
-// and what one gives must not be taken twice.
+// Each message has its own id, so that tokens from two donors are both accepted
+// but a duplicated reply is accepted only once.
 void TokenRequester::SendToNextDonor(const core::AccountId& account) {
   PendingRequest& pending = m_pending.at(account);
   pending.message_id = ++m_last_message;
@@ -121,7 +122,7 @@
   }
   const auto found = m_pending.find(account);
   if (found == m_pending.end()) {
-    return;  // too late for those who waited; the next request finds it
+    return;  // late reply: the tokens are available to the next request
   }
   if (tokens > core::Tokens(0)) {
     Finish(account);
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -34,9 +34,9 @@
       });
 }
 
-// A page that is turned away is asked for again, and those before it are kept:
-// hundreds of routers that start at once would otherwise begin anew with each
-// refusal and keep the store at its bound for good.
+// A rejected page is requested again and the pages before it are kept. If
+// hundreds of routers that start together began a new listing after each
+// rejection, they would keep the store at its rate limit for good.
 void TopicFollower::OnPage(const core::Result<NewestPage>& result) {
   if (!core::IsOk(result)) {
     HandleFailure(core::Failure(result));
@@ -44,7 +44,7 @@
   }
   const NewestPage& page = core::Value(result);
   if (m_after.empty()) {
-    // Only what came before the first page is known to be in all of them.
+    // All pages are known to contain only records from before the first page.
     m_end = page.end;
   }
   m_newest.insert(m_newest.end(), page.records.begin(), page.records.end());
@@ -92,8 +92,8 @@
                               net::BootNow()));
 }
 
-// A configuration costs a small VM tens of milliseconds to read: of several
-// that come together all but the newest would be read for nothing.
+// Parsing a configuration takes tens of milliseconds on a small VM. When
+// several arrive together, only the newest one is delivered.
 void TopicFollower::Deliver(const std::vector<KeyedRecord>& records) {
   if (!m_options.plan.only_newest_matters) {
     for (const KeyedRecord& record : records) {
@@ -134,7 +134,7 @@
 }
 
 void TopicFollower::ScheduleStep(const entry::ReadStep& step) {
-  if (m_hooks.wanted && !m_hooks.wanted()) {
+  if (m_hooks.needed && !m_hooks.needed()) {
     m_stopped = true;
     m_pausing_between_reads = false;
     m_hooks.on_stopped();
@@ -154,7 +154,8 @@
   }
 }
 
-// Without a delay the call is made at once: a wait for nothing is a wake-up.
+// Without a delay the step runs immediately: a zero timer would cost an extra
+// wake-up.
 void TopicFollower::RunAfter(core::Duration delay,
                              void (TopicFollower::*step)()) {
   if (delay == core::Duration::zero()) {
--- a/src/http1/request_reader.cc
+++ b/src/http1/request_reader.cc
@@ -76,13 +76,13 @@
                                           beast::string_view name_text,
                                           beast::string_view value,
                                           beast::error_code& ec) {
-  // Trailers: they belong to one connection, and nothing of ours reads them.
+  // Trailers apply to a single connection, and nothing here reads them.
   if (m_head_read) {
     return;
   }
-  // A folded value is put together outside of the input. The next hop may cut
-  // it at the line's end and take the rest for a header or a request of its
-  // own, so none is passed on.
+  // The parser assembles a folded value outside of the input. The next hop may
+  // end the value at the line break and treat the rest as a header or a request
+  // of its own, so folded headers are rejected.
   const bool in_input =
       value.empty() || (value.data() >= m_input.data() &&
                         value.data() < m_input.data() + m_input.size());
@@ -97,9 +97,9 @@
                      {value.data(), value.size()});
 }
 
-// Two readers that choose differently among repeated or conflicting framing
-// headers see different requests: the rest of one becomes a request that no
-// caller sent. Such a request is refused, not repaired.
+// If two parsers choose differently among repeated or conflicting framing
+// headers, part of one request becomes another request that no caller sent
+// (request smuggling). Such requests are rejected, not repaired.
 bool RequestReader::Parser::HasAmbiguousFraming() const {
   const HeaderList& headers = m_head.headers;
   if (headers.Count("host") != 1 || headers.Count("content-length") > 1 ||
--- a/src/http1/retry_after.cc
+++ b/src/http1/retry_after.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A wait in the wrong unit must not lose an upstream for the day: it is asked
-// again after this, and may say so again.
+// Caps waits given in a wrong unit, which could exclude an upstream for a day.
+// It is tried again after this time and may repeat its request.
 constexpr double kMaxSeconds = 300;
 constexpr double kMicros = 1e6;
 
--- a/src/http1/sse_splitter.cc
+++ b/src/http1/sse_splitter.cc
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kIdField = "id:";
 
-// @return the position behind the last blank line; 0 when there is none
+// @return the position after the last blank line; 0 if there is none
 size_t EndOfLastEvent(std::string_view text) {
   size_t end = 0;
   const size_t plain = text.rfind("\n\n");
--- a/tests/gateway/fake_store.cc
+++ b/tests/gateway/fake_store.cc
@@ -7,7 +7,7 @@
 namespace {
 
 core::Error Unavailable() {
-  return {core::ErrorId::kLogUnavailable, "store", "away"};
+  return {core::ErrorId::kLogUnavailable, "store", "unavailable"};
 }
 
 }  // namespace
@@ -90,8 +90,8 @@
                         auto handler) {
     ++newest_calls;
     const bool unanswered = away || topic == unreadable;
-    if (unanswered || refuse_newest > 0) {
-      refuse_newest -= unanswered ? 0 : 1;
+    if (unanswered || rejected_pages > 0) {
+      rejected_pages -= unanswered ? 0 : 1;
       Post<NewestPage>(handler, Unavailable());
       return;
     }
--- a/tests/gateway/fake_store.h
+++ b/tests/gateway/fake_store.h
@@ -13,7 +13,8 @@
 
 namespace coppervalve::gateway::testing {
 
-/// @brief A store in memory that can be away, lose answers or forget.
+/// @brief In-memory store that can be unavailable, lose replies or compact
+/// topics.
 class FakeStore {
  public:
   explicit FakeStore(boost::asio::io_context& io) : m_io(io) {}
@@ -22,18 +23,18 @@
   void Put(const std::string& topic,
            const std::string& key,
            const std::string& value);
-  /// @brief Drops all records but the newest of each key; older offsets read
-  /// as a gap.
+  /// @brief Compacts a topic to the newest record of each key; reads at older
+  /// offsets then report a gap.
   void Compact(const std::string& topic);
 
-  bool away = false;       ///< no call is answered in time
-  std::string unreadable;  ///< topic whose reads are not answered in time
-  int lose_replies = 0;    ///< of the next appends, which are done
-  int refuse_newest = 0;   ///< of the next pages
+  bool away = false;       ///< all calls fail as if timed out
+  std::string unreadable;  ///< topic whose reads fail as if timed out
+  int lose_replies = 0;    ///< of the next appends, which still take effect
+  int rejected_pages = 0;  ///< number of the next pages to reject
   size_t page_size = 500;
-  int appends = 0;       ///< calls
-  int newest_calls = 0;  ///< calls
-  /// Newest record of a key; empty when there is none.
+  int appends = 0;       ///< number of calls
+  int newest_calls = 0;  ///< number of calls
+  /// Value of the newest record of a key; empty if there is none.
   std::string Newest(const std::string& topic, const std::string& key) const;
   size_t waiting_readers() const { return m_waiting.size(); }
   size_t RecordsOf(const std::string& topic) const;
--- a/tests/gateway/unit-event-log.cc
+++ b/tests/gateway/unit-event-log.cc
@@ -31,7 +31,7 @@
 };
 // clang-format on
 
-TEST(EventLog, writes_an_event_as_a_line_of_json) {
+TEST(EventLog, writes_an_event_as_a_json_line) {
   EventLog log(io, ends[1], {});
   log.Write(LogCategory::kFailure,
             LogLine("request").Text("id", "a\"b\n").Number("status", 503));
@@ -41,9 +41,9 @@
                   "\"status\":503}\n") != std::string::npos);
 }
 
-TEST(EventLog, a_stopped_reader_neither_blocks_nor_fills_the_memory) {
-  // All callers wait and the process grows until it is killed: whoever reads
-  // standard output has stopped, and each line waits for room in the pipe.
+TEST(EventLog, a_stopped_reader_causes_neither_blocking_nor_unbounded_memory) {
+  // If the reader of standard output stops and each line waits for room in the
+  // pipe, all callers wait and the process grows until it is killed.
   EventLog log(io, ends[1], {});
   const std::string padding(200, 'x');
   for (int i = 0; i < 20'000; ++i) {
@@ -54,7 +54,7 @@
   CHECK(log.dropped() > 0);
 }
 
-TEST(EventLog, says_how_much_was_left_out) {
+TEST(EventLog, reports_the_number_of_dropped_lines) {
   EventLog::Bounds bounds;
   bounds.lines_per_second = {1, 1, 1};
   EventLog log(io, ends[1], bounds);
@@ -66,7 +66,7 @@
   CHECK(ReadAll().find("log_lines_left_out") != std::string::npos);
 }
 
-TEST(EventLog, routine_lines_give_way_to_trouble) {
+TEST(EventLog, routine_lines_are_dropped_before_failures) {
   EventLog::Bounds bounds;
   bounds.buffered_bytes = {200, 2'000, 2'000};
   EventLog log(io, ends[1], bounds);
--- a/tests/gateway/unit-lifecycle.cc
+++ b/tests/gateway/unit-lifecycle.cc
@@ -30,7 +30,7 @@
 };
 // clang-format on
 
-TEST(Lifecycle, a_start_counts_what_the_start_before_claimed_as_used) {
+TEST(Lifecycle, claims_of_the_previous_start_count_as_used) {
   v1::RouterBeat before;
   before.set_epoch(4);
   v1::AccountClaim* claim = before.add_claims();
@@ -44,19 +44,19 @@
   CHECK(beat.claims(0).ceiling() <= 1'000);
 }
 
-TEST(Lifecycle, a_write_without_an_answer_is_repeated_and_done_once) {
+TEST(Lifecycle, a_write_without_a_reply_is_retried_and_applied_once) {
   router.store.lose_replies = 2;
   router.Start();
   CHECK(router.Until([&] { return NewestBeat(router).sequence() >= 2; }));
   CHECK_EQUAL(router.store.RecordsOf("routers"), NewestBeat(router).sequence());
 }
 
-TEST(Lifecycle, an_older_configuration_never_comes_back) {
+TEST(Lifecycle, an_older_configuration_is_never_restored) {
   ScriptedUpstream& one = router.AddUpstream("one", "chat");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(SignedStreamHead(request) + Chunk(Event(1)) + "0\r\n\r\n");
   });
-  // Accounts have no tokens in the versions 1 and 3, and some in 9.
+  // Accounts have no tokens in versions 1 and 3, and some in version 9.
   router.Start(0);
   router.store.Put("config", "config", "9 10000");
   router.store.Put("config", "config", "3 0");
@@ -68,9 +68,9 @@
   CHECK(Has(router.Ask("/chat/x", "X-Tokens: 50\r\n"), "HTTP/1.1 200"));
 }
 
-TEST(Lifecycle, a_forgotten_history_is_read_anew) {
-  // Work is refused with an upstream idle: its entry was written and forgotten
-  // between two reads.
+TEST(Lifecycle, a_compacted_topic_is_listed_again) {
+  // An entry is written and compacted away between two reads. Without a new
+  // listing, requests would be refused although an upstream is idle.
   router.Start();
   ScriptedUpstream& one = router.AddUpstream("one", "lookup");
   CHECK(router.Until([&] { return router.store.waiting_readers() < 3; }));
@@ -84,9 +84,10 @@
   CHECK(Has(router.Ask("/hold/x"), "held"));
 }
 
-TEST(Lifecycle, a_drain_ends_what_is_in_progress_and_gives_the_ceilings_back) {
-  // A caller's answer is cut off by a planned restart, and the tokens that the
-  // router held are lost for the day.
+TEST(Lifecycle,
+     a_drain_finishes_requests_in_progress_and_returns_the_ceilings) {
+  // A planned restart must neither interrupt a response in progress nor lose
+  // the tokens that the router holds for the rest of the day.
   StreamRef waiting;
   std::string request;
   router.AddUpstream("one", "hold")
@@ -110,10 +111,10 @@
   CHECK_EQUAL(0, NewestBeat(router).claims(0).ceiling());
 }
 
-TEST(Lifecycle, what_comes_too_late_to_end_in_a_drain_is_refused) {
-  // A caller that keeps addresses for long comes six seconds after the signal;
-  // its request is taken and cut off when the process ends (acuerdo-mx,
-  // mix --seed 466857584921).
+TEST(Lifecycle, requests_that_cannot_finish_within_a_drain_are_refused) {
+  // A caller that caches addresses for long arrives six seconds after the
+  // signal. If its request were accepted, it would be interrupted when the
+  // process ends (seen with acuerdo-mx, mix --seed 466857584921).
   router.settings.grace = std::chrono::seconds(9);
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
@@ -128,9 +129,10 @@
   CHECK(Has(late, "Retry-After"));
 }
 
-TEST(Lifecycle, a_page_that_is_turned_away_is_asked_for_again_alone) {
-  // Hundreds of routers that start together are not ready for ten seconds: the
-  // store turns some pages away, and each time the whole list was read anew.
+TEST(Lifecycle, only_a_rejected_page_is_requested_again) {
+  // Hundreds of routers that started together were not ready for ten seconds:
+  // the store rejected some pages, and each rejection restarted the whole
+  // listing.
   router.store.page_size = 1;
   for (int i = 0; i < 6; ++i) {
     router.AddUpstream("u" + std::to_string(i), "hold")
@@ -138,7 +140,7 @@
           stream->Send(Signed(request, "held"));
         });
   }
-  router.store.refuse_newest = 3;
+  router.store.rejected_pages = 3;
   router.Start();
   std::string answer;
   for (int i = 0; i < 200 && !Has(answer, "held"); ++i) {
@@ -146,14 +148,14 @@
     router.io.run_for(std::chrono::milliseconds(10));
   }
   CHECK(Has(answer, "held"));
-  // One page of the configuration and of the beats, six of the upstreams, and
-  // the three that were turned away.
+  // One page each of the configuration and of the heartbeats, six of the
+  // upstreams, and the three that were rejected.
   CHECK_EQUAL(1 + 1 + 6 + 3, router.store.newest_calls);
 }
 
-TEST(Lifecycle, a_connection_of_an_earlier_start_gets_no_work_of_the_next) {
-  // A caller's work is lost with 502: it was sent on a connection that was
-  // kept from before the upstream started again under its id.
+TEST(Lifecycle, a_connection_to_an_earlier_start_of_an_upstream_is_not_reused) {
+  // A request failed with 502 because it was sent on a connection kept from
+  // before the upstream restarted under the same id.
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(Signed(request, "held"));
@@ -170,8 +172,9 @@
   CHECK_EQUAL(2, one.connections);
 }
 
-TEST(Lifecycle, an_answer_of_an_earlier_start_leaves_no_connection_behind) {
-  // As above, but the request was in progress while the upstream started again.
+TEST(Lifecycle, a_response_of_an_earlier_start_leaves_no_reusable_connection) {
+  // Same as above, but the request was in progress while the upstream
+  // restarted.
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   std::vector<StreamRef> waiting;
   one.Answer([&waiting](const StreamRef& stream, const std::string&) {
@@ -190,7 +193,7 @@
   CHECK(router.Until([&] { return one.closed == 1; }));
 }
 
-TEST(Lifecycle, an_upstream_whose_record_can_not_be_read_gets_no_work) {
+TEST(Lifecycle, an_upstream_with_an_unreadable_record_gets_no_requests) {
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(Signed(request, "held"));
@@ -204,7 +207,7 @@
 
 namespace {
 
-// The last record of a process that ended a second ago on this VM.
+// The last record of a process that ended one second ago on this VM.
 v1::RouterBeat CrashedASecondAgo() {
   v1::RouterBeat before;
   before.set_epoch(4);
@@ -221,22 +224,22 @@
 
 }  // namespace
 
-TEST(Lifecycle, a_restarted_process_gets_back_what_the_one_before_held_back) {
-  // A process crashes and starts again a moment later on the same VM. All that
-  // it had claimed counted as spent, and its callers found nothing left.
+TEST(Lifecycle, a_restarted_process_recovers_the_reserve_of_its_predecessor) {
+  // A process crashes and restarts a moment later on the same VM. If all that
+  // it had claimed counted as spent, its callers would find no tokens left.
   router.settings.load_address = FreeAddress(router.io);
   router.store.Put("routers", "router-1",
                    CrashedASecondAgo().SerializeAsString());
   router.Start(10'000);
   CHECK_EQUAL(2'000, NewestBeat(router).claims(0).retired());
-  // It holds back part of its own claim in turn.
+  // It reserves part of its own claim in turn.
   CHECK(NewestBeat(router).claims(0).reserve() > 0);
   CHECK(NewestBeat(router).boot() == net::BootId());
 }
 
-TEST(Lifecycle, a_process_that_may_have_company_gets_nothing_back) {
-  // The port is taken: the process before may live, and spend what it held
-  // back.
+TEST(Lifecycle, a_process_that_may_not_be_alone_recovers_no_reserve) {
+  // The port is in use, so the earlier process may still be running and spend
+  // its reserve.
   router.settings.load_address = FreeAddress(router.io);
   boost::asio::ip::udp::socket taken(router.io);
   const auto endpoint = net::ReadEndpoint(router.settings.load_address);
@@ -249,11 +252,12 @@
   CHECK_EQUAL(0, NewestBeat(router).claims(0).reserve());
 }
 
-TEST(Lifecycle, entries_that_were_not_read_again_are_not_taken_for_gone) {
-  // The store comes back from an outage in which entries ran out; the small
-  // topic of the configuration is answered, the table of upstreams is not yet.
-  // Counted from the first, the time to return ends before any entry is read,
-  // and callers are refused with the upstream idle.
+TEST(Lifecycle, entries_not_read_again_yet_are_not_removed) {
+  // The store recovers from an outage in which entries expired. The small
+  // configuration topic is answered first, the upstream table not yet. If the
+  // grace time counted from the first reply of any topic, it would end before
+  // any entry is read, and callers would be refused although the upstream is
+  // idle.
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(Signed(request, "held"));
@@ -268,10 +272,10 @@
   CHECK(Has(router.Ask("/hold/x"), "held"));
 }
 
-TEST(Lifecycle, a_start_after_a_loss_claims_by_what_the_router_was) {
-  // All power was lost; hundreds of routers start at once, and each takes a
-  // part of every account as if callers were led to it. Those that callers do
-  // come to find nothing left until the others give it back seconds later.
+TEST(Lifecycle, claims_after_a_power_loss_depend_on_the_earlier_role) {
+  // After a power loss hundreds of routers start at once. If each claimed a
+  // share of every account as an active router, the active ones would find no
+  // tokens left until the others return them seconds later.
   for (const char* other : {"router-2", "router-3", "router-4"}) {
     v1::RouterBeat beat;
     beat.set_epoch(4);
--- a/tests/gateway/unit-placement-client.cc
+++ b/tests/gateway/unit-placement-client.cc
@@ -15,7 +15,7 @@
   boost::asio::io_context io;
   std::vector<std::string> peers{"10.0.0.2:1"};
   std::vector<v1::PlaceAsk> sent;
-  std::optional<entry::Placement> told;
+  std::optional<entry::Placement> result;
   entry::PlacementQuery query;
   PlacementClient client{io, "10.0.0.1:1",
                    {[this] { return peers; },
@@ -33,7 +33,7 @@
     query.exclude = {core::UpstreamId("tried")};
   }
   void Ask() {
-    client.Ask(query, [this](const entry::Placement& one) { told = one; });
+    client.Ask(query, [this](const entry::Placement& one) { result = one; });
     io.restart();
     io.run_for(std::chrono::milliseconds(5));
   }
@@ -51,7 +51,7 @@
 };
 // clang-format on
 
-TEST(PlacementClient, what_is_asked_and_answered_comes_through_messages) {
+TEST(PlacementClient, query_and_placement_survive_conversion_to_messages) {
   Ask();
   CHECK_EQUAL(1, sent.size());
   const entry::PlacementQuery read = ToPlacementQuery(sent[0]);
@@ -59,48 +59,48 @@
   CHECK(read.shared_prefix == query.shared_prefix);
   CHECK(read.prompt == query.prompt && read.exclude == query.exclude);
   client.OnAnswer(ToPlaceAnswer(sent[0], Chosen()));
-  CHECK(told && told->upstream);
-  STRCMP_EQUAL("one", told->upstream->entry.id.value().c_str());
-  STRCMP_EQUAL("10.0.1.1:80", told->upstream->entry.address.c_str());
+  CHECK(result && result->upstream);
+  STRCMP_EQUAL("one", result->upstream->entry.id.value().c_str());
+  STRCMP_EQUAL("10.0.1.1:80", result->upstream->entry.address.c_str());
 }
 
-TEST(PlacementClient, a_lost_datagram_is_sent_again) {
+TEST(PlacementClient, a_request_without_a_reply_is_sent_again) {
   Ask();
   Pass(60);
   CHECK_EQUAL(2, sent.size());
   client.OnAnswer(ToPlaceAnswer(sent[0], Chosen()));
-  CHECK(told && told->upstream);
+  CHECK(result && result->upstream);
 }
 
-TEST(PlacementClient, one_that_knows_none_sends_the_ask_on) {
+TEST(PlacementClient, asks_another_peer_when_one_knows_no_upstream) {
   Ask();
   client.OnAnswer(ToPlaceAnswer(sent[0], {}));
   CHECK_EQUAL(2, sent.size());
-  CHECK_FALSE(told.has_value());
+  CHECK_FALSE(result.has_value());
 }
 
-TEST(PlacementClient, with_nobody_who_answers_the_asker_is_told_none) {
+TEST(PlacementClient, without_any_reply_the_placement_is_empty) {
   Ask();
   Pass(200);
-  CHECK(told && !told->upstream);
+  CHECK(result && !result->upstream);
   CHECK_EQUAL(3, sent.size());
-  told.reset();
+  result.reset();
   peers.clear();
   Ask();
-  CHECK(told && !told->upstream);
+  CHECK(result && !result->upstream);
 }
 
 TEST(PlacementClient,
-     answers_that_come_late_twice_or_to_an_earlier_start_are_dropped) {
+     late_or_duplicated_replies_and_those_to_an_earlier_start_are_ignored) {
   Ask();
   v1::PlaceAnswer answer = ToPlaceAnswer(sent[0], Chosen());
   answer.set_ask_epoch(2);
   client.OnAnswer(answer);
-  CHECK_FALSE(told.has_value());
+  CHECK_FALSE(result.has_value());
   answer.set_ask_epoch(3);
   client.OnAnswer(answer);
-  CHECK(told.has_value());
-  told.reset();
+  CHECK(result.has_value());
+  result.reset();
   client.OnAnswer(answer);
-  CHECK_FALSE(told.has_value());
+  CHECK_FALSE(result.has_value());
 }
--- a/tests/gateway/unit-token-requester.cc
+++ b/tests/gateway/unit-token-requester.cc
@@ -21,7 +21,7 @@
 TEST_GROUP(TokenRequester) {
   boost::asio::io_context io;
   std::vector<std::string> donors{"a", "b"};
-  std::vector<std::string> asked;  ///< addresses
+  std::vector<std::string> asked_donors;  ///< addresses
   std::vector<v1::TokenAsk> asks;
   int64_t tokens = 0;
   int done = 0;
@@ -37,7 +37,7 @@
       return least;
     };
     hooks.send = [this](const std::string& address, const v1::TokenAsk& ask) {
-      asked.push_back(address);
+      asked_donors.push_back(address);
       asks.push_back(ask);
     };
     hooks.on_tokens = [this](const core::AccountId&, core::Tokens given) {
@@ -58,7 +58,7 @@
 };
 // clang-format on
 
-TEST(TokenRequester, those_who_wait_share_one_ask) {
+TEST(TokenRequester, concurrent_callers_share_one_request) {
   CHECK(RequestTokens());
   CHECK(RequestTokens());
   CHECK_EQUAL(1, asks.size());
@@ -67,32 +67,32 @@
   CHECK_EQUAL(500, tokens);
 }
 
-TEST(TokenRequester, a_router_that_can_spare_none_is_followed_by_the_next) {
+TEST(TokenRequester, asks_the_next_router_when_one_has_no_tokens_to_spare) {
   CHECK(RequestTokens());
   Answer(0, 0);
-  CHECK_EQUAL(2, asked.size());
-  STRCMP_EQUAL("b", asked[1].c_str());
+  CHECK_EQUAL(2, asked_donors.size());
+  STRCMP_EQUAL("b", asked_donors[1].c_str());
   Answer(1, 100);
   CHECK_EQUAL(1, done);
   CHECK_EQUAL(100, tokens);
 }
 
-TEST(TokenRequester, a_gift_that_arrives_twice_counts_once) {
-  // A caller's tokens are paid twice over: the datagram came in two copies.
+TEST(TokenRequester, a_duplicated_reply_counts_once) {
+  // A duplicated datagram must not credit its tokens twice.
   CHECK(RequestTokens());
   Answer(0, 500);
   Answer(0, 500);
   CHECK_EQUAL(500, tokens);
 }
 
-TEST(TokenRequester, a_gift_to_an_earlier_start_is_not_taken) {
+TEST(TokenRequester, a_reply_to_an_earlier_start_is_ignored) {
   CHECK(RequestTokens());
   requester.SetEpoch(4);
   Answer(0, 500);
   CHECK_EQUAL(0, tokens);
 }
 
-TEST(TokenRequester, a_late_gift_serves_the_next_request) {
+TEST(TokenRequester, a_late_reply_serves_the_next_request) {
   CHECK(RequestTokens());
   io.run_for(kBeyondAllTimeouts);
   CHECK_EQUAL(1, done);
@@ -101,8 +101,9 @@
   CHECK_EQUAL(500, tokens);
 }
 
-TEST(TokenRequester, where_nobody_answers_no_request_is_held_for_a_while) {
-  // In a cut of all routers each refusal came some tens of milliseconds late.
+TEST(TokenRequester, after_no_reply_requests_fail_immediately_for_a_while) {
+  // When all routers were partitioned, each refusal was delayed by some tens of
+  // milliseconds.
   CHECK(RequestTokens());
   io.run_for(kBeyondAllTimeouts);
   CHECK_FALSE(RequestTokens());
@@ -110,7 +111,7 @@
   CHECK(RequestTokens());
 }
 
-TEST(TokenRequester, with_nobody_to_ask_the_answer_is_no_at_once) {
+TEST(TokenRequester, without_donors_a_request_fails_immediately) {
   donors.clear();
   CHECK_FALSE(RequestTokens());
   CHECK_EQUAL(0, done);
--- a/tests/gateway/unit-topic-follower.cc
+++ b/tests/gateway/unit-topic-follower.cc
@@ -50,7 +50,7 @@
   void Until(const std::function<bool()>& condition) {
     constexpr int kMostSteps = 10'000;
     for (int i = 0; i < kMostSteps && !condition(); ++i) {
-      // It stops whenever the follower waits in the store.
+      // run_one() returns whenever the follower waits for the store.
       io.restart();
       io.run_one();
     }
@@ -64,9 +64,9 @@
 };
 // clang-format on
 
-TEST(TopicFollower, of_versions_that_come_together_only_the_newest_is_read) {
-  // A small VM reads eighteen large configurations one after the other, and
-  // answers by the oldest meanwhile.
+TEST(TopicFollower, of_versions_in_one_batch_only_the_newest_is_delivered) {
+  // A small VM parsed eighteen large configurations one after the other and
+  // served requests by the oldest one meanwhile.
   store.Put("config", "config", "1");
   Follow(entry::ConfigurationPlan());
   store.Put("config", "config", "2");
@@ -76,7 +76,7 @@
   CHECK((std::vector<std::string>{"1", "2", "18"}) == read);
 }
 
-TEST(TopicFollower, more_than_a_read_holds_is_skipped_to_the_newest) {
+TEST(TopicFollower, skips_to_the_newest_when_a_read_cannot_hold_all_records) {
   store.Put("config", "config", "1");
   entry::ReadPlanOptions plan = entry::ConfigurationPlan();
   plan.most_bytes = 10;
@@ -89,7 +89,7 @@
   CHECK(read.size() <= 4);
 }
 
-TEST(TopicFollower, all_beats_are_handed_on_in_order) {
+TEST(TopicFollower, all_heartbeats_are_delivered_in_order) {
   Follow(entry::BeatPlan());
   store.Put("config", "a", "1");
   Until([this] { return next == 1; });
@@ -99,21 +99,21 @@
   CHECK((std::vector<std::string>{"1", "2", "3"}) == read);
 }
 
-TEST(TopicFollower, a_topic_that_is_of_no_use_now_is_not_read) {
-  // Hundreds of routers read a table that only a few of them need.
-  bool wanted = true;
+TEST(TopicFollower, a_topic_that_is_not_needed_is_not_read) {
+  // Hundreds of routers were reading a table that only a few of them needed.
+  bool needed = true;
   int stops = 0;
   TopicFollower::Hooks hooks = ReadingHooks();
-  hooks.wanted = [&] { return wanted; };
+  hooks.needed = [&] { return needed; };
   hooks.on_stopped = [&] { ++stops; };
   store.Put("config", "config", "1");
   Follow(entry::UpstreamPlan(), hooks);
-  wanted = false;
+  needed = false;
   store.Put("config", "config", "2");
   Until([&] { return stops == 1; });
   store.Put("config", "config", "3");
   CHECK_EQUAL(0, store.waiting_readers());
-  wanted = true;
+  needed = true;
   follower->Resume();
   Until([this] { return store.waiting_readers() == 1; });
   CHECK((std::vector<std::string>{"1", "2", "3"}) == read);
--- a/tests/http1/unit-request-reader.cc
+++ b/tests/http1/unit-request-reader.cc
@@ -33,7 +33,7 @@
 TEST_GROUP(RequestReader){};
 // clang-format on
 
-TEST(RequestReader, reads_a_request_whole) {
+TEST(RequestReader, parses_a_complete_request) {
   RequestReader reader = Reader();
   const core::Result<size_t> used = reader.Feed(kPlain);
   CHECK(core::IsOk(used));
@@ -43,7 +43,7 @@
   STRCMP_EQUAL("abc", reader.TakeBody().c_str());
 }
 
-TEST(RequestReader, reads_a_request_that_comes_byte_by_byte) {
+TEST(RequestReader, parses_a_request_that_arrives_byte_by_byte) {
   RequestReader reader = Reader();
   std::string unread;
   for (const char c : std::string(kPlain)) {
@@ -72,10 +72,10 @@
   CHECK_EQUAL(std::string(kPlain).size(), core::Value(used));
 }
 
-TEST(RequestReader, refuses_two_ways_to_tell_the_length) {
-  // An upstream runs a request that no caller sent. The router takes the
-  // length, the upstream the chunks (or the other way round); what one takes
-  // for the rest of the body is the next request to the other.
+TEST(RequestReader, refuses_both_a_length_and_chunks) {
+  // Request smuggling: the router uses the length and the upstream the chunks,
+  // or the other way round. What one takes for the rest of the body is the next
+  // request to the other, which no caller sent.
   CheckRefused(
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n"
       "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
@@ -84,7 +84,7 @@
       "Content-Length: 5\r\n\r\n0\r\n\r\n");
 }
 
-TEST(RequestReader, refuses_repeated_lengths_and_hosts) {
+TEST(RequestReader, refuses_repeated_lengths_and_missing_or_repeated_hosts) {
   CheckRefused(
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
       "Content-Length: 3\r\n\r\nabc");
@@ -92,7 +92,7 @@
   CheckRefused("GET / HTTP/1.1\r\nAccept: x\r\n\r\n");
 }
 
-TEST(RequestReader, refuses_other_codings_than_chunks) {
+TEST(RequestReader, refuses_transfer_codings_other_than_chunked) {
   CheckRefused(
       "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, "
       "chunked\r\n\r\n0\r\n\r\n");
@@ -106,7 +106,7 @@
   CheckRefused("GET / HTTP/1.1\r\nHost : h\r\n\r\n");
 }
 
-TEST(RequestReader, bounds_header_and_body) {
+TEST(RequestReader, limits_the_size_of_header_and_body) {
   CHECK(ErrorFor("GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(600, 'x')) ==
         core::ErrorId::kHeaderTooLarge);
   CHECK(ErrorFor("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: "
--- a/tests/http1/unit-response-reader.cc
+++ b/tests/http1/unit-response-reader.cc
@@ -20,7 +20,7 @@
   STRCMP_EQUAL("ok", reader.TakeBody().c_str());
 }
 
-TEST(ResponseReader, passes_over_interim_responses) {
+TEST(ResponseReader, skips_interim_responses) {
   reader.Feed(
       "HTTP/1.1 100 Continue\r\n\r\n"
       "HTTP/1.1 204 No Content\r\n\r\n");
@@ -28,12 +28,12 @@
   CHECK_EQUAL(204, reader.head().status);
 }
 
-TEST(ResponseReader, a_truncated_body_is_not_whole) {
+TEST(ResponseReader, a_truncated_body_is_incomplete) {
   reader.Feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok");
   CHECK_FALSE(reader.FinishAtEof());
 }
 
-TEST(ResponseReader, chunks_without_their_end_are_not_whole) {
+TEST(ResponseReader, chunks_without_a_last_chunk_are_incomplete) {
   reader.Feed(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n");
   CHECK_FALSE(reader.FinishAtEof());
@@ -46,18 +46,18 @@
   CHECK(reader.FinishAtEof());
 }
 
-TEST(ResponseReader, bytes_that_are_no_answer_are_an_error) {
+TEST(ResponseReader, bytes_that_are_no_response_are_an_error) {
   CHECK_FALSE(core::IsOk(reader.Feed("\x01\x02garbage\r\n\r\n")));
 }
 
-TEST(ResponseReader, the_answer_to_head_has_no_body) {
+TEST(ResponseReader, the_response_to_head_has_no_body) {
   ResponseReader without_body(true);
   without_body.Feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
   CHECK(without_body.done());
   CHECK_EQUAL(9, *without_body.head().length);
 }
 
-TEST(ResponseReader, a_second_answer_is_left_unread) {
+TEST(ResponseReader, a_second_response_is_left_unread) {
   const std::string one = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   const core::Result<size_t> used = reader.Feed(one + one);
   CHECK_EQUAL(one.size(), core::Value(used));
--- a/tests/http1/unit-retry-after.cc
+++ b/tests/http1/unit-retry-after.cc
@@ -31,12 +31,12 @@
   CHECK_EQUAL(350, ParsedMillis({"0.35"}));
 }
 
-TEST(RetryAfter, of_two_the_longer_counts) {
+TEST(RetryAfter, the_longest_of_repeated_values_counts) {
   CHECK_EQUAL(3'000, ParsedMillis({"1", "3"}));
   CHECK_EQUAL(1'000, ParsedMillis({"1", "soon"}));
 }
 
-TEST(RetryAfter, what_is_no_time_to_come_is_no_wait) {
+TEST(RetryAfter, values_other_than_positive_numbers_are_ignored) {
   const std::vector<std::string> bad = {
       "0",    "-1", "",    "soon", "nan",
       "inf",  "1s", "0x5", "1 2",  "Thu, 03 Dec 2026 06:41:57 GMT",
@@ -47,7 +47,7 @@
   CHECK_EQUAL(-1, ParsedMillis({}));
 }
 
-TEST(RetryAfter, a_huge_one_is_believed_up_to_a_bound) {
+TEST(RetryAfter, a_huge_value_is_limited) {
   CHECK_EQUAL(300'000, ParsedMillis({"86400"}));
   CHECK_EQUAL(300'000, ParsedMillis({"1e300"}));
 }
--- a/tests/http1/unit-sse-splitter.cc
+++ b/tests/http1/unit-sse-splitter.cc
@@ -12,17 +12,17 @@
 };
 // clang-format on
 
-TEST(SseSplitter, passes_whole_events_on) {
+TEST(SseSplitter, returns_complete_events) {
   STRCMP_EQUAL("id: 1\ndata: a\n\n",
                splitter.Feed("id: 1\ndata: a\n\nid: 2\nda").c_str());
   CHECK_EQUAL(1, splitter.events());
   STRCMP_EQUAL("1", splitter.last_id().c_str());
 }
 
-TEST(SseSplitter, holds_a_torn_event_back) {
-  // A caller gets a piece twice. An upstream crashes in the middle of an
-  // event; had its first half been passed on, the upstream that goes on after
-  // the last whole event would send it again.
+TEST(SseSplitter, holds_back_an_incomplete_event) {
+  // If an upstream crashes in the middle of an event whose first half was
+  // forwarded, the upstream that resumes after the last complete event sends
+  // that half again, and the caller receives it twice.
   splitter.Feed("id: 1\ndata: a\n\nid: 2\ndata: b");
   STRCMP_EQUAL("id: 2\ndata: b", splitter.TakePartialEvent().c_str());
   STRCMP_EQUAL("id: 2\ndata: b\n\n",
@@ -30,18 +30,18 @@
   CHECK_EQUAL(2, splitter.events());
 }
 
-TEST(SseSplitter, finds_the_end_across_two_reads) {
+TEST(SseSplitter, finds_an_event_boundary_across_two_reads) {
   STRCMP_EQUAL("", splitter.Feed("data: a\n").c_str());
   STRCMP_EQUAL("data: a\n\n", splitter.Feed("\n").c_str());
 }
 
-TEST(SseSplitter, reads_lines_that_end_with_returns) {
+TEST(SseSplitter, accepts_lines_that_end_with_crlf) {
   STRCMP_EQUAL("id:7\r\ndata: a\r\n\r\n",
                splitter.Feed("id:7\r\ndata: a\r\n\r\n").c_str());
   STRCMP_EQUAL("7", splitter.last_id().c_str());
 }
 
-TEST(SseSplitter, counts_several_events_of_one_read) {
+TEST(SseSplitter, counts_several_events_in_one_read) {
   splitter.Feed("data: a\n\ndata: b\n\ndata: c\n\n");
   CHECK_EQUAL(3, splitter.events());
 }
--- a/tests/platform/unit-adapter.cc
+++ b/tests/platform/unit-adapter.cc
@@ -33,7 +33,7 @@
 };
 // clang-format on
 
-TEST(PlatformAdapter, a_request_is_translated) {
+TEST(PlatformAdapter, parses_a_request) {
   const auto read = adapter.read_request(head);
   CHECK(core::IsOk(read));
   const entry::RequestFacts& facts = core::Value(read);
@@ -46,15 +46,16 @@
   CHECK_EQUAL(1'210, facts.shared_tokens.value());
 }
 
-TEST(PlatformAdapter, the_key_is_not_shown_to_the_server) {
+TEST(PlatformAdapter, the_key_is_not_forwarded_to_the_server) {
   const http1::HeaderList headers = Upstream();
   CHECK(headers.Find("Authorization") == nullptr);
   STRCMP_EQUAL("tenant-1", headers.Find("Tenant")->c_str());
 }
 
-TEST(PlatformAdapter, the_caller_does_not_set_what_only_the_router_may) {
-  // A caller pays from another account, or goes on from another request's
-  // memory, by sending the header that the router sets.
+TEST(PlatformAdapter,
+     headers_that_only_the_router_may_set_are_not_taken_from_callers) {
+  // By sending a header that only the router sets, a caller could spend another
+  // account's tokens or continue from another request's KV cache.
   for (const char* name :
        {"Tenant", "Expected-Instance", "Priority-Class", "Retention", "Pin-Ms",
         "Kv-Backup", "Kv-From", "Kv-Fetch", "Deadline-Ms"}) {
@@ -65,7 +66,7 @@
   }
 }
 
-TEST(PlatformAdapter, the_server_gets_the_time_that_is_left_and_its_own_name) {
+TEST(PlatformAdapter, the_server_receives_the_remaining_time_and_its_own_id) {
   const http1::HeaderList headers = Upstream();
   STRCMP_EQUAL("900", headers.Find("Deadline-Ms")->c_str());
   STRCMP_EQUAL("i-1", headers.Find("Expected-Instance")->c_str());
@@ -73,12 +74,12 @@
   STRCMP_EQUAL("r-1", headers.Find("Request-Id")->c_str());
 }
 
-TEST(PlatformAdapter, repeated_ids_are_refused) {
+TEST(PlatformAdapter, a_repeated_request_id_is_refused) {
   head.headers.Add("Request-Id", "r-2");
   CHECK_FALSE(core::IsOk(adapter.read_request(head)));
 }
 
-TEST(PlatformAdapter, not_run_is_the_servers_own_word) {
+TEST(PlatformAdapter, only_the_server_can_declare_a_request_not_run) {
   http1::ResponseHead answer;
   answer.status = 503;
   CHECK_FALSE(adapter.read_answer(answer).not_run);
@@ -90,7 +91,7 @@
   CHECK(adapter.read_answer(answer).misdirected);
 }
 
-TEST(PlatformAdapter, an_encoded_body_is_not_the_servers) {
+TEST(PlatformAdapter, an_encoded_body_is_not_genuine) {
   http1::ResponseHead answer;
   answer.status = 200;
   answer.headers.Add("Server-Signature", "s");
@@ -99,7 +100,7 @@
   CHECK_FALSE(adapter.read_answer(answer).genuine);
 }
 
-TEST(PlatformAdapter, a_refusal_says_when_to_come_back) {
+TEST(PlatformAdapter, a_refusal_carries_the_retry_delay) {
   const gateway::LocalAnswer answer = adapter.refusal(
       {core::ErrorId::kBudgetBusy, "t", "x"}, core::Duration(1'500'000));
   CHECK_EQUAL(503, answer.status);
@@ -107,7 +108,7 @@
   CHECK(answer.body.find("not_run") != std::string::npos);
 }
 
-TEST(PlatformAdapter, addresses_are_given_only_when_some_are_known) {
+TEST(PlatformAdapter, addresses_are_returned_only_if_some_are_known) {
   http1::RequestHead question;
   question.method = "GET";
   question.target = "/api/resolve?name=desk.example&zone=a";
@@ -120,7 +121,7 @@
   CHECK_EQUAL(404, adapter.addresses(question, {"10.0.0.1:80"}, {}).status);
 }
 
-TEST(PlatformAdapter, a_named_limit_is_a_plain_decimal) {
+TEST(PlatformAdapter, a_declared_limit_is_a_plain_decimal) {
   const auto read = [this](const char* text) {
     http1::ResponseHead answer;
     answer.headers.Add("Server-Limit", text);
@@ -137,7 +138,7 @@
   CHECK_FALSE(adapter.read_answer({}).limit_malformed);
 }
 
-TEST(PlatformAdapter, two_limits_in_one_answer_are_none) {
+TEST(PlatformAdapter, two_limits_in_one_response_are_rejected) {
   http1::ResponseHead answer;
   answer.headers.Add("Server-Limit", "2");
   answer.headers.Add("Server-Limit", "3");
@@ -145,12 +146,12 @@
   CHECK(adapter.read_answer(answer).limit_malformed);
 }
 
-TEST(PlatformAdapter, what_an_answer_says_and_nothing_reads_is_named) {
+TEST(PlatformAdapter, unknown_headers_of_a_response_are_listed) {
   http1::ResponseHead answer;
   answer.headers.Add("Server-Signature", "1");
   answer.headers.Add("server-limit", "2");
   answer.headers.Add("Server-Mood", "1");
   const auto read = adapter.read_answer(answer);
-  CHECK_EQUAL(1, read.unknown.size());
-  STRCMP_EQUAL("Server-Mood", read.unknown.front().c_str());
+  CHECK_EQUAL(1, read.unknown_headers.size());
+  STRCMP_EQUAL("Server-Mood", read.unknown_headers.front().c_str());
 }
--- a/tests/platform/unit-damaged-input.cc
+++ b/tests/platform/unit-damaged-input.cc
@@ -1,5 +1,6 @@
-// Readers of what others write, fed with damaged copies: none of them may crash
-// or take nonsense for sense. Seeded, so that a failure repeats.
+// Fuzz tests of the parsers of external input: damaged copies must neither
+// crash a parser nor be accepted with invalid values. The seed is fixed, so
+// that failures are reproducible.
 #include <CppUTest/TestHarness.h>
 
 #include <functional>  // function
@@ -41,7 +42,7 @@
 address = "10.9.0.1:90"
 )";
 
-// Bytes that mean something to a reader are the likelier ones.
+// Prefers bytes that are significant to the parsers.
 char RandomByte(pcg64& random) {
   constexpr std::string_view kSignificantBytes =
       "{}[]\",:0123456789-+.eEtrufalsn\\\n= ";
@@ -87,7 +88,7 @@
 TEST_GROUP(DamagedInput){};
 // clang-format on
 
-TEST(DamagedInput, an_entry_that_is_taken_names_an_upstream) {
+TEST(DamagedInput, an_accepted_entry_describes_an_upstream) {
   Feed(kEntry, [](const std::string& document) {
     const auto read = ReadUpstream("i-1", document);
     if (!core::IsOk(read)) {
@@ -102,7 +103,7 @@
   });
 }
 
-TEST(DamagedInput, a_configuration_that_is_taken_is_whole) {
+TEST(DamagedInput, an_accepted_configuration_has_valid_accounts) {
   Feed(kConfiguration, [](const std::string& document) {
     const auto read = ReadConfiguration(document);
     if (!core::IsOk(read)) {
@@ -114,7 +115,7 @@
   });
 }
 
-TEST(DamagedInput, settings_that_are_taken_name_what_a_router_needs) {
+TEST(DamagedInput, accepted_settings_contain_all_required_fields) {
   Feed(kSettings, [](const std::string& text) {
     const auto read = ReadSettings(text);
     if (!core::IsOk(read)) {
--- a/tests/platform/unit-documents.cc
+++ b/tests/platform/unit-documents.cc
@@ -43,7 +43,7 @@
 TEST_GROUP(Documents){};
 // clang-format on
 
-TEST(Documents, a_configuration_is_translated) {
+TEST(Documents, parses_a_configuration) {
   const auto read = ReadConfiguration(kDocument);
   CHECK(core::IsOk(read));
   const entry::Configuration& configuration = core::Value(read);
@@ -65,14 +65,14 @@
   CHECK_EQUAL(1'000, configuration.bounds.header.value());
 }
 
-TEST(Documents, an_unknown_kind_of_route_runs_once_at_most) {
+TEST(Documents, a_route_of_unknown_type_is_at_most_once) {
   const auto read = ReadConfiguration(
       R"({"version": 1, "routes": [{"name": "r", "hostname": "h",
           "pathPrefix": "/", "type": "other", "service": "s"}]})");
   CHECK(core::Value(read).routes[0].kind == entry::RouteKind::kAtMostOnce);
 }
 
-TEST(Documents, what_is_wrong_is_named) {
+TEST(Documents, errors_name_the_field) {
   CHECK(FailureOf("{") == core::ErrorId::kConfigSyntax);
   CHECK(FailureOf("{}") == core::ErrorId::kConfigMissingField);
   CHECK(FailureOf(R"({"version": "x"})") == core::ErrorId::kConfigWrongType);
@@ -81,7 +81,7 @@
   STRCMP_EQUAL("routes[0].hostname", core::Failure(read).subject.c_str());
 }
 
-TEST(Documents, a_server_is_translated) {
+TEST(Documents, parses_a_server_entry) {
   const auto read =
       ReadUpstream("i-1",
                    R"({"service": "s1", "address": "10.0.0.9:80", "zone": "a",
@@ -93,16 +93,16 @@
   STRCMP_EQUAL("i-1", core::Value(read).id.value().c_str());
 }
 
-TEST(Documents, torn_documents_are_errors_and_nothing_else) {
+TEST(Documents, truncated_documents_are_errors) {
   const std::string whole = kDocument;
   for (size_t size = 0; size + 1 < whole.size(); ++size) {
     CHECK_FALSE(core::IsOk(ReadConfiguration(whole.substr(0, size))));
   }
 }
 
-TEST(Documents, an_entry_of_another_writer_names_no_server) {
-  // Work goes to a server that is leaving, or that is none: a field is
-  // missing, of another type, or in a word that we don't know.
+TEST(Documents, an_invalid_entry_is_rejected) {
+  // Requests must not go to a server that is leaving or does not exist because
+  // a field of its entry is missing, of another type or has an unknown value.
   const std::string good =
       R"({"service": "s", "address": "10.0.0.9:80", "zone": "a", "slots": 6,
           "state": "ready"})";
@@ -138,7 +138,7 @@
   }
 }
 
-TEST(Documents, how_upstreams_warm_up_is_translated) {
+TEST(Documents, parses_the_warm_up_of_services) {
   const auto read = ReadConfiguration(kDocument);
   const auto& services = core::Value(read).services;
   CHECK(services[0].warm_up->lasts == std::chrono::seconds(3));
@@ -146,7 +146,7 @@
   CHECK_FALSE(services[1].warm_up.has_value());
 }
 
-TEST(Documents, a_warm_up_out_of_range_counts_as_the_nearest_in_it) {
+TEST(Documents, a_warm_up_out_of_range_is_clamped) {
   const auto of = [](const std::string& fields) {
     const auto read = ReadConfiguration(
         R"({"version": 1, "services": [{"name": "s", )" + fields + "}]}");
@@ -160,7 +160,7 @@
       {"name": "s", "warmupS": "soon"}]})") == core::ErrorId::kConfigWrongType);
 }
 
-TEST(Documents, an_entry_says_how_long_it_stays_cold) {
+TEST(Documents, an_entry_states_its_remaining_warm_up_time) {
   const auto left = [](const std::string& value) {
     const auto read = ReadUpstream(
         "i-1", R"({"service": "s", "address": "10.0.0.1:1", "zone": "z",
@@ -173,7 +173,7 @@
   CHECK(left("1e200") == std::chrono::seconds(600));
 }
 
-TEST(Documents, an_entry_that_only_counts_on_is_told_without_reading_it) {
+TEST(Documents, an_entry_that_only_increments_its_sequence_is_unchanged) {
   const std::string before =
       R"({"service":"s","state":"ready","sequence":9,"zone":"z"})";
   CHECK(UpstreamUnchanged(
--- a/tests/platform/unit-settings.cc
+++ b/tests/platform/unit-settings.cc
@@ -35,7 +35,7 @@
 TEST_GROUP(Settings){};
 // clang-format on
 
-TEST(Settings, are_translated_and_unknown_fields_ignored) {
+TEST(Settings, are_parsed_and_unknown_fields_ignored) {
   const auto read = ReadSettings(kFile);
   CHECK(core::IsOk(read));
   const MachineSettings& settings = core::Value(read);
@@ -50,7 +50,7 @@
   CHECK(settings.gateway.key_expiry == core::Duration::zero());
 }
 
-TEST(Settings, that_lack_an_address_are_refused_by_name) {
+TEST(Settings, without_an_address_are_refused_naming_the_field) {
   const auto read = ReadSettings("nodeName = \"n\"\n");
   CHECK(core::Failure(read).id == core::ErrorId::kSettingMissing);
   STRCMP_EQUAL("listen.frontend", core::Failure(read).subject.c_str());
