--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -210,12 +210,12 @@
   boost::asio::steady_timer m_tick;
 
   v1::RouterBeat m_own_record;  ///< newest one of an earlier start
-  std::optional<uint64_t>
-      m_epoch_log_end;  ///< no earlier start can write at or after it
+  /// No earlier start can write at or after this offset.
+  std::optional<uint64_t> m_epoch_log_end;
   /// Longest time for which an evacuation can have been unknown to this router.
   core::Duration m_evacuation_known_within{};
-  uint64_t m_heartbeats_read_to =
-      0;  ///< all records before this offset are known
+  /// All heartbeat records before this offset are known.
+  uint64_t m_heartbeats_read_to = 0;
   bool m_upstreams_known = false;
   bool m_first_heartbeat_read = false;
   bool m_was_ready = false;
--- a/include/coppervalve/gateway/gateway_metrics.h
+++ b/include/coppervalve/gateway/gateway_metrics.h
@@ -52,7 +52,7 @@
   void OnStoreCall(std::string_view topic, bool answered);
   void OnAccount(const core::AccountId& account,
                  const entry::AllotmentBook::Figures& figures);
-  void OnProcess(const ProcessStats& figures);
+  void OnProcess(const ProcessStats& stats);
 
   /// @return all metrics in the Prometheus text format
   std::string Text() const;
--- a/include/coppervalve/gateway/platform_adapter.h
+++ b/include/coppervalve/gateway/platform_adapter.h
@@ -27,8 +27,8 @@
   core::AccountId account;  ///< empty on a public route
   bool has_accounts = false;
   uint8_t priority = 0;
-  std::string
-      resume_after;  ///< id of the last event received; empty = from the start
+  /// Id of the last event received; empty = from the start.
+  std::string resume_after;
 };
 
 /// @brief What the response of an upstream says about itself and its sender.
@@ -36,7 +36,7 @@
   std::string request_id;  ///< as echoed; empty if it was not
   bool not_run = false;
   bool misdirected = false;  ///< the address now belongs to another upstream
-  bool genuine = true;       ///< sent by the upstream itself, may be forwarded
+  bool genuine = true;       ///< may be forwarded as a success
   bool leaving = false;      ///< the upstream accepts no new requests
   /// The upstream was too busy for the request and accepts no other for this
   /// long.
--- a/include/coppervalve/http1/retry_after.h
+++ b/include/coppervalve/http1/retry_after.h
@@ -10,7 +10,7 @@
 
 /// @brief Parses `Retry-After` in seconds, including fractions; the longest
 /// value if it is repeated.
-/// @return none for anything but a positive number, including dates; limited to
+/// @return none for anything but a number above 0, including dates; limited to
 /// the longest wait that is accepted
 std::optional<core::Duration> ParseRetryAfter(const HeaderList& headers);
 
--- a/src/gateway/gateway_heartbeats.cc
+++ b/src/gateway/gateway_heartbeats.cc
@@ -216,8 +216,8 @@
 }
 
 // A successor can tell that this process has ended only if the process holds
-// the VM's port exclusively. The time grows by as much as the heartbeat period
-// exceeds the usual one.
+// the VM's port exclusively. The reserve is held back longer by as much as the
+// heartbeat period exceeds the usual one.
 void Gateway::SetReserveTimes(v1::RouterBeat& beat, core::TimePoint now) const {
   if (!m_load_port_bound_since || m_boot.empty() ||
       m_policy.book.held_back == core::Duration::zero()) {
--- a/src/gateway/gateway_listeners.cc
+++ b/src/gateway/gateway_listeners.cc
@@ -141,29 +141,29 @@
 
 void Gateway::ServeMetrics(const CallerRef& caller) {
   const core::TimePoint now = net::BootNow();
-  ProcessStats figures;
+  ProcessStats stats;
   if (m_in_force) {
-    figures.version = m_in_force->version();
-    figures.configuration_age = m_config_contact.SilentFor(now);
+    stats.version = m_in_force->version();
+    stats.configuration_age = m_config_contact.SilentFor(now);
     for (const entry::Account& account : m_in_force->configuration().accounts) {
       m_metrics.OnAccount(account.name, m_book.FiguresOf(account.name));
     }
   }
-  figures.routers = m_members.Live();
-  figures.active_routers = m_members.Active();
-  figures.active = m_members.SelfActive();
-  figures.upstreams = m_directory.size();
-  figures.upstream_connections = m_pool.opened();
-  figures.log_lines_left_out = m_log.dropped();
-  figures.ready = Ready();
-  figures.store_up = m_contact.up();
-  figures.quarantined_requests = m_crashes.record().quarantined();
-  figures.follows_upstreams = m_upstreams_known;
-  figures.limited_upstreams = m_directory.Limited();
-  figures.evacuated_domains = m_gate.evacuations().size();
-  figures.evacuation_known_within = m_evacuation_known_within;
-  figures.held_ahead = m_book.HoldFactor();
-  m_metrics.OnProcess(figures);
+  stats.routers = m_members.Live();
+  stats.active_routers = m_members.Active();
+  stats.active = m_members.SelfActive();
+  stats.upstreams = m_directory.size();
+  stats.upstream_connections = m_pool.opened();
+  stats.log_lines_left_out = m_log.dropped();
+  stats.ready = Ready();
+  stats.store_up = m_contact.up();
+  stats.quarantined_requests = m_crashes.record().quarantined();
+  stats.follows_upstreams = m_upstreams_known;
+  stats.limited_upstreams = m_directory.Limited();
+  stats.evacuated_domains = m_gate.evacuations().size();
+  stats.evacuation_known_within = m_evacuation_known_within;
+  stats.held_ahead = m_book.HoldFactor();
+  m_metrics.OnProcess(stats);
   LocalAnswer answer;
   answer.headers.Add("Content-Type", "text/plain; version=0.0.4");
   answer.body = m_metrics.Text();
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -56,10 +56,10 @@
       RegisterCounter(registry,
                       "coppervalve_entry_attempts_total",
                       "Attempts at upstreams, by outcome");
-  Family<Counter>& gifts = RegisterCounter(
-      registry,
-      "coppervalve_entry_gifts_total",
-      "Tokens asked of other routers and given to them, by way");
+  Family<Counter>& gifts =
+      RegisterCounter(registry,
+                      "coppervalve_entry_gifts_total",
+                      "Token transfers with other routers, by way");
   Family<Counter>& store_calls =
       RegisterCounter(registry,
                       "coppervalve_entry_store_calls_total",
@@ -140,29 +140,28 @@
   set("claimed_elsewhere", figures.others);
 }
 
-void GatewayMetrics::OnProcess(const ProcessStats& figures) {
+void GatewayMetrics::OnProcess(const ProcessStats& stats) {
   const auto set = [&](const char* figure, double value) {
     m_impl->process.Add({{"figure", figure}}).Set(value);
   };
-  set("configuration_version", static_cast<double>(figures.version.value()));
-  set("configuration_age_seconds", Seconds(figures.configuration_age));
-  set("routers", figures.routers);
-  set("active_routers", figures.active_routers);
-  set("active", figures.active ? 1 : 0);
-  set("upstreams", static_cast<double>(figures.upstreams));
+  set("configuration_version", static_cast<double>(stats.version.value()));
+  set("configuration_age_seconds", Seconds(stats.configuration_age));
+  set("routers", stats.routers);
+  set("active_routers", stats.active_routers);
+  set("active", stats.active ? 1 : 0);
+  set("upstreams", static_cast<double>(stats.upstreams));
   set("upstream_connections_opened",
-      static_cast<double>(figures.upstream_connections));
-  set("log_lines_left_out", static_cast<double>(figures.log_lines_left_out));
-  set("ready", figures.ready ? 1 : 0);
-  set("store_up", figures.store_up ? 1 : 0);
-  set("quarantined_requests",
-      static_cast<double>(figures.quarantined_requests));
-  set("follows_upstreams", figures.follows_upstreams ? 1 : 0);
-  set("limited_upstreams", static_cast<double>(figures.limited_upstreams));
-  set("evacuated_domains", static_cast<double>(figures.evacuated_domains));
+      static_cast<double>(stats.upstream_connections));
+  set("log_lines_left_out", static_cast<double>(stats.log_lines_left_out));
+  set("ready", stats.ready ? 1 : 0);
+  set("store_up", stats.store_up ? 1 : 0);
+  set("quarantined_requests", static_cast<double>(stats.quarantined_requests));
+  set("follows_upstreams", stats.follows_upstreams ? 1 : 0);
+  set("limited_upstreams", static_cast<double>(stats.limited_upstreams));
+  set("evacuated_domains", static_cast<double>(stats.evacuated_domains));
   set("evacuation_known_within_seconds",
-      Seconds(figures.evacuation_known_within));
-  set("held_ahead", figures.held_ahead);
+      Seconds(stats.evacuation_known_within));
+  set("held_ahead", stats.held_ahead);
 }
 
 std::string GatewayMetrics::Text() const {
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -61,24 +61,26 @@
       m_io, FollowerOptions{layout.upstream_topic, entry::UpstreamPlan()},
       m_store, m_random, std::move(of_upstreams));
 
-  TopicFollower::Hooks of_beats = hooks(layout.heartbeat_topic);
-  of_beats.on_record = [this](const KeyedRecord& record) {
+  TopicFollower::Hooks of_heartbeats = hooks(layout.heartbeat_topic);
+  of_heartbeats.on_record = [this](const KeyedRecord& record) {
     OnHeartbeatRecord(record);
   };
-  of_beats.on_newest = [this](const std::vector<KeyedRecord>& records) {
+  of_heartbeats.on_newest = [this](const std::vector<KeyedRecord>& records) {
     OnNewestHeartbeats(records);
   };
-  of_beats.pause = [this, usual = of_beats.pause](core::Duration pause) {
+  of_heartbeats.pause = [this,
+                         usual = of_heartbeats.pause](core::Duration pause) {
     return m_first_heartbeat_read ? usual(pause) : kStartingPause;
   };
-  of_beats.on_read = [this, topic = layout.heartbeat_topic](uint64_t next) {
+  of_heartbeats.on_read = [this,
+                           topic = layout.heartbeat_topic](uint64_t next) {
     OnStoreAnswer(topic);
     m_heartbeats_read_to = next;
     StartHeartbeatsIfCaughtUp();
   };
   m_heartbeats = std::make_shared<TopicFollower>(
       m_io, FollowerOptions{layout.heartbeat_topic, entry::BeatPlan()}, m_store,
-      m_random, std::move(of_beats));
+      m_random, std::move(of_heartbeats));
 }
 
 // Nearly all records of a large upstream table only renew an entry. Parsing
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -44,7 +44,8 @@
   }
   const NewestPage& page = core::Value(result);
   if (m_after.empty()) {
-    // All pages are known to contain only records from before the first page.
+    // Only records from before the first page are certain to be covered by the
+    // pages.
     m_end = page.end;
   }
   m_newest.insert(m_newest.end(), page.records.begin(), page.records.end());
