--- a/include/coppervalve/gateway/gateway_metrics.h
+++ b/include/coppervalve/gateway/gateway_metrics.h
@@ -47,7 +47,7 @@
   void OnServed(entry::RouteKind kind, core::Duration since_arrival);
   void OnAttempt(std::string_view outcome);
   /// @param way "taken", "given" or "none_to_spare"
-  void OnGift(std::string_view way);
+  void OnTransfer(std::string_view way);
   void OnGrantWait(core::Duration waited);
   void OnStoreCall(std::string_view topic, bool answered);
   void OnAccount(const core::AccountId& account,
--- a/include/coppervalve/gateway/token_requester.h
+++ b/include/coppervalve/gateway/token_requester.h
@@ -49,7 +49,7 @@
   bool RequestTokens(const core::AccountId& account,
                      core::Tokens tokens,
                      std::function<void()> on_done);
-  void OnGift(const v1::TokenGift& gift);
+  void OnTransfer(const v1::TokenGift& gift);
 
  private:
   struct PendingRequest {
--- a/src/gateway/gateway_listeners.cc
+++ b/src/gateway/gateway_listeners.cc
@@ -69,7 +69,7 @@
     m_placement_client->OnAnswer(answer);
   };
   hooks.on_gift = [this](const v1::TokenGift& gift) {
-    m_token_requester->OnGift(gift);
+    m_token_requester->OnTransfer(gift);
   };
   m_peer_messenger = std::make_unique<PeerMessenger>(
       m_io, m_settings.router.value(), std::move(hooks));
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -112,7 +112,7 @@
   m_impl->attempts.Add({{"outcome", std::string(outcome)}}).Increment();
 }
 
-void GatewayMetrics::OnGift(std::string_view way) {
+void GatewayMetrics::OnTransfer(std::string_view way) {
   m_impl->gifts.Add({{"way", std::string(way)}}).Increment();
 }
 
--- a/src/gateway/gateway_transfers.cc
+++ b/src/gateway/gateway_transfers.cc
@@ -31,7 +31,7 @@
   hooks.on_tokens = [this](const core::AccountId& account,
                            core::Tokens tokens) {
     m_book.OnGift(account, tokens);
-    m_metrics.OnGift("taken");
+    m_metrics.OnTransfer("taken");
     m_log.Write(LogCategory::kRoutine, LogLine("tokens_borrowed")
                                            .Text("account", account.value())
                                            .Number("tokens", tokens.value()));
@@ -49,7 +49,7 @@
     given = m_book.Give(account, core::Tokens(ask.least()),
                         core::Tokens(ask.wanted()), now);
     m_transfer_replies.Remember(ask, *given, now);
-    m_metrics.OnGift(*given > core::Tokens(0) ? "given" : "none_to_spare");
+    m_metrics.OnTransfer(*given > core::Tokens(0) ? "given" : "none_to_spare");
     m_log.Write(LogCategory::kRoutine, LogLine("tokens_given")
                                            .Text("account", account.value())
                                            .Text("to", ask.router())
--- a/src/gateway/token_requester.cc
+++ b/src/gateway/token_requester.cc
@@ -108,7 +108,7 @@
   Finish(account);
 }
 
-void TokenRequester::OnGift(const v1::TokenGift& gift) {
+void TokenRequester::OnTransfer(const v1::TokenGift& gift) {
   const auto sent = m_unanswered.find(gift.ask_id());
   if (gift.ask_epoch() != m_epoch || sent == m_unanswered.end()) {
     return;
--- a/tests/gateway/unit-token-requester.cc
+++ b/tests/gateway/unit-token-requester.cc
@@ -53,7 +53,7 @@
     gift.set_ask_epoch(asks.at(ask).epoch());
     gift.set_ask_id(asks.at(ask).id());
     gift.set_tokens(given);
-    requester.OnGift(gift);
+    requester.OnTransfer(gift);
   }
 };
 // clang-format on
