--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -24,19 +24,19 @@
 #include "coppervalve/entry/upstream_gate.h"
 #include "coppervalve/gateway/caller_connection.h"
 #include "coppervalve/gateway/crash_monitor.h"
-#include "coppervalve/gateway/dialect.h"
+#include "coppervalve/gateway/platform_adapter.h"
 #include "coppervalve/gateway/event_log.h"
 #include "coppervalve/gateway/gateway_metrics.h"
 #include "coppervalve/gateway/unknown_headers.h"
 #include "coppervalve/gateway/upstream_pool.h"
-#include "coppervalve/http1/event_cutter.h"
+#include "coppervalve/http1/sse_splitter.h"
 
 namespace coppervalve::gateway {
 
 /// @brief Objects that all exchanges share; outlives them.
 struct ExchangeContext {
   boost::asio::io_context& io;
-  const Dialect& dialect;
+  const PlatformAdapter& adapter;
   entry::UpstreamDirectory& directory;
   const entry::Policy& policy;
   const entry::UpstreamGate& gate;
@@ -91,7 +91,7 @@
     entry::UpstreamRef upstream;
     UpstreamConnectionRef connection;
     core::TimePoint started_at;
-    AnswerFacts answer;
+    UpstreamResponseInfo answer;
     double prefill_cost = 0;   ///< its part of the upstream's in_prefill
     double total_prefill = 0;  ///< that and the work queued before it
     double cost = 0;           ///< expected cost at placement
@@ -125,7 +125,7 @@
   /// @brief Checks again, before bytes are sent on a new connection, whether
   /// the upstream may get the request. Records the send if so.
   bool MaySendNow(entry::Upstream& upstream) const;
-  std::string RequestText(const SendFacts& facts) const;
+  std::string RequestText(const UpstreamRequestContext& facts) const;
 
   void HandleUpstreamSignals();
   void HandleRateLimit(const entry::UpstreamRef& sender);
@@ -153,7 +153,7 @@
   void ReportSurvived();
   bool IsStream() const;
   bool Retryable() const;
-  bool HasEvents() const { return m_cutter.events() != 0; }
+  bool HasEvents() const { return m_sse_splitter.events() != 0; }
   /// @brief Consumes one retry of the retry allowance.
   /// @return whether the request may be sent to another upstream
   bool TakeRetry();
@@ -187,7 +187,7 @@
   std::vector<core::UpstreamId> m_tried;
   std::optional<http1::ResponseHead> m_head;
   std::string m_body;
-  http1::EventCutter m_cutter;
+  http1::SseSplitter m_sse_splitter;
   core::TimePoint m_last_activity;  ///< start of the upstream's timeout
   core::Duration m_first_byte{};
   uint32_t m_sent_attempts = 0;  ///< attempts of which bytes were sent
--- /dev/null
+++ b/include/coppervalve/gateway/heartbeat_writer.h
@@ -0,0 +1,86 @@
+#ifndef COPPERVALVE_GATEWAY_HEARTBEAT_WRITER_H_
+#define COPPERVALVE_GATEWAY_HEARTBEAT_WRITER_H_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <cstdint>     // uint64_t
+#include <functional>  // function
+#include <memory>      // enable_shared_from_this
+#include <string>      // string
+
+#include "coppervalve/beat.pb.h"
+#include "coppervalve/gateway/keyed_store.h"
+#include "coppervalve/routing/random_hook.h"
+
+namespace coppervalve::gateway {
+
+/// @brief Options of the writer.
+struct HeartbeatOptions {
+  std::string topic;
+  std::string router;  ///< key of the record and id of the writer
+  core::Duration retry{150'000};
+};
+
+/// @brief Writes this router's heartbeats to the store, one at a time and in
+/// order.
+///
+/// A write without a reply may still take effect. It is retried unchanged until
+/// it is answered; otherwise a newer heartbeat could be overwritten by the late
+/// one. The store recognizes a retry by its sequence number. The epoch is
+/// announced before the first heartbeat, which fences off writes of earlier
+/// starts.
+class HeartbeatWriter : public std::enable_shared_from_this<HeartbeatWriter> {
+ public:
+  struct Hooks {
+    /// Fills in the current state of the router.
+    std::function<void(v1::RouterBeat& beat)> compose;
+    /// Regular time between heartbeats.
+    std::function<core::Duration()> period;
+    /// Minimum delay before an expedited heartbeat.
+    std::function<core::Duration()> expedited_delay;
+    /// The epoch is announced: earlier starts cannot write at or after `end`.
+    std::function<void(uint64_t epoch, uint64_t end)> on_epoch_announced;
+    std::function<void(const v1::RouterBeat& beat)> on_written;
+    std::function<void(const core::Error&)> on_failure;
+    /// A newer start of the same router exists; this one stops writing.
+    std::function<void()> on_superseded;
+  };
+
+  HeartbeatWriter(boost::asio::io_context& io,
+             HeartbeatOptions options,
+             const KeyedStore& store,
+             routing::RandomHook random,
+             Hooks hooks);
+
+  /// @param last_epoch epoch of this router's newest record; 0 when it has none
+  void Start(uint64_t last_epoch);
+  /// @brief Starts writing heartbeats, once all earlier records have been read.
+  void StartHeartbeats();
+  /// @brief Writes the next heartbeat early.
+  void Expedite();
+  uint64_t epoch() const { return m_epoch; }
+
+ private:
+  void AnnounceEpoch();
+  void WriteNext();
+  void Append();
+  void OnAppended(const core::Result<WriteReceipt>& result);
+  void Schedule(core::Duration delay, void (HeartbeatWriter::*step)());
+
+  HeartbeatOptions m_options;
+  const KeyedStore& m_store;
+  routing::RandomHook m_random;
+  Hooks m_hooks;
+  boost::asio::steady_timer m_timer;
+  v1::RouterBeat m_beat;
+  uint64_t m_epoch = 0;
+  uint64_t m_sequence = 0;
+  bool m_heartbeats_started = false;
+  bool m_in_flight = false;
+  bool m_expedited = false;
+  bool m_stopped = false;
+};
+
+}  // namespace coppervalve::gateway
+
+#endif  // COPPERVALVE_GATEWAY_HEARTBEAT_WRITER_H_
--- a/include/coppervalve/gateway/load_exchange.h
+++ b/include/coppervalve/gateway/peer_messenger.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_GATEWAY_LOAD_EXCHANGE_H_
-#define COPPERVALVE_GATEWAY_LOAD_EXCHANGE_H_
+#ifndef COPPERVALVE_GATEWAY_PEER_MESSENGER_H_
+#define COPPERVALVE_GATEWAY_PEER_MESSENGER_H_
 
 #include <array>  // array
 #include <boost/asio/io_context.hpp>
@@ -16,15 +16,15 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Datagrams between routers: tells the others what is in progress here,
-/// and carries asks for tokens and their answers. Nothing depends on any of it
-/// arriving.
-class LoadExchange {
+/// @brief Exchanges datagrams with other routers: load reports, and requests
+/// for tokens and placements with their replies. Delivery is not guaranteed,
+/// and nothing depends on it.
+class PeerMessenger {
  public:
   struct Hooks {
-    /// Addresses of the others, "ip:port".
+    /// Addresses of the other routers, "ip:port".
     std::function<std::vector<std::string>()> peers;
-    /// Fills in the loads.
+    /// Fills in the current load.
     std::function<void(v1::LoadReport&)> compose;
     std::function<void(const v1::LoadReport&)> on_report;
     std::function<void(const v1::TokenAsk&)> on_ask;
@@ -33,21 +33,21 @@
     std::function<void(const v1::PlaceAnswer&)> on_place_answer;
   };
 
-  LoadExchange(boost::asio::io_context& io, std::string router, Hooks hooks);
-  /// @brief Takes the port, alone: as long as this object lives, no other
-  /// process of the VM has it.
-  /// @param address "ip:port" to take reports on
-  /// @return kSettingBadValue when it can't be had
+  PeerMessenger(boost::asio::io_context& io, std::string router, Hooks hooks);
+  /// @brief Binds the port exclusively: no other process of the VM can have it
+  /// while this object lives.
+  /// @param address "ip:port" to receive on
+  /// @return kSettingBadValue when the port cannot be bound
   core::Status Bind(const std::string& address);
-  /// @brief Begins to report, once Bind() succeeded.
+  /// @brief Starts receiving and reporting, once Bind() has succeeded.
   void Start(uint64_t epoch);
   /// @param address "ip:port" of another router
   void Send(const std::string& address, const v1::PeerDatagram& datagram);
 
  private:
   void Receive();
-  void OnDatagram(size_t size);
-  void Tick();
+  void HandleDatagram(size_t size);
+  void SendReport();
   void SendTo(const std::string& address, const std::string& bytes);
 
   boost::asio::ip::udp::socket m_socket;
@@ -62,4 +62,4 @@
 
 }  // namespace coppervalve::gateway
 
-#endif  // COPPERVALVE_GATEWAY_LOAD_EXCHANGE_H_
+#endif  // COPPERVALVE_GATEWAY_PEER_MESSENGER_H_
--- a/include/coppervalve/http1/retry_after.h
+++ b/include/coppervalve/http1/retry_after.h
@@ -8,11 +8,11 @@
 
 namespace coppervalve::http1 {
 
-/// @brief Reads `Retry-After` in seconds, fractions too; the longest where it
-/// stands more than once.
-/// @return none for what is no number above 0, dates among it; at most the
-/// longest wait that is believed
-std::optional<core::Duration> RetryAfterOf(const HeaderList& headers);
+/// @brief Parses `Retry-After` in seconds, including fractions; the longest
+/// value if it is repeated.
+/// @return none for anything but a number above 0, including dates; limited to
+/// the longest wait that is accepted
+std::optional<core::Duration> ParseRetryAfter(const HeaderList& headers);
 
 }  // namespace coppervalve::http1
 
--- a/src/gateway/crash_monitor.cc
+++ b/src/gateway/crash_monitor.cc
@@ -28,7 +28,7 @@
   if (under.empty()) {
     return;
   }
-  m_log.Write(LineKind::kLifecycle,
+  m_log.Write(LogCategory::kLifecycle,
               LogLine("upstream_ended")
                   .Text("upstream", entry.id.value())
                   .Text("address", entry.address)
@@ -58,7 +58,7 @@
 void CrashMonitor::LogQuarantined(const entry::RequestPrint& request,
                                   std::string_view by) {
   m_log.Write(
-      LineKind::kLifecycle,
+      LogCategory::kLifecycle,
       LogLine("request_quarantined")
           .Text("content", request.Short())
           .Text("by", by)
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -59,11 +59,11 @@
 
 }  // namespace
 
-std::string Exchange::RequestText(const SendFacts& facts) const {
+std::string Exchange::RequestText(const UpstreamRequestContext& facts) const {
   const http1::RequestHead& head = m_request.head;
   std::string text = head.method + " " + head.target + " HTTP/1.1\r\n";
   for (const http1::Header& header :
-       m_context.dialect.upstream_headers(head, facts)) {
+       m_context.adapter.upstream_headers(head, facts)) {
     text += header.name + ": " + header.value + "\r\n";
   }
   const bool framed = head.headers.Find("content-length") != nullptr ||
@@ -79,15 +79,15 @@
 void Exchange::Send(const entry::Placement& placement) {
   const core::TimePoint now = net::BootNow();
   const entry::UpstreamRef& upstream = placement.upstream;
-  SendFacts facts;
-  facts.left = m_deadline - now;
+  UpstreamRequestContext facts;
+  facts.time_left = m_deadline - now;
   facts.upstream = upstream->entry.id;
   facts.has_accounts = m_admitted.in_force->has_accounts();
   if (m_admitted.account != nullptr) {
     facts.account = m_admitted.account->name;
   }
   facts.priority = m_admitted.priority;
-  facts.resume_after = HasEvents() ? m_cutter.last_id() : m_facts.resume_after;
+  facts.resume_after = HasEvents() ? m_sse_splitter.last_id() : m_facts.resume_after;
   m_tried.push_back(upstream->entry.id);
 
   Attempt attempt;
@@ -143,7 +143,7 @@
 
 void Exchange::OnHead(const http1::ResponseHead& head) {
   Attempt& attempt = *m_attempt;
-  attempt.answer = m_context.dialect.read_answer(head);
+  attempt.answer = m_context.adapter.read_answer(head);
   m_last_activity = net::BootNow();
   HandleUpstreamSignals();
   EndPrefill();
@@ -179,7 +179,7 @@
     return;
   }
   if (attempt.forwarding) {
-    const std::string whole = m_cutter.Feed(body);
+    const std::string whole = m_sse_splitter.Feed(body);
     if (!whole.empty()) {
       ForwardToCaller(whole);
     }
@@ -293,11 +293,11 @@
 // Only the upstream's own statement proves that a request sent to it did not
 // run.
 void Exchange::OnDeclined() {
-  if (m_attempt->answer.other_upstream) {
+  if (m_attempt->answer.misdirected) {
     m_context.crash_monitor.OnEnded(m_attempt->upstream->entry,
                                     "address_taken");
   }
-  RecordOutcome(m_attempt->answer.other_upstream ? AttemptOutcome::kMisaddressed
+  RecordOutcome(m_attempt->answer.misdirected ? AttemptOutcome::kMisaddressed
                                                  : AttemptOutcome::kDeclined);
   m_attempt.reset();
   DiscardResponse();
@@ -335,7 +335,7 @@
   if (streamed) {
     // Bytes after the last event: the stream ended properly, so they belong to
     // it.
-    ForwardToCaller(m_cutter.TakeTail());
+    ForwardToCaller(m_sse_splitter.TakePartialEvent());
     m_caller->EndResponse();
   } else {
     m_first_byte = net::BootNow() - m_request.arrived;
@@ -366,7 +366,7 @@
 // Drops the unsent part of a broken response, so that it is never combined with
 // another response.
 void Exchange::DiscardResponse() {
-  m_cutter.TakeTail();
+  m_sse_splitter.TakePartialEvent();
   if (!m_response_begun) {
     m_head.reset();
     m_body.clear();
--- a/src/gateway/exchange_signals.cc
+++ b/src/gateway/exchange_signals.cc
@@ -9,9 +9,9 @@
 // The upstream's record in the store states the same later, and not at all
 // while the store is unreachable.
 void Exchange::HandleUpstreamSignals() {
-  const AnswerFacts& answer = m_attempt->answer;
+  const UpstreamResponseInfo& answer = m_attempt->answer;
   const entry::UpstreamRef sender =
-      answer.other_upstream
+      answer.misdirected
           ? m_context.directory.OtherAtAddress(*m_attempt->upstream)
           : m_attempt->upstream;
   if (!sender) {
@@ -19,33 +19,33 @@
   }
   HandleRateLimit(sender);
   LogUnknownHeaders(sender->entry.id);
-  if (!answer.leaving && !answer.wait) {
+  if (!answer.leaving && !answer.retry_after) {
     return;
   }
   const bool known_to_leave = sender->entry.leaving;
   if (answer.leaving && m_context.directory.OnLeavingWord(sender)) {
     m_context.pool.CloseAll(sender->entry.id);
   }
-  if (answer.wait) {
+  if (answer.retry_after) {
     sender->hold_until =
-        std::max(sender->hold_until, net::BootNow() + *answer.wait);
+        std::max(sender->hold_until, net::BootNow() + *answer.retry_after);
   }
-  if (known_to_leave && !answer.wait) {
+  if (known_to_leave && !answer.retry_after) {
     return;  // already logged
   }
   m_context.log.Write(
-      LineKind::kLifecycle,
+      LogCategory::kLifecycle,
       LogLine("upstream_says")
           .Text("upstream", sender->entry.id.value())
           .Flag("leaving", answer.leaving)
           .Flag("known_to_leave", known_to_leave)
-          .Millis("wait_ms", answer.wait.value_or(core::Duration::zero())));
+          .Millis("wait_ms", answer.retry_after.value_or(core::Duration::zero())));
 }
 
 void Exchange::LogUnknownHeaders(const core::UpstreamId& upstream) {
-  for (const std::string& name : m_attempt->answer.unknown) {
+  for (const std::string& name : m_attempt->answer.unknown_headers) {
     if (m_context.unknown_headers.IsNew(name)) {
-      m_context.log.Write(LineKind::kLifecycle,
+      m_context.log.Write(LogCategory::kLifecycle,
                           LogLine("upstream_word_unknown")
                               .Text("upstream", upstream.value())
                               .Text("name", name));
@@ -56,12 +56,12 @@
 // A missing limit counts as its removal only in the upstream's own response to
 // this request.
 void Exchange::HandleRateLimit(const entry::UpstreamRef& sender) {
-  const AnswerFacts& answer = m_attempt->answer;
+  const UpstreamResponseInfo& answer = m_attempt->answer;
   const bool own_answer = answer.request_id == m_facts.id &&
-                          !answer.other_upstream &&
+                          !answer.misdirected &&
                           (answer.genuine || answer.not_run);
   bool changed = false;
-  if (answer.limit_unreadable) {
+  if (answer.limit_malformed) {
     changed = sender->limit.OnUnreadable();
   } else if (answer.limit || own_answer) {
     changed = m_context.directory.OnLimitWord(
@@ -70,12 +70,12 @@
   if (!changed) {
     return;
   }
-  m_context.log.Write(LineKind::kLifecycle,
+  m_context.log.Write(LogCategory::kLifecycle,
                       LogLine("upstream_limit")
                           .Text("upstream", sender->entry.id.value())
                           .Flag("limited", answer.limit.has_value())
                           .Decimal("per_s", answer.limit.value_or(0))
-                          .Flag("unreadable", answer.limit_unreadable));
+                          .Flag("unreadable", answer.limit_malformed));
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/gateway_serve.cc
+++ b/src/gateway/gateway_listeners.cc
@@ -9,37 +9,37 @@
 
 namespace coppervalve::gateway {
 
-// The port is taken before anything else: from then on no earlier process of
-// this VM lives, and what it held back stays untouched.
-void Gateway::TakePort() {
-  if (m_settings.load_address.empty() || m_alone_since) {
+// The port is bound before anything else: from then on no earlier process of
+// this VM is running, so that its reserve stays untouched.
+void Gateway::BindLoadPort() {
+  if (m_settings.load_address.empty() || m_load_port_bound_since) {
     return;
   }
-  if (!m_loads) {
-    MakeLoadExchange();
+  if (!m_peer_messenger) {
+    MakePeerMessenger();
   }
-  const core::Status bound = m_loads->Bind(m_settings.load_address);
+  const core::Status bound = m_peer_messenger->Bind(m_settings.load_address);
   if (core::IsOk(bound)) {
-    m_alone_since = net::BootNow();
+    m_load_port_bound_since = net::BootNow();
     return;
   }
-  Lifecycle(LogLine("loads_not_shared")
+  LogLifecycle(LogLine("loads_not_shared")
                 .Text("why", core::ToString(core::Failure(bound))));
 }
 
-void Gateway::ShareLoads(uint64_t epoch) {
-  TakePort();
-  if (!m_alone_since || m_sharing) {
+void Gateway::StartLoadReports(uint64_t epoch) {
+  BindLoadPort();
+  if (!m_load_port_bound_since || m_load_reports_started) {
     return;
   }
-  m_sharing = true;
-  m_borrower->SetEpoch(epoch);
-  m_place_asker->SetEpoch(epoch);
-  m_loads->Start(epoch);
+  m_load_reports_started = true;
+  m_token_requester->SetEpoch(epoch);
+  m_placement_client->SetEpoch(epoch);
+  m_peer_messenger->Start(epoch);
 }
 
-void Gateway::MakeLoadExchange() {
-  LoadExchange::Hooks hooks;
+void Gateway::MakePeerMessenger() {
+  PeerMessenger::Hooks hooks;
   hooks.peers = [this] { return m_members.LoadAddresses(); };
   hooks.compose = [this](v1::LoadReport& report) {
     report.set_store_up(m_contact.up());
@@ -66,12 +66,12 @@
   hooks.on_ask = [this](const v1::TokenAsk& ask) { OnTokenAsk(ask); };
   hooks.on_place_ask = [this](const v1::PlaceAsk& ask) { OnPlaceAsk(ask); };
   hooks.on_place_answer = [this](const v1::PlaceAnswer& answer) {
-    m_place_asker->OnAnswer(answer);
+    m_placement_client->OnAnswer(answer);
   };
   hooks.on_gift = [this](const v1::TokenGift& gift) {
-    m_borrower->OnGift(gift);
+    m_token_requester->OnTransfer(gift);
   };
-  m_loads = std::make_unique<LoadExchange>(m_io, m_settings.router.value(),
+  m_peer_messenger = std::make_unique<PeerMessenger>(m_io, m_settings.router.value(),
                                            std::move(hooks));
 }
 
@@ -82,7 +82,7 @@
   hooks.on_bad_request = [this](const core::Error& error) {
     const core::ErrorInfo& info = core::Describe(error.id);
     m_metrics.OnRequest(entry::RouteKind::kAtMostOnce, info.name);
-    m_log.Write(LineKind::kTrouble, LogLine("request")
+    m_log.Write(LogCategory::kFailure, LogLine("request")
                                         .Text("id", "")
                                         .Text("outcome", info.name)
                                         .Number("status", info.http_status)
@@ -112,11 +112,11 @@
        }},
       {m_settings.readiness_address,
        [this](const CallerRef& caller, const CallerRequest& request) {
-         caller->Respond(m_dialect.readiness(request.head, Ready()));
+         caller->Respond(m_adapter.readiness(request.head, Ready()));
        }},
       {m_settings.directory_address,
        [this](const CallerRef& caller, const CallerRequest& request) {
-         caller->Respond(m_dialect.addresses(
+         caller->Respond(m_adapter.addresses(
              request.head, m_members.Addresses(), m_settings.address_lifetime));
        }},
       {m_settings.metrics_address,
@@ -141,29 +141,29 @@
 
 void Gateway::ServeMetrics(const CallerRef& caller) {
   const core::TimePoint now = net::BootNow();
-  ProcessFigures figures;
+  ProcessStats stats;
   if (m_in_force) {
-    figures.version = m_in_force->version();
-    figures.configuration_age = m_config_contact.SilentFor(now);
+    stats.version = m_in_force->version();
+    stats.configuration_age = m_config_contact.SilentFor(now);
     for (const entry::Account& account : m_in_force->configuration().accounts) {
       m_metrics.OnAccount(account.name, m_book.FiguresOf(account.name));
     }
   }
-  figures.routers = m_members.LiveCount();
-  figures.active_routers = m_members.ActiveCount();
-  figures.active = m_members.SelfActive();
-  figures.upstreams = m_directory.size();
-  figures.upstream_connections = m_pool.opened();
-  figures.log_lines_left_out = m_log.left_out();
-  figures.ready = Ready();
-  figures.store_up = m_contact.up();
-  figures.quarantined_requests = m_crashes.record().quarantined();
-  figures.follows_upstreams = m_upstreams_known;
-  figures.limited_upstreams = m_directory.Limited();
-  figures.evacuated_domains = m_gate.evacuations().size();
-  figures.evacuation_known_within = m_evacuation_known_within;
-  figures.held_ahead = m_book.HoldFactor();
-  m_metrics.OnProcess(figures);
+  stats.routers = m_members.LiveCount();
+  stats.active_routers = m_members.ActiveCount();
+  stats.active = m_members.SelfActive();
+  stats.upstreams = m_directory.size();
+  stats.upstream_connections = m_pool.opened();
+  stats.log_lines_left_out = m_log.dropped();
+  stats.ready = Ready();
+  stats.store_up = m_contact.up();
+  stats.quarantined_requests = m_crashes.record().quarantined();
+  stats.follows_upstreams = m_upstreams_known;
+  stats.limited_upstreams = m_directory.Limited();
+  stats.evacuated_domains = m_gate.evacuations().size();
+  stats.evacuation_known_within = m_evacuation_known_within;
+  stats.held_ahead = m_book.HoldFactor();
+  m_metrics.OnProcess(stats);
   LocalResponse answer;
   answer.headers.Add("Content-Type", "text/plain; version=0.0.4");
   answer.body = m_metrics.Text();
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -26,17 +26,17 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-Family<Counter>& CounterOf(Registry& registry,
+Family<Counter>& RegisterCounter(Registry& registry,
                            const char* name,
                            const char* help) {
   return prometheus::BuildCounter().Name(name).Help(help).Register(registry);
 }
 
-Family<Gauge>& GaugeOf(Registry& registry, const char* name, const char* help) {
+Family<Gauge>& RegisterGauge(Registry& registry, const char* name, const char* help) {
   return prometheus::BuildGauge().Name(name).Help(help).Register(registry);
 }
 
-Family<Histogram>& HistogramOf(Registry& registry,
+Family<Histogram>& RegisterHistogram(Registry& registry,
                                const char* name,
                                const char* help) {
   return prometheus::BuildHistogram().Name(name).Help(help).Register(registry);
@@ -46,37 +46,37 @@
 
 struct GatewayMetrics::Impl {
   Registry registry;
-  Family<Counter>& requests = CounterOf(registry,
+  Family<Counter>& requests = RegisterCounter(registry,
                                         "coppervalve_entry_requests_total",
                                         "Requests ended, by kind and cause");
-  Family<Counter>& attempts = CounterOf(registry,
+  Family<Counter>& attempts = RegisterCounter(registry,
                                         "coppervalve_entry_attempts_total",
                                         "Attempts at upstreams, by outcome");
   Family<Counter>& gifts =
-      CounterOf(registry,
+      RegisterCounter(registry,
                 "coppervalve_entry_gifts_total",
-                "Tokens asked of other routers and given to them, by way");
+                "Token transfers with other routers, by way");
   Family<Counter>& store_calls =
-      CounterOf(registry,
+      RegisterCounter(registry,
                 "coppervalve_entry_store_calls_total",
                 "Calls to the durable store, by topic and result");
   Family<Histogram>& first_byte =
-      HistogramOf(registry,
+      RegisterHistogram(registry,
                   "coppervalve_entry_first_byte_seconds",
                   "From a request's last byte to its answer's first");
   Family<Histogram>& whole =
-      HistogramOf(registry,
+      RegisterHistogram(registry,
                   "coppervalve_entry_whole_answer_seconds",
                   "From a request's last byte to its answer's last");
   Family<Histogram>& grant_wait =
-      HistogramOf(registry,
+      RegisterHistogram(registry,
                   "coppervalve_entry_grant_wait_seconds",
                   "Time requests waited for a higher ceiling");
   Family<Gauge>& tokens =
-      GaugeOf(registry,
+      RegisterGauge(registry,
               "coppervalve_entry_account_tokens",
               "Tokens of an account at this router, by state");
-  Family<Gauge>& process = GaugeOf(registry,
+  Family<Gauge>& process = RegisterGauge(registry,
                                    "coppervalve_entry_state",
                                    "State of the router, by figure");
 };
@@ -108,7 +108,7 @@
   m_impl->attempts.Add({{"outcome", std::string(outcome)}}).Increment();
 }
 
-void GatewayMetrics::OnGift(std::string_view way) {
+void GatewayMetrics::OnTransfer(std::string_view way) {
   m_impl->gifts.Add({{"way", std::string(way)}}).Increment();
 }
 
@@ -136,29 +136,29 @@
   set("claimed_elsewhere", figures.others);
 }
 
-void GatewayMetrics::OnProcess(const ProcessFigures& figures) {
+void GatewayMetrics::OnProcess(const ProcessStats& stats) {
   const auto set = [&](const char* figure, double value) {
     m_impl->process.Add({{"figure", figure}}).Set(value);
   };
-  set("configuration_version", static_cast<double>(figures.version.value()));
-  set("configuration_age_seconds", Seconds(figures.configuration_age));
-  set("routers", figures.routers);
-  set("active_routers", figures.active_routers);
-  set("active", figures.active ? 1 : 0);
-  set("upstreams", static_cast<double>(figures.upstreams));
+  set("configuration_version", static_cast<double>(stats.version.value()));
+  set("configuration_age_seconds", Seconds(stats.configuration_age));
+  set("routers", stats.routers);
+  set("active_routers", stats.active_routers);
+  set("active", stats.active ? 1 : 0);
+  set("upstreams", static_cast<double>(stats.upstreams));
   set("upstream_connections_opened",
-      static_cast<double>(figures.upstream_connections));
-  set("log_lines_left_out", static_cast<double>(figures.log_lines_left_out));
-  set("ready", figures.ready ? 1 : 0);
-  set("store_up", figures.store_up ? 1 : 0);
+      static_cast<double>(stats.upstream_connections));
+  set("log_lines_left_out", static_cast<double>(stats.log_lines_left_out));
+  set("ready", stats.ready ? 1 : 0);
+  set("store_up", stats.store_up ? 1 : 0);
   set("quarantined_requests",
-      static_cast<double>(figures.quarantined_requests));
-  set("follows_upstreams", figures.follows_upstreams ? 1 : 0);
-  set("limited_upstreams", static_cast<double>(figures.limited_upstreams));
-  set("evacuated_domains", static_cast<double>(figures.evacuated_domains));
+      static_cast<double>(stats.quarantined_requests));
+  set("follows_upstreams", stats.follows_upstreams ? 1 : 0);
+  set("limited_upstreams", static_cast<double>(stats.limited_upstreams));
+  set("evacuated_domains", static_cast<double>(stats.evacuated_domains));
   set("evacuation_known_within_seconds",
-      Seconds(figures.evacuation_known_within));
-  set("held_ahead", figures.held_ahead);
+      Seconds(stats.evacuation_known_within));
+  set("held_ahead", stats.held_ahead);
 }
 
 std::string GatewayMetrics::Text() const {
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-// A router that stands by has little to tell and nothing to decide soon: its
-// reads and writes leave the store's rates to those that serve.
+// A standby router has little to report and no urgent decisions. Longer pauses
+// leave the store's read and write rates to the active routers.
 constexpr core::Duration kStandbyPause{800'000};
-// Until its own first beat is back a router serves nobody, and that takes a few
-// reads in a row: with the usual pauses between them a fleet that lost its
-// power was not ready for another second.
+// A router serves no requests until its own first heartbeat has been read back,
+// which takes several reads in sequence. With the usual pauses, a fleet that
+// had lost power needed another second to become ready.
 constexpr core::Duration kStartingPause{30'000};
 }  // namespace
 
@@ -34,7 +34,8 @@
   const StoreLayout& layout = m_settings.layout;
 
   TopicFollower::Hooks of_configuration = hooks(layout.configuration_topic);
-  // In force everywhere within seconds: who stands by reads as often.
+  // Standbys read the configuration as often as active routers, so that it
+  // takes effect everywhere within seconds.
   of_configuration.pause = {};
   of_configuration.on_record = [this](const KeyedRecord& record) {
     OnOperatorRecord(record);
@@ -51,8 +52,8 @@
   of_upstreams.on_record = [this](const KeyedRecord& record) {
     OnUpstreamRecord(record);
   };
-  of_upstreams.wanted = [this] { return m_table_readers.follows(); };
-  of_upstreams.on_stopped = [this] { OnTableStopped(); };
+  of_upstreams.needed = [this] { return m_table_readers.follows(); };
+  of_upstreams.on_stopped = [this] { OnTableReadingStopped(); };
   of_upstreams.on_newest = [this](const std::vector<KeyedRecord>& records) {
     OnNewestUpstreams(records);
   };
@@ -60,34 +61,34 @@
       m_io, FollowerOptions{layout.upstream_topic, entry::UpstreamPlan()},
       m_store, m_random, std::move(of_upstreams));
 
-  TopicFollower::Hooks of_beats = hooks(layout.beat_topic);
-  of_beats.on_record = [this](const KeyedRecord& record) {
-    OnBeatRecord(record);
+  TopicFollower::Hooks of_heartbeats = hooks(layout.heartbeat_topic);
+  of_heartbeats.on_record = [this](const KeyedRecord& record) {
+    OnHeartbeatRecord(record);
   };
-  of_beats.on_newest = [this](const std::vector<KeyedRecord>& records) {
-    OnNewestBeats(records);
+  of_heartbeats.on_newest = [this](const std::vector<KeyedRecord>& records) {
+    OnNewestHeartbeats(records);
   };
-  of_beats.pause = [this, usual = of_beats.pause](core::Duration pause) {
-    return m_first_beat_back ? usual(pause) : kStartingPause;
+  of_heartbeats.pause = [this, usual = of_heartbeats.pause](core::Duration pause) {
+    return m_first_heartbeat_read ? usual(pause) : kStartingPause;
   };
-  of_beats.on_read = [this, topic = layout.beat_topic](uint64_t next) {
+  of_heartbeats.on_read = [this, topic = layout.heartbeat_topic](uint64_t next) {
     OnStoreAnswer(topic);
-    m_beats_read = next;
-    BeginBeatsIfAllRead();
+    m_heartbeats_read_to = next;
+    StartHeartbeatsIfCaughtUp();
   };
-  m_beats = std::make_shared<TopicFollower>(
-      m_io, FollowerOptions{layout.beat_topic, entry::HeartbeatPlan()}, m_store,
-      m_random, std::move(of_beats));
+  m_heartbeats = std::make_shared<TopicFollower>(
+      m_io, FollowerOptions{layout.heartbeat_topic, entry::HeartbeatPlan()}, m_store,
+      m_random, std::move(of_heartbeats));
 }
 
-// Of a large table nearly every record does, and reading it whole costs most of
-// what a router spends while nothing happens.
-bool Gateway::OnlySaysItLives(const KeyedRecord& record) {
+// Nearly all records of a large upstream table only renew an entry. Parsing
+// them in full would be most of the cost of an idle router.
+bool Gateway::IsHeartbeatOnly(const KeyedRecord& record) {
   std::string& last = m_upstream_documents[record.key];
   const entry::UpstreamRef known =
       m_directory.Find(core::UpstreamId(record.key));
-  const bool same = known && !known->lapsed && m_dialect.same_upstream &&
-                    m_dialect.same_upstream(last, record.value);
+  const bool same = known && !known->lapsed && m_adapter.upstream_unchanged &&
+                    m_adapter.upstream_unchanged(last, record.value);
   last = record.value;
   return same;
 }
@@ -95,7 +96,7 @@
 void Gateway::OnUpstreamRecord(const KeyedRecord& record) {
   if (record.value.empty()) {
     m_upstream_documents.erase(record.key);
-  } else if (OnlySaysItLives(record)) {
+  } else if (IsHeartbeatOnly(record)) {
     return;
   }
   const core::UpstreamId id(record.key);
@@ -105,7 +106,7 @@
     if (gone) {
       m_pool.CloseAll(id);
     }
-    Lifecycle(LogLine("upstream_entry_removed")
+    LogLifecycle(LogLine("upstream_entry_removed")
                   .Text("upstream", record.key)
                   .Flag("gone", gone));
     return;
@@ -121,10 +122,10 @@
     m_pool.CloseAll(id);
   }
   if (worth == entry::RecordWorth::kNone) {
-    Lifecycle(LogLine("upstream_dropped").Text("upstream", record.key));
+    LogLifecycle(LogLine("upstream_dropped").Text("upstream", record.key));
     return;
   }
-  Lifecycle(LogLine("upstream_entry")
+  LogLifecycle(LogLine("upstream_entry")
                 .Text("upstream", record.key)
                 .Text("service", read.entry->service.value())
                 .Text("address", read.entry->address)
@@ -136,12 +137,12 @@
   entry::UpstreamRecord read{core::UpstreamId(record.key), std::nullopt,
                              net::BootNow()};
   core::Result<entry::UpstreamEntry> entry =
-      m_dialect.read_upstream(record.key, record.value);
+      m_adapter.read_upstream(record.key, record.value);
   if (core::IsOk(entry)) {
     read.entry = core::TakeValue(std::move(entry));
     return read;
   }
-  Lifecycle(LogLine("upstream_entry_unreadable")
+  LogLifecycle(LogLine("upstream_entry_unreadable")
                 .Text("upstream", record.key)
                 .Text("why", core::ToString(core::Failure(entry))));
   return read;
@@ -160,11 +161,11 @@
   }
   if (!m_upstreams_known) {
     m_upstreams_known = true;
-    // The first beat may have said that this router is not ready; left at that,
-    // it stands by until its next one.
-    m_writer->Hurry();
+    // The first heartbeat may have said that this router is not ready; without
+    // a correction it would stay a standby until the next one.
+    m_heartbeat_writer->Expedite();
   }
-  Lifecycle(LogLine("upstreams_read")
+  LogLifecycle(LogLine("upstreams_read")
                 .Number("listed", static_cast<int64_t>(read.size()))
                 .Number("kept", static_cast<int64_t>(m_directory.size())));
 }
@@ -184,8 +185,8 @@
   ContactOf(topic).OnAnswer(now);
   m_metrics.OnStoreCall(topic, true);
   if (!was_up) {
-    Lifecycle(LogLine("store_regained").Text("topic", topic));
-    m_writer->Hurry();
+    LogLifecycle(LogLine("store_regained").Text("topic", topic));
+    m_heartbeat_writer->Expedite();
   }
 }
 
@@ -197,7 +198,7 @@
   ContactOf(topic).OnFailure(began);
   m_metrics.OnStoreCall(topic, false);
   if (was_up && !m_contact.up()) {
-    Lifecycle(
+    LogLifecycle(
         LogLine("store_lost").Text("topic", topic).Text("why", error.detail));
   }
 }
--- a/src/gateway/upstream_connection.cc
+++ b/src/gateway/upstream_connection.cc
@@ -173,7 +173,7 @@
   }
   // A response without a length is complete when the upstream closes the
   // connection. After a reset its end may be missing.
-  if (end == StreamEnd::kOrderly && m_reader->FinishAtEnd()) {
+  if (end == StreamEnd::kOrderly && m_reader->FinishAtEof()) {
     Deliver();
     return;
   }
--- a/tests/gateway/unit-event-log.cc
+++ b/tests/gateway/unit-event-log.cc
@@ -31,9 +31,9 @@
 };
 // clang-format on
 
-TEST(EventLog, writes_an_event_as_a_line_of_json) {
+TEST(EventLog, writes_an_event_as_a_json_line) {
   EventLog log(io, ends[1], {});
-  log.Write(LineKind::kTrouble,
+  log.Write(LogCategory::kFailure,
             LogLine("request").Text("id", "a\"b\n").Number("status", 503));
   log.Flush();
   const std::string text = ReadAll();
@@ -41,39 +41,39 @@
                   "\"status\":503}\n") != std::string::npos);
 }
 
-TEST(EventLog, a_stopped_reader_neither_blocks_nor_fills_the_memory) {
-  // All callers wait and the process grows until it is killed: whoever reads
-  // standard output has stopped, and each line waits for room in the pipe.
+TEST(EventLog, a_stopped_reader_causes_neither_blocking_nor_unbounded_memory) {
+  // If the reader of standard output stops and each line waits for room in the
+  // pipe, all callers wait and the process grows until it is killed.
   EventLog log(io, ends[1], {});
   const std::string padding(200, 'x');
   for (int i = 0; i < 20'000; ++i) {
-    log.Write(LineKind::kTrouble, LogLine("request").Text("id", padding));
+    log.Write(LogCategory::kFailure, LogLine("request").Text("id", padding));
     log.Flush();
   }
-  CHECK(log.held_bytes() <= EventLog::Bounds{}.held_bytes[1]);
-  CHECK(log.left_out() > 0);
+  CHECK(log.buffered_bytes() <= EventLog::Bounds{}.buffered_bytes[1]);
+  CHECK(log.dropped() > 0);
 }
 
-TEST(EventLog, says_how_much_was_left_out) {
+TEST(EventLog, reports_the_number_of_dropped_lines) {
   EventLog::Bounds bounds;
   bounds.lines_per_second = {1, 1, 1};
   EventLog log(io, ends[1], bounds);
   for (int i = 0; i < 10; ++i) {
-    log.Write(LineKind::kRoutine, LogLine("request"));
+    log.Write(LogCategory::kRoutine, LogLine("request"));
   }
   log.Flush();
   log.Flush();
   CHECK(ReadAll().find("log_lines_left_out") != std::string::npos);
 }
 
-TEST(EventLog, routine_lines_give_way_to_trouble) {
+TEST(EventLog, routine_lines_are_dropped_before_failures) {
   EventLog::Bounds bounds;
-  bounds.held_bytes = {200, 2'000, 2'000};
+  bounds.buffered_bytes = {200, 2'000, 2'000};
   EventLog log(io, ends[1], bounds);
   for (int i = 0; i < 10; ++i) {
-    log.Write(LineKind::kRoutine, LogLine("served"));
+    log.Write(LogCategory::kRoutine, LogLine("served"));
   }
-  const size_t before = log.held_bytes();
-  log.Write(LineKind::kTrouble, LogLine("refused"));
-  CHECK(log.held_bytes() > before);
+  const size_t before = log.buffered_bytes();
+  log.Write(LogCategory::kFailure, LogLine("refused"));
+  CHECK(log.buffered_bytes() > before);
 }
--- a/tests/platform/unit-damaged-input.cc
+++ b/tests/platform/unit-damaged-input.cc
@@ -1,5 +1,6 @@
-// Readers of what others write, fed with damaged copies: none of them may crash
-// or take nonsense for sense. Seeded, so that a failure repeats.
+// Fuzz tests of the parsers of external input: damaged copies must neither
+// crash a parser nor be accepted with invalid values. The seed is fixed, so
+// that failures are reproducible.
 #include <CppUTest/TestHarness.h>
 
 #include <functional>  // function
@@ -41,13 +42,13 @@
 address = "10.9.0.1:90"
 )";
 
-// Bytes that mean something to a reader are the likelier ones.
-char AnyByte(pcg64& random) {
-  constexpr std::string_view kTelling = "{}[]\",:0123456789-+.eEtrufalsn\\\n= ";
+// Prefers bytes that are significant to the parsers.
+char RandomByte(pcg64& random) {
+  constexpr std::string_view kSignificantBytes = "{}[]\",:0123456789-+.eEtrufalsn\\\n= ";
   if (random() % 3 == 0) {
     return static_cast<char>(random());
   }
-  return kTelling[random() % kTelling.size()];
+  return kSignificantBytes[random() % kSignificantBytes.size()];
 }
 
 std::string Damaged(std::string text, pcg64& random) {
@@ -55,11 +56,11 @@
     const size_t at = random() % text.size();
     switch (random() % 3) {
       case 0:
-        text[at] = AnyByte(random);
+        text[at] = RandomByte(random);
         break;
       case 1:
         text.insert(text.begin() + static_cast<std::ptrdiff_t>(at),
-                    AnyByte(random));
+                    RandomByte(random));
         break;
       default:
         text.erase(at, 1 + random() % 5);
@@ -86,7 +87,7 @@
 TEST_GROUP(DamagedInput){};
 // clang-format on
 
-TEST(DamagedInput, an_entry_that_is_taken_names_an_upstream) {
+TEST(DamagedInput, an_accepted_entry_describes_an_upstream) {
   Feed(kEntry, [](const std::string& document) {
     const auto read = ReadUpstream("i-1", document);
     if (!core::IsOk(read)) {
@@ -101,7 +102,7 @@
   });
 }
 
-TEST(DamagedInput, a_configuration_that_is_taken_is_whole) {
+TEST(DamagedInput, an_accepted_configuration_has_valid_accounts) {
   Feed(kConfiguration, [](const std::string& document) {
     const auto read = ReadConfiguration(document);
     if (!core::IsOk(read)) {
@@ -113,7 +114,7 @@
   });
 }
 
-TEST(DamagedInput, settings_that_are_taken_name_what_a_router_needs) {
+TEST(DamagedInput, accepted_settings_contain_all_required_fields) {
   Feed(kSettings, [](const std::string& text) {
     const auto read = ReadSettings(text);
     if (!core::IsOk(read)) {
