--- a/apps/coppervalve/order_state.cc
+++ b/apps/coppervalve/order_state.cc
@@ -59,7 +59,7 @@
 core::Error WhyNot(const std::string& upstream,
                    const std::optional<ledger::IgnoreReason>& reason) {
   return {ErrorId::kOrderFenced, upstream,
-          reason == ledger::IgnoreReason::kOrderUnderWay
+          reason == ledger::IgnoreReason::kOrderInProgress
               ? "its router lives and has still to state the outcome"
               : "it ended or was overtaken meanwhile"};
 }
--- a/include/coppervalve/ledger/detail/budget_table.h
+++ b/include/coppervalve/ledger/detail/budget_table.h
@@ -26,7 +26,7 @@
   size_t size() const { return m_budgets.size(); }
   /// @brief Marks all as named by no configuration: no grants, strictest
   /// release. @complexity linear
-  void ForgetPolicies();
+  void ResetPolicies();
 
  private:
   std::unordered_map<core::BudgetId, Budget> m_budgets;
--- a/include/coppervalve/ledger/detail/key_window.h
+++ b/include/coppervalve/ledger/detail/dedup_window.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_LEDGER_DETAIL_KEY_WINDOW_H_
-#define COPPERVALVE_LEDGER_DETAIL_KEY_WINDOW_H_
+#ifndef COPPERVALVE_LEDGER_DETAIL_DEDUP_WINDOW_H_
+#define COPPERVALVE_LEDGER_DETAIL_DEDUP_WINDOW_H_
 
 #include <cstdint>        // uint64_t
 #include <deque>          // deque
@@ -12,9 +12,9 @@
 
 /// @brief Keys remembered for a window of log offsets.
 template <typename Key, typename Value>
-class KeyWindow {
+class DedupWindow {
  public:
-  struct Slot {
+  struct Entry {
     core::LogOffset offset;
     Key key;
   };
@@ -31,28 +31,28 @@
     if (!m_values.emplace(key, std::move(value)).second) {
       return false;
     }
-    m_slots.push_back({offset, key});
+    m_entries.push_back({offset, key});
     return true;
   }
 
   /// @brief Forgets keys whose offset lies more than `window` below `offset`.
   /// @complexity amortized constant per inserted key
   void Prune(core::LogOffset offset, uint64_t window) {
-    while (!m_slots.empty() &&
-           offset.value() - m_slots.front().offset.value() > window) {
-      m_values.erase(m_slots.front().key);
-      m_slots.pop_front();
+    while (!m_entries.empty() &&
+           offset.value() - m_entries.front().offset.value() > window) {
+      m_values.erase(m_entries.front().key);
+      m_entries.pop_front();
     }
   }
 
   /// @brief The remembered keys in log order.
-  const std::deque<Slot>& slots() const { return m_slots; }
+  const std::deque<Entry>& entries() const { return m_entries; }
 
  private:
   std::unordered_map<Key, Value> m_values;
-  std::deque<Slot> m_slots;
+  std::deque<Entry> m_entries;
 };
 
 }  // namespace coppervalve::ledger::detail
 
-#endif  // COPPERVALVE_LEDGER_DETAIL_KEY_WINDOW_H_
+#endif  // COPPERVALVE_LEDGER_DETAIL_DEDUP_WINDOW_H_
--- a/include/coppervalve/ledger/detail/entry_context.h
+++ b/include/coppervalve/ledger/detail/entry_context.h
@@ -43,15 +43,15 @@
   Member* MemberOrIgnore(const std::string& id, uint64_t incarnation);
   /// @brief The holding of a member, created when absent; it and its budget are
   /// checked when the entry is folded.
-  HoldingRef Touch(Member& member, Budget& budget);
+  HoldingRef GetOrCreateHolding(Member& member, Budget& budget);
 
   /// @brief Forgets emptied retired members and checks what was touched.
-  void Finish();
+  void FinishEntry();
   const std::optional<core::Error>& failure() const { return m_failure; }
   std::vector<Effect> TakeEffects() { return std::move(m_effects); }
 
  private:
-  struct Touched {
+  struct ModifiedHolding {
     core::Incarnation incarnation;
     HoldingRef ref;
   };
@@ -63,7 +63,7 @@
   bool m_stale;
   Member* m_writer = nullptr;
   std::vector<Effect> m_effects;
-  std::vector<Touched> m_touched;
+  std::vector<ModifiedHolding> m_modified;
   std::optional<core::Error> m_failure;
 };
 
--- a/include/coppervalve/ledger/detail/holding_ref.h
+++ b/include/coppervalve/ledger/detail/holding_ref.h
@@ -31,11 +31,11 @@
   void Release(core::Tokens tokens);
   /// @brief Releases what lies past the ceiling, if there is one.
   /// @return the tokens released
-  core::Tokens ReleasePastCeiling();
+  core::Tokens ReleaseAboveCeiling();
   /// @brief Takes released tokens back until `needed` are held, as far as the
   /// balance has them.
   /// @return the tokens taken back
-  core::Tokens TakeBack(core::Tokens needed);
+  core::Tokens Reclaim(core::Tokens needed);
 
  private:
   /// @brief Changes what is held, and the budget's totals with it.
@@ -47,10 +47,10 @@
 };
 
 /// @return whether the balance equals its parts and none is negative
-bool Balances(const Budget& budget);
+bool IsBalanced(const Budget& budget);
 
 /// @return whether no part of the holding is negative
-bool Balances(const Holding& holding);
+bool IsBalanced(const Holding& holding);
 
 }  // namespace coppervalve::ledger::detail
 
--- a/include/coppervalve/ledger/detail/member_table.h
+++ b/include/coppervalve/ledger/detail/member_table.h
@@ -34,11 +34,11 @@
   /// have nothing quarantined. @complexity amortized by retirements
   void Prune(core::LogOffset offset, uint64_t window);
   /// @brief Forgets a holding through which no token has ever passed.
-  void ForgetUnused(core::Incarnation incarnation,
-                    const core::BudgetId& budget);
+  void RemoveUnusedHolding(core::Incarnation incarnation,
+                           const core::BudgetId& budget);
   /// @brief Forgets one member if Prune() passed it over before and its last
   /// quarantined tokens have left since. @complexity its holdings
-  void PruneEmptied(core::Incarnation incarnation,
+  void PruneIfEmpty(core::Incarnation incarnation,
                     core::LogOffset offset,
                     uint64_t window);
 
--- a/include/coppervalve/ledger/detail/quorum.h
+++ b/include/coppervalve/ledger/detail/quorum.h
@@ -22,7 +22,7 @@
 };
 
 /// @brief A change that takes effect once enough voters have read it.
-struct Awaited {
+struct PendingChange {
   core::LogOffset offset;  ///< of the entry that asked for it
   std::variant<VoterJoins, VoterLeaves, Proposal> change;
 };
@@ -36,10 +36,12 @@
  public:
   /// @brief A voter wrote an entry when it had read up to `seen`.
   void OnSeen(core::Incarnation incarnation, core::LogOffset seen);
-  void Await(Awaited awaited) { m_awaited.push_back(std::move(awaited)); }
+  void AddPending(PendingChange pending) {
+    m_pending.push_back(std::move(pending));
+  }
   /// @brief Removes the oldest change if it has its majority.
   /// @complexity linear in the voters
-  std::optional<Awaited> TakeReady();
+  std::optional<PendingChange> TakeReadyChange();
 
   void Add(core::Incarnation incarnation, core::LogOffset seen);
   void Remove(core::Incarnation incarnation) { m_voters.erase(incarnation); }
@@ -52,18 +54,18 @@
     return m_voters.contains(incarnation);
   }
   /// @return the proposal that waits, if any
-  const Proposal* WaitingProposal() const;
+  const Proposal* PendingProposal() const;
 
   const std::map<core::Incarnation, core::LogOffset>& voters() const {
     return m_voters;
   }
-  const std::deque<Awaited>& awaited() const { return m_awaited; }
+  const std::deque<PendingChange>& pending() const { return m_pending; }
 
  private:
   bool HasMajority(core::LogOffset offset) const;
 
   std::map<core::Incarnation, core::LogOffset> m_voters;
-  std::deque<Awaited> m_awaited;
+  std::deque<PendingChange> m_pending;
 };
 
 }  // namespace coppervalve::ledger::detail
--- a/include/coppervalve/ledger/detail/record_handlers.h
+++ b/include/coppervalve/ledger/detail/record_handlers.h
@@ -24,7 +24,7 @@
                     const v1::OrderEnded& r,
                     size_t index);
 /// @return how many more orders to load may be taken
-size_t FreeLoads(const State& state);
+size_t AvailableLoads(const State& state);
 
 // fold_balance.cc
 void FoldToppedUp(EntryContext& context, const v1::ToppedUp& r);
@@ -58,7 +58,7 @@
 void FoldSnapshot(EntryContext& context, const v1::Snapshot& r);
 
 /// @brief Lets the changes take effect that enough voters have read.
-void SettleAwaited(EntryContext& context);
+void ApplyReadyChanges(EntryContext& context);
 
 // Shared between the above.
 
@@ -77,11 +77,12 @@
 
 /// @brief Folds a cumulative spend and its bills into a holding.
 /// @return false when it is lower than before or breaks conservation
-bool FoldSpend(EntryContext& context,
-               Member& member,
-               Budget& budget,
-               const SpendTotals& totals,
-               const google::protobuf::RepeatedPtrField<v1::Bill>& bills);
+bool ApplySpendTotals(
+    EntryContext& context,
+    Member& member,
+    Budget& budget,
+    const SpendTotals& totals,
+    const google::protobuf::RepeatedPtrField<v1::Bill>& bills);
 
 /// @brief Says what a quarantined holding gave back; silent when nothing.
 void EmitQuarantineChange(EntryContext& context,
@@ -92,7 +93,7 @@
 /// @brief Remembers an operator's record that carries no id of its own by its
 /// place in the operator's entries.
 /// @return false, with an effect, when it is a duplicate or stale
-bool RememberOperatorRecord(EntryContext& context, size_t index);
+bool RegisterOperatorRecord(EntryContext& context, size_t index);
 
 /// @brief The ids of a member's holdings in sorted order, so that effects come
 /// in the same order everywhere. @complexity n log n
--- a/include/coppervalve/ledger/detail/state.h
+++ b/include/coppervalve/ledger/detail/state.h
@@ -13,7 +13,7 @@
 #include "coppervalve/core/hash.h"
 #include "coppervalve/core/result.h"
 #include "coppervalve/ledger/detail/budget_table.h"
-#include "coppervalve/ledger/detail/key_window.h"
+#include "coppervalve/ledger/detail/dedup_window.h"
 #include "coppervalve/ledger/detail/member_table.h"
 #include "coppervalve/ledger/detail/quorum.h"
 #include "coppervalve/ledger/fold.h"
@@ -29,7 +29,7 @@
 };
 
 /// @brief A key whose presence is all there is to know.
-struct Seen {};
+struct NoValue {};
 
 /// @brief The configuration in force.
 struct ConfigInForce {
@@ -64,11 +64,11 @@
   BudgetTable budgets;
   MemberTable members;
   Quorum quorum;
-  KeyWindow<core::Hash128, Claim> claims;
-  KeyWindow<core::Hash128, Seen> billed_keys;
+  DedupWindow<core::Hash128, Claim> claims;
+  DedupWindow<core::Hash128, NoValue> billed_keys;
   /// Top-up ids, and ids of operators' records that carry none of their own.
-  KeyWindow<std::string, Seen> operator_ids;
-  KeyWindow<TransferKey, Seen> transfers;
+  DedupWindow<std::string, NoValue> operator_ids;
+  DedupWindow<TransferKey, NoValue> transfers;
   std::map<core::UpstreamId, Order> orders;
 
   /// Own digests at recent offsets; not part of the folded state.
@@ -96,7 +96,7 @@
 uint64_t Digest(const State& state);
 
 /// @brief Keeps the digest of the present state for later comparison.
-void RememberDigest(State& state);
+void StoreDigest(State& state);
 
 }  // namespace coppervalve::ledger::detail
 
--- a/include/coppervalve/ledger/effects.h
+++ b/include/coppervalve/ledger/effects.h
@@ -31,7 +31,7 @@
   kSpendNotMonotone,  ///< a cumulative spend lower than the one before
   kNotWitness,        ///< not the witness in force of a retired router
   kReleasePolicy,     ///< the budget's policy forbids this release
-  kOrderUnderWay,     ///< its holder has still to state the outcome
+  kOrderInProgress,   ///< its holder has still to state the outcome
   kInvalid,           ///< a field has no possible meaning
   kEmpty,             ///< no record, or a record of an unknown kind
 };
@@ -141,7 +141,7 @@
 };
 
 /// @brief A retirement without effect: the router has written since.
-struct RetireVoided {
+struct RetirementVoided {
   core::RouterId router;
   core::Incarnation incarnation;
   core::Sequence last_sequence;
@@ -215,7 +215,7 @@
   core::Tokens tokens;
 };
 
-struct TransferFolded {
+struct TransferApplied {
   core::RouterId from;
   core::Incarnation from_incarnation;
   core::RouterId to;
@@ -247,9 +247,9 @@
 };
 
 enum class OrderTakeRefusal : uint8_t {
-  kNotInForce,  ///< overtaken, or ended
-  kHeld,        ///< by another incarnation
-  kManyLoads,   ///< as many loads as allowed are under way
+  kNotInForce,        ///< overtaken, or ended
+  kHeld,              ///< by another incarnation
+  kLoadLimitReached,  ///< as many loads as allowed are under way
 };
 
 struct OrderTakeRefused {
@@ -268,7 +268,7 @@
 
 /// @brief A snapshot that this fold cannot compare: taken at an offset whose
 /// digest it has not kept.
-struct SnapshotFolded {
+struct SnapshotNotCompared {
   core::LogOffset taken_at;
 };
 
@@ -296,7 +296,7 @@
                             Joined,
                             JoinRefused,
                             Retired,
-                            RetireVoided,
+                            RetirementVoided,
                             VotersChanged,
                             DrainBegun,
                             WitnessInForce,
@@ -306,13 +306,13 @@
                             ClaimLost,
                             Billed,
                             BillWrittenOff,
-                            TransferFolded,
+                            TransferApplied,
                             OrderInForce,
                             OrderRefused,
                             OrderTaken,
                             OrderTakeRefused,
                             OrderEnded,
-                            SnapshotFolded,
+                            SnapshotNotCompared,
                             SnapshotMatched,
                             EntryIgnored>;
 
--- a/include/coppervalve/ledger/fold.h
+++ b/include/coppervalve/ledger/fold.h
@@ -131,7 +131,7 @@
   std::vector<const Order*> Orders() const;
   /// @return how many more orders to load may be taken now
   /// @complexity linear in the orders
-  size_t FreeLoads() const;
+  size_t AvailableLoads() const;
 
   /// @brief Recomputes every balance from its holdings.
   /// @error kConservationBroken names the first budget that is off
--- a/include/coppervalve/membership/address_book.h
+++ b/include/coppervalve/membership/address_list_builder.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_MEMBERSHIP_ADDRESS_BOOK_H_
-#define COPPERVALVE_MEMBERSHIP_ADDRESS_BOOK_H_
+#ifndef COPPERVALVE_MEMBERSHIP_ADDRESS_LIST_BUILDER_H_
+#define COPPERVALVE_MEMBERSHIP_ADDRESS_LIST_BUILDER_H_
 
 #include <cstddef>     // size_t
 #include <functional>  // function
@@ -26,12 +26,12 @@
 };
 
 /// @brief Answers callers that ask where to connect.
-class AddressBook {
+class AddressListBuilder {
  public:
   /// @param key_prefix the idempotency key prefix of an incarnation
-  AddressBook(Member self,
-              std::function<std::string(const MemberId&)> key_prefix,
-              AddressLimits limits = {});
+  AddressListBuilder(Member self,
+                     std::function<std::string(const MemberId&)> key_prefix,
+                     AddressLimits limits = {});
 
   void SetLifetime(core::Duration lifetime);
   /// @brief Addresses for an account, best first: own failure domain before
@@ -55,4 +55,4 @@
 
 }  // namespace coppervalve::membership
 
-#endif  // COPPERVALVE_MEMBERSHIP_ADDRESS_BOOK_H_
+#endif  // COPPERVALVE_MEMBERSHIP_ADDRESS_LIST_BUILDER_H_
--- a/include/coppervalve/membership/drain.h
+++ b/include/coppervalve/membership/drain.h
@@ -24,7 +24,7 @@
   /// For a list that was handed out just before other routers learned of it.
   core::Duration margin = std::chrono::seconds(2);
   /// The wait starts without the record when the log is out for this long.
-  core::Duration announce_patience = std::chrono::seconds(5);
+  core::Duration announce_timeout = std::chrono::seconds(5);
 };
 
 /// @brief What the drain is computed from.
@@ -44,7 +44,7 @@
   void SetAddressLifetime(core::Duration lifetime);
   /// @brief SIGTERM or an operator's order.
   /// @return whether it is the first; a later one changes nothing
-  bool Ask(core::TimePoint now);
+  bool Request(core::TimePoint now);
   /// @brief Moves on as far as the inputs allow.
   DrainPhase Advance(core::TimePoint now, const DrainInputs& inputs);
 
@@ -52,16 +52,16 @@
   /// @return whether address lists may name this router
   bool Listed() const { return m_phase == DrainPhase::kActive; }
   /// @return whether new requests are taken
-  bool TakesNew() const { return m_phase <= DrainPhase::kDraining; }
+  bool AcceptsNewRequests() const { return m_phase <= DrainPhase::kDraining; }
 
  private:
   bool ListsExpired(core::TimePoint now, const DrainInputs& inputs);
-  bool MayLeave(core::TimePoint now, const DrainInputs& inputs);
+  bool PhaseComplete(core::TimePoint now, const DrainInputs& inputs);
 
   DrainLimits m_limits;
   DrainPhase m_phase = DrainPhase::kActive;
-  core::TimePoint m_asked;
-  std::optional<core::TimePoint> m_waiting_since;
+  core::TimePoint m_requested_at;
+  std::optional<core::TimePoint> m_lists_expiring_since;
 };
 
 }  // namespace coppervalve::membership
--- a/include/coppervalve/membership/freshness.h
+++ b/include/coppervalve/membership/freshness.h
@@ -13,7 +13,7 @@
 namespace coppervalve::membership {
 
 /// @brief What one contact says about the log. One per contact, heard or not.
-struct PeerVoucher {
+struct PeerLogReport {
   bool reachable = false;
   /// Whether it counts towards the majority: not one that is a contact only
   /// because it was heard, which would count for and never against.
@@ -30,15 +30,15 @@
 /// @brief Why a router is fresh.
 enum class FreshBasis : uint8_t {
   kOwnReading,
-  kVouched,            ///< by a peer that read to the end
-  kLogOutForMajority,  ///< more than half reachable, none can read
+  kConfirmedByPeer,  ///< by a peer that read to the end
+  kLogUnavailable,   ///< more than half reachable, none can read
 };
 
 /// @brief Why a router is stale.
 enum class StaleReason : uint8_t {
   kNeverRead,     ///< it has not yet read to the end once
   kNewerVersion,  ///< a peer has a newer configuration
-  kNotVouched,    ///< peers read the log, but none vouches for this version
+  kNotConfirmed,  ///< peers read the log, but none vouches for this version
   kMinority,      ///< it reaches half of the members or less
 };
 
@@ -57,8 +57,8 @@
 struct FreshnessInputs {
   core::ConfigVersion config_version;  ///< in force here
   size_t voters = 1;                   ///< of the fold, this router included
-  bool sampled = false;                ///< vouchers cover a sample only
-  std::vector<PeerVoucher> vouchers;
+  bool sampled = false;                ///< log_reports cover a sample only
+  std::vector<PeerLogReport> log_reports;
   bool self_votes = true;
   core::ConfigVersion known_version{};  ///< above it while a proposal is known
 };
@@ -73,10 +73,10 @@
   /// @param issued when the read was issued, not when its reply was handled
   void OnReadToEnd(core::TimePoint issued);
   /// @return the verdict at `now`, on a clock that runs through suspend
-  /// @complexity linear in the number of vouchers
-  FreshnessVerdict Judge(core::TimePoint now, const FreshnessInputs& inputs);
+  /// @complexity linear in the number of log_reports
+  FreshnessVerdict Evaluate(core::TimePoint now, const FreshnessInputs& inputs);
   /// @return whether the own reading alone shows that nothing newer is in
-  /// force; then Judge() needs no vouchers
+  /// force; then Evaluate() needs no log_reports
   bool ReadRecently(core::TimePoint now) const;
   /// @return how long ago the last read to the end was issued; none: never
   std::optional<core::Duration> LogAge(core::TimePoint now) const;
@@ -85,7 +85,7 @@
   std::variant<FreshBasis, StaleReason> Decide(
       core::TimePoint now,
       const FreshnessInputs& inputs) const;
-  bool Recent(core::TimePoint now, std::optional<core::TimePoint> read) const;
+  bool IsRecent(core::TimePoint now, std::optional<core::TimePoint> read) const;
 
   core::Duration m_bound;
   std::optional<core::TimePoint> m_read_to_end;
--- a/include/coppervalve/membership/peer_view.h
+++ b/include/coppervalve/membership/peer_view.h
@@ -26,7 +26,7 @@
   core::Duration trust_after = std::chrono::milliseconds(1'500);
   /// How long a failed send counts against a peer that sends no heartbeats
   /// here.
-  core::Duration failure_memory = std::chrono::seconds(5);
+  core::Duration send_failure_lifetime = std::chrono::seconds(5);
   size_t full_mesh_members = 12;  ///< up to this many, everybody is contacted
   size_t contacts = 8;            ///< chosen by this router past that
   size_t max_contacts = 24;       ///< with wards and those that chose this one
@@ -93,7 +93,7 @@
   size_t live_members() const { return m_peers.size() + 1; }
 
   /// @brief What the contacts say about the log, for Freshness.
-  std::vector<PeerVoucher> Vouchers(core::TimePoint now) const;
+  std::vector<PeerLogReport> LogReports(core::TimePoint now) const;
   /// @return whether contacts are a sample of the fleet only
   bool Sampled() const { return live_members() > m_limits.full_mesh_members; }
 
@@ -107,7 +107,7 @@
     std::optional<core::TimePoint> heard;
     std::optional<core::TimePoint> distrusted_until;
     std::optional<core::TimePoint> send_failed;
-    std::optional<core::TimePoint> read_to_end;  // see PeerVoucher
+    std::optional<core::TimePoint> read_to_end;  // see PeerLogReport
     std::optional<core::TimePoint> claimed_read_to_end;
     core::ConfigVersion config_version;
     core::ConfigVersion known_version;
@@ -117,9 +117,9 @@
   };
 
   Entry* FindRouter(const core::RouterId& router);
-  std::vector<MemberId> ChoiceOf(const Member& chooser) const;
-  bool HasChosenSelf(const Entry& entry) const;
-  bool Heard(core::TimePoint now, const Entry& entry) const;
+  std::vector<MemberId> ContactsChosenBy(const Member& chooser) const;
+  bool HasChosenThisRouter(const Entry& entry) const;
+  bool HeardRecently(core::TimePoint now, const Entry& entry) const;
   bool IsContact(core::TimePoint now, const Entry& entry) const;
   bool EntryReachable(core::TimePoint now, const Entry& entry) const;
   Peer Describe(core::TimePoint now, const Entry& entry) const;
--- a/include/coppervalve/membership/retirement_watch.h
+++ b/include/coppervalve/membership/silent_member_detector.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_MEMBERSHIP_RETIREMENT_WATCH_H_
-#define COPPERVALVE_MEMBERSHIP_RETIREMENT_WATCH_H_
+#ifndef COPPERVALVE_MEMBERSHIP_SILENT_MEMBER_DETECTOR_H_
+#define COPPERVALVE_MEMBERSHIP_SILENT_MEMBER_DETECTOR_H_
 
 #include <cstddef>   // size_t
 #include <map>       // map
@@ -20,19 +20,20 @@
   core::Duration max_read_gap = std::chrono::milliseconds(1'500);
   /// Without an entry of its own in the log for this long, the observer's time
   /// counts for nothing: appends may be failing for everybody.
-  core::Duration own_entry_within = std::chrono::seconds(5);
+  core::Duration max_own_entry_age = std::chrono::seconds(5);
   /// Between two observers in the rendezvous order of a silent member.
   core::Duration stagger = std::chrono::milliseconds(500);
   /// Before a record that has not shown up in the log is handed out again.
-  core::Duration repeat_after = std::chrono::seconds(5);
+  core::Duration report_again_after = std::chrono::seconds(5);
   int draining_factor = 2;  ///< on retire_after, for a member that drains
-  int mass_factor = 3;      ///< on retire_after, when more than half are silent
+  int most_silent_factor =
+      3;  ///< on retire_after, when more than half are silent
 };
 
 /// @brief Finds members whose silence in the log calls for RouterRetired.
-class RetirementWatch {
+class SilentMemberDetector {
  public:
-  explicit RetirementWatch(MemberId self, RetirementLimits limits = {});
+  explicit SilentMemberDetector(MemberId self, RetirementLimits limits = {});
 
   void SetRetireAfter(core::Duration retire_after);
   /// @brief Call each time a read reached the end of the log, after folding.
@@ -46,35 +47,38 @@
   std::vector<v1::RouterRetired> TakeDue(core::TimePoint now);
 
  private:
-  struct Watched {
+  struct TrackedMember {
     std::string name;  // for rendezvous hashing
     core::Sequence last_sequence;
     core::Duration silent{};  // while this router was reading and appending
     MemberPhase phase = MemberPhase::kActive;
     std::optional<size_t> own_rank;  // among its observers, once it is silent
-    std::optional<core::TimePoint> handed_out;
+    std::optional<core::TimePoint> reported_at;
   };
 
   void ObserveSelf(core::TimePoint issued, const Member& self);
-  void Observe(const Member& member, core::Duration credit);
-  core::Duration Credit(core::TimePoint issued) const;
-  core::Duration PatienceFor(const Watched& watched, bool mass) const;
-  bool MassSilence() const;
-  bool Due(core::TimePoint now, Watched& watched, bool mass) const;
-  size_t OwnRank(const Watched& target) const;
-  bool Silent(const Watched& watched) const;
+  void Observe(const Member& member, core::Duration silence);
+  core::Duration CountedSilence(core::TimePoint issued) const;
+  core::Duration TimeoutFor(const TrackedMember& tracked,
+                            bool most_silent) const;
+  bool MostAreSilent() const;
+  bool IsDue(core::TimePoint now,
+             TrackedMember& tracked,
+             bool most_silent) const;
+  size_t OwnRank(const TrackedMember& target) const;
+  bool IsSilent(const TrackedMember& tracked) const;
 
   MemberId m_self;
   RetirementLimits m_limits;
-  std::map<MemberId, Watched> m_watched;  // without this router
+  std::map<MemberId, TrackedMember> m_tracked;  // without this router
   std::string m_name;
   bool m_is_member = false;
   MemberPhase m_own_phase = MemberPhase::kActive;
   core::Sequence m_own_sequence;
-  std::optional<core::TimePoint> m_own_entry;
+  std::optional<core::TimePoint> m_own_entry_read;
   std::optional<core::TimePoint> m_last_read;
 };
 
 }  // namespace coppervalve::membership
 
-#endif  // COPPERVALVE_MEMBERSHIP_RETIREMENT_WATCH_H_
+#endif  // COPPERVALVE_MEMBERSHIP_SILENT_MEMBER_DETECTOR_H_
--- a/include/coppervalve/membership/witness_choice.h
+++ b/include/coppervalve/membership/witness_selector.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_MEMBERSHIP_WITNESS_CHOICE_H_
-#define COPPERVALVE_MEMBERSHIP_WITNESS_CHOICE_H_
+#ifndef COPPERVALVE_MEMBERSHIP_WITNESS_SELECTOR_H_
+#define COPPERVALVE_MEMBERSHIP_WITNESS_SELECTOR_H_
 
 #include <cstddef>   // size_t
 #include <cstdint>   // uint64_t
@@ -22,7 +22,7 @@
   /// A witness in the own failure domain is replaced when another domain has
   /// had a candidate for this long.
   core::Duration upgrade_after = std::chrono::seconds(10);
-  size_t max_wards = 8;  ///< of one witness, as long as others have room
+  size_t max_witnessed = 8;  ///< of one witness, as long as others have room
 };
 
 struct KeepWitness {};
@@ -30,45 +30,46 @@
   MemberId witness;
 };
 /// @brief Go on without one: the whole holding may be spent.
-struct ChooseNone {};
+struct ChooseNoWitness {};
 
-using WitnessVerdict = std::variant<KeepWitness, ChooseWitness, ChooseNone>;
+using WitnessVerdict =
+    std::variant<KeepWitness, ChooseWitness, ChooseNoWitness>;
 
 /// @brief Picks the peer that guards this router's ceilings.
-class WitnessChoice {
+class WitnessSelector {
  public:
-  explicit WitnessChoice(Member self, WitnessLimits limits = {});
+  explicit WitnessSelector(Member self, WitnessLimits limits = {});
 
   /// @param current the witness that is in force or being asked
   /// @param peers all peers, with reachability; never this router itself
   /// @complexity O(n)
-  WitnessVerdict Judge(core::TimePoint now,
-                       const std::optional<MemberId>& current,
-                       const std::vector<Peer>& peers);
+  WitnessVerdict Evaluate(core::TimePoint now,
+                          const std::optional<MemberId>& current,
+                          const std::vector<Peer>& peers);
 
  private:
   struct Candidate {
     MemberId id;
     bool other_domain = false;
-    size_t excess_wards = 0;  // beyond the bound
+    size_t excess_witnessed = 0;  // beyond the bound
     uint64_t rank = 0;
   };
 
-  static bool Better(const Candidate& a, const Candidate& b);
-  std::optional<Candidate> Best(const std::vector<Peer>& peers) const;
+  static bool IsBetter(const Candidate& a, const Candidate& b);
+  std::optional<Candidate> BestCandidate(const std::vector<Peer>& peers) const;
   bool UpgradeDue(core::TimePoint now,
                   const Peer& current,
                   const std::optional<Candidate>& best);
-  WitnessVerdict Replace(core::Duration lost_for,
+  WitnessVerdict Replace(core::Duration unavailable_for,
                          const Peer* current,
                          const std::optional<Candidate>& best);
 
   Member m_self;
   WitnessLimits m_limits;
-  std::optional<core::TimePoint> m_lost_since;
-  std::optional<core::TimePoint> m_better_since;
+  std::optional<core::TimePoint> m_unavailable_since;
+  std::optional<core::TimePoint> m_upgrade_possible_since;
 };
 
 }  // namespace coppervalve::membership
 
-#endif  // COPPERVALVE_MEMBERSHIP_WITNESS_CHOICE_H_
+#endif  // COPPERVALVE_MEMBERSHIP_WITNESS_SELECTOR_H_
--- a/include/coppervalve/router/detail/peer_desk.h
+++ b/include/coppervalve/router/detail/peer_desk.h
@@ -12,8 +12,8 @@
 #include "coppervalve/membership/freshness.h"
 #include "coppervalve/membership/member.h"
 #include "coppervalve/membership/peer_view.h"
-#include "coppervalve/membership/retirement_watch.h"
-#include "coppervalve/membership/witness_choice.h"
+#include "coppervalve/membership/silent_member_detector.h"
+#include "coppervalve/membership/witness_selector.h"
 #include "coppervalve/peer.pb.h"
 #include "coppervalve/records.pb.h"
 #include "coppervalve/request/verdict.h"
@@ -80,8 +80,8 @@
   Outbox& m_outbox;
   membership::PeerView m_view;
   membership::Freshness m_freshness;
-  membership::RetirementWatch m_retirements;
-  membership::WitnessChoice m_witness;
+  membership::SilentMemberDetector m_retirements;
+  membership::WitnessSelector m_witness;
   std::optional<core::TimePoint> m_watched;
 };
 
--- a/include/coppervalve/router/detail/session.h
+++ b/include/coppervalve/router/detail/session.h
@@ -7,7 +7,7 @@
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/result.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/membership/address_book.h"
+#include "coppervalve/membership/address_list_builder.h"
 #include "coppervalve/membership/drain.h"
 #include "coppervalve/operator.pb.h"
 #include "coppervalve/router/detail/budget_desk.h"
@@ -107,7 +107,7 @@
   Configured m_configured;
   RequestFlow m_flow;
   OrderLink m_orders;
-  membership::AddressBook m_addresses;
+  membership::AddressListBuilder m_addresses;
   membership::Drain m_drain;
 
   core::TimePoint m_now{};
--- a/src/ledger/budget_table.cc
+++ b/src/ledger/budget_table.cc
@@ -35,7 +35,7 @@
 // configuration. Were those of other budgets kept here, a router that starts
 // from the snapshot would fold a later release differently from one that did
 // not; so all start over from the strictest.
-void BudgetTable::ForgetPolicies() {
+void BudgetTable::ResetPolicies() {
   for (auto& [id, budget] : m_budgets) {
     budget.configured = false;
     budget.gate_reserve_permille = 0;
--- a/src/ledger/entry_context.cc
+++ b/src/ledger/entry_context.cc
@@ -57,27 +57,28 @@
   return member;
 }
 
-HoldingRef EntryContext::Touch(Member& member, Budget& budget) {
+HoldingRef EntryContext::GetOrCreateHolding(Member& member, Budget& budget) {
   const HoldingRef ref(budget, member.holdings[budget.id], !member.live());
-  m_touched.push_back({member.incarnation, ref});
+  m_modified.push_back({member.incarnation, ref});
   return ref;
 }
 
-void EntryContext::Finish() {
-  for (const Touched& touched : m_touched) {
-    const Budget& budget = touched.ref.budget();
-    if (Balances(budget) && Balances(touched.ref.holding())) {
+void EntryContext::FinishEntry() {
+  for (const ModifiedHolding& modified : m_modified) {
+    const Budget& budget = modified.ref.budget();
+    if (IsBalanced(budget) && IsBalanced(modified.ref.holding())) {
       continue;
     }
     Fail({core::ErrorId::kConservationBroken, budget.id.value(),
           "after the entry of " + m_entry.writer()});
   }
   // A refused record may have left a holding that never held anything.
-  for (const Touched& touched : m_touched) {
-    m_state.members.ForgetUnused(touched.incarnation, touched.ref.budget().id);
+  for (const ModifiedHolding& modified : m_modified) {
+    m_state.members.RemoveUnusedHolding(modified.incarnation,
+                                        modified.ref.budget().id);
   }
-  for (const Touched& touched : m_touched) {
-    m_state.members.PruneEmptied(touched.incarnation, m_offset,
+  for (const ModifiedHolding& modified : m_modified) {
+    m_state.members.PruneIfEmpty(modified.incarnation, m_offset,
                                  m_state.settings.dedup_window);
   }
 }
--- a/src/ledger/fold.cc
+++ b/src/ledger/fold.cc
@@ -18,7 +18,7 @@
 namespace {
 
 /// Budgets for which checkpoints come at the interval of the settings.
-constexpr size_t kBudgetsPerStep = 512;
+constexpr size_t kBudgetsPerInterval = 512;
 
 bool IsOperatorRecord(v1::Record::BodyCase body) {
   return body == v1::Record::kConfigPublished ||
@@ -39,7 +39,7 @@
          body == v1::Record::kTransferRecorded;
 }
 
-std::optional<IgnoreReason> CheckAuthor(EntryContext& context,
+std::optional<IgnoreReason> CheckWriter(EntryContext& context,
                                         v1::Record::BodyCase body) {
   if (body == v1::Record::BODY_NOT_SET) {
     return IgnoreReason::kEmpty;
@@ -59,7 +59,7 @@
 }
 
 void FoldRecord(EntryContext& context, const v1::Record& r, size_t index) {
-  if (const auto reason = CheckAuthor(context, r.body_case())) {
+  if (const auto reason = CheckWriter(context, r.body_case())) {
     context.Ignore(*reason);
     return;
   }
@@ -118,7 +118,7 @@
   }
 }
 
-bool OpensWithJoin(const v1::Entry& entry) {
+bool StartsWithJoin(const v1::Entry& entry) {
   return !entry.records().empty() && entry.records(0).has_router_joined();
 }
 
@@ -157,7 +157,7 @@
   const v1::Entry& entry = context.entry();
   Member* member = context.state().members.Find(
       core::RouterId(entry.writer()), Incarnation(entry.incarnation()));
-  if (member == nullptr && OpensWithJoin(entry)) {
+  if (member == nullptr && StartsWithJoin(entry)) {
     return FoldJoiningEntry(context);
   }
   if (member == nullptr) {
@@ -184,12 +184,12 @@
 // The factor follows from the state alone: all readers choose the same offsets.
 bool IsCheckpoint(const detail::State& state) {
   const uint64_t factor =
-      std::bit_ceil(state.budgets.size() / kBudgetsPerStep + 1);
+      std::bit_ceil(state.budgets.size() / kBudgetsPerInterval + 1);
   const uint64_t interval = state.settings.checkpoint_interval * factor;
   return interval != 0 && state.next_offset.value() % interval == 0;
 }
 
-core::Error Gap(LogOffset expected, LogOffset offset) {
+core::Error LogGapError(LogOffset expected, LogOffset offset) {
   return {core::ErrorId::kLogGap, std::to_string(offset.value()),
           "expected offset " + std::to_string(expected.value())};
 }
@@ -215,10 +215,10 @@
     return std::vector<Effect>{};
   }
   if (offset > state.next_offset) {
-    return Gap(state.next_offset, offset);
+    return LogGapError(state.next_offset, offset);
   }
   if (HasSnapshotOf(entry, offset)) {
-    RememberDigest(state);
+    StoreDigest(state);
   }
   Prune(state, offset);
   EntryContext context(state, offset, entry);
@@ -227,15 +227,15 @@
   } else {
     FoldRouterEntry(context);
   }
-  SettleAwaited(context);
-  context.Finish();
+  ApplyReadyChanges(context);
+  context.FinishEntry();
   if (context.failure().has_value()) {
     state.failure = context.failure();
     return *state.failure;
   }
   state.next_offset = LogOffset(offset.value() + 1);
   if (IsCheckpoint(state)) {
-    RememberDigest(state);
+    StoreDigest(state);
   }
   return context.TakeEffects();
 }
@@ -249,7 +249,7 @@
 }
 
 core::ConfigVersion Fold::known_version() const {
-  const bool waits = m_state->quorum.WaitingProposal() != nullptr;
+  const bool waits = m_state->quorum.PendingProposal() != nullptr;
   return core::ConfigVersion(config_version().value() + (waits ? 1 : 0));
 }
 
@@ -333,8 +333,8 @@
   return orders;
 }
 
-size_t Fold::FreeLoads() const {
-  return detail::FreeLoads(*m_state);
+size_t Fold::AvailableLoads() const {
+  return detail::AvailableLoads(*m_state);
 }
 
 core::Status Fold::CheckConservation() const {
@@ -353,7 +353,7 @@
   if (!core::IsOk(status)) {
     return core::Failure(status);
   }
-  RememberDigest(*decoded);
+  StoreDigest(*decoded);
   return Fold(std::move(decoded));
 }
 
--- a/src/ledger/fold_balance.cc
+++ b/src/ledger/fold_balance.cc
@@ -73,7 +73,7 @@
   return true;
 }
 
-bool RememberOperatorRecord(EntryContext& context, size_t index) {
+bool RegisterOperatorRecord(EntryContext& context, size_t index) {
   if (context.stale()) {
     context.Ignore(IgnoreReason::kStale);
     return false;
@@ -114,7 +114,7 @@
                         context.sequence()});
     return;
   }
-  context.Touch(member, *budget).Grant(tokens);
+  context.GetOrCreateHolding(member, *budget).Grant(tokens);
   context.Emit(
       Granted{member.id, member.incarnation, id, tokens, context.sequence()});
 }
@@ -126,7 +126,7 @@
     return;
   }
   Member& member = *context.writer();
-  HoldingRef ref = context.Touch(member, *budget);
+  HoldingRef ref = context.GetOrCreateHolding(member, *budget);
   const Tokens tokens(r.tokens());
   if (tokens <= Tokens(0) || tokens > ref.holding().held()) {
     context.Ignore(IgnoreReason::kExceedsHolding);
@@ -149,9 +149,9 @@
     return;
   }
   const Tokens tokens(r.tokens());
-  HoldingRef sender = context.Touch(*from, *budget);
-  const Tokens taken_back = sender.TakeBack(tokens);
-  EmitQuarantineChange(context, *from, sender, Tokens(0) - taken_back);
+  HoldingRef sender = context.GetOrCreateHolding(*from, *budget);
+  const Tokens reclaimed = sender.Reclaim(tokens);
+  EmitQuarantineChange(context, *from, sender, Tokens(0) - reclaimed);
   if (tokens > sender.holding().held()) {
     context.Ignore(IgnoreReason::kExceedsHolding);
     return;
@@ -159,14 +159,14 @@
   context.state().transfers.Insert(context.offset(),
                                    {from->incarnation, r.transfer_id()}, {});
   sender.TransferOut(tokens);
-  HoldingRef receiver = context.Touch(*to, *budget);
+  HoldingRef receiver = context.GetOrCreateHolding(*to, *budget);
   receiver.TransferIn(tokens);
-  context.Emit(TransferFolded{from->id, from->incarnation, to->id,
-                              to->incarnation, r.transfer_id(), budget->id,
-                              tokens});
+  context.Emit(TransferApplied{from->id, from->incarnation, to->id,
+                               to->incarnation, r.transfer_id(), budget->id,
+                               tokens});
   // A receiver that is retired and narrowed cannot commit past its ceiling, no
   // matter what it received: the surplus would be stranded for nothing.
-  EmitQuarantineChange(context, *to, receiver, receiver.ReleasePastCeiling());
+  EmitQuarantineChange(context, *to, receiver, receiver.ReleaseAboveCeiling());
 }
 
 }  // namespace coppervalve::ledger::detail
--- a/src/ledger/fold_config.cc
+++ b/src/ledger/fold_config.cc
@@ -25,14 +25,14 @@
 
 // The publisher has checked the file in full. Here stands what the balances
 // rest on, since a faulty publisher must not be able to break them.
-std::optional<ConfigRejection> Check(EntryContext& context,
-                                     const v1::ConfigPublished& r) {
+std::optional<ConfigRejection> CheckProposal(EntryContext& context,
+                                             const v1::ConfigPublished& r) {
   const State& state = context.state();
   if (context.stale()) {
     return ConfigRejection::kStale;
   }
   if (ConfigVersion(r.based_on()) != state.config.version ||
-      state.quorum.WaitingProposal() != nullptr) {
+      state.quorum.PendingProposal() != nullptr) {
     return ConfigRejection::kConflict;
   }
   std::unordered_set<std::string> ids;
@@ -66,7 +66,7 @@
 // The reply to the first append was lost and its writer repeated it. A
 // rejection would tell an operator that the own change had lost.
 bool IsRepetition(const State& state, const v1::ConfigPublished& r) {
-  const Proposal* waiting = state.quorum.WaitingProposal();
+  const Proposal* waiting = state.quorum.PendingProposal();
   const bool waits =
       waiting != nullptr && r.change_id() == waiting->published.change_id();
   return !r.change_id().empty() &&
@@ -84,7 +84,7 @@
   config.configuration = std::make_shared<v1::Configuration>(r.configuration());
   context.Emit(
       ConfigAccepted{config.version, config.change_id, config.operator_name});
-  context.state().budgets.ForgetPolicies();
+  context.state().budgets.ResetPolicies();
   for (const v1::Budget& declared : r.configuration().budgets()) {
     InstallBudget(context, declared);
   }
@@ -98,8 +98,8 @@
     context.Ignore(IgnoreReason::kDuplicate);
     return;
   }
-  if (const auto rejection = Check(context, r)) {
-    const Proposal* waiting = state.quorum.WaitingProposal();
+  if (const auto rejection = CheckProposal(context, r)) {
+    const Proposal* waiting = state.quorum.PendingProposal();
     const ConfigInForce& config = state.config;
     context.Emit(ConfigRejected{
         *rejection, r.change_id(), ConfigVersion(r.based_on()), config.version,
@@ -107,7 +107,7 @@
         waiting ? waiting->published.change_id() : config.change_id});
     return;
   }
-  state.quorum.Await({context.offset(), Proposal{r}});
+  state.quorum.AddPending({context.offset(), Proposal{r}});
   context.Emit(ConfigProposed{ConfigVersion(r.based_on() + 1), r.change_id(),
                               r.operator_name()});
 }
@@ -117,9 +117,9 @@
 // what is in force was read by more than half of the voters, and routers go on
 // without the log only in a group of more than half, none of whom knows of a
 // proposal; two majorities share a voter.
-void SettleAwaited(EntryContext& context) {
+void ApplyReadyChanges(EntryContext& context) {
   State& state = context.state();
-  while (auto ready = state.quorum.TakeReady()) {
+  while (auto ready = state.quorum.TakeReadyChange()) {
     if (const auto* joins = std::get_if<VoterJoins>(&ready->change)) {
       const Member* member = state.members.Find(joins->incarnation);
       if (member != nullptr && member->live()) {
--- a/src/ledger/fold_members.cc
+++ b/src/ledger/fold_members.cc
@@ -66,7 +66,7 @@
     RetireMember(context, *older, v1::REPLACED);
     quorum.Replace(replaced, incarnation, seen);
   } else {
-    quorum.Await({context.offset(), VoterJoins{incarnation}});
+    quorum.AddPending({context.offset(), VoterJoins{incarnation}});
   }
   Member member;
   member.id = id;
@@ -92,8 +92,8 @@
     return;
   }
   if (!by_itself && member->last_sequence > Sequence(r.as_of_sequence())) {
-    context.Emit(
-        RetireVoided{member->id, member->incarnation, member->last_sequence});
+    context.Emit(RetirementVoided{member->id, member->incarnation,
+                                  member->last_sequence});
     return;
   }
   // An operator has seen that the router is gone; without this way out, a fleet
@@ -102,7 +102,7 @@
   if (context.from_operator()) {
     quorum.Remove(member->incarnation);
   } else {
-    quorum.Await({context.offset(), VoterLeaves{member->incarnation}});
+    quorum.AddPending({context.offset(), VoterLeaves{member->incarnation}});
   }
   RetireMember(context, *member, r.reason());
 }
--- a/src/ledger/fold_orders.cc
+++ b/src/ledger/fold_orders.cc
@@ -63,13 +63,13 @@
       (HolderIsLive(state, *order) || !ChecksFencing(state, r.upstream()))) {
     return OrderTakeRefusal::kHeld;
   }
-  if (order->loads() && FreeLoads(state) == 0) {
-    return OrderTakeRefusal::kManyLoads;
+  if (order->loads() && AvailableLoads(state) == 0) {
+    return OrderTakeRefusal::kLoadLimitReached;
   }
   return std::nullopt;
 }
 
-bool IsRoutersOutcome(v1::OrderOutcome outcome) {
+bool IsRouterOutcome(v1::OrderOutcome outcome) {
   return outcome == v1::DONE || outcome == v1::REFUSED ||
          outcome == v1::NOT_SENT || outcome == v1::OUTCOME_UNKNOWN ||
          outcome == v1::HANDED_BACK;
@@ -96,12 +96,12 @@
     // a bounded number of tries, or is retired.
     return MayStillArrive(context.state(), *order) && order->open() &&
                    HolderIsLive(context.state(), *order)
-               ? std::optional(IgnoreReason::kOrderUnderWay)
+               ? std::optional(IgnoreReason::kOrderInProgress)
                : std::nullopt;
   }
   // Open only: after an unknown outcome, handing the order back would hide that
   // it may still arrive.
-  return order->open() && IsRoutersOutcome(r.outcome()) &&
+  return order->open() && IsRouterOutcome(r.outcome()) &&
                  IsHolder(*order, *context.writer())
              ? std::nullopt
              : std::optional(IgnoreReason::kNotAllowed);
@@ -109,15 +109,15 @@
 
 }  // namespace
 
-size_t FreeLoads(const State& state) {
+size_t AvailableLoads(const State& state) {
   size_t loading = 0;
   for (const auto& [upstream, order] : state.orders) {
     const bool counts =
         order.loads() && order.open() && HolderIsLive(state, order);
     loading += counts ? 1 : 0;
   }
-  const size_t most = state.settings.max_loads;
-  return loading < most ? most - loading : 0;
+  const size_t limit = state.settings.max_loads;
+  return loading < limit ? limit - loading : 0;
 }
 
 void FoldOrderIssued(EntryContext& context,
@@ -128,7 +128,7 @@
     context.Ignore(IgnoreReason::kUnknownUpstream);
     return;
   }
-  if (context.from_operator() && !RememberOperatorRecord(context, index)) {
+  if (context.from_operator() && !RegisterOperatorRecord(context, index)) {
     return;
   }
   const UpstreamId upstream(r.upstream());
@@ -163,7 +163,7 @@
 void FoldOrderEnded(EntryContext& context,
                     const v1::OrderEnded& r,
                     size_t index) {
-  if (context.from_operator() && !RememberOperatorRecord(context, index)) {
+  if (context.from_operator() && !RegisterOperatorRecord(context, index)) {
     return;
   }
   Order* order = FindOrder(context.state(), r.upstream());
--- a/src/ledger/fold_quarantine.cc
+++ b/src/ledger/fold_quarantine.cc
@@ -32,26 +32,26 @@
          writer->incarnation == retired.witness_incarnation;
 }
 
-void Narrow(EntryContext& context,
-            Member& member,
-            Budget& budget,
-            Tokens stated) {
-  HoldingRef ref = context.Touch(member, budget);
+void ApplyCeiling(EntryContext& context,
+                  Member& member,
+                  Budget& budget,
+                  Tokens reported) {
+  HoldingRef ref = context.GetOrCreateHolding(member, budget);
   Holding& holding = ref.holding();
   const Tokens committed = holding.spent + holding.transferred_out;
-  const Tokens ceiling = std::max(stated, committed);
+  const Tokens ceiling = std::max(reported, committed);
   holding.ceiling = std::min(holding.ceiling.value_or(ceiling), ceiling);
-  EmitQuarantineChange(context, member, ref, ref.ReleasePastCeiling());
+  EmitQuarantineChange(context, member, ref, ref.ReleaseAboveCeiling());
 }
 
-void Finalize(EntryContext& context,
-              Member& member,
-              const v1::FinalSpend& final_spend) {
+void ApplyFinalSpend(EntryContext& context,
+                     Member& member,
+                     const v1::FinalSpend& final_spend) {
   Budget* budget = context.BudgetOrIgnore(final_spend.budget());
   if (budget == nullptr) {
     return;
   }
-  const bool folded = FoldSpend(
+  const bool folded = ApplySpendTotals(
       context, member, *budget,
       {Tokens(final_spend.spent()), Tokens(final_spend.written_off())},
       final_spend.bills());
@@ -60,14 +60,14 @@
   }
   // Tokens on their way to a peer stay here until the transfer is recorded:
   // the peer may spend them already.
-  HoldingRef ref = context.Touch(member, *budget);
+  HoldingRef ref = context.GetOrCreateHolding(member, *budget);
   const Tokens pending(std::clamp<int64_t>(final_spend.transfers_pending(), 0,
                                            kMaxPaidIn.value()));
   Holding& holding = ref.holding();
-  const Tokens taken_back = ref.TakeBack(pending);
+  const Tokens reclaimed = ref.Reclaim(pending);
   holding.ceiling = holding.spent + holding.transferred_out + pending;
-  const Tokens past = ref.ReleasePastCeiling();
-  EmitQuarantineChange(context, member, ref, past - taken_back);
+  const Tokens above = ref.ReleaseAboveCeiling();
+  EmitQuarantineChange(context, member, ref, above - reclaimed);
 }
 
 }  // namespace
@@ -100,10 +100,10 @@
       context.Ignore(IgnoreReason::kReleasePolicy);
       continue;
     }
-    const auto stated = ceilings.find(id);
+    const auto reported = ceilings.find(id);
     const Tokens ceiling =
-        stated == ceilings.end() ? Tokens(0) : stated->second;
-    Narrow(context, *member, budget, ceiling);
+        reported == ceilings.end() ? Tokens(0) : reported->second;
+    ApplyCeiling(context, *member, budget, ceiling);
   }
 }
 
@@ -117,7 +117,7 @@
   }
   // A budget that is not named stays quarantined: silence is no proof.
   for (const v1::FinalSpend& final_spend : r.budgets()) {
-    Finalize(context, member, final_spend);
+    ApplyFinalSpend(context, member, final_spend);
   }
   member.finalized = true;
 }
@@ -134,10 +134,10 @@
     context.Ignore(IgnoreReason::kInvalid);
     return;
   }
-  if (!RememberOperatorRecord(context, index)) {
+  if (!RegisterOperatorRecord(context, index)) {
     return;
   }
-  HoldingRef ref = context.Touch(*member, *budget);
+  HoldingRef ref = context.GetOrCreateHolding(*member, *budget);
   const Tokens tokens = std::min(Tokens(r.tokens()), ref.holding().held());
   ref.Release(tokens);
   EmitQuarantineChange(context, *member, ref, tokens);
--- a/src/ledger/fold_snapshot.cc
+++ b/src/ledger/fold_snapshot.cc
@@ -10,7 +10,7 @@
   const auto& digests = context.state().digests;
   const auto own = digests.find(taken_at);
   if (own == digests.end()) {
-    context.Emit(SnapshotFolded{taken_at});
+    context.Emit(SnapshotNotCompared{taken_at});
     return;
   }
   if (own->second != r.digest()) {
--- a/src/ledger/fold_spend.cc
+++ b/src/ledger/fold_spend.cc
@@ -43,20 +43,21 @@
 
 }  // namespace
 
-bool FoldSpend(EntryContext& context,
-               Member& member,
-               Budget& budget,
-               const SpendTotals& totals,
-               const google::protobuf::RepeatedPtrField<v1::Bill>& bills) {
-  HoldingRef ref = context.Touch(member, budget);
+bool ApplySpendTotals(
+    EntryContext& context,
+    Member& member,
+    Budget& budget,
+    const SpendTotals& totals,
+    const google::protobuf::RepeatedPtrField<v1::Bill>& bills) {
+  HoldingRef ref = context.GetOrCreateHolding(member, budget);
   const Tokens delta = totals.spent - ref.holding().spent;
   const Tokens abandoned = totals.written_off - ref.holding().written_off;
   if (totals.spent < Tokens(0) || delta < Tokens(0) || abandoned < Tokens(0)) {
     context.Ignore(IgnoreReason::kSpendNotMonotone);
     return false;
   }
-  const Tokens taken_back = ref.TakeBack(delta);
-  EmitQuarantineChange(context, member, ref, Tokens(0) - taken_back);
+  const Tokens reclaimed = ref.Reclaim(delta);
+  EmitQuarantineChange(context, member, ref, Tokens(0) - reclaimed);
   if (delta > ref.holding().held()) {
     // Every commitment is made from a holding, so this is a fault of the
     // protocol. Were it folded as if nothing had happened, the balance would
@@ -81,8 +82,8 @@
   if (budget == nullptr) {
     return;
   }
-  FoldSpend(context, *context.writer(), *budget,
-            {Tokens(r.spent()), Tokens(r.written_off())}, r.bills());
+  ApplySpendTotals(context, *context.writer(), *budget,
+                   {Tokens(r.spent()), Tokens(r.written_off())}, r.bills());
 }
 
 void FoldKeyClaimed(EntryContext& context, const v1::KeyClaimed& r) {
--- a/src/ledger/holding_ref.cc
+++ b/src/ledger/holding_ref.cc
@@ -75,16 +75,16 @@
   AddHeld(Tokens(0) - tokens);
 }
 
-Tokens HoldingRef::ReleasePastCeiling() {
+Tokens HoldingRef::ReleaseAboveCeiling() {
   if (!m_holding->ceiling.has_value()) {
     return Tokens(0);
   }
   const Tokens committed = m_holding->spent + m_holding->transferred_out;
   const Tokens uncommitted =
       std::max(Tokens(0), *m_holding->ceiling - committed);
-  const Tokens past = std::max(Tokens(0), m_holding->held() - uncommitted);
-  Release(past);
-  return past;
+  const Tokens above = std::max(Tokens(0), m_holding->held() - uncommitted);
+  Release(above);
+  return above;
 }
 
 // An operator may have released tokens that the retired incarnation had in fact
@@ -92,14 +92,14 @@
 // cannot cover. What the balance still has is taken back before anyone else
 // draws it; when it has too little, the caller finds the holding short and
 // treats it as the fault it is.
-Tokens HoldingRef::TakeBack(Tokens needed) {
+Tokens HoldingRef::Reclaim(Tokens needed) {
   const Tokens missing = std::max(Tokens(0), needed - m_holding->held());
   const Tokens taken = std::min({missing, m_holding->released, m_budget->free});
   Release(Tokens(0) - taken);
   return taken;
 }
 
-bool Balances(const Budget& budget) {
+bool IsBalanced(const Budget& budget) {
   const Tokens zero;
   const Tokens parts =
       budget.free + budget.billed + budget.written_off + budget.held;
@@ -108,7 +108,7 @@
          budget.quarantined >= zero && budget.held >= budget.quarantined;
 }
 
-bool Balances(const Holding& holding) {
+bool IsBalanced(const Holding& holding) {
   const Tokens zero;
   return holding.received >= zero && holding.spent >= zero &&
          holding.transferred_out >= zero && holding.released >= zero &&
--- a/src/ledger/member_table.cc
+++ b/src/ledger/member_table.cc
@@ -7,14 +7,16 @@
 
 namespace {
 
-bool Empty(const Member& member) {
+bool HoldsNothing(const Member& member) {
   return std::all_of(member.holdings.begin(), member.holdings.end(),
                      [](const Holdings::value_type& holding) {
                        return holding.second.held() == core::Tokens(0);
                      });
 }
 
-bool Outside(core::LogOffset retired, core::LogOffset offset, uint64_t window) {
+bool OutsideWindow(core::LogOffset retired,
+                   core::LogOffset offset,
+                   uint64_t window) {
   return offset.value() - retired.value() > window;
 }
 
@@ -80,18 +82,18 @@
 void MemberTable::Prune(core::LogOffset offset, uint64_t window) {
   while (!m_retired.empty()) {
     const auto found = m_members.find(m_retired.front());
-    if (!Outside(found->second.retired_offset, offset, window)) {
+    if (!OutsideWindow(found->second.retired_offset, offset, window)) {
       return;
     }
     m_retired.pop_front();
-    if (Empty(found->second)) {
+    if (HoldsNothing(found->second)) {
       m_members.erase(found);
     }
   }
 }
 
-void MemberTable::ForgetUnused(core::Incarnation incarnation,
-                               const core::BudgetId& budget) {
+void MemberTable::RemoveUnusedHolding(core::Incarnation incarnation,
+                                      const core::BudgetId& budget) {
   Member* member = Find(incarnation);
   if (member == nullptr) {
     return;
@@ -102,17 +104,17 @@
   }
 }
 
-void MemberTable::PruneEmptied(core::Incarnation incarnation,
+void MemberTable::PruneIfEmpty(core::Incarnation incarnation,
                                core::LogOffset offset,
                                uint64_t window) {
   const auto found = m_members.find(incarnation);
   if (found == m_members.end() || found->second.live()) {
     return;
   }
-  if (!Outside(found->second.retired_offset, offset, window)) {
+  if (!OutsideWindow(found->second.retired_offset, offset, window)) {
     return;
   }
-  if (Empty(found->second)) {
+  if (HoldsNothing(found->second)) {
     m_members.erase(found);
   }
 }
--- a/src/ledger/quorum.cc
+++ b/src/ledger/quorum.cc
@@ -24,12 +24,12 @@
   return m_voters.empty() || 2 * seen > m_voters.size();
 }
 
-std::optional<Awaited> Quorum::TakeReady() {
-  if (m_awaited.empty() || !HasMajority(m_awaited.front().offset)) {
+std::optional<PendingChange> Quorum::TakeReadyChange() {
+  if (m_pending.empty() || !HasMajority(m_pending.front().offset)) {
     return std::nullopt;
   }
-  Awaited ready = std::move(m_awaited.front());
-  m_awaited.pop_front();
+  PendingChange ready = std::move(m_pending.front());
+  m_pending.pop_front();
   return ready;
 }
 
@@ -44,17 +44,17 @@
   }
   // The older one was still waiting for its vote; the newer one waits in its
   // place.
-  for (Awaited& awaited : m_awaited) {
-    auto* joins = std::get_if<VoterJoins>(&awaited.change);
+  for (PendingChange& pending : m_pending) {
+    auto* joins = std::get_if<VoterJoins>(&pending.change);
     if (joins != nullptr && joins->incarnation == older) {
       joins->incarnation = newer;
     }
   }
 }
 
-const Proposal* Quorum::WaitingProposal() const {
-  for (const Awaited& awaited : m_awaited) {
-    if (const auto* proposal = std::get_if<Proposal>(&awaited.change)) {
+const Proposal* Quorum::PendingProposal() const {
+  for (const PendingChange& pending : m_pending) {
+    if (const auto* proposal = std::get_if<Proposal>(&pending.change)) {
       return proposal;
     }
   }
--- a/src/ledger/snapshot_codec.cc
+++ b/src/ledger/snapshot_codec.cc
@@ -15,19 +15,20 @@
 
 namespace {
 
-core::Error Invalid(const std::string& subject, const std::string& detail) {
+core::Error SnapshotError(const std::string& subject,
+                          const std::string& detail) {
   return {core::ErrorId::kSnapshotInvalid, subject, detail};
 }
 
 // ---- Writing ---------------------------------------------------------------
 
-void EncodeAwaited(const Awaited& awaited, v1::AwaitedState& to) {
-  to.set_offset(awaited.offset.value());
-  if (const auto* joins = std::get_if<VoterJoins>(&awaited.change)) {
+void EncodePendingChange(const PendingChange& pending, v1::AwaitedState& to) {
+  to.set_offset(pending.offset.value());
+  if (const auto* joins = std::get_if<VoterJoins>(&pending.change)) {
     to.set_voter_joins(joins->incarnation.value());
-  } else if (const auto* leaves = std::get_if<VoterLeaves>(&awaited.change)) {
+  } else if (const auto* leaves = std::get_if<VoterLeaves>(&pending.change)) {
     to.set_voter_leaves(leaves->incarnation.value());
-  } else if (const auto* proposal = std::get_if<Proposal>(&awaited.change)) {
+  } else if (const auto* proposal = std::get_if<Proposal>(&pending.change)) {
     *to.mutable_proposal() = proposal->published;
   }
 }
@@ -38,8 +39,8 @@
     voter.set_incarnation(incarnation.value());
     voter.set_seen_offset(seen.value());
   }
-  for (const Awaited& awaited : quorum.awaited()) {
-    EncodeAwaited(awaited, *to.add_awaited());
+  for (const PendingChange& pending : quorum.pending()) {
+    EncodePendingChange(pending, *to.add_awaited());
   }
 }
 
@@ -135,18 +136,18 @@
   to.set_offset(offset.value());
 }
 
-void EncodeWindows(const State& state, v1::FoldState& to) {
-  for (const auto& slot : state.claims.slots()) {
-    EncodeClaim(slot.key, *state.claims.Find(slot.key), *to.add_claims());
+void EncodeDedupWindows(const State& state, v1::FoldState& to) {
+  for (const auto& entry : state.claims.entries()) {
+    EncodeClaim(entry.key, *state.claims.Find(entry.key), *to.add_claims());
   }
-  for (const auto& slot : state.billed_keys.slots()) {
-    EncodeBilledKey(slot.key, slot.offset, *to.add_billed_keys());
+  for (const auto& entry : state.billed_keys.entries()) {
+    EncodeBilledKey(entry.key, entry.offset, *to.add_billed_keys());
   }
-  for (const auto& slot : state.operator_ids.slots()) {
-    EncodeOperatorId(slot.key, slot.offset, *to.add_top_ups());
+  for (const auto& entry : state.operator_ids.entries()) {
+    EncodeOperatorId(entry.key, entry.offset, *to.add_top_ups());
   }
-  for (const auto& slot : state.transfers.slots()) {
-    EncodeTransfer(slot.key, slot.offset, *to.add_transfers());
+  for (const auto& entry : state.transfers.entries()) {
+    EncodeTransfer(entry.key, entry.offset, *to.add_transfers());
   }
 }
 
@@ -213,25 +214,25 @@
   }
 }
 
-void AddWindows(const State& state, PartsDigest& digest) {
+void AddDedupWindows(const State& state, PartsDigest& digest) {
   v1::ClaimState claim;
-  for (const auto& slot : state.claims.slots()) {
-    EncodeClaim(slot.key, *state.claims.Find(slot.key), claim);
+  for (const auto& entry : state.claims.entries()) {
+    EncodeClaim(entry.key, *state.claims.Find(entry.key), claim);
     digest.Add(claim, PartKind::kClaim);
   }
   v1::BilledKey billed;
-  for (const auto& slot : state.billed_keys.slots()) {
-    EncodeBilledKey(slot.key, slot.offset, billed);
+  for (const auto& entry : state.billed_keys.entries()) {
+    EncodeBilledKey(entry.key, entry.offset, billed);
     digest.Add(billed, PartKind::kBilledKey);
   }
   v1::TopUpSeen seen;
-  for (const auto& slot : state.operator_ids.slots()) {
-    EncodeOperatorId(slot.key, slot.offset, seen);
+  for (const auto& entry : state.operator_ids.entries()) {
+    EncodeOperatorId(entry.key, entry.offset, seen);
     digest.Add(seen, PartKind::kOperatorId);
   }
   v1::TransferSeen transfer;
-  for (const auto& slot : state.transfers.slots()) {
-    EncodeTransfer(slot.key, slot.offset, transfer);
+  for (const auto& entry : state.transfers.entries()) {
+    EncodeTransfer(entry.key, entry.offset, transfer);
     digest.Add(transfer, PartKind::kTransfer);
   }
 }
@@ -244,15 +245,15 @@
                LogOffset(voter.seen_offset()));
   }
   for (const v1::AwaitedState& encoded : from.awaited()) {
-    Awaited awaited{LogOffset(encoded.offset()), {}};
+    PendingChange pending{LogOffset(encoded.offset()), {}};
     if (encoded.has_proposal()) {
-      awaited.change = Proposal{encoded.proposal()};
+      pending.change = Proposal{encoded.proposal()};
     } else if (encoded.has_voter_leaves()) {
-      awaited.change = VoterLeaves{core::Incarnation(encoded.voter_leaves())};
+      pending.change = VoterLeaves{core::Incarnation(encoded.voter_leaves())};
     } else {
-      awaited.change = VoterJoins{core::Incarnation(encoded.voter_joins())};
+      pending.change = VoterJoins{core::Incarnation(encoded.voter_joins())};
     }
-    quorum.Await(std::move(awaited));
+    quorum.AddPending(std::move(pending));
   }
 }
 
@@ -311,10 +312,10 @@
     const bool valid = v1::RouterPhase_IsValid(member.phase) &&
                        member.phase != v1::ROUTER_PHASE_UNSPECIFIED;
     if (!valid || members.Find(member.incarnation) != nullptr) {
-      return Invalid(member.id.value(), "phase or incarnation");
+      return SnapshotError(member.id.value(), "phase or incarnation");
     }
     if (member.live() && members.FindLive(member.id) != nullptr) {
-      return Invalid(member.id.value(), "live twice");
+      return SnapshotError(member.id.value(), "live twice");
     }
     members.Add(std::move(member));
   }
@@ -328,11 +329,12 @@
     Member* member = members.Find(RouterId(encoded.router()),
                                   Incarnation(encoded.incarnation()));
     if (member == nullptr) {
-      return Invalid(budget.id.value(), "held by an unknown router");
+      return SnapshotError(budget.id.value(), "held by an unknown router");
     }
     const Holding holding = DecodeHolding(encoded);
     if (!member->holdings.emplace(budget.id, holding).second) {
-      return Invalid(budget.id.value(), "held twice by " + encoded.router());
+      return SnapshotError(budget.id.value(),
+                           "held twice by " + encoded.router());
     }
     budget.held += holding.held();
     if (!member->live()) {
@@ -346,7 +348,7 @@
   for (const v1::BudgetState& encoded : from.budgets()) {
     const BudgetId id(encoded.id());
     if (state.budgets.Find(id) != nullptr) {
-      return Invalid(encoded.id(), "budget listed twice");
+      return SnapshotError(encoded.id(), "budget listed twice");
     }
     Budget& budget = state.budgets.Declare(id);
     budget.paid_in = Tokens(encoded.paid_in());
@@ -366,14 +368,14 @@
   for (const v1::Budget& declared : from.configuration().budgets()) {
     Budget* budget = budgets.Find(BudgetId(declared.id()));
     if (budget == nullptr) {
-      return Invalid(declared.id(), "configured, but without a balance");
+      return SnapshotError(declared.id(), "configured, but without a balance");
     }
     ApplyPolicy(declared, *budget);
   }
   return core::Ok();
 }
 
-void DecodeWindows(const v1::FoldState& from, State& state) {
+void DecodeDedupWindows(const v1::FoldState& from, State& state) {
   for (const v1::ClaimState& encoded : from.claims()) {
     const LogOffset offset(encoded.offset());
     state.claims.Insert(offset, Hash128::FromBytes(encoded.key_hash()),
@@ -413,7 +415,7 @@
   EncodeQuorum(state.quorum, to);
   *to.mutable_configuration() = *state.config.configuration;
   EncodeBudgets(state, to);
-  EncodeWindows(state, to);
+  EncodeDedupWindows(state, to);
   EncodeOrders(state, to);
   return to;
 }
@@ -432,7 +434,7 @@
   if (!core::IsOk(status)) {
     return status;
   }
-  DecodeWindows(from, state);
+  DecodeDedupWindows(from, state);
   DecodeOrders(from, state);
   return CheckConservation(state);
 }
@@ -452,7 +454,7 @@
     digest.Add(encoded, PartKind::kBudget);
   }
   AddMembers(state, digest);
-  AddWindows(state, digest);
+  AddDedupWindows(state, digest);
   return digest.value();
 }
 
--- a/src/ledger/state.cc
+++ b/src/ledger/state.cc
@@ -13,7 +13,8 @@
   core::Tokens quarantined;
 };
 
-core::Status Broken(const core::BudgetId& budget, const std::string& detail) {
+core::Status ConservationError(const core::BudgetId& budget,
+                               const std::string& detail) {
   return core::Error{core::ErrorId::kConservationBroken, budget.value(),
                      detail};
 }
@@ -22,8 +23,9 @@
     const Member& member,
     std::unordered_map<core::BudgetId, HeldTotals>& totals) {
   for (const auto& [id, holding] : member.holdings) {
-    if (!Balances(holding)) {
-      return Broken(id, "a holding of " + member.id.value() + " is negative");
+    if (!IsBalanced(holding)) {
+      return ConservationError(
+          id, "a holding of " + member.id.value() + " is negative");
     }
     HeldTotals& total = totals[id];
     total.held += holding.held();
@@ -55,22 +57,24 @@
   }
   for (const Budget* budget : state.budgets.Sorted()) {
     const HeldTotals& total = totals[budget->id];
-    if (!Balances(*budget)) {
-      return Broken(budget->id, "the balance differs from its parts");
+    if (!IsBalanced(*budget)) {
+      return ConservationError(budget->id,
+                               "the balance differs from its parts");
     }
     if (total.held != budget->held ||
         total.quarantined != budget->quarantined) {
-      return Broken(budget->id, "the holdings differ from their total");
+      return ConservationError(budget->id,
+                               "the holdings differ from their total");
     }
     totals.erase(budget->id);
   }
   if (!totals.empty()) {
-    return Broken(totals.begin()->first, "held, but no such budget");
+    return ConservationError(totals.begin()->first, "held, but no such budget");
   }
   return core::Ok();
 }
 
-void RememberDigest(State& state) {
+void StoreDigest(State& state) {
   state.digests.insert_or_assign(state.next_offset, Digest(state));
   while (state.digests.size() > state.settings.kept_checkpoints) {
     state.digests.erase(state.digests.begin());
--- a/src/membership/address_book.cc
+++ b/src/membership/address_list_builder.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/membership/address_book.h"
+#include "coppervalve/membership/address_list_builder.h"
 
 #include <algorithm>  // max, min, partition_point, sort
 #include <cmath>      // ldexp, log
@@ -9,7 +9,7 @@
 
 namespace coppervalve::membership {
 
-struct AddressBook::Candidate {
+struct AddressListBuilder::Candidate {
   const Member* member = nullptr;
   uint64_t load = 0;
   bool own_domain = false;
@@ -19,22 +19,22 @@
 namespace {
 
 /// Loads that differ by less do not matter: heartbeats report them late.
-constexpr uint64_t kLoadSlack = 8;
-constexpr uint64_t kHeavyFactor = 2;
-constexpr uint64_t kOverloadedFactor = 4;
+constexpr uint64_t kLoadTolerance = 8;
+constexpr uint64_t kHighLoadFactor = 2;
+constexpr uint64_t kOverloadFactor = 4;
 constexpr int kRankBits = 64;
 
 /// In steps, so that an account's routers change only when one is clearly
 /// busier than the mean.
 double WeightOf(uint64_t load, uint64_t mean) {
-  if (load > mean * kOverloadedFactor + kLoadSlack) {
+  if (load > mean * kOverloadFactor + kLoadTolerance) {
     return 0.25;
   }
-  return load > mean * kHeavyFactor + kLoadSlack ? 0.5 : 1.0;
+  return load > mean * kHighLoadFactor + kLoadTolerance ? 0.5 : 1.0;
 }
 
 /// Weighted rendezvous hashing: a router is best with a probability in
-/// proportion to its weight, and others keep their order.
+/// proportion to its weight, and other_slots keep their order.
 double Score(const core::AccountId& account,
              const MemberId& id,
              double weight) {
@@ -50,18 +50,19 @@
 
 }  // namespace
 
-AddressBook::AddressBook(Member self,
-                         std::function<std::string(const MemberId&)> key_prefix,
-                         AddressLimits limits)
+AddressListBuilder::AddressListBuilder(
+    Member self,
+    std::function<std::string(const MemberId&)> key_prefix,
+    AddressLimits limits)
     : m_self(std::move(self)),
       m_key_prefix(std::move(key_prefix)),
       m_limits(limits) {}
 
-void AddressBook::SetLifetime(core::Duration lifetime) {
+void AddressListBuilder::SetLifetime(core::Duration lifetime) {
   m_limits.lifetime = lifetime;
 }
 
-std::vector<AddressBook::Candidate> AddressBook::CandidatesFor(
+std::vector<AddressListBuilder::Candidate> AddressListBuilder::CandidatesFor(
     const core::AccountId& account,
     const OwnState& own,
     const std::vector<Peer>& peers) const {
@@ -89,7 +90,7 @@
   return candidates;
 }
 
-v1::AddressList AddressBook::AddressesFor(
+v1::AddressList AddressListBuilder::AddressesFor(
     const core::AccountId& account,
     const OwnState& own,
     const std::vector<Peer>& peers) const {
@@ -99,17 +100,19 @@
               return a.own_domain != b.own_domain ? a.own_domain
                                                   : a.score < b.score;
             });
-  const auto border = std::partition_point(
+  const auto first_other = std::partition_point(
       candidates.begin(), candidates.end(),
       [](const Candidate& candidate) { return candidate.own_domain; });
-  const auto own_count = static_cast<size_t>(border - candidates.begin());
+  const auto own_count = static_cast<size_t>(first_other - candidates.begin());
   const size_t other_count = candidates.size() - own_count;
   // Failure: the whole failure domain is lost. Symptom: a caller whose list
   // names no other is cut off for the list's lifetime. Enough: half of the
   // list is left to other domains, as far as they can fill it.
   const size_t half = m_limits.max_addresses / 2;
-  const size_t others = std::min(other_count, m_limits.max_addresses - half);
-  const size_t owns = std::min(own_count, m_limits.max_addresses - others);
+  const size_t other_slots =
+      std::min(other_count, m_limits.max_addresses - half);
+  const size_t own_slots =
+      std::min(own_count, m_limits.max_addresses - other_slots);
 
   v1::AddressList list;
   list.set_lifetime_ms(static_cast<uint32_t>(
@@ -118,7 +121,7 @@
   size_t place = 0;
   for (const Candidate& candidate : candidates) {
     const bool listed =
-        place < owns ||
+        place < own_slots ||
         (place >= own_count &&
          list.addresses_size() < static_cast<int>(m_limits.max_addresses));
     ++place;
--- a/src/membership/drain.cc
+++ b/src/membership/drain.cc
@@ -8,23 +8,23 @@
   m_limits.address_lifetime = lifetime;
 }
 
-bool Drain::Ask(core::TimePoint now) {
+bool Drain::Request(core::TimePoint now) {
   if (m_phase != DrainPhase::kActive) {
     return false;
   }
   m_phase = DrainPhase::kDraining;
-  m_asked = now;
+  m_requested_at = now;
   return true;
 }
 
 DrainPhase Drain::Advance(core::TimePoint now, const DrainInputs& inputs) {
-  while (MayLeave(now, inputs)) {
+  while (PhaseComplete(now, inputs)) {
     m_phase = static_cast<DrainPhase>(static_cast<uint8_t>(m_phase) + 1);
   }
   return m_phase;
 }
 
-bool Drain::MayLeave(core::TimePoint now, const DrainInputs& inputs) {
+bool Drain::PhaseComplete(core::TimePoint now, const DrainInputs& inputs) {
   switch (m_phase) {
     case DrainPhase::kActive:
       return false;
@@ -48,12 +48,14 @@
 /// Other routers may hand out this router's address until they know of the
 /// drain, and callers keep a list for its lifetime.
 bool Drain::ListsExpired(core::TimePoint now, const DrainInputs& inputs) {
-  const bool log_out = now - m_asked >= m_limits.announce_patience;
-  if (!m_waiting_since && (inputs.announced || log_out)) {
-    m_waiting_since = now;
+  const bool log_unavailable =
+      now - m_requested_at >= m_limits.announce_timeout;
+  if (!m_lists_expiring_since && (inputs.announced || log_unavailable)) {
+    m_lists_expiring_since = now;
   }
-  return m_waiting_since &&
-         now - *m_waiting_since >= m_limits.address_lifetime + m_limits.margin;
+  return m_lists_expiring_since &&
+         now - *m_lists_expiring_since >=
+             m_limits.address_lifetime + m_limits.margin;
 }
 
 }  // namespace coppervalve::membership
--- a/src/membership/freshness.cc
+++ b/src/membership/freshness.cc
@@ -14,7 +14,7 @@
 bool ReachesMajority(const FreshnessInputs& inputs) {
   size_t counted = 0;
   size_t reachable = 0;
-  for (const PeerVoucher& peer : inputs.vouchers) {
+  for (const PeerLogReport& peer : inputs.log_reports) {
     if (!peer.counts) {
       continue;
     }
@@ -42,8 +42,8 @@
   }
 }
 
-FreshnessVerdict Freshness::Judge(core::TimePoint now,
-                                  const FreshnessInputs& inputs) {
+FreshnessVerdict Freshness::Evaluate(core::TimePoint now,
+                                     const FreshnessInputs& inputs) {
   const auto decision = Decide(now, inputs);
   if (const auto* basis = std::get_if<FreshBasis>(&decision)) {
     m_stale_since.reset();
@@ -56,7 +56,7 @@
 }
 
 bool Freshness::ReadRecently(core::TimePoint now) const {
-  return Recent(now, m_read_to_end);
+  return IsRecent(now, m_read_to_end);
 }
 
 std::optional<core::Duration> Freshness::LogAge(core::TimePoint now) const {
@@ -72,37 +72,37 @@
   if (!m_read_to_end) {
     return StaleReason::kNeverRead;
   }
-  if (Recent(now, m_read_to_end)) {
+  if (IsRecent(now, m_read_to_end)) {
     return FreshBasis::kOwnReading;
   }
   const auto any = [&inputs](auto predicate) {
-    return std::any_of(inputs.vouchers.begin(), inputs.vouchers.end(),
+    return std::any_of(inputs.log_reports.begin(), inputs.log_reports.end(),
                        predicate);
   };
-  if (any([&](const PeerVoucher& peer) {
+  if (any([&](const PeerLogReport& peer) {
         return peer.config_version > inputs.config_version;
       })) {
     return StaleReason::kNewerVersion;
   }
-  if (any([&](const PeerVoucher& peer) {
-        return Recent(now, peer.read_to_end) &&
+  if (any([&](const PeerLogReport& peer) {
+        return IsRecent(now, peer.read_to_end) &&
                peer.config_version == inputs.config_version;
       })) {
-    return FreshBasis::kVouched;
+    return FreshBasis::kConfirmedByPeer;
   }
   // Someone reads the log, so it is not out, and what is in force cannot be
   // learnt from those who do not.
-  if (any([&](const PeerVoucher& peer) {
-        return Recent(now, peer.claimed_read_to_end);
+  if (any([&](const PeerLogReport& peer) {
+        return IsRecent(now, peer.claimed_read_to_end);
       })) {
-    return StaleReason::kNotVouched;
+    return StaleReason::kNotConfirmed;
   }
   // Failure: voters outside this group accept a proposal that some inside have
   // read. Symptom: this group works on under the version before. Enough: a
   // majority accepted it, so one voter of any other majority has read it, and
   // one that has is enough to stop all.
   if (inputs.known_version > inputs.config_version ||
-      any([&](const PeerVoucher& peer) {
+      any([&](const PeerLogReport& peer) {
         return peer.known_version > inputs.config_version;
       })) {
     return StaleReason::kNewerVersion;
@@ -110,11 +110,11 @@
   if (!ReachesMajority(inputs)) {
     return StaleReason::kMinority;
   }
-  return FreshBasis::kLogOutForMajority;
+  return FreshBasis::kLogUnavailable;
 }
 
-bool Freshness::Recent(core::TimePoint now,
-                       std::optional<core::TimePoint> read) const {
+bool Freshness::IsRecent(core::TimePoint now,
+                         std::optional<core::TimePoint> read) const {
   return read && now - *read <= m_bound;
 }
 
--- a/src/membership/peer_view.cc
+++ b/src/membership/peer_view.cc
@@ -20,31 +20,32 @@
   return a.rank != b.rank ? a.rank > b.rank : a.member->id < b.member->id;
 }
 
-/// Takes from each failure domain in turn, so that the loss of a domain, or of
+/// Takes from each failure domain in pick, so that the loss of a domain, or of
 /// the way to it, costs a member only its share of contacts.
-std::vector<MemberId> TakeInTurn(std::vector<Ranked> ranked, size_t count) {
+std::vector<MemberId> ChooseAcrossDomains(std::vector<Ranked> ranked,
+                                          size_t count) {
   std::sort(ranked.begin(), ranked.end(), HigherRank);
   std::map<core::FailureDomainId, size_t> taken;
-  struct Turn {
+  struct Pick {
     size_t round = 0;
     size_t place = 0;
     MemberId id;
   };
-  std::vector<Turn> turns;
-  turns.reserve(ranked.size());
+  std::vector<Pick> picks;
+  picks.reserve(ranked.size());
   for (const Ranked& candidate : ranked) {
     const size_t round = taken[candidate.member->failure_domain]++;
-    turns.push_back({round, turns.size(), candidate.member->id});
+    picks.push_back({round, picks.size(), candidate.member->id});
   }
-  std::sort(turns.begin(), turns.end(), [](const Turn& a, const Turn& b) {
+  std::sort(picks.begin(), picks.end(), [](const Pick& a, const Pick& b) {
     return a.round != b.round ? a.round < b.round : a.place < b.place;
   });
   std::vector<MemberId> chosen;
-  for (const Turn& turn : turns) {
+  for (const Pick& pick : picks) {
     if (chosen.size() == count) {
       break;
     }
-    chosen.push_back(turn.id);
+    chosen.push_back(pick.id);
   }
   return chosen;
 }
@@ -75,7 +76,7 @@
   }
   m_peers = std::move(peers);
   m_chosen_by.clear();
-  m_chosen = ChoiceOf(m_self);
+  m_chosen = ContactsChosenBy(m_self);
 }
 
 void PeerView::SetPinned(std::optional<MemberId> peer) {
@@ -132,7 +133,7 @@
   return latest;
 }
 
-std::vector<MemberId> PeerView::ChoiceOf(const Member& chooser) const {
+std::vector<MemberId> PeerView::ContactsChosenBy(const Member& chooser) const {
   const std::string name = RendezvousName(chooser.id);
   std::vector<Ranked> ranked;
   ranked.reserve(m_peers.size() + 1);
@@ -146,20 +147,20 @@
     ranked.push_back({core::RendezvousRank(name, entry.name), &entry.member});
   }
   const size_t count = Sampled() ? m_limits.contacts : ranked.size();
-  return TakeInTurn(std::move(ranked), count);
+  return ChooseAcrossDomains(std::move(ranked), count);
 }
 
 /// Computed rather than told: a peer that answered whoever it hears would be
-/// answered in turn, and the links of old choices would never end.
-bool PeerView::HasChosenSelf(const Entry& entry) const {
+/// answered in pick, and the links of old choices would never end.
+bool PeerView::HasChosenThisRouter(const Entry& entry) const {
   const auto [known, fresh] = m_chosen_by.try_emplace(entry.member.id, false);
   if (fresh) {
-    known->second = Contains(ChoiceOf(entry.member), m_self.id);
+    known->second = Contains(ContactsChosenBy(entry.member), m_self.id);
   }
   return known->second;
 }
 
-bool PeerView::Heard(core::TimePoint now, const Entry& entry) const {
+bool PeerView::HeardRecently(core::TimePoint now, const Entry& entry) const {
   return entry.heard && now - *entry.heard <= m_limits.suspect_after;
 }
 
@@ -187,7 +188,7 @@
     return true;
   }
   return Contains(m_chosen, entry.member.id) ||
-         (Heard(now, entry) && HasChosenSelf(entry));
+         (HeardRecently(now, entry) && HasChosenThisRouter(entry));
 }
 
 bool PeerView::HeartbeatDue(core::TimePoint now) {
@@ -211,11 +212,11 @@
     return false;
   }
   if (IsContact(now, entry)) {
-    return Heard(now, entry);
+    return HeardRecently(now, entry);
   }
   // No heartbeats are exchanged with it: only a failed send speaks against it.
   return !entry.send_failed ||
-         now - *entry.send_failed > m_limits.failure_memory;
+         now - *entry.send_failed > m_limits.send_failure_lifetime;
 }
 
 bool PeerView::Reachable(core::TimePoint now, const MemberId& peer) const {
@@ -274,19 +275,19 @@
   return *owner;
 }
 
-std::vector<PeerVoucher> PeerView::Vouchers(core::TimePoint now) const {
-  std::vector<PeerVoucher> vouchers;
+std::vector<PeerLogReport> PeerView::LogReports(core::TimePoint now) const {
+  std::vector<PeerLogReport> log_reports;
   for (const auto& [id, entry] : m_peers) {
     if (!IsContact(now, entry)) {
       continue;
     }
     const bool counts =
         Contains(m_chosen, id) && (Sampled() || entry.member.voter);
-    vouchers.push_back({EntryReachable(now, entry), counts, entry.read_to_end,
-                        entry.claimed_read_to_end, entry.config_version,
-                        entry.known_version});
+    log_reports.push_back({EntryReachable(now, entry), counts,
+                           entry.read_to_end, entry.claimed_read_to_end,
+                           entry.config_version, entry.known_version});
   }
-  return vouchers;
+  return log_reports;
 }
 
 std::vector<v1::PeerStatus> PeerView::Status(core::TimePoint now) const {
--- a/src/orders/order_desk.cc
+++ b/src/orders/order_desk.cc
@@ -42,7 +42,7 @@
     }
   }
   std::sort(waiting.begin(), waiting.end());
-  waiting.resize(std::min(waiting.size(), fold.FreeLoads()));
+  waiting.resize(std::min(waiting.size(), fold.AvailableLoads()));
   return {waiting.begin(), waiting.end()};
 }
 
--- a/src/router/budget_desk.cc
+++ b/src/router/budget_desk.cc
@@ -123,7 +123,7 @@
           m_book.OnWitnessRefused({e.witness, e.witness_incarnation});
         }
       },
-      [&](const ledger::TransferFolded& e) {
+      [&](const ledger::TransferApplied& e) {
         v1::TransferRecorded transfer;
         transfer.set_from_router(e.from.value());
         transfer.set_from_incarnation(e.from_incarnation.value());
@@ -229,7 +229,7 @@
     m_book.ChooseWitness(
         now, PeerRef{choose->witness.router, choose->witness.incarnation});
   }
-  if (std::holds_alternative<membership::ChooseNone>(verdict)) {
+  if (std::holds_alternative<membership::ChooseNoWitness>(verdict)) {
     m_book.ChooseWitness(now, std::nullopt);
   }
 }
--- a/src/router/peer_desk.cc
+++ b/src/router/peer_desk.cc
@@ -119,7 +119,7 @@
     witness = MemberId{current->router, current->incarnation};
   }
   m_view.SetPinned(witness);
-  return m_witness.Judge(now, witness, m_view.Peers(now));
+  return m_witness.Evaluate(now, witness, m_view.Peers(now));
 }
 
 membership::FreshnessVerdict PeerDesk::JudgeFreshness(
@@ -134,9 +134,9 @@
   inputs.sampled = m_view.Sampled();
   // Asked for each event: the scan of the members is for outages only.
   if (!m_freshness.ReadRecently(now)) {
-    inputs.vouchers = m_view.Vouchers(now);
+    inputs.log_reports = m_view.LogReports(now);
   }
-  return m_freshness.Judge(now, inputs);
+  return m_freshness.Evaluate(now, inputs);
 }
 
 std::optional<core::Duration> PeerDesk::LogAge(TimePoint now) const {
--- a/src/router/session.cc
+++ b/src/router/session.cc
@@ -27,7 +27,7 @@
       return "the log was never read to its end";
     case membership::StaleReason::kNewerVersion:
       return "a peer has a newer configuration";
-    case membership::StaleReason::kNotVouched:
+    case membership::StaleReason::kNotConfirmed:
       return "the log cannot be read here and no peer vouches";
     case membership::StaleReason::kMinority:
       return "cut off from the log and from most routers";
@@ -105,7 +105,7 @@
   if (auto unfit = WhyUnfit()) {
     return unfit;
   }
-  if (!m_drain.TakesNew()) {
+  if (!m_drain.AcceptsNewRequests()) {
     return Error{ErrorId::kDraining, m_settings.router.value(),
                  "ask for the addresses again"};
   }
--- a/src/router/session_end.cc
+++ b/src/router/session_end.cc
@@ -44,7 +44,7 @@
 
 void Session::On(TimePoint now, const DrainAsked& event) {
   (void)event;
-  if (!m_drain.Ask(now)) {
+  if (!m_drain.Request(now)) {
     return;
   }
   m_outbox.Info("drain_started", {{"router", m_settings.router.value()}});
--- a/tests/ledger/test_log.h
+++ b/tests/ledger/test_log.h
@@ -59,7 +59,7 @@
     return Append(Draft(writer, {record}));
   }
 
-  void Skip(uint64_t offsets) {
+  void SkipOffsets(uint64_t offsets) {
     for (uint64_t i = 0; i < offsets; ++i) {
       Append({});
     }
@@ -129,9 +129,10 @@
   return record;
 }
 
-inline v1::Record Ask(int64_t tokens,
-                      int64_t minimum = 1,
-                      v1::AdmissionClass admission_class = v1::INTERACTIVE) {
+inline v1::Record RequestAllotment(
+    int64_t tokens,
+    int64_t minimum = 1,
+    v1::AdmissionClass admission_class = v1::INTERACTIVE) {
   v1::Record record;
   v1::AllotmentRequested& asked = *record.mutable_allotment_requested();
   asked.set_budget("tours");
@@ -141,7 +142,7 @@
   return record;
 }
 
-inline v1::Record GiveBack(int64_t tokens) {
+inline v1::Record ReturnAllotment(int64_t tokens) {
   v1::Record record;
   record.mutable_allotment_returned()->set_budget("tours");
   record.mutable_allotment_returned()->set_tokens(tokens);
@@ -163,7 +164,7 @@
   return record;
 }
 
-inline v1::Record Claiming(const std::string& key) {
+inline v1::Record ClaimKey(const std::string& key) {
   v1::Record record;
   record.mutable_key_claimed()->set_key_hash(core::HashOf(key).ToBytes());
   return record;
@@ -188,7 +189,7 @@
   return record;
 }
 
-inline v1::Record NarrowTo(const Writer& retired, int64_t ceiling) {
+inline v1::Record NarrowQuarantine(const Writer& retired, int64_t ceiling) {
   v1::Record record;
   v1::QuarantineNarrowed& narrowed = *record.mutable_quarantine_narrowed();
   narrowed.set_router(retired.id);
@@ -198,9 +199,9 @@
   return record;
 }
 
-inline v1::Record FinalSpendOf(const Writer& retired,
-                               int64_t spent,
-                               int64_t transfers_pending = 0) {
+inline v1::Record FinalizeSpend(const Writer& retired,
+                                int64_t spent,
+                                int64_t transfers_pending = 0) {
   v1::Record record;
   v1::SpendFinalized& finalized = *record.mutable_spend_finalized();
   finalized.set_router(retired.id);
@@ -268,7 +269,7 @@
   }
 
   /// @brief A router writes an entry and so shows how far it has read.
-  std::vector<Effect> Read(Writer& router) {
+  std::vector<Effect> ConfirmRead(Writer& router) {
     v1::Record record;
     record.mutable_config_confirmed()->set_version(
         fold().config_version().value());
@@ -276,10 +277,10 @@
   }
 
   /// @return what changed by all routers reading to the end
-  std::vector<Effect> ReadByAll() {
+  std::vector<Effect> ConfirmReadByAll() {
     std::vector<Effect> all;
     for (Writer* router : {&r1, &r2, &r3}) {
-      for (Effect& effect : Read(*router)) {
+      for (Effect& effect : ConfirmRead(*router)) {
         all.push_back(std::move(effect));
       }
     }
@@ -287,8 +288,8 @@
   }
 
   /// @brief r1 draws 100, is witnessed by r2, spends 30 and falls silent.
-  void RetireFirst() {
-    Write(r1, Ask(100));
+  void RetireFirstRouter() {
+    Write(r1, RequestAllotment(100));
     Write(r1, ChooseWitness(r2));
     Write(r1, Spend(30));
     Write(r3, Retire(r1, r1.sequence));
--- a/tests/ledger/unit-balance.cc
+++ b/tests/ledger/unit-balance.cc
@@ -57,7 +57,7 @@
   CHECK(rejected->version_in_force == core::ConfigVersion(1));
   STRCMP_EQUAL("name-b", rejected->winner_operator.c_str());
   STRCMP_EQUAL("b", rejected->winner_change_id.c_str());
-  const auto read = log.ReadByAll();
+  const auto read = log.ConfirmReadByAll();
   STRCMP_EQUAL("b", Find<ConfigAccepted>(read)->change_id.c_str());
   CHECK(log.fold().config_version() == core::ConfigVersion(2));
 }
@@ -73,16 +73,16 @@
 
 TEST(Balance, a_budget_that_leaves_the_configuration_keeps_its_tokens) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   v1::Record without = Publish(1, 0, "c2");
   without.mutable_config_published()->mutable_configuration()->clear_budgets();
   log.Write(log.alice, without);
-  CHECK(Find<ConfigAccepted>(log.ReadByAll()) != nullptr);
-  CHECK(Find<Denied>(log.Write(log.r1, Ask(100))) != nullptr);
-  log.Write(log.r1, GiveBack(60));
+  CHECK(Find<ConfigAccepted>(log.ConfirmReadByAll()) != nullptr);
+  CHECK(Find<Denied>(log.Write(log.r1, RequestAllotment(100))) != nullptr);
+  log.Write(log.r1, ReturnAllotment(60));
   LONGS_EQUAL(960, log.Free());
   log.Write(log.alice, Publish(2, 1200, "c3"));
-  LONGS_EQUAL(200, Find<PaidIn>(log.ReadByAll())->tokens.value());
+  LONGS_EQUAL(200, Find<PaidIn>(log.ConfirmReadByAll())->tokens.value());
 }
 
 // An operator's top-up takes effect but its reply is lost; the tool repeats it,
@@ -94,7 +94,7 @@
   LONGS_EQUAL(500, Find<PaidIn>(log.Append(entry))->tokens.value());
   CHECK(Find<TopUpRefused>(log.Append(entry))->reason ==
         TopUpRefusal::kDuplicate);
-  log.Skip(kTestWindow + 1);
+  log.SkipOffsets(kTestWindow + 1);
   CHECK(Find<TopUpRefused>(log.Append(entry))->reason == TopUpRefusal::kStale);
   LONGS_EQUAL(1500, log.Free());
 }
@@ -123,31 +123,35 @@
 
 TEST(Balance, a_grant_is_cut_to_the_balance_but_never_below_the_minimum) {
   Fleet log;
-  const auto granted = log.Write(log.r1, Ask(5000, 1000));
+  const auto granted = log.Write(log.r1, RequestAllotment(5000, 1000));
   LONGS_EQUAL(1000, Find<Granted>(granted)->tokens.value());
   CHECK(Find<Granted>(granted)->sequence == core::Sequence(2));
-  log.Write(log.r1, GiveBack(49));
-  const auto denied = log.Write(log.r2, Ask(80, 50));
+  log.Write(log.r1, ReturnAllotment(49));
+  const auto denied = log.Write(log.r2, RequestAllotment(80, 50));
   LONGS_EQUAL(49, Find<Denied>(denied)->available.value());
   LONGS_EQUAL(49, log.Free());
 }
 
 TEST(Balance, only_gate_work_draws_on_the_held_back_share) {
   Fleet log(v1::ON_PROOF, 100);
-  LONGS_EQUAL(900, Find<Granted>(log.Write(log.r1, Ask(1000)))->tokens.value());
-  CHECK(Find<Denied>(log.Write(log.r1, Ask(1, 1, v1::BATCH))) != nullptr);
-  const auto gate = log.Write(log.r2, Ask(1000, 1, v1::GATE));
+  LONGS_EQUAL(
+      900,
+      Find<Granted>(log.Write(log.r1, RequestAllotment(1000)))->tokens.value());
+  CHECK(Find<Denied>(log.Write(log.r1, RequestAllotment(1, 1, v1::BATCH))) !=
+        nullptr);
+  const auto gate = log.Write(log.r2, RequestAllotment(1000, 1, v1::GATE));
   LONGS_EQUAL(100, Find<Granted>(gate)->tokens.value());
 }
 
 TEST(Balance, a_return_of_more_than_is_held_changes_nothing) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   log.Write(log.r1, Spend(40));
-  CHECK(
-      Ignored(log.Write(log.r1, GiveBack(61)), IgnoreReason::kExceedsHolding));
-  LONGS_EQUAL(60,
-              Find<Returned>(log.Write(log.r1, GiveBack(60)))->tokens.value());
+  CHECK(Ignored(log.Write(log.r1, ReturnAllotment(61)),
+                IgnoreReason::kExceedsHolding));
+  LONGS_EQUAL(
+      60,
+      Find<Returned>(log.Write(log.r1, ReturnAllotment(60)))->tokens.value());
   LONGS_EQUAL(960, log.Free());
 }
 
@@ -155,7 +159,7 @@
 // the same entry again. It must hold one grant, not two.
 TEST(Balance, an_entry_appended_twice_folds_once) {
   Fleet log;
-  const v1::Entry entry = log.Draft(log.r1, {Ask(100)});
+  const v1::Entry entry = log.Draft(log.r1, {RequestAllotment(100)});
   CHECK(Find<Granted>(log.Append(entry)) != nullptr);
   CHECK(Ignored(log.Append(entry), IgnoreReason::kDuplicate));
   LONGS_EQUAL(900, log.Free());
@@ -163,17 +167,20 @@
 
 TEST(Balance, an_entry_after_a_missing_one_folds_to_nothing) {
   Fleet log;
-  log.Draft(log.r1, {Ask(100)});
-  CHECK(Ignored(log.Write(log.r1, Ask(100)), IgnoreReason::kSequenceGap));
+  log.Draft(log.r1, {RequestAllotment(100)});
+  CHECK(Ignored(log.Write(log.r1, RequestAllotment(100)),
+                IgnoreReason::kSequenceGap));
   LONGS_EQUAL(1000, log.Free());
 }
 
 TEST(Balance, records_of_the_wrong_kind_of_writer_fold_to_nothing) {
   Fleet log;
-  CHECK(Ignored(log.Write(log.alice, Ask(100)), IgnoreReason::kNotAllowed));
+  CHECK(Ignored(log.Write(log.alice, RequestAllotment(100)),
+                IgnoreReason::kNotAllowed));
   CHECK(Ignored(log.Write(log.r1, TopUp(9, "t")), IgnoreReason::kNotAllowed));
   Writer stranger{"r9", 9};
-  CHECK(Ignored(log.Write(stranger, Ask(1)), IgnoreReason::kUnknownWriter));
+  CHECK(Ignored(log.Write(stranger, RequestAllotment(1)),
+                IgnoreReason::kUnknownWriter));
   LONGS_EQUAL(1000, log.Free());
 }
 
--- a/tests/ledger/unit-members.cc
+++ b/tests/ledger/unit-members.cc
@@ -11,7 +11,7 @@
 
 TEST(Members, a_newer_incarnation_retires_the_older) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   Writer again{"r1", 101};
   const auto effects = log.Write(again, Join());
   CHECK(Find<Retired>(effects)->incarnation == core::Incarnation(1));
@@ -37,9 +37,9 @@
 TEST(Members, a_retirement_is_void_when_the_router_wrote_since) {
   Fleet log;
   const v1::Entry verdict = log.Draft(log.r2, {Retire(log.r1, 1)});
-  log.Write(log.r1, Ask(10));
+  log.Write(log.r1, RequestAllotment(10));
   const auto effects = log.Append(verdict);
-  CHECK(Find<RetireVoided>(effects)->last_sequence == core::Sequence(2));
+  CHECK(Find<RetirementVoided>(effects)->last_sequence == core::Sequence(2));
   CHECK(log.fold().FindLive(core::RouterId("r1")) != nullptr);
 }
 
@@ -48,13 +48,13 @@
 // after it must still be in sequence.
 TEST(Members, what_a_retired_router_asks_for_after_its_pause_is_ignored) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
-  const v1::Entry paused = log.Draft(log.r1, {Ask(50), Spend(20)});
+  log.Write(log.r1, RequestAllotment(100));
+  const v1::Entry paused = log.Draft(log.r1, {RequestAllotment(50), Spend(20)});
   log.Write(log.r2, Retire(log.r1, 2));
   CHECK(Ignored(log.Append(paused), IgnoreReason::kRetired));
   LONGS_EQUAL(900, log.Free());
   LONGS_EQUAL(100, log.Quarantined());
-  log.Write(log.r1, FinalSpendOf(log.r1, 20));
+  log.Write(log.r1, FinalizeSpend(log.r1, 20));
   LONGS_EQUAL(980, log.Free());
 }
 
@@ -67,7 +67,7 @@
   log.Append(join);
   log.Write(r4, Retire(r4, 2, v1::DRAINED));
   CHECK(Ignored(log.Append(join), IgnoreReason::kDuplicate));
-  log.Skip(kTestWindow + 1);
+  log.SkipOffsets(kTestWindow + 1);
   CHECK(log.fold().FindMember(core::RouterId("r4"), core::Incarnation(4)) ==
         nullptr);
   CHECK(Find<JoinRefused>(log.Append(join))->reason == JoinRefusal::kStale);
@@ -75,8 +75,8 @@
 
 TEST(Members, a_retired_router_is_remembered_until_its_quarantine_is_empty) {
   Fleet log;
-  log.RetireFirst();
-  log.Skip(kTestWindow + 1);
+  log.RetireFirstRouter();
+  log.SkipOffsets(kTestWindow + 1);
   LONGS_EQUAL(1, log.fold().RetiredMembers().size());
   log.Write(log.alice, Release(log.r1, 70));
   LONGS_EQUAL(0, log.fold().RetiredMembers().size());
--- a/tests/ledger/unit-orders.cc
+++ b/tests/ledger/unit-orders.cc
@@ -84,7 +84,7 @@
   const auto refused = log.Write(log.alice, OrderModel("blind"));
   CHECK(Find<OrderRefused>(refused)->unsettled == core::FencingNumber(first));
   const v1::Record settle = Ending("blind", first, v1::SETTLED);
-  CHECK(Ignored(log.Write(log.alice, settle), IgnoreReason::kOrderUnderWay));
+  CHECK(Ignored(log.Write(log.alice, settle), IgnoreReason::kOrderInProgress));
   log.Write(log.r2, Retire(log.r1, log.r1.sequence));
   CHECK_FALSE(log.Take(log.r2, "blind", first));
   CHECK(Find<OrderRefused>(log.Write(log.alice, OrderModel("blind"))));
@@ -160,7 +160,7 @@
   CHECK(log.Take(log.r2, "e1", b));
   const auto refused = log.Write(log.r3, Taking("e2", c));
   CHECK(Find<OrderTakeRefused>(refused)->reason ==
-        OrderTakeRefusal::kManyLoads);
+        OrderTakeRefusal::kLoadLimitReached);
   CHECK(log.End(log.r1, "e0", a, v1::DONE));
   CHECK(log.Take(log.r3, "e2", c));
 }
--- a/tests/ledger/unit-quarantine.cc
+++ b/tests/ledger/unit-quarantine.cc
@@ -11,8 +11,8 @@
 
 TEST(Quarantine, the_witness_frees_what_lies_past_the_ceiling) {
   Fleet log;
-  log.RetireFirst();
-  const auto effects = log.Write(log.r2, NarrowTo(log.r1, 60));
+  log.RetireFirstRouter();
+  const auto effects = log.Write(log.r2, NarrowQuarantine(log.r1, 60));
   LONGS_EQUAL(40, Find<QuarantineChanged>(effects)->released.value());
   LONGS_EQUAL(30, Find<QuarantineChanged>(effects)->remaining.value());
   LONGS_EQUAL(940, log.Free());
@@ -20,8 +20,8 @@
 
 TEST(Quarantine, a_ceiling_below_the_reported_spend_frees_the_unspent_only) {
   Fleet log;
-  log.RetireFirst();
-  log.Write(log.r2, NarrowTo(log.r1, 10));
+  log.RetireFirstRouter();
+  log.Write(log.r2, NarrowQuarantine(log.r1, 10));
   LONGS_EQUAL(970, log.Free());
   LONGS_EQUAL(0, log.Quarantined());
   CHECK(log.holding(log.r1).ceiling == core::Tokens(30));
@@ -32,16 +32,16 @@
 // would free tokens that r1 may have committed with r3's word.
 TEST(Quarantine, a_witness_that_is_not_in_force_frees_nothing) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   log.Write(log.r1, ChooseWitness(log.r2));
   log.Write(log.r1, ChooseWitness(log.r3));
-  CHECK(Ignored(log.Write(log.r3, NarrowTo(log.r1, 10)),
+  CHECK(Ignored(log.Write(log.r3, NarrowQuarantine(log.r1, 10)),
                 IgnoreReason::kNotWitness));
   log.Write(log.r3, Retire(log.r1, log.r1.sequence));
-  CHECK(Ignored(log.Write(log.r2, NarrowTo(log.r1, 10)),
+  CHECK(Ignored(log.Write(log.r2, NarrowQuarantine(log.r1, 10)),
                 IgnoreReason::kNotWitness));
   LONGS_EQUAL(100, log.Quarantined());
-  log.Write(log.r3, NarrowTo(log.r1, 80));
+  log.Write(log.r3, NarrowQuarantine(log.r1, 80));
   LONGS_EQUAL(80, log.Quarantined());
 }
 
@@ -49,20 +49,20 @@
 // forgotten what it promised, so its word no longer counts.
 TEST(Quarantine, a_restarted_witness_frees_nothing) {
   Fleet log;
-  log.RetireFirst();
+  log.RetireFirstRouter();
   Writer again{"r2", 102};
   log.Write(again, Join());
-  CHECK(Ignored(log.Write(again, NarrowTo(log.r1, 0)),
+  CHECK(Ignored(log.Write(again, NarrowQuarantine(log.r1, 0)),
                 IgnoreReason::kNotWitness));
 }
 
 TEST(Quarantine, a_strict_budget_takes_no_witness) {
   Fleet log(v1::OPERATOR_ONLY);
-  log.RetireFirst();
-  CHECK(Ignored(log.Write(log.r2, NarrowTo(log.r1, 60)),
+  log.RetireFirstRouter();
+  CHECK(Ignored(log.Write(log.r2, NarrowQuarantine(log.r1, 60)),
                 IgnoreReason::kReleasePolicy));
   LONGS_EQUAL(70, log.Quarantined());
-  log.Write(log.r1, FinalSpendOf(log.r1, 45));
+  log.Write(log.r1, FinalizeSpend(log.r1, 45));
   LONGS_EQUAL(955, log.Free());
 }
 
@@ -71,13 +71,13 @@
 // spend must be back, and none of it twice.
 TEST(Quarantine, a_final_report_after_narrowing_frees_the_rest_once) {
   Fleet log;
-  log.RetireFirst();
-  log.Write(log.r2, NarrowTo(log.r1, 60));
-  const v1::Entry final_report = log.Draft(log.r1, {FinalSpendOf(log.r1, 50)});
+  log.RetireFirstRouter();
+  log.Write(log.r2, NarrowQuarantine(log.r1, 60));
+  const v1::Entry final_report = log.Draft(log.r1, {FinalizeSpend(log.r1, 50)});
   const auto effects = log.Append(final_report);
   LONGS_EQUAL(10, Find<QuarantineChanged>(effects)->released.value());
   log.Append(final_report);
-  log.Write(log.r2, NarrowTo(log.r1, 90));
+  log.Write(log.r2, NarrowQuarantine(log.r1, 90));
   LONGS_EQUAL(950, log.Free());
   LONGS_EQUAL(50, log.budget().billed.value());
   LONGS_EQUAL(0, log.Quarantined());
@@ -85,10 +85,10 @@
 
 TEST(Quarantine, only_the_retired_router_itself_finalizes_its_spend) {
   Fleet log;
-  log.RetireFirst();
-  CHECK(Ignored(log.Write(log.r2, FinalSpendOf(log.r1, 0)),
+  log.RetireFirstRouter();
+  CHECK(Ignored(log.Write(log.r2, FinalizeSpend(log.r1, 0)),
                 IgnoreReason::kNotAllowed));
-  CHECK(Ignored(log.Write(log.r2, FinalSpendOf(log.r2, 0)),
+  CHECK(Ignored(log.Write(log.r2, FinalizeSpend(log.r2, 0)),
                 IgnoreReason::kNotAllowed));
   LONGS_EQUAL(70, log.Quarantined());
 }
@@ -97,9 +97,9 @@
 // tokens must move once.
 TEST(Quarantine, a_transfer_recorded_by_both_sides_moves_once) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   const v1::Record transfer = Transfer(log.r1, log.r2, 7, 40);
-  CHECK(Find<TransferFolded>(log.Write(log.r2, transfer)) != nullptr);
+  CHECK(Find<TransferApplied>(log.Write(log.r2, transfer)) != nullptr);
   CHECK(Ignored(log.Write(log.r1, transfer), IgnoreReason::kDuplicate));
   CHECK(Ignored(log.Write(log.r3, transfer), IgnoreReason::kNotAllowed));
   LONGS_EQUAL(60, log.holding(log.r1).held().value());
@@ -111,10 +111,10 @@
 // id is forgotten. Folding it again would move tokens that r1 spends from.
 TEST(Quarantine, a_transfer_record_after_the_window_moves_nothing) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   const v1::Entry late = log.Draft(log.r1, {Transfer(log.r1, log.r2, 7, 40)});
   log.Write(log.r2, Transfer(log.r1, log.r2, 7, 40));
-  log.Skip(kTestWindow + 1);
+  log.SkipOffsets(kTestWindow + 1);
   CHECK(Ignored(log.Append(late), IgnoreReason::kStale));
   LONGS_EQUAL(60, log.holding(log.r1).held().value());
 }
@@ -123,8 +123,8 @@
 // ceiling counts the 40, so they are still there when r2 records them.
 TEST(Quarantine, a_transfer_recorded_after_narrowing_is_covered) {
   Fleet log;
-  log.RetireFirst();
-  log.Write(log.r2, NarrowTo(log.r1, 70));
+  log.RetireFirstRouter();
+  log.Write(log.r2, NarrowQuarantine(log.r1, 70));
   log.Write(log.r2, Transfer(log.r1, log.r2, 7, 40));
   LONGS_EQUAL(40, log.holding(log.r2).held().value());
   LONGS_EQUAL(0, log.Quarantined());
@@ -133,8 +133,8 @@
 
 TEST(Quarantine, a_pending_transfer_outlives_the_final_report) {
   Fleet log;
-  log.RetireFirst();
-  log.Write(log.r1, FinalSpendOf(log.r1, 35, 40));
+  log.RetireFirstRouter();
+  log.Write(log.r1, FinalizeSpend(log.r1, 35, 40));
   LONGS_EQUAL(925, log.Free());
   log.Write(log.r2, Transfer(log.r1, log.r2, 7, 40));
   LONGS_EQUAL(0, log.Quarantined());
@@ -142,14 +142,14 @@
 
 TEST(Quarantine, tokens_sent_to_a_narrowed_router_go_back_at_once) {
   Fleet log;
-  log.RetireFirst();
-  log.Write(log.r2, NarrowTo(log.r1, 60));
-  log.Write(log.r3, Ask(100));
+  log.RetireFirstRouter();
+  log.Write(log.r2, NarrowQuarantine(log.r1, 60));
+  log.Write(log.r3, RequestAllotment(100));
   log.Write(log.r3, Transfer(log.r3, log.r1, 9, 25));
   LONGS_EQUAL(30, log.Quarantined());
   LONGS_EQUAL(865, log.Free());
   // A later statement may lower the ceiling, never raise it again.
-  log.Write(log.r2, NarrowTo(log.r1, 90));
+  log.Write(log.r2, NarrowQuarantine(log.r1, 90));
   log.Write(log.r3, Transfer(log.r3, log.r1, 10, 25));
   LONGS_EQUAL(30, log.Quarantined());
 }
@@ -159,9 +159,9 @@
 // r2 is told, and the balance stays as it is.
 TEST(Quarantine, a_transfer_that_nothing_covers_any_more_is_refused) {
   Fleet log;
-  log.RetireFirst();
+  log.RetireFirstRouter();
   log.Write(log.alice, Release(log.r1, 70));
-  log.Write(log.r3, Ask(960));
+  log.Write(log.r3, RequestAllotment(960));
   CHECK(Ignored(log.Write(log.r2, Transfer(log.r1, log.r2, 7, 40)),
                 IgnoreReason::kExceedsHolding));
   LONGS_EQUAL(0, log.Free());
@@ -169,14 +169,14 @@
 
 TEST(Quarantine, a_repeated_release_by_an_operator_frees_once) {
   Fleet log;
-  log.RetireFirst();
+  log.RetireFirstRouter();
   const v1::Entry release = log.Draft(log.alice, {Release(log.r1, 30)});
   log.Append(release);
   CHECK(Ignored(log.Append(release), IgnoreReason::kDuplicate));
   LONGS_EQUAL(40, log.Quarantined());
   log.Write(log.alice, Release(log.r1, 1000));
   LONGS_EQUAL(0, log.Quarantined());
-  log.Skip(kTestWindow + 1);
+  log.SkipOffsets(kTestWindow + 1);
   CHECK(Ignored(log.Append(release), IgnoreReason::kUnknownRouter));
   LONGS_EQUAL(970, log.Free());
 }
@@ -186,9 +186,9 @@
 // as free.
 TEST(Quarantine, a_final_report_takes_back_what_was_released_too_early) {
   Fleet log;
-  log.RetireFirst();
+  log.RetireFirstRouter();
   log.Write(log.alice, Release(log.r1, 70));
-  const auto effects = log.Write(log.r1, FinalSpendOf(log.r1, 80));
+  const auto effects = log.Write(log.r1, FinalizeSpend(log.r1, 80));
   LONGS_EQUAL(-50, Find<QuarantineChanged>(effects)->released.value());
   LONGS_EQUAL(920, log.Free());
   LONGS_EQUAL(80, log.budget().billed.value());
@@ -198,9 +198,9 @@
 // overspent. That cannot be folded away, so the fold stops with an alarm.
 TEST(Quarantine, a_release_that_proves_overspent_stops_the_fold) {
   Fleet log;
-  log.RetireFirst();
+  log.RetireFirstRouter();
   log.Write(log.alice, Release(log.r1, 70));
-  log.Write(log.r2, Ask(1000));
-  const auto result = log.Try(log.Draft(log.r1, {FinalSpendOf(log.r1, 80)}));
+  log.Write(log.r2, RequestAllotment(1000));
+  const auto result = log.Try(log.Draft(log.r1, {FinalizeSpend(log.r1, 80)}));
   CHECK(core::Failure(result).id == core::ErrorId::kConservationBroken);
 }
--- a/tests/ledger/unit-quorum.cc
+++ b/tests/ledger/unit-quorum.cc
@@ -21,13 +21,13 @@
 // waits until a second of the three has read it.
 TEST(Acceptance, a_proposal_waits_until_more_than_half_have_read_it) {
   Fleet log;
-  log.ReadByAll();
+  log.ConfirmReadByAll();
   log.Write(log.alice, Publish(1, 1500, "c2"));
-  CHECK(Find<ConfigAccepted>(log.Read(log.r1)) == nullptr);
+  CHECK(Find<ConfigAccepted>(log.ConfirmRead(log.r1)) == nullptr);
   CHECK(log.fold().config_version() == core::ConfigVersion(1));
   CHECK(log.fold().known_version() == core::ConfigVersion(2));
   LONGS_EQUAL(1000, log.Free());
-  CHECK(Find<ConfigAccepted>(log.Read(log.r2)) != nullptr);
+  CHECK(Find<ConfigAccepted>(log.ConfirmRead(log.r2)) != nullptr);
   LONGS_EQUAL(1500, log.Free());
 }
 
@@ -35,9 +35,9 @@
 // it. It shows nothing about the proposal and must not count.
 TEST(Acceptance, an_entry_written_before_the_proposal_does_not_count) {
   Fleet log;
-  log.ReadByAll();
-  const v1::Entry one = log.Draft(log.r1, {Ask(1)});
-  const v1::Entry two = log.Draft(log.r2, {Ask(1)});
+  log.ConfirmReadByAll();
+  const v1::Entry one = log.Draft(log.r1, {RequestAllotment(1)});
+  const v1::Entry two = log.Draft(log.r2, {RequestAllotment(1)});
   log.Write(log.alice, Publish(1, 1500, "c2"));
   log.Append(one);
   log.Append(two);
@@ -49,11 +49,11 @@
 // a majority has read the retirement.
 TEST(Acceptance, a_minority_cannot_vote_the_others_out) {
   Fleet log;
-  log.ReadByAll();
+  log.ConfirmReadByAll();
   log.Write(log.r1, Retire(log.r2, log.r2.sequence));
   log.Write(log.r1, Retire(log.r3, log.r3.sequence));
   log.Write(log.alice, Publish(1, 1500, "c2"));
-  CHECK(Find<ConfigAccepted>(log.Read(log.r1)) == nullptr);
+  CHECK(Find<ConfigAccepted>(log.ConfirmRead(log.r1)) == nullptr);
   LONGS_EQUAL(3, log.fold().voters());
 }
 
@@ -61,15 +61,15 @@
 // majority of the old voters has read of them.
 TEST(Acceptance, a_minority_cannot_outvote_the_others_with_new_routers) {
   Fleet log;
-  log.ReadByAll();
+  log.ConfirmReadByAll();
   for (uint64_t i = 0; i < 4; ++i) {
     Writer more{"more-" + std::to_string(i), 100 + i};
     log.Write(more, Join());
   }
   log.Write(log.alice, Publish(1, 1500, "c2"));
-  CHECK(Find<ConfigAccepted>(log.Read(log.r1)) == nullptr);
+  CHECK(Find<ConfigAccepted>(log.ConfirmRead(log.r1)) == nullptr);
   LONGS_EQUAL(3, log.fold().voters());
-  log.Read(log.r2);
+  log.ConfirmRead(log.r2);
   CHECK(log.fold().voters() > 3);
 }
 
@@ -77,38 +77,38 @@
 // then the rest can change the configuration again.
 TEST(Acceptance, an_operator_retires_lost_voters_at_once) {
   Fleet log;
-  log.ReadByAll();
+  log.ConfirmReadByAll();
   log.Write(log.alice, Retire(log.r2, log.r2.sequence, v1::OPERATOR));
   log.Write(log.alice, Retire(log.r3, log.r3.sequence, v1::OPERATOR));
   LONGS_EQUAL(1, log.fold().voters());
   log.Write(log.alice, Publish(1, 1500, "c2"));
-  CHECK(Find<ConfigAccepted>(log.Read(log.r1)) != nullptr);
+  CHECK(Find<ConfigAccepted>(log.ConfirmRead(log.r1)) != nullptr);
 }
 
 // A router is restarted while a proposal waits; its new incarnation votes.
 TEST(Acceptance, a_restarted_router_keeps_its_vote) {
   Fleet log;
-  log.ReadByAll();
+  log.ConfirmReadByAll();
   Writer again{"r2", 22};
   log.Write(again, Join());
   LONGS_EQUAL(3, log.fold().voters());
   log.Write(log.alice, Publish(1, 1500, "c2"));
-  log.Read(log.r1);
-  CHECK(Find<ConfigAccepted>(log.Read(again)) != nullptr);
+  log.ConfirmRead(log.r1);
+  CHECK(Find<ConfigAccepted>(log.ConfirmRead(again)) != nullptr);
 }
 
 // A router that starts from a snapshot taken while a proposal waits must accept
 // it at the same offset as the others.
 TEST(Acceptance, a_snapshot_keeps_voters_and_the_waiting_proposal) {
   Fleet log;
-  log.ReadByAll();
+  log.ConfirmReadByAll();
   log.Write(log.alice, Publish(1, 1500, "c2"));
-  log.Read(log.r1);
+  log.ConfirmRead(log.r1);
   auto copy = Fold::FromState(log.fold().ToState(), {.dedup_window = 100});
   CHECK(core::IsOk(copy));
   Fold loaded = core::TakeValue(std::move(copy));
   CHECK(loaded.Digest() == log.fold().Digest());
-  log.Read(log.r2);
+  log.ConfirmRead(log.r2);
   CHECK(core::IsOk(loaded.Apply(loaded.next_offset(), log.entries().back())));
   CHECK(loaded.config_version() == core::ConfigVersion(2));
   CHECK(loaded.Digest() == log.fold().Digest());
--- a/tests/ledger/unit-snapshot.cc
+++ b/tests/ledger/unit-snapshot.cc
@@ -28,16 +28,17 @@
   explicit RandomFleet(uint64_t seed) : m_random(seed) {}
 
   void Step() {
-    Writer& writer = m_routers[Below(m_routers.size())];
-    const v1::Entry entry = Below(8) == 0
-                                ? m_log.Draft(m_alice, {Operators()})
-                                : m_log.Draft(writer, Routers(writer));
+    Writer& writer = m_routers[RandomBelow(m_routers.size())];
+    const v1::Entry entry =
+        RandomBelow(8) == 0 ? m_log.Draft(m_alice, {RandomOperatorRecord()})
+                            : m_log.Draft(writer, RandomRouterRecords(writer));
     Append(entry);
-    if (Below(4) == 0) {
+    if (RandomBelow(4) == 0) {
       Append(entry);
     }
-    if (Below(8) == 0) {
-      const v1::Entry late = m_log.entries()[Below(m_log.entries().size())];
+    if (RandomBelow(8) == 0) {
+      const v1::Entry late =
+          m_log.entries()[RandomBelow(m_log.entries().size())];
       Append(late);
     }
   }
@@ -53,23 +54,26 @@
       m_kinds.insert(effect.index());
     }
   }
-  uint64_t Below(uint64_t bound) {
+  uint64_t RandomBelow(uint64_t bound) {
     return m_random(static_cast<uint32_t>(bound));
   }
-  int64_t Amount() { return static_cast<int64_t>(Below(200)); }
-  const Writer& Anyone() { return m_routers[Below(m_routers.size())]; }
+  int64_t RandomAmount() { return static_cast<int64_t>(RandomBelow(200)); }
+  const Writer& RandomRouter() {
+    return m_routers[RandomBelow(m_routers.size())];
+  }
 
-  v1::Record Operators() {
-    const std::string id = std::to_string(Below(30));
+  v1::Record RandomOperatorRecord() {
+    const std::string id = std::to_string(RandomBelow(30));
     const uint64_t version = m_log.fold().config_version().value();
-    const auto release = Below(2) == 0 ? v1::ON_PROOF : v1::OPERATOR_ONLY;
-    switch (Below(4)) {
+    const auto release = RandomBelow(2) == 0 ? v1::ON_PROOF : v1::OPERATOR_ONLY;
+    switch (RandomBelow(4)) {
       case 0:
-        return TopUp(Amount(), "t" + id);
+        return TopUp(RandomAmount(), "t" + id);
       case 1:
-        return Release(m_former.empty() ? Anyone() : m_former.back(), Amount());
+        return Release(m_retired.empty() ? RandomRouter() : m_retired.back(),
+                       RandomAmount());
       case 2:
-        return Retire(Anyone(), Below(40));
+        return Retire(RandomRouter(), RandomBelow(40));
       default:
         return Publish(version, 1000 + static_cast<int64_t>(m_log.next()),
                        "c" + std::to_string(m_log.next()), release, 100);
@@ -77,44 +81,49 @@
   }
 
   // What a router may truthfully report as spent, so that the fold goes on.
-  int64_t Spendable(const Writer& router) {
+  int64_t RandomSpend(const Writer& router) {
     const Holding* holding = m_log.fold().FindHolding(
         core::Incarnation(router.incarnation), core::BudgetId("tours"));
     const int64_t most =
         holding ? holding->spent.value() + holding->held().value() : 0;
-    return static_cast<int64_t>(Below(static_cast<uint64_t>(most) + 1));
+    return static_cast<int64_t>(RandomBelow(static_cast<uint64_t>(most) + 1));
   }
 
-  std::vector<v1::Record> Routers(Writer& writer) {
+  std::vector<v1::Record> RandomRouterRecords(Writer& writer) {
     const Member* member = m_log.fold().FindMember(
         core::RouterId(writer.id), core::Incarnation(writer.incarnation));
-    if (member == nullptr || (!member->live() && Below(3) == 0)) {
-      m_former.push_back(writer);
+    if (member == nullptr || (!member->live() && RandomBelow(3) == 0)) {
+      m_retired.push_back(writer);
       writer = Writer{writer.id, ++m_incarnations, 0};
       return {Join()};
     }
-    if (!member->live() && Below(3) == 0) {
-      return {FinalSpendOf(writer, Spendable(writer), Amount() / 4)};
+    if (!member->live() && RandomBelow(3) == 0) {
+      return {FinalizeSpend(writer, RandomSpend(writer), RandomAmount() / 4)};
     }
-    const std::string key = std::to_string(Below(50));
-    switch (Below(9)) {
+    const std::string key = std::to_string(RandomBelow(50));
+    switch (RandomBelow(9)) {
       case 0:
-        return {Spend(Spendable(writer), {{key, Amount()}}), Claiming(key)};
+        return {Spend(RandomSpend(writer), {{key, RandomAmount()}}),
+                ClaimKey(key)};
       case 1:
-        return {GiveBack(Amount())};
+        return {ReturnAllotment(RandomAmount())};
       case 2:
-        return {ChooseWitness(Anyone())};
+        return {ChooseWitness(RandomRouter())};
       case 3:
-        return {Retire(Anyone(), Below(40))};
+        return {Retire(RandomRouter(), RandomBelow(40))};
       case 4:
-        return {NarrowTo(m_former.empty() ? writer : m_former.back(), Amount()),
-                NarrowTo(Anyone(), Amount())};
+        return {NarrowQuarantine(m_retired.empty() ? writer : m_retired.back(),
+                                 RandomAmount()),
+                NarrowQuarantine(RandomRouter(), RandomAmount())};
       case 5:
-        return {Transfer(writer, Anyone(), Below(40), Amount())};
+        return {
+            Transfer(writer, RandomRouter(), RandomBelow(40), RandomAmount())};
       case 6:
-        return {Transfer(Anyone(), writer, Below(40), Amount())};
+        return {
+            Transfer(RandomRouter(), writer, RandomBelow(40), RandomAmount())};
       default:
-        return {Ask(Amount(), 1, Below(2) == 0 ? v1::GATE : v1::BATCH)};
+        return {RequestAllotment(RandomAmount(), 1,
+                                 RandomBelow(2) == 0 ? v1::GATE : v1::BATCH)};
     }
   }
 
@@ -124,7 +133,7 @@
   uint64_t m_incarnations = 100;
   Writer m_alice{"operator:alice", 11};
   std::vector<Writer> m_routers{{"r1", 1}, {"r2", 2}, {"r3", 3}};
-  std::vector<Writer> m_former;
+  std::vector<Writer> m_retired;
 };
 
 }  // namespace
@@ -167,7 +176,7 @@
 
 TEST(Snapshots, a_snapshot_that_agrees_changes_only_the_offset) {
   Fleet log;
-  log.RetireFirst();
+  log.RetireFirstRouter();
   const v1::Record snapshot = SnapshotAt(log.fold(), log.fold().Digest());
   const auto effects = log.Write(log.r2, snapshot);
   CHECK(Find<SnapshotMatched>(effects) != nullptr);
@@ -200,7 +209,7 @@
     return fold.Apply(fold.next_offset(), drafts.Draft(alice, {snapshot}));
   };
   CHECK(Find<SnapshotMatched>(core::Value(land(good))) != nullptr);
-  CHECK(Find<SnapshotFolded>(core::Value(land(between))) != nullptr);
+  CHECK(Find<SnapshotNotCompared>(core::Value(land(between))) != nullptr);
   CHECK(core::Failure(land(bad)).id == core::ErrorId::kDigestMismatch);
 }
 
@@ -214,7 +223,7 @@
 
 TEST(Snapshots, a_state_that_does_not_balance_is_refused) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   v1::FoldState state = log.fold().ToState();
   state.mutable_budgets(0)->set_free(901);
   CHECK(core::Failure(Fold::FromState(state)).id ==
--- a/tests/ledger/unit-spend.cc
+++ b/tests/ledger/unit-spend.cc
@@ -11,7 +11,7 @@
 
 TEST(Spending, a_cumulative_report_replaces_the_one_before) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   log.Write(log.r1, Spend(30));
   log.Write(log.r1, Spend(70));
   LONGS_EQUAL(30, log.holding(log.r1).held().value());
@@ -24,8 +24,8 @@
 // account pays for the first in log order, the second is written off.
 TEST(Spending, a_key_billed_by_two_routers_is_paid_once) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
-  log.Write(log.r2, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
+  log.Write(log.r2, RequestAllotment(100));
   const auto first = log.Write(log.r1, Spend(40, {{"k", 40}}));
   LONGS_EQUAL(40, Find<Billed>(first)->tokens.value());
   const auto second = log.Write(log.r2, Spend(55, {{"k", 50}}));
@@ -40,7 +40,7 @@
 // as billed would charge one request twice.
 TEST(Spending, an_abandoned_attempt_is_spent_but_not_billed) {
   Fleet log;
-  log.Write(log.r1, Ask(200));
+  log.Write(log.r1, RequestAllotment(200));
   v1::Record report = Spend(90, {{"k", 50}});
   report.mutable_spend_reported()->set_written_off(40);
   log.Write(log.r1, report);
@@ -52,7 +52,7 @@
 
 TEST(Spending, bills_past_the_reported_spend_are_cut_to_it) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   log.Write(log.r1, Spend(10, {{"k", 40}, {"l", 5}}));
   LONGS_EQUAL(10, log.budget().billed.value());
 }
@@ -61,7 +61,7 @@
 // rests on. The fold stops rather than let others spend what is gone.
 TEST(Spending, a_spend_past_the_holding_stops_the_fold_for_good) {
   Fleet log;
-  log.Write(log.r1, Ask(100));
+  log.Write(log.r1, RequestAllotment(100));
   const auto result = log.Try(log.Draft(log.r1, {Spend(101)}));
   CHECK(core::Failure(result).id == core::ErrorId::kConservationBroken);
   CHECK(core::Failure(log.Try({})).id == core::ErrorId::kConservationBroken);
@@ -69,8 +69,8 @@
 
 TEST(Spending, the_first_claim_of_a_key_in_log_order_wins) {
   Fleet log;
-  CHECK(Find<ClaimWon>(log.Write(log.r1, Claiming("seat"))) != nullptr);
-  const auto lost = log.Write(log.r2, Claiming("seat"));
+  CHECK(Find<ClaimWon>(log.Write(log.r1, ClaimKey("seat"))) != nullptr);
+  const auto lost = log.Write(log.r2, ClaimKey("seat"));
   CHECK(Find<ClaimLost>(lost)->owner == core::RouterId("r1"));
   CHECK(log.fold().FindClaim(core::HashOf("seat"))->incarnation ==
         core::Incarnation(1));
@@ -80,9 +80,9 @@
 // the key, ran the request, and the claim was forgotten. r1 must not win now.
 TEST(Spending, a_claim_that_arrives_after_the_window_is_lost) {
   Fleet log;
-  const v1::Entry late = log.Draft(log.r1, {Claiming("seat")});
-  log.Write(log.r2, Claiming("seat"));
-  log.Skip(kTestWindow + 1);
+  const v1::Entry late = log.Draft(log.r1, {ClaimKey("seat")});
+  log.Write(log.r2, ClaimKey("seat"));
+  log.SkipOffsets(kTestWindow + 1);
   CHECK(log.fold().FindClaim(core::HashOf("seat")) == nullptr);
   const auto effects = log.Append(late);
   CHECK(Find<ClaimLost>(effects)->owner.empty());
--- a/tests/membership/unit-choices.cc
+++ b/tests/membership/unit-choices.cc
@@ -3,28 +3,28 @@
 #include <map>  // map
 #include <set>  // set
 
-#include "coppervalve/membership/address_book.h"
+#include "coppervalve/membership/address_list_builder.h"
 #include "coppervalve/membership/drain.h"
-#include "coppervalve/membership/witness_choice.h"
+#include "coppervalve/membership/witness_selector.h"
 #include "fleet.h"
 
 using namespace coppervalve;
 using namespace coppervalve::membership;
 
-TEST_GROUP(WitnessChoice) {
+TEST_GROUP(WitnessSelector) {
   std::vector<Member> m_members = MakeMembers(7);
   std::vector<Peer> m_peers = MakePeers(m_members);
-  WitnessChoice m_choice{m_members[0]};
+  WitnessSelector m_selector{m_members[0]};
   core::TimePoint m_now = kStart;
 
   MemberId MustChoose(const std::optional<MemberId>& current) {
-    const WitnessVerdict verdict = m_choice.Judge(m_now, current, m_peers);
+    const WitnessVerdict verdict = m_selector.Evaluate(m_now, current, m_peers);
     CHECK(std::holds_alternative<ChooseWitness>(verdict));
     return std::get<ChooseWitness>(verdict).witness;
   }
   bool Keeps(const MemberId& current) {
     return std::holds_alternative<KeepWitness>(
-        m_choice.Judge(m_now, current, m_peers));
+        m_selector.Evaluate(m_now, current, m_peers));
   }
   Peer& Find(const MemberId& id) {
     for (Peer& peer : m_peers) {
@@ -36,7 +36,7 @@
   }
 };
 
-TEST(WitnessChoice, the_witness_is_a_peer_in_another_failure_domain) {
+TEST(WitnessSelector, the_witness_is_a_peer_in_another_failure_domain) {
   Peer self;
   self.member = m_members[0];
   self.member.id.incarnation = core::Incarnation(9);
@@ -50,10 +50,10 @@
   CHECK(Keeps(witness));
   m_peers = {self};
   CHECK(std::holds_alternative<KeepWitness>(
-      m_choice.Judge(m_now, std::nullopt, m_peers)));
+      m_selector.Evaluate(m_now, std::nullopt, m_peers)));
 }
 
-TEST(WitnessChoice, a_witness_is_replaced_only_after_a_while) {
+TEST(WitnessSelector, a_witness_is_replaced_only_after_a_while) {
   const MemberId witness = MustChoose(std::nullopt);
   Find(witness).reachable = false;
   CHECK(Keeps(witness));
@@ -69,18 +69,18 @@
 
 // All other routers are gone or cut off. The ceiling can no longer be raised,
 // and this router would refuse work although its holding has tokens.
-TEST(WitnessChoice, a_router_left_alone_goes_on_without_a_witness) {
+TEST(WitnessSelector, a_router_left_alone_goes_on_without_a_witness) {
   const MemberId witness = MustChoose(std::nullopt);
   for (Peer& peer : m_peers) {
     peer.reachable = false;
   }
   CHECK(Keeps(witness));
   m_now += 5 * kSecond;
-  CHECK(std::holds_alternative<ChooseNone>(
-      m_choice.Judge(m_now, witness, m_peers)));
+  CHECK(std::holds_alternative<ChooseNoWitness>(
+      m_selector.Evaluate(m_now, witness, m_peers)));
 }
 
-TEST(WitnessChoice, the_own_failure_domain_is_a_fallback) {
+TEST(WitnessSelector, the_own_failure_domain_is_a_fallback) {
   for (Peer& peer : m_peers) {
     peer.reachable = peer.member.failure_domain == m_members[0].failure_domain;
   }
@@ -94,9 +94,9 @@
         m_members[0].failure_domain);
 }
 
-TEST(WitnessChoice, no_witness_of_840_routers_has_too_many_wards) {
+TEST(WitnessSelector, no_witness_of_840_routers_has_too_many_wards) {
   std::vector<Member> members = MakeMembers(840);
-  std::map<MemberId, size_t> wards;
+  std::map<MemberId, size_t> witnessed_counts;
   for (Member& member : members) {
     std::vector<Peer> peers;
     for (const Member& other : members) {
@@ -108,24 +108,25 @@
       peer.reachable = true;
       peer.heard = kStart;
     }
-    WitnessChoice choice(member);
-    const WitnessVerdict verdict = choice.Judge(m_now, std::nullopt, peers);
+    WitnessSelector choice(member);
+    const WitnessVerdict verdict = choice.Evaluate(m_now, std::nullopt, peers);
     member.witness = std::get<ChooseWitness>(verdict).witness;
-    CHECK(++wards[*member.witness] <= 8);
+    CHECK(++witnessed_counts[*member.witness] <= 8);
   }
 }
 
-TEST_GROUP(AddressBook) {
+TEST_GROUP(AddressListBuilder) {
   std::vector<Member> m_members = MakeMembers(7);
   std::vector<Peer> m_peers = MakePeers(m_members);
-  AddressBook m_book{m_members[0], [](const MemberId& id) {
-                       return "cv1." + id.router.value() + ".";
-                     }};
+  AddressListBuilder m_builder{m_members[0], [](const MemberId& id) {
+                                 return "cv1." + id.router.value() + ".";
+                               }};
   const core::AccountId m_account{"boleteria"};
 
   std::vector<std::string> Prefixes(const OwnState& own) {
     std::vector<std::string> prefixes;
-    const v1::AddressList list = m_book.AddressesFor(m_account, own, m_peers);
+    const v1::AddressList list =
+        m_builder.AddressesFor(m_account, own, m_peers);
     for (const v1::RouterAddress& address : list.addresses()) {
       prefixes.push_back(address.key_prefix());
     }
@@ -133,8 +134,9 @@
   }
 };
 
-TEST(AddressBook, the_own_failure_domain_comes_first_and_all_are_listed) {
-  const v1::AddressList list = m_book.AddressesFor(m_account, {}, m_peers);
+TEST(AddressListBuilder,
+     the_own_failure_domain_comes_first_and_all_are_listed) {
+  const v1::AddressList list = m_builder.AddressesFor(m_account, {}, m_peers);
   UNSIGNED_LONGS_EQUAL(10'000, list.lifetime_ms());
   UNSIGNED_LONGS_EQUAL(7, list.addresses_size());
   for (int i = 0; i < 3; ++i) {
@@ -142,7 +144,7 @@
   }
 }
 
-TEST(AddressBook, draining_and_unreachable_routers_are_not_listed) {
+TEST(AddressListBuilder, draining_and_unreachable_routers_are_not_listed) {
   m_peers[0].draining = true;
   m_peers[1].reachable = false;
   for (const std::string& prefix : Prefixes({.listed = false})) {
@@ -151,7 +153,8 @@
   UNSIGNED_LONGS_EQUAL(4, Prefixes({.listed = false}).size());
 }
 
-TEST(AddressBook, an_account_keeps_its_routers_until_one_is_much_busier) {
+TEST(AddressListBuilder,
+     an_account_keeps_its_routers_until_one_is_much_busier) {
   const std::vector<std::string> before = Prefixes({});
   for (Peer& peer : m_peers) {
     peer.load.in_progress = 4;
@@ -166,10 +169,10 @@
   CHECK(moved > 0);
 }
 
-TEST(AddressBook, a_large_fleet_gets_a_short_list_with_other_domains) {
+TEST(AddressListBuilder, a_large_fleet_gets_a_short_list_with_other_domains) {
   m_members = MakeMembers(840);
   m_peers = MakePeers(m_members);
-  const v1::AddressList list = m_book.AddressesFor(m_account, {}, m_peers);
+  const v1::AddressList list = m_builder.AddressesFor(m_account, {}, m_peers);
   UNSIGNED_LONGS_EQUAL(8, list.addresses_size());
   std::set<std::string> domains;
   for (const v1::RouterAddress& address : list.addresses()) {
@@ -193,16 +196,16 @@
 // lists have run out.
 TEST(Drain, it_serves_out_its_lists_and_its_requests) {
   ExpectPhase(DrainPhase::kActive, {});
-  CHECK(m_drain.Ask(m_now));
+  CHECK(m_drain.Request(m_now));
   CHECK_FALSE(m_drain.Listed());
   DrainInputs inputs{.announced = true, .in_progress = 1, .queued = 1};
   ExpectPhase(DrainPhase::kDraining, inputs);
   m_now += 11'999 * kMillisecond;
   ExpectPhase(DrainPhase::kDraining, inputs);
-  CHECK(m_drain.TakesNew());
+  CHECK(m_drain.AcceptsNewRequests());
   m_now += kMillisecond;
   ExpectPhase(DrainPhase::kRefusingNew, inputs);
-  CHECK_FALSE(m_drain.TakesNew());
+  CHECK_FALSE(m_drain.AcceptsNewRequests());
   m_now += 600 * kSecond;
   inputs.queued = 0;
   ExpectPhase(DrainPhase::kRefusingNew, inputs);
@@ -217,22 +220,22 @@
 // An impatient operator sends SIGTERM again. It neither restarts the wait nor
 // cuts it short.
 TEST(Drain, a_second_order_changes_nothing) {
-  CHECK(m_drain.Ask(m_now));
+  CHECK(m_drain.Request(m_now));
   const DrainInputs inputs{.announced = true, .in_progress = 1};
   ExpectPhase(DrainPhase::kDraining, inputs);
   m_now += 6 * kSecond;
-  CHECK_FALSE(m_drain.Ask(m_now));
+  CHECK_FALSE(m_drain.Request(m_now));
   ExpectPhase(DrainPhase::kDraining, inputs);
   m_now += 6 * kSecond;
   ExpectPhase(DrainPhase::kRefusingNew, inputs);
-  CHECK_FALSE(m_drain.Ask(m_now));
+  CHECK_FALSE(m_drain.Request(m_now));
   ExpectPhase(DrainPhase::kRefusingNew, inputs);
 }
 
 // The log is out, so the drain cannot be announced in it. Peers learn of it by
 // heartbeat; the wait starts all the same, and only the end waits for the log.
 TEST(Drain, an_outage_of_the_log_does_not_stop_the_wait) {
-  m_drain.Ask(m_now);
+  m_drain.Request(m_now);
   const DrainInputs inputs;
   ExpectPhase(DrainPhase::kDraining, inputs);
   m_now += 5 * kSecond;
--- a/tests/membership/unit-freshness.cc
+++ b/tests/membership/unit-freshness.cc
@@ -11,16 +11,16 @@
 constexpr core::Duration kBound = 8 * kSecond;
 constexpr core::ConfigVersion kVersion{5};
 
-PeerVoucher ReadAt(core::TimePoint read, uint64_t version = 5) {
+PeerLogReport ReadAt(core::TimePoint read, uint64_t version = 5) {
   return {true, true, read, read, core::ConfigVersion(version)};
 }
 
-PeerVoucher Unreachable() {
+PeerLogReport Unreachable() {
   return {false, true, std::nullopt, std::nullopt, kVersion};
 }
 
-FreshnessInputs Inputs(size_t live, std::vector<PeerVoucher> vouchers) {
-  return {kVersion, live, false, std::move(vouchers)};
+FreshnessInputs Inputs(size_t live, std::vector<PeerLogReport> log_reports) {
+  return {kVersion, live, false, std::move(log_reports)};
 }
 
 void ExpectFresh(const FreshnessVerdict& verdict, FreshBasis basis) {
@@ -43,15 +43,15 @@
 };
 
 TEST(Freshness, a_router_that_never_read_to_the_end_is_stale) {
-  ExpectStale(m_freshness.Judge(kStart, Inputs(1, {})),
+  ExpectStale(m_freshness.Evaluate(kStart, Inputs(1, {})),
               StaleReason::kNeverRead);
 }
 
 TEST(Freshness, own_reading_keeps_a_router_fresh_up_to_the_bound) {
   m_freshness.OnReadToEnd(kStart);
-  ExpectFresh(m_freshness.Judge(kStart + kBound, Inputs(3, {})),
+  ExpectFresh(m_freshness.Evaluate(kStart + kBound, Inputs(3, {})),
               FreshBasis::kOwnReading);
-  ExpectStale(m_freshness.Judge(m_later, Inputs(3, {})),
+  ExpectStale(m_freshness.Evaluate(m_later, Inputs(3, {})),
               StaleReason::kMinority);
 }
 
@@ -62,71 +62,72 @@
   m_freshness.OnReadToEnd(kStart);
   const core::TimePoint resumed = kStart + 3'600 * kSecond;
   m_freshness.OnReadToEnd(kStart + kSecond);
-  ExpectStale(m_freshness.Judge(resumed, Inputs(3, {})),
+  ExpectStale(m_freshness.Evaluate(resumed, Inputs(3, {})),
               StaleReason::kMinority);
   m_freshness.OnReadToEnd(resumed + kSecond);
-  ExpectFresh(m_freshness.Judge(resumed + kSecond, Inputs(3, {})),
+  ExpectFresh(m_freshness.Evaluate(resumed + kSecond, Inputs(3, {})),
               FreshBasis::kOwnReading);
 }
 
 TEST(Freshness, a_router_cut_off_from_the_log_is_fresh_when_vouched_for) {
   m_freshness.OnReadToEnd(kStart);
-  ExpectFresh(m_freshness.Judge(m_later, Inputs(3, {ReadAt(m_later)})),
-              FreshBasis::kVouched);
+  ExpectFresh(m_freshness.Evaluate(m_later, Inputs(3, {ReadAt(m_later)})),
+              FreshBasis::kConfirmedByPeer);
 }
 
 // A router is cut off from the log while its peers read it. One has a newer
 // configuration, so this router may not go on under its own.
 TEST(Freshness, a_peer_with_a_newer_version_makes_it_stale) {
   m_freshness.OnReadToEnd(kStart);
-  ExpectStale(m_freshness.Judge(
+  ExpectStale(m_freshness.Evaluate(
                   m_later, Inputs(3, {ReadAt(m_later), ReadAt(kStart, 6)})),
               StaleReason::kNewerVersion);
-  ExpectStale(m_freshness.Judge(m_later, Inputs(3, {ReadAt(m_later, 4)})),
-              StaleReason::kNotVouched);
+  ExpectStale(m_freshness.Evaluate(m_later, Inputs(3, {ReadAt(m_later, 4)})),
+              StaleReason::kNotConfirmed);
 }
 
 // The log is out for everybody and the fleet is split four to three. The four
 // go on; the three refuse work, since the others may have learnt of a change.
 TEST(Freshness, with_the_log_out_only_the_majority_goes_on) {
   m_freshness.OnReadToEnd(kStart);
-  const PeerVoucher old = ReadAt(kStart);
-  std::vector<PeerVoucher> peers = {
+  const PeerLogReport old = ReadAt(kStart);
+  std::vector<PeerLogReport> peers = {
       old, old, old, Unreachable(), Unreachable(), Unreachable()};
-  ExpectFresh(m_freshness.Judge(m_later, Inputs(7, peers)),
-              FreshBasis::kLogOutForMajority);
+  ExpectFresh(m_freshness.Evaluate(m_later, Inputs(7, peers)),
+              FreshBasis::kLogUnavailable);
   peers[2] = Unreachable();
-  ExpectStale(m_freshness.Judge(m_later, Inputs(7, peers)),
+  ExpectStale(m_freshness.Evaluate(m_later, Inputs(7, peers)),
               StaleReason::kMinority);
-  ExpectStale(m_freshness.Judge(m_later, Inputs(2, {Unreachable()})),
+  ExpectStale(m_freshness.Evaluate(m_later, Inputs(2, {Unreachable()})),
               StaleReason::kMinority);
 }
 
 // A peer says that it reads the log, but its heartbeat may be an old one. It
-// is no voucher, and yet the log cannot be taken to be out for all.
+// is no log_report, and yet the log cannot be taken to be out for all.
 TEST(Freshness, a_peer_that_claims_to_read_rules_out_an_outage_for_all) {
   m_freshness.OnReadToEnd(kStart);
-  PeerVoucher claims = ReadAt(kStart);
+  PeerLogReport claims = ReadAt(kStart);
   claims.claimed_read_to_end = m_later;
-  ExpectStale(m_freshness.Judge(m_later, Inputs(3, {claims, ReadAt(kStart)})),
-              StaleReason::kNotVouched);
+  ExpectStale(
+      m_freshness.Evaluate(m_later, Inputs(3, {claims, ReadAt(kStart)})),
+      StaleReason::kNotConfirmed);
 }
 
 TEST(Freshness, in_a_large_fleet_nearly_all_sampled_peers_must_be_reachable) {
   m_freshness.OnReadToEnd(kStart);
   FreshnessInputs inputs = Inputs(840, std::vector(8, ReadAt(kStart)));
   inputs.sampled = true;
-  inputs.vouchers[0] = Unreachable();
-  ExpectFresh(m_freshness.Judge(m_later, inputs),
-              FreshBasis::kLogOutForMajority);
-  inputs.vouchers[1] = Unreachable();
-  ExpectStale(m_freshness.Judge(m_later, inputs), StaleReason::kMinority);
+  inputs.log_reports[0] = Unreachable();
+  ExpectFresh(m_freshness.Evaluate(m_later, inputs),
+              FreshBasis::kLogUnavailable);
+  inputs.log_reports[1] = Unreachable();
+  ExpectStale(m_freshness.Evaluate(m_later, inputs), StaleReason::kMinority);
 }
 
 TEST(Freshness, staleness_states_since_when) {
   m_freshness.OnReadToEnd(kStart);
-  m_freshness.Judge(m_later, Inputs(3, {}));
+  m_freshness.Evaluate(m_later, Inputs(3, {}));
   const FreshnessVerdict verdict =
-      m_freshness.Judge(m_later + kSecond, Inputs(3, {}));
+      m_freshness.Evaluate(m_later + kSecond, Inputs(3, {}));
   CHECK(std::get<Stale>(verdict).since == m_later);
 }
--- a/tests/membership/unit-peer-view.cc
+++ b/tests/membership/unit-peer-view.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-v1::Heartbeat Beat(uint64_t log_age_ms = 100) {
+v1::Heartbeat MakeHeartbeat(uint64_t log_age_ms = 100) {
   v1::Heartbeat heartbeat;
   heartbeat.set_log_age_ms(log_age_ms);
   heartbeat.set_config_version(5);
@@ -35,7 +35,7 @@
   void HeartbeatsFor(int seconds) {
     for (int i = 0; i < seconds; ++i) {
       m_now += kSecond;
-      m_view.OnHeartbeat(m_now, m_peer, Beat());
+      m_view.OnHeartbeat(m_now, m_peer, MakeHeartbeat());
     }
   }
 };
@@ -61,7 +61,7 @@
 TEST(PeerView, a_suspected_peer_must_be_heard_for_a_while) {
   HeartbeatsFor(1);
   m_now += 5 * kSecond;
-  m_view.OnHeartbeat(m_now, m_peer, Beat());
+  m_view.OnHeartbeat(m_now, m_peer, MakeHeartbeat());
   CHECK_FALSE(m_view.Reachable(m_now, m_peer));
   HeartbeatsFor(2);
   CHECK(m_view.Reachable(m_now, m_peer));
@@ -70,7 +70,8 @@
 }
 
 TEST(PeerView, a_heartbeat_of_another_incarnation_is_ignored) {
-  m_view.OnHeartbeat(m_now, {m_peer.router, core::Incarnation(1)}, Beat());
+  m_view.OnHeartbeat(m_now, {m_peer.router, core::Incarnation(1)},
+                     MakeHeartbeat());
   CHECK_FALSE(m_view.Reachable(m_now, m_peer));
 }
 
@@ -82,13 +83,13 @@
   const core::TimePoint before = m_now;
   m_now += 60 * kSecond;
   for (int i = 0; i < 60; ++i) {
-    m_view.OnHeartbeat(m_now, m_peer, Beat());
+    m_view.OnHeartbeat(m_now, m_peer, MakeHeartbeat());
   }
-  PeerVoucher voucher = m_view.Vouchers(m_now).front();
-  CHECK(*voucher.read_to_end < before);
+  PeerLogReport log_report = m_view.LogReports(m_now).front();
+  CHECK(*log_report.read_to_end < before);
   HeartbeatsFor(1);
-  voucher = m_view.Vouchers(m_now).front();
-  CHECK(*voucher.read_to_end == m_now - 100 * kMillisecond);
+  log_report = m_view.LogReports(m_now).front();
+  CHECK(*log_report.read_to_end == m_now - 100 * kMillisecond);
 }
 
 TEST(PeerView, the_status_names_all_peers) {
@@ -139,7 +140,7 @@
     std::set<core::FailureDomainId> domains;
     for (const MemberId& peer : chosen[i]) {
       domains.insert(members[index[peer]].failure_domain);
-      views[index[peer]].OnHeartbeat(kStart, members[i].id, Beat());
+      views[index[peer]].OnHeartbeat(kStart, members[i].id, MakeHeartbeat());
     }
     UNSIGNED_LONGS_EQUAL(kDomains, domains.size());
   }
