--- a/include/coppervalve/ledger/budget.h
+++ b/include/coppervalve/ledger/budget.h
@@ -14,13 +14,15 @@
 struct Holding {
   core::Tokens received;         ///< granted + transferred in - returned
   core::Tokens spent;            ///< as reported
-  core::Tokens written_off;      ///< as reported, a part of `spent`
-  core::Tokens transferred_out;  ///< as recorded
-  core::Tokens released;         ///< went back to the balance after retirement
-  /// Most that the incarnation can have committed; set after retirement only.
+  core::Tokens written_off;      ///< as reported; included in `spent`
+  core::Tokens transferred_out;  ///< as recorded in the log
+  core::Tokens released;         ///< returned to the balance after retirement
+  /// Upper bound of what the incarnation can have committed. Set only after its
+  /// retirement.
   std::optional<core::Tokens> ceiling;
 
-  /// @return what is neither spent nor has left; never negative
+  /// @return tokens that are neither spent, transferred out nor released; never
+  /// negative
   core::Tokens held() const {
     return received - spent - transferred_out - released;
   }
@@ -33,17 +35,18 @@
 struct Budget {
   core::BudgetId id;
   core::Tokens paid_in;
-  core::Tokens paid_in_by_config;  ///< the part that configurations declared
+  core::Tokens paid_in_by_config;  ///< the part declared by configurations
   core::Tokens free;
   core::Tokens billed;
   core::Tokens written_off;
-  core::Tokens held;         ///< by all incarnations, retired ones included
-  core::Tokens quarantined;  ///< the part of `held` of retired incarnations
+  core::Tokens held;  ///< by all incarnations, including retired ones
+  core::Tokens
+      quarantined;  ///< part of `held` that belongs to retired incarnations
   uint32_t gate_reserve_permille = 0;
   v1::ReleasePolicy release = v1::OPERATOR_ONLY;
-  bool configured = false;  ///< named by the configuration in force
+  bool configured = false;  ///< named in the configuration in force
 
-  /// @return what a request of this class may draw now
+  /// @return tokens that a request of this class may draw now
   core::Tokens Available(v1::AdmissionClass admission_class) const;
 };
 
--- a/include/coppervalve/ledger/detail/dedup_window.h
+++ b/include/coppervalve/ledger/detail/dedup_window.h
@@ -10,7 +10,7 @@
 
 namespace coppervalve::ledger::detail {
 
-/// @brief Keys remembered for a window of log offsets.
+/// @brief Remembers keys for a window of log offsets, to detect duplicates.
 template <typename Key, typename Value>
 class DedupWindow {
  public:
@@ -25,8 +25,8 @@
     return found == m_values.end() ? nullptr : &found->second;
   }
 
-  /// @brief Remembers a new key. Offsets never fall from call to call.
-  /// @return false, without change, when the key is remembered already
+  /// @brief Inserts a key. Offsets must not decrease from call to call.
+  /// @return false, without change, when the key is already present
   bool Insert(core::LogOffset offset, const Key& key, Value value) {
     if (!m_values.emplace(key, std::move(value)).second) {
       return false;
@@ -35,7 +35,7 @@
     return true;
   }
 
-  /// @brief Forgets keys whose offset lies more than `window` below `offset`.
+  /// @brief Removes keys whose offset is more than `window` below `offset`.
   /// @complexity amortized constant per inserted key
   void Prune(core::LogOffset offset, uint64_t window) {
     while (!m_entries.empty() &&
--- a/include/coppervalve/ledger/detail/entry_context.h
+++ b/include/coppervalve/ledger/detail/entry_context.h
@@ -16,7 +16,7 @@
 
 namespace coppervalve::ledger::detail {
 
-/// @brief What the folding of one entry shares between its records.
+/// @brief State shared by the records of one entry while it is applied.
 class EntryContext {
  public:
   EntryContext(State& state, core::LogOffset offset, const v1::Entry& entry);
@@ -26,8 +26,8 @@
   const v1::Entry& entry() const { return m_entry; }
   core::Sequence sequence() const { return core::Sequence(m_entry.sequence()); }
   bool from_operator() const { return m_from_operator; }
-  /// @brief Whether the writer had last read the log more than the dedup window
-  /// ago, so that ids it repeats may be forgotten here.
+  /// @brief Whether the writer last read the log more than the dedup window
+  /// ago. Ids that it repeats may no longer be remembered.
   bool stale() const { return m_stale; }
 
   /// @brief The writing router; null for operators.
@@ -37,15 +37,18 @@
   void Emit(Effect effect) { m_effects.push_back(std::move(effect)); }
   void Ignore(IgnoreReason reason);
   void Fail(core::Error error);
-  /// @brief A budget by its id in a record; when unknown, null and an effect.
+  /// @brief Finds a budget of a record. When unknown, emits an effect and
+  /// returns null.
   Budget* BudgetOrIgnore(const std::string& id);
-  /// @brief A member by its id in a record; when unknown, null and an effect.
+  /// @brief Finds a member of a record. When unknown, emits an effect and
+  /// returns null.
   Member* MemberOrIgnore(const std::string& id, uint64_t incarnation);
-  /// @brief The holding of a member, created when absent; it and its budget are
-  /// checked when the entry is folded.
+  /// @brief Returns the holding of a member, created when absent. FinishEntry()
+  /// checks the holding and its budget.
   HoldingRef GetOrCreateHolding(Member& member, Budget& budget);
 
-  /// @brief Forgets emptied retired members and checks what was touched.
+  /// @brief Checks the modified holdings and budgets, and removes retired
+  /// members that hold nothing any more.
   void FinishEntry();
   const std::optional<core::Error>& failure() const { return m_failure; }
   std::vector<Effect> TakeEffects() { return std::move(m_effects); }
--- a/include/coppervalve/ledger/detail/holding_ref.h
+++ b/include/coppervalve/ledger/detail/holding_ref.h
@@ -6,8 +6,8 @@
 
 namespace coppervalve::ledger::detail {
 
-/// @brief One holding beside its budget's balance: the only place that moves
-/// tokens, so that both sides always change together.
+/// @brief A holding and the balance of its budget. Tokens are moved only
+/// through this class, so that both always change together.
 class HoldingRef {
  public:
   /// @param quarantined whether the holder's incarnation is retired
@@ -17,28 +17,30 @@
   Budget& budget() const { return *m_budget; }
   Holding& holding() const { return *m_holding; }
 
-  /// @brief Balance to holding. @pre tokens <= free
+  /// @brief Moves tokens from the balance to the holding. @pre tokens <= free
   void Grant(core::Tokens tokens);
-  /// @brief Holding to balance. @pre tokens <= held
+  /// @brief Moves tokens from the holding to the balance. @pre tokens <= held
   void Return(core::Tokens tokens);
   /// @brief Marks held tokens as spent. @pre billed + written_off <= held
   void Spend(core::Tokens billed, core::Tokens written_off);
-  /// @brief Holding to another router's. @pre tokens <= held
+  /// @brief Removes tokens that go to another router's holding. @pre tokens <=
+  /// held
   void TransferOut(core::Tokens tokens);
   void TransferIn(core::Tokens tokens);
 
-  /// @brief Quarantine to balance. @pre quarantined and tokens <= held
+  /// @brief Moves quarantined tokens to the balance. @pre quarantined and
+  /// tokens <= held
   void Release(core::Tokens tokens);
-  /// @brief Releases what lies past the ceiling, if there is one.
+  /// @brief Releases the held tokens above the ceiling, if there is one.
   /// @return the tokens released
   core::Tokens ReleaseAboveCeiling();
-  /// @brief Takes released tokens back until `needed` are held, as far as the
+  /// @brief Reclaims released tokens until `needed` are held, as far as the
   /// balance has them.
-  /// @return the tokens taken back
+  /// @return the tokens reclaimed
   core::Tokens Reclaim(core::Tokens needed);
 
  private:
-  /// @brief Changes what is held, and the budget's totals with it.
+  /// @brief Changes the held tokens and the totals of the budget.
   void AddHeld(core::Tokens tokens);
 
   Budget* m_budget;
@@ -46,7 +48,8 @@
   bool m_quarantined;
 };
 
-/// @return whether the balance equals its parts and none is negative
+/// @return whether the balance equals the sum of its parts and no part is
+/// negative
 bool IsBalanced(const Budget& budget);
 
 /// @return whether no part of the holding is negative
--- a/include/coppervalve/ledger/detail/member_table.h
+++ b/include/coppervalve/ledger/detail/member_table.h
@@ -12,14 +12,15 @@
 
 namespace coppervalve::ledger::detail {
 
-/// @brief Live members, and retired ones for the dedup window or as long as
-/// tokens of theirs are quarantined. An incarnation names one router only.
+/// @brief Live members and remembered retired members. Retired members are
+/// remembered for the dedup window and as long as they have quarantined tokens.
+/// An incarnation belongs to only one router.
 class MemberTable {
  public:
   /// @return null when not remembered
   Member* Find(core::Incarnation incarnation);
   const Member* Find(core::Incarnation incarnation) const;
-  /// @return null when not remembered, or when another router uses it
+  /// @return null when not remembered, or when it belongs to another router
   Member* Find(const core::RouterId& id, core::Incarnation incarnation);
   const Member* Find(const core::RouterId& id,
                      core::Incarnation incarnation) const;
@@ -28,16 +29,16 @@
 
   /// @pre the incarnation is unknown, and no other of this id is live
   Member& Add(Member member);
-  /// @brief Ends the membership; the caller quarantines the holdings.
+  /// @brief Marks a member as retired; the caller quarantines its holdings.
   void Retire(Member& member, core::LogOffset offset, v1::RetireReason reason);
-  /// @brief Forgets members that retired more than `window` below `offset` and
-  /// have nothing quarantined. @complexity amortized by retirements
+  /// @brief Removes members that retired more than `window` below `offset` and
+  /// have no quarantined tokens. @complexity amortized by retirements
   void Prune(core::LogOffset offset, uint64_t window);
-  /// @brief Forgets a holding through which no token has ever passed.
+  /// @brief Removes a holding that has never had tokens.
   void RemoveUnusedHolding(core::Incarnation incarnation,
                            const core::BudgetId& budget);
-  /// @brief Forgets one member if Prune() passed it over before and its last
-  /// quarantined tokens have left since. @complexity its holdings
+  /// @brief Removes a member that Prune() kept because of quarantined tokens,
+  /// once it has none left. @complexity linear in its holdings
   void PruneIfEmpty(core::Incarnation incarnation,
                     core::LogOffset offset,
                     uint64_t window);
@@ -46,17 +47,17 @@
   const std::unordered_map<core::Incarnation, Member>& all() const {
     return m_members;
   }
-  /// @brief Live members by router id. @complexity linear
+  /// @brief Live members, sorted by router id. @complexity linear
   std::vector<const Member*> Live() const;
-  /// @brief Retired members by incarnation. @complexity n log n
+  /// @brief Retired members, sorted by incarnation. @complexity n log n
   std::vector<const Member*> Retired() const;
-  /// @brief All by incarnation. @complexity n log n
+  /// @brief All members, sorted by incarnation. @complexity n log n
   std::vector<const Member*> Sorted() const;
 
  private:
   std::unordered_map<core::Incarnation, Member> m_members;
   std::map<core::RouterId, core::Incarnation> m_live;
-  std::deque<core::Incarnation> m_retired;  // in log order, within the window
+  std::deque<core::Incarnation> m_retired;  // within the window, in log order
 };
 
 }  // namespace coppervalve::ledger::detail
--- a/include/coppervalve/ledger/detail/quorum.h
+++ b/include/coppervalve/ledger/detail/quorum.h
@@ -21,31 +21,35 @@
   v1::ConfigPublished published;
 };
 
-/// @brief A change that takes effect once enough voters have read it.
+/// @brief A change that takes effect once more than half of the voters have
+/// read it.
 struct PendingChange {
-  core::LogOffset offset;  ///< of the entry that asked for it
+  core::LogOffset offset;  ///< of the entry that contains the change
   std::variant<VoterJoins, VoterLeaves, Proposal> change;
 };
 
-/// @brief The router incarnations whose reading counts, and the changes that
-/// wait until more than half of them have read them.
+/// @brief The voters, and the changes that are pending until more than half of
+/// the voters have read them.
 ///
-/// Changes take effect in log order. The set of voters itself changes only that
-/// way, one voter at a time, so that two majorities always share a voter.
+/// Changes take effect in log order. The set of voters is itself changed in
+/// this way, one voter at a time, so that any two majorities share a voter.
 class Quorum {
  public:
-  /// @brief A voter wrote an entry when it had read up to `seen`.
+  /// @brief Records that a voter had read the log up to `seen` when it wrote an
+  /// entry.
   void OnSeen(core::Incarnation incarnation, core::LogOffset seen);
   void AddPending(PendingChange pending) {
     m_pending.push_back(std::move(pending));
   }
-  /// @brief Removes the oldest change if it has its majority.
+  /// @brief Removes and returns the oldest pending change if a majority has
+  /// read it.
   /// @complexity linear in the voters
   std::optional<PendingChange> TakeReadyChange();
 
   void Add(core::Incarnation incarnation, core::LogOffset seen);
   void Remove(core::Incarnation incarnation) { m_voters.erase(incarnation); }
-  /// @brief A router started again: the new incarnation votes for it at once.
+  /// @brief Replaces the incarnation of a restarted router; the new incarnation
+  /// is a voter at once if the older one was.
   void Replace(core::Incarnation older,
                core::Incarnation newer,
                core::LogOffset seen);
@@ -53,7 +57,7 @@
   bool IsVoter(core::Incarnation incarnation) const {
     return m_voters.contains(incarnation);
   }
-  /// @return the proposal that waits, if any
+  /// @return the pending proposal, or null
   const Proposal* PendingProposal() const;
 
   const std::map<core::Incarnation, core::LogOffset>& voters() const {
--- a/include/coppervalve/ledger/detail/record_handlers.h
+++ b/include/coppervalve/ledger/detail/record_handlers.h
@@ -7,8 +7,9 @@
 #include "coppervalve/ledger/detail/entry_context.h"
 #include "coppervalve/records.pb.h"
 
-/// One function per kind of record. Each folds its record into the state or
-/// says by an effect why it did not; none looks at records of another kind.
+/// One function for each kind of record. Each applies its record to the state,
+/// or emits an effect that gives the reason why it did not. The handlers do not
+/// depend on other records of the entry.
 namespace coppervalve::ledger::detail {
 
 // fold_config.cc
@@ -23,7 +24,7 @@
 void FoldOrderEnded(EntryContext& context,
                     const v1::OrderEnded& r,
                     size_t index);
-/// @return how many more orders to load may be taken
+/// @return how many more load orders may be taken
 size_t AvailableLoads(const State& state);
 
 // fold_balance.cc
@@ -39,7 +40,7 @@
 void FoldKeyClaimed(EntryContext& context, const v1::KeyClaimed& r);
 
 // fold_members.cc
-/// @brief Folds the join that opens an entry of an unknown incarnation.
+/// @brief Applies the join at the start of an entry of an unknown incarnation.
 /// @return the new member; null when refused
 Member* FoldRouterJoined(EntryContext& context, const v1::RouterJoined& r);
 void FoldRouterRetired(EntryContext& context, const v1::RouterRetired& r);
@@ -57,26 +58,26 @@
 // fold_snapshot.cc
 void FoldSnapshot(EntryContext& context, const v1::Snapshot& r);
 
-/// @brief Lets the changes take effect that enough voters have read.
+/// @brief Applies the pending changes that a majority of the voters has read.
 void ApplyReadyChanges(EntryContext& context);
 
-// Shared between the above.
+// Helpers of several handlers.
 
-/// @brief Largest sum that a balance takes, so that sums cannot overflow.
+/// @brief Largest total paid into a balance, so that sums cannot overflow.
 inline constexpr core::Tokens kMaxPaidIn{1'000'000'000'000'000'000};
 
 /// @brief Adds tokens to a balance.
-/// @return false, without change, past kMaxPaidIn
+/// @return false, without change, when the total would exceed kMaxPaidIn
 bool PayIn(Budget& budget, core::Tokens tokens);
 
 /// @brief What an incarnation has spent of one budget since it joined.
 struct SpendTotals {
   core::Tokens spent;
-  core::Tokens written_off;  ///< the part of `spent` that nobody is billed for
+  core::Tokens written_off;  ///< part of `spent` that is not billed
 };
 
-/// @brief Folds a cumulative spend and its bills into a holding.
-/// @return false when it is lower than before or breaks conservation
+/// @brief Applies cumulative spend totals and bills to a holding.
+/// @return false when a total is lower than before or exceeds the holding
 bool ApplySpendTotals(
     EntryContext& context,
     Member& member,
@@ -84,19 +85,19 @@
     const SpendTotals& totals,
     const google::protobuf::RepeatedPtrField<v1::Bill>& bills);
 
-/// @brief Says what a quarantined holding gave back; silent when nothing.
+/// @brief Emits the tokens that a quarantined holding released; nothing for 0.
 void EmitQuarantineChange(EntryContext& context,
                           const Member& member,
                           const HoldingRef& ref,
                           core::Tokens released);
 
-/// @brief Remembers an operator's record that carries no id of its own by its
-/// place in the operator's entries.
+/// @brief Registers an operator's record that has no id of its own, identified
+/// by its position in the operator's entries.
 /// @return false, with an effect, when it is a duplicate or stale
 bool RegisterOperatorRecord(EntryContext& context, size_t index);
 
-/// @brief The ids of a member's holdings in sorted order, so that effects come
-/// in the same order everywhere. @complexity n log n
+/// @brief The budgets of a member's holdings in sorted order, so that every
+/// reader emits the effects in the same order. @complexity n log n
 std::vector<core::BudgetId> SortedBudgets(const Member& member);
 
 }  // namespace coppervalve::ledger::detail
--- a/include/coppervalve/ledger/detail/state.h
+++ b/include/coppervalve/ledger/detail/state.h
@@ -20,7 +20,7 @@
 
 namespace coppervalve::ledger::detail {
 
-/// @brief Names one transfer: ids are unique per sender.
+/// @brief Identifies a transfer; ids are unique per sender.
 struct TransferKey {
   core::Incarnation from;
   uint64_t transfer_id = 0;
@@ -28,7 +28,7 @@
   friend auto operator<=>(const TransferKey&, const TransferKey&) = default;
 };
 
-/// @brief A key whose presence is all there is to know.
+/// @brief Value type of a window that stores only keys.
 struct NoValue {};
 
 /// @brief The configuration in force.
@@ -47,8 +47,8 @@
 struct std::hash<coppervalve::ledger::detail::TransferKey> {
   size_t operator()(
       const coppervalve::ledger::detail::TransferKey& key) const noexcept {
-    // Odd multiplier of Fibonacci hashing: ids count up from 1, incarnations
-    // are random, so mixing the ids alone spreads the sum.
+    // Multiplier of Fibonacci hashing. Ids are sequential and incarnations
+    // random, so it is enough to mix the ids.
     constexpr uint64_t kMultiplier = 0x9E3779B97F4A7C15ULL;
     return key.from.value() + key.transfer_id * kMultiplier;
   }
@@ -56,7 +56,7 @@
 
 namespace coppervalve::ledger::detail {
 
-/// @brief All that the fold knows.
+/// @brief The state of the fold.
 struct State {
   FoldSettings settings;
   core::LogOffset next_offset;
@@ -66,36 +66,36 @@
   Quorum quorum;
   DedupWindow<core::Hash128, Claim> claims;
   DedupWindow<core::Hash128, NoValue> billed_keys;
-  /// Top-up ids, and ids of operators' records that carry none of their own.
+  /// Top-up ids, and generated ids of operators' records that have none.
   DedupWindow<std::string, NoValue> operator_ids;
   DedupWindow<TransferKey, NoValue> transfers;
   std::map<core::UpstreamId, Order> orders;
 
-  /// Own digests at recent offsets; not part of the folded state.
+  /// Digests at recent checkpoints; not part of the encoded state.
   std::map<core::LogOffset, uint64_t> digests;
-  /// Set once the state can no longer be trusted.
+  /// Set on the first error, after which the state is no longer valid.
   std::optional<core::Error> failure;
 };
 
-/// @brief Forgets what lies past the dedup window of this offset.
+/// @brief Removes everything older than the dedup window before this offset.
 void Prune(State& state, core::LogOffset offset);
 
 /// @brief Recomputes every balance from its holdings.
 /// @error kConservationBroken
 core::Status CheckConservation(const State& state);
 
-/// @brief The canonical form of a state. @complexity n log n
+/// @brief Encodes a state in its canonical form. @complexity n log n
 v1::FoldState Encode(const State& state);
 
-/// @brief The reverse of Encode().
+/// @brief Decodes the result of Encode().
 /// @error kSnapshotInvalid, kConservationBroken
 core::Status Decode(const v1::FoldState& from, State& state);
 
-/// @brief Sum of the XXH3 of every encoded part, the same in any order of them.
-/// @complexity linear in the state
+/// @brief Sum of the XXH3 hashes of all encoded parts, independent of their
+/// order. @complexity linear in the state
 uint64_t Digest(const State& state);
 
-/// @brief Keeps the digest of the present state for later comparison.
+/// @brief Stores the digest of the current state for later comparison.
 void StoreDigest(State& state);
 
 }  // namespace coppervalve::ledger::detail
--- a/include/coppervalve/ledger/effects.h
+++ b/include/coppervalve/ledger/effects.h
@@ -11,41 +11,41 @@
 #include "coppervalve/core/units.h"
 #include "coppervalve/records.pb.h"
 
-/// What folding one entry changed, or why it changed nothing. An effect that
-/// concerns a router names its id and incarnation, so that each router can pick
-/// its own.
+/// The results of applying one log entry. An effect that concerns a router
+/// carries the router's id and incarnation, so that each router can select its
+/// own.
 namespace coppervalve::ledger {
 
-/// @brief Why a record changed nothing.
+/// @brief Why a record was ignored.
 enum class IgnoreReason : uint8_t {
   kUnknownWriter,  ///< neither an operator nor a joined router
-  kDuplicate,      ///< folded before
-  kSequenceGap,    ///< a sequence before it is missing
+  kDuplicate,      ///< already applied
+  kSequenceGap,    ///< an earlier sequence number is missing
   kRetired,        ///< the writer's incarnation is retired
-  kStale,          ///< written more than the dedup window ago
-  kNotAllowed,     ///< this writer may not write such a record
+  kStale,          ///< written before the dedup window
+  kNotAllowed,     ///< the writer may not write this kind of record
   kUnknownBudget,
   kUnknownRouter,
   kUnknownUpstream,
-  kExceedsHolding,    ///< more tokens than the holding has
-  kSpendNotMonotone,  ///< a cumulative spend lower than the one before
-  kNotWitness,        ///< not the witness in force of a retired router
-  kReleasePolicy,     ///< the budget's policy forbids this release
-  kOrderInProgress,   ///< its holder has still to state the outcome
-  kInvalid,           ///< a field has no possible meaning
+  kExceedsHolding,    ///< more tokens than are held
+  kSpendNotMonotone,  ///< cumulative spend lower than the previous report
+  kNotWitness,        ///< not the current witness of a retired router
+  kReleasePolicy,     ///< the budget's release policy forbids it
+  kOrderInProgress,   ///< the order's holder has not reported the outcome
+  kInvalid,           ///< a field has an invalid value
   kEmpty,             ///< no record, or a record of an unknown kind
 };
 
-/// @brief Why a published configuration did not come into force.
+/// @brief Why a published configuration was rejected.
 enum class ConfigRejection : uint8_t {
-  kConflict,        ///< another one came first
-  kPrepaidShrinks,  ///< a budget declares less than before
-  kStale,           ///< written more than the dedup window ago
+  kConflict,        ///< another publication was first
+  kPrepaidShrinks,  ///< a prepaid amount is lower than before
+  kStale,           ///< written before the dedup window
   kInvalid,         ///< a duplicate or empty id, or an amount out of range
 };
 
-/// @brief A configuration waits until more than half of the voters have read
-/// it.
+/// @brief A configuration was proposed; it comes into force once more than half
+/// of the voters have read it.
 struct ConfigProposed {
   core::ConfigVersion version;
   std::string change_id;
@@ -63,8 +63,9 @@
   std::string change_id;
   core::ConfigVersion based_on;
   core::ConfigVersion version_in_force;
-  std::string winner_operator;   ///< who published the version in force
-  std::string winner_change_id;  ///< equal to `change_id`: a repeated append
+  std::string
+      winner_operator;  ///< publisher of the proposed or current version
+  std::string winner_change_id;  ///< equal to `change_id` for a repeated append
 };
 
 struct ConfigConfirmed {
@@ -73,7 +74,8 @@
   core::ConfigVersion version;
 };
 
-/// @brief A balance grew: a top-up, or a grown prepaid amount (empty id).
+/// @brief Tokens were added to a balance by a top-up, or by a larger prepaid
+/// amount in the configuration (then the id is empty).
 struct PaidIn {
   core::BudgetId budget;
   core::Tokens tokens;
@@ -84,7 +86,7 @@
   kStale,
   kDuplicate,
   kUnknownBudget,
-  kInvalid,  ///< not positive, or past the largest balance
+  kInvalid,  ///< not positive, or exceeds the largest balance
 };
 
 struct TopUpRefused {
@@ -98,7 +100,7 @@
   core::Incarnation incarnation;
   core::BudgetId budget;
   core::Tokens tokens;
-  core::Sequence sequence;  ///< of the entry that asked
+  core::Sequence sequence;  ///< of the entry with the request
 };
 
 struct Denied {
@@ -106,7 +108,7 @@
   core::Incarnation incarnation;
   core::BudgetId budget;
   core::Tokens asked;
-  core::Tokens available;  ///< to the class that asked
+  core::Tokens available;  ///< to the requested class
   core::Sequence sequence;
 };
 
@@ -124,7 +126,7 @@
 
 enum class JoinRefusal : uint8_t {
   kStale,
-  kKnownIncarnation,  ///< joined before, or used by another router
+  kKnownIncarnation,  ///< already joined, or used by another router
   kInvalid,           ///< empty id or incarnation 0
 };
 
@@ -140,14 +142,15 @@
   v1::RetireReason reason = v1::RETIRE_REASON_UNSPECIFIED;
 };
 
-/// @brief A retirement without effect: the router has written since.
+/// @brief A retirement was ignored because the router has written an entry
+/// since.
 struct RetirementVoided {
   core::RouterId router;
   core::Incarnation incarnation;
   core::Sequence last_sequence;
 };
 
-/// @brief The set of routers whose reading counts is another one now.
+/// @brief The set of voters changed.
 struct VotersChanged {
   size_t voters = 0;
 };
@@ -157,8 +160,8 @@
   core::Incarnation incarnation;
 };
 
-/// @brief From here on this witness bounds the router's commitments; an empty
-/// witness bounds nothing.
+/// @brief The router's commitments are now bounded by this witness; an empty
+/// witness means that they are not bounded.
 struct WitnessInForce {
   core::RouterId router;
   core::Incarnation incarnation;
@@ -173,12 +176,13 @@
   core::Incarnation witness_incarnation;
 };
 
-/// @brief Tokens of a retired incarnation went back to the balance.
+/// @brief Quarantined tokens of a retired incarnation were released to the
+/// balance, or reclaimed from it.
 struct QuarantineChanged {
-  core::RouterId router;  ///< the retired one
+  core::RouterId router;  ///< the retired router
   core::Incarnation incarnation;
   core::BudgetId budget;
-  core::Tokens released;   ///< negative: taken back for a late commitment
+  core::Tokens released;   ///< negative: reclaimed for a late commitment
   core::Tokens remaining;  ///< still quarantined in this holding
 };
 
@@ -188,8 +192,9 @@
   core::Hash128 key_hash;
 };
 
-/// @brief The key is taken. The owner is the claimant itself when it claims
-/// again what it has won; no owner: the claim was stale.
+/// @brief The key is already claimed. The owner is the claimant itself when it
+/// repeats a claim that it has won; an empty owner means that the claim was
+/// stale.
 struct ClaimLost {
   core::RouterId router;
   core::Incarnation incarnation;
@@ -206,7 +211,8 @@
   core::Tokens tokens;
 };
 
-/// @brief The key was billed before: the tokens are spent, nobody pays twice.
+/// @brief The key was billed before: the tokens count as spent, but the account
+/// is not billed again.
 struct BillWrittenOff {
   core::RouterId router;
   core::Incarnation incarnation;
@@ -231,14 +237,14 @@
   v1::OrderIssued order;
 };
 
-/// @brief An order without effect: the one before it may yet reach an upstream
-/// that ignores fencing numbers.
+/// @brief An order was refused because the previous one may still reach an
+/// upstream that does not check fencing numbers.
 struct OrderRefused {
   core::UpstreamId upstream;
   core::FencingNumber unsettled;  ///< the order that must be settled first
 };
 
-/// @brief From here on this incarnation, and no other, sends the order.
+/// @brief Only this incarnation may send the order from now on.
 struct OrderTaken {
   core::RouterId router;
   core::Incarnation incarnation;
@@ -247,9 +253,9 @@
 };
 
 enum class OrderTakeRefusal : uint8_t {
-  kNotInForce,        ///< overtaken, or ended
+  kNotInForce,        ///< superseded, or ended
   kHeld,              ///< by another incarnation
-  kLoadLimitReached,  ///< as many loads as allowed are under way
+  kLoadLimitReached,  ///< the maximum number of loads is in progress
 };
 
 struct OrderTakeRefused {
@@ -266,13 +272,13 @@
   v1::OrderOutcome outcome = v1::ORDER_OUTCOME_UNSPECIFIED;
 };
 
-/// @brief A snapshot that this fold cannot compare: taken at an offset whose
-/// digest it has not kept.
+/// @brief A snapshot could not be compared, because the digest at its offset is
+/// not stored.
 struct SnapshotNotCompared {
   core::LogOffset taken_at;
 };
 
-/// @brief A snapshot whose digest equals this fold's own at that offset.
+/// @brief The digest of a snapshot equals the stored digest at its offset.
 struct SnapshotMatched {
   core::LogOffset taken_at;
 };
--- a/include/coppervalve/ledger/member.h
+++ b/include/coppervalve/ledger/member.h
@@ -20,8 +20,8 @@
   v1::RouterJoined joined;  ///< addresses, failure domain, version
   core::LogOffset joined_offset;
   core::LogOffset last_offset;
-  core::LogOffset retired_offset;  ///< meaningful once retired
-  core::RouterId witness;          ///< empty: none in force
+  core::LogOffset retired_offset;  ///< valid only after retirement
+  core::RouterId witness;          ///< empty: no witness
   core::Incarnation witness_incarnation;
   core::ConfigVersion confirmed_config;
   v1::RetireReason retire_reason = v1::RETIRE_REASON_UNSPECIFIED;
--- a/include/coppervalve/membership/address_list_builder.h
+++ b/include/coppervalve/membership/address_list_builder.h
@@ -19,24 +19,25 @@
   size_t max_addresses = 8;
 };
 
-/// @brief This router, as a candidate for the list.
+/// @brief State of this router as a candidate for the list.
 struct OwnState {
-  bool listed = true;  ///< false once it drains, is stale or retired
+  bool listed = true;  ///< false once it is draining, stale or retired
   PeerLoad load = {};
 };
 
-/// @brief Answers callers that ask where to connect.
+/// @brief Builds the lists of router addresses that callers ask for.
 class AddressListBuilder {
  public:
-  /// @param key_prefix the idempotency key prefix of an incarnation
+  /// @param key_prefix returns the idempotency key prefix of an incarnation
   AddressListBuilder(Member self,
                      std::function<std::string(const MemberId&)> key_prefix,
                      AddressLimits limits = {});
 
   void SetLifetime(core::Duration lifetime);
-  /// @brief Addresses for an account, best first: own failure domain before
-  /// others, within a domain by rendezvous of the account, weighted by load.
-  /// Draining, unreachable and retired routers are left out.
+  /// @brief Addresses for an account, best first: routers in this router's
+  /// failure domain before others; within a domain in the order of rendezvous
+  /// hashing of the account, weighted by load. Draining, unreachable and
+  /// retired routers are left out.
   /// @complexity O(n log n)
   v1::AddressList AddressesFor(const core::AccountId& account,
                                const OwnState& own,
--- a/include/coppervalve/membership/drain.h
+++ b/include/coppervalve/membership/drain.h
@@ -9,49 +9,51 @@
 
 namespace coppervalve::membership {
 
-/// @brief Where a graceful shutdown stands; it only moves forward.
+/// @brief Phase of a graceful shutdown; phases only advance.
 enum class DrainPhase : uint8_t {
   kActive,
-  kDraining,     ///< off the address lists, DrainStarted due, still serves
-  kRefusingNew,  ///< new requests get kDraining; those here go on to their end
-  kReturning,    ///< nothing here any more: holdings go back
+  kDraining,     ///< not on address lists, DrainStarted due, still serving
+  kRefusingNew,  ///< new requests get kDraining; accepted ones are completed
+  kReturning,    ///< no requests left; holdings are returned
   kFinalising,   ///< SpendFinalized and RouterRetired (DRAINED) are due
   kExit,         ///< the process may end
 };
 
 struct DrainLimits {
   core::Duration address_lifetime = std::chrono::seconds(10);
-  /// For a list that was handed out just before other routers learned of it.
+  /// For lists that were handed out just before other routers learned of the
+  /// drain.
   core::Duration margin = std::chrono::seconds(2);
-  /// The wait starts without the record when the log is out for this long.
+  /// If the log is unavailable for this long, the wait starts without the
+  /// record.
   core::Duration announce_timeout = std::chrono::seconds(5);
 };
 
-/// @brief What the drain is computed from.
+/// @brief Inputs that the phase is computed from.
 struct DrainInputs {
-  bool announced = false;  ///< DrainStarted is in this router's fold
+  bool announced = false;  ///< this router's fold has applied DrainStarted
   size_t in_progress = 0;
   size_t queued = 0;              ///< waiting for a claim or an upstream
-  bool holdings_settled = false;  ///< returns folded, no transfer pending
-  bool finalized = false;         ///< the final records are folded
+  bool holdings_settled = false;  ///< returns applied, no transfer pending
+  bool finalized = false;         ///< the final records are applied
 };
 
-/// @brief Graceful shutdown: never cuts a request that is in progress.
+/// @brief Graceful shutdown, which never aborts a request in progress.
 class Drain {
  public:
   explicit Drain(DrainLimits limits = {});
 
   void SetAddressLifetime(core::Duration lifetime);
-  /// @brief SIGTERM or an operator's order.
-  /// @return whether it is the first; a later one changes nothing
+  /// @brief Starts the drain, on SIGTERM or an operator's request.
+  /// @return whether this is the first request; later ones change nothing
   bool Request(core::TimePoint now);
-  /// @brief Moves on as far as the inputs allow.
+  /// @brief Advances as many phases as the inputs allow.
   DrainPhase Advance(core::TimePoint now, const DrainInputs& inputs);
 
   DrainPhase phase() const { return m_phase; }
-  /// @return whether address lists may name this router
+  /// @return whether address lists may contain this router
   bool Listed() const { return m_phase == DrainPhase::kActive; }
-  /// @return whether new requests are taken
+  /// @return whether new requests are accepted
   bool AcceptsNewRequests() const { return m_phase <= DrainPhase::kDraining; }
 
  private:
--- a/include/coppervalve/membership/freshness.h
+++ b/include/coppervalve/membership/freshness.h
@@ -12,34 +12,36 @@
 
 namespace coppervalve::membership {
 
-/// @brief What one contact says about the log. One per contact, heard or not.
+/// @brief What one contact reports about the log. One per contact, including
+/// those that were never heard.
 struct PeerLogReport {
   bool reachable = false;
-  /// Whether it counts towards the majority: not one that is a contact only
-  /// because it was heard, which would count for and never against.
+  /// Whether the contact counts towards the majority. A peer that is a contact
+  /// only because it was heard does not: it could count only in favour, never
+  /// against.
   bool counts = true;
-  /// Latest time at which the peer is known to have read the log to its end,
-  /// on this router's clock; none when it never said so.
+  /// Latest time, on this router's clock, at which the peer is known to have
+  /// read the log to its end; empty when it never reported that.
   std::optional<core::TimePoint> read_to_end;
-  /// The same by its latest heartbeat, which may have been late on its way.
+  /// The same according to its latest heartbeat, which may have been delayed.
   std::optional<core::TimePoint> claimed_read_to_end;
   core::ConfigVersion config_version;
-  core::ConfigVersion known_version{};  ///< above it while a proposal is known
+  core::ConfigVersion known_version{};  ///< higher while a proposal is known
 };
 
 /// @brief Why a router is fresh.
 enum class FreshBasis : uint8_t {
   kOwnReading,
-  kConfirmedByPeer,  ///< by a peer that read to the end
-  kLogUnavailable,   ///< more than half reachable, none can read
+  kConfirmedByPeer,  ///< by a peer that recently read to the end
+  kLogUnavailable,   ///< a majority is reachable, none can read the log
 };
 
 /// @brief Why a router is stale.
 enum class StaleReason : uint8_t {
-  kNeverRead,     ///< it has not yet read to the end once
+  kNeverRead,     ///< it has never read to the end
   kNewerVersion,  ///< a peer has a newer configuration
-  kNotConfirmed,  ///< peers read the log, but none vouches for this version
-  kMinority,      ///< it reaches half of the members or less
+  kNotConfirmed,  ///< peers read the log, but none confirms this version
+  kMinority,      ///< it reaches no more than half of the members
 };
 
 struct Fresh {
@@ -53,32 +55,34 @@
 
 using FreshnessVerdict = std::variant<Fresh, Stale>;
 
-/// @brief What Freshness judges by.
+/// @brief Inputs of Freshness::Evaluate().
 struct FreshnessInputs {
   core::ConfigVersion config_version;  ///< in force here
-  size_t voters = 1;                   ///< of the fold, this router included
+  size_t voters = 1;                   ///< in the fold, including this router
   bool sampled = false;                ///< log_reports cover a sample only
   std::vector<PeerLogReport> log_reports;
   bool self_votes = true;
-  core::ConfigVersion known_version{};  ///< above it while a proposal is known
+  core::ConfigVersion known_version{};  ///< higher while a proposal is known
 };
 
-/// @brief Whether this router may take new work under its configuration.
+/// @brief Decides whether this router may accept new work under its
+/// configuration.
 class Freshness {
  public:
   explicit Freshness(core::Duration bound);
 
   void SetBound(core::Duration bound) { m_bound = bound; }
-  /// @brief A read reached the end of the log.
+  /// @brief Records that a read reached the end of the log.
   /// @param issued when the read was issued, not when its reply was handled
   void OnReadToEnd(core::TimePoint issued);
-  /// @return the verdict at `now`, on a clock that runs through suspend
-  /// @complexity linear in the number of log_reports
+  /// @return the verdict at `now`; the clock must advance during suspend
+  /// @complexity linear in the number of reports
   FreshnessVerdict Evaluate(core::TimePoint now, const FreshnessInputs& inputs);
-  /// @return whether the own reading alone shows that nothing newer is in
-  /// force; then Evaluate() needs no log_reports
+  /// @return whether this router's own reading is recent enough to show that
+  /// nothing newer is in force; then Evaluate() needs no reports
   bool ReadRecently(core::TimePoint now) const;
-  /// @return how long ago the last read to the end was issued; none: never
+  /// @return the time since the last read to the end was issued; empty when
+  /// there was none
   std::optional<core::Duration> LogAge(core::TimePoint now) const;
 
  private:
--- a/include/coppervalve/membership/member.h
+++ b/include/coppervalve/membership/member.h
@@ -12,7 +12,7 @@
 
 using RegionId = core::TextId<struct RegionTag>;
 
-/// @brief One start of one router.
+/// @brief Identifies one incarnation of a router.
 struct MemberId {
   core::RouterId router;
   core::Incarnation incarnation;
@@ -20,10 +20,10 @@
   friend auto operator<=>(const MemberId&, const MemberId&) = default;
 };
 
-/// @brief Phase of a member in the log. Retired ones are no members.
+/// @brief Phase of a member in the log. Retired routers are not members.
 enum class MemberPhase : uint8_t { kActive, kDraining };
 
-/// @brief A member as the fold of the log has it.
+/// @brief A member according to the fold of the log.
 struct Member {
   MemberId id;
   std::string caller_address;
@@ -32,12 +32,12 @@
   core::FailureDomainId failure_domain;
   RegionId region;
   MemberPhase phase = MemberPhase::kActive;
-  core::Sequence last_sequence;     ///< of its latest entry that was folded
-  std::optional<MemberId> witness;  ///< in force in the fold
-  bool voter = true;                ///< its reading counts, see ledger::Fold
+  core::Sequence last_sequence;     ///< of its latest applied entry
+  std::optional<MemberId> witness;  ///< according to the fold
+  bool voter = true;                ///< see ledger::Fold::IsVoter()
 };
 
-/// @brief Text that rendezvous hashing knows a member by.
+/// @brief Name of a member in rendezvous hashing.
 std::string RendezvousName(const MemberId& id);
 
 }  // namespace coppervalve::membership
--- a/include/coppervalve/membership/peer_view.h
+++ b/include/coppervalve/membership/peer_view.h
@@ -17,87 +17,89 @@
 
 namespace coppervalve::membership {
 
-/// @brief Bounds of what peers exchange.
+/// @brief Limits of the exchange of heartbeats.
 struct PeerLimits {
   core::Duration heartbeat_interval = std::chrono::seconds(1);
-  /// A peer that was heard within this time is reachable.
+  /// A peer is reachable if it was heard within this time.
   core::Duration suspect_after = std::chrono::milliseconds(3'000);
-  /// A suspected peer must be heard for this long before it is reachable.
+  /// A suspected peer becomes reachable after being heard for this long.
   core::Duration trust_after = std::chrono::milliseconds(1'500);
-  /// How long a failed send counts against a peer that sends no heartbeats
-  /// here.
+  /// How long a failed send makes a peer unreachable that exchanges no
+  /// heartbeats with this router.
   core::Duration send_failure_lifetime = std::chrono::seconds(5);
-  size_t full_mesh_members = 12;  ///< up to this many, everybody is contacted
-  size_t contacts = 8;            ///< chosen by this router past that
-  size_t max_contacts = 24;       ///< with wards and those that chose this one
+  size_t full_mesh_members = 12;  ///< up to this many, a full mesh
+  size_t contacts = 8;            ///< chosen by this router in a larger fleet
+  size_t max_contacts = 24;  ///< including all others, see PeersToContact()
   size_t max_heartbeat_bytes = 1'024;
 };
 
-/// @brief What a peer last said of itself.
+/// @brief Load that a peer last reported.
 struct PeerLoad {
   uint32_t in_progress = 0;
   uint32_t queued = 0;
 };
 
-/// @brief A peer as this router sees it now.
+/// @brief Current state of a peer as seen by this router.
 struct Peer {
   Member member;
   bool contacted = false;  ///< heartbeats are exchanged with it
   bool reachable = false;
-  bool draining = false;  ///< by the log or by its own heartbeat
+  bool draining = false;  ///< according to the log or its heartbeat
   std::optional<core::TimePoint> heard;
   PeerLoad load;
   core::ConfigVersion config_version;
   std::vector<v1::Spare> spares;
 };
 
-/// @brief Everybody else in the fleet: membership from the log, the rest from
-/// heartbeats. Suspicion affects forwarding and choice only, never membership.
+/// @brief All other routers of the fleet: membership from the log, everything
+/// else from heartbeats. Suspicion affects only forwarding and selection, never
+/// membership.
 class PeerView {
  public:
   explicit PeerView(Member self, PeerLimits limits = {});
 
-  /// @brief Takes the live members of the fold (this router may be among them).
+  /// @brief Sets the live members of the fold, which may include this router.
   /// @complexity O(n log n)
   void SetMembers(const std::vector<Member>& members);
-  /// @brief Keeps a peer among the contacts (the witness of this router).
+  /// @brief Keeps a peer (this router's witness) among the contacts.
   void SetPinned(std::optional<MemberId> peer);
 
-  /// @brief Ignored when the sender is no member under that incarnation.
+  /// @brief Handles a heartbeat; ignored when the sender is not a member with
+  /// that incarnation.
   void OnHeartbeat(core::TimePoint now,
                    const MemberId& from,
                    const v1::Heartbeat& heartbeat);
   void OnSendFailed(core::TimePoint now, const core::RouterId& router);
 
-  /// @brief Peers that get a heartbeat. Full mesh in a small fleet; else a
-  /// bounded set by rendezvous hashing, spread over failure domains, with the
-  /// pinned peer, the wards of this router and, as answers, those that chose
-  /// it.
+  /// @brief Peers that heartbeats are sent to. A small fleet is a full mesh. In
+  /// a large one they are a bounded set, chosen by rendezvous hashing and
+  /// spread over failure domains, plus the pinned peer, the routers that this
+  /// one is the witness of, and the peers that have chosen this router.
   /// @complexity O(n), and O(n log n) for each contact once after a change of
   /// members
   std::vector<MemberId> PeersToContact(core::TimePoint now) const;
   /// @return whether a heartbeat is due; the caller then sends one to each of
-  /// PeersToContact
+  /// PeersToContact()
   bool HeartbeatDue(core::TimePoint now);
-  /// @brief Cuts a heartbeat to its bound of bytes.
+  /// @brief Truncates a heartbeat to max_heartbeat_bytes.
   void Bound(v1::Heartbeat& heartbeat) const;
 
   bool Reachable(core::TimePoint now, const MemberId& peer) const;
   std::optional<Peer> Find(core::TimePoint now, const MemberId& peer) const;
   std::vector<Peer> Peers(core::TimePoint now) const;
-  /// @return the live active member with the highest rank for a key, this
-  /// router included; unreachable ones too, so that views differ less
+  /// @return the active member with the highest rank for a key, including this
+  /// router and unreachable members, so that the views of routers differ less
   /// @complexity O(n)
   const Member& OwnerOf(const core::Hash128& key) const;
   const Member& self() const { return m_self; }
   size_t live_members() const { return m_peers.size() + 1; }
 
-  /// @brief What the contacts say about the log, for Freshness.
+  /// @brief The reports of all contacts about the log, for Freshness.
   std::vector<PeerLogReport> LogReports(core::TimePoint now) const;
-  /// @return whether contacts are a sample of the fleet only
+  /// @return whether the contacts are only a sample of the fleet
   bool Sampled() const { return live_members() > m_limits.full_mesh_members; }
 
-  /// @brief For the status answer, in the order of router ids.
+  /// @brief Peers for the status reply, sorted by router id.
   std::vector<v1::PeerStatus> Status(core::TimePoint now) const;
 
  private:
@@ -129,7 +131,8 @@
   std::string m_name;
   std::map<MemberId, Entry> m_peers;
   std::vector<MemberId> m_chosen;
-  // Choices of others, computed when they are heard, until members change.
+  // Whether a peer has chosen this router. Computed when the peer is heard and
+  // valid until the members change.
   mutable std::map<MemberId, bool> m_chosen_by;
   std::optional<MemberId> m_pinned;
   std::optional<core::TimePoint> m_heartbeat_sent;
--- a/include/coppervalve/membership/silent_member_detector.h
+++ b/include/coppervalve/membership/silent_member_detector.h
@@ -16,43 +16,47 @@
 
 struct RetirementLimits {
   core::Duration retire_after = std::chrono::seconds(10);
-  /// The most that one read can add to a member's silence.
+  /// Largest silence that a single read can add to a member.
   core::Duration max_read_gap = std::chrono::milliseconds(1'500);
-  /// Without an entry of its own in the log for this long, the observer's time
-  /// counts for nothing: appends may be failing for everybody.
+  /// If this router has had no entry of its own in the log for this long, no
+  /// silence is counted: appends may be failing for all routers.
   core::Duration max_own_entry_age = std::chrono::seconds(5);
-  /// Between two observers in the rendezvous order of a silent member.
+  /// Delay between consecutive observers in the rendezvous order of a silent
+  /// member.
   core::Duration stagger = std::chrono::milliseconds(500);
-  /// Before a record that has not shown up in the log is handed out again.
+  /// Delay before a record that has not appeared in the log is issued again.
   core::Duration report_again_after = std::chrono::seconds(5);
-  int draining_factor = 2;  ///< on retire_after, for a member that drains
+  int draining_factor = 2;  ///< on retire_after, for a draining member
   int most_silent_factor =
       3;  ///< on retire_after, when more than half are silent
 };
 
-/// @brief Finds members whose silence in the log calls for RouterRetired.
+/// @brief Detects members that have been silent in the log long enough to be
+/// retired (RouterRetired).
 class SilentMemberDetector {
  public:
   explicit SilentMemberDetector(MemberId self, RetirementLimits limits = {});
 
   void SetRetireAfter(core::Duration retire_after);
-  /// @brief Call each time a read reached the end of the log, after folding.
+  /// @brief Call after each read that reached the end of the log, once its
+  /// entries are applied.
   /// @param issued when that read was issued
   /// @param members live members of the fold, with their last sequences
   /// @complexity O(n log n)
   void OnReadToEnd(core::TimePoint issued, const std::vector<Member>& members);
-  /// @brief Records to append now. One that does not show up in the fold is
-  /// handed out again later.
-  /// @complexity O(n), and O(n) more once for each member that falls silent
+  /// @brief Records to append now. A record that does not appear in the fold is
+  /// issued again later.
+  /// @complexity O(n), and O(n) more once for each member that becomes silent
   std::vector<v1::RouterRetired> TakeDue(core::TimePoint now);
 
  private:
   struct TrackedMember {
     std::string name;  // for rendezvous hashing
     core::Sequence last_sequence;
-    core::Duration silent{};  // while this router was reading and appending
+    core::Duration silent{};  // counted while this router reads and appends
     MemberPhase phase = MemberPhase::kActive;
-    std::optional<size_t> own_rank;  // among its observers, once it is silent
+    std::optional<size_t>
+        own_rank;  // among its observers, set once it is silent
     std::optional<core::TimePoint> reported_at;
   };
 
@@ -70,7 +74,7 @@
 
   MemberId m_self;
   RetirementLimits m_limits;
-  std::map<MemberId, TrackedMember> m_tracked;  // without this router
+  std::map<MemberId, TrackedMember> m_tracked;  // excluding this router
   std::string m_name;
   bool m_is_member = false;
   MemberPhase m_own_phase = MemberPhase::kActive;
--- a/include/coppervalve/membership/witness_selector.h
+++ b/include/coppervalve/membership/witness_selector.h
@@ -15,32 +15,33 @@
 namespace coppervalve::membership {
 
 struct WitnessLimits {
-  /// The witness is replaced when unreachable for this long.
+  /// The witness is replaced after being unreachable for this long.
   core::Duration replace_after = std::chrono::seconds(2);
-  /// With nobody reachable, the router goes on without a witness after this.
+  /// When no candidate is reachable, the router continues without a witness
+  /// after this time.
   core::Duration give_up_after = std::chrono::seconds(5);
-  /// A witness in the own failure domain is replaced when another domain has
-  /// had a candidate for this long.
+  /// A witness in this router's failure domain is replaced when a candidate in
+  /// another domain has been available for this long.
   core::Duration upgrade_after = std::chrono::seconds(10);
-  size_t max_witnessed = 8;  ///< of one witness, as long as others have room
+  size_t max_witnessed = 8;  ///< routers per witness, while others are below it
 };
 
 struct KeepWitness {};
 struct ChooseWitness {
   MemberId witness;
 };
-/// @brief Go on without one: the whole holding may be spent.
+/// @brief Continue without a witness: the whole holding may be spent.
 struct ChooseNoWitness {};
 
 using WitnessVerdict =
     std::variant<KeepWitness, ChooseWitness, ChooseNoWitness>;
 
-/// @brief Picks the peer that guards this router's ceilings.
+/// @brief Selects the peer that stores this router's ceilings.
 class WitnessSelector {
  public:
   explicit WitnessSelector(Member self, WitnessLimits limits = {});
 
-  /// @param current the witness that is in force or being asked
+  /// @param current the witness that is in force or has been asked
   /// @param peers all peers, with reachability; never this router itself
   /// @complexity O(n)
   WitnessVerdict Evaluate(core::TimePoint now,
@@ -51,7 +52,7 @@
   struct Candidate {
     MemberId id;
     bool other_domain = false;
-    size_t excess_witnessed = 0;  // beyond the bound
+    size_t excess_witnessed = 0;  // above max_witnessed
     uint64_t rank = 0;
   };
 
--- a/src/ledger/budget_table.cc
+++ b/src/ledger/budget_table.cc
@@ -31,10 +31,10 @@
   return sorted;
 }
 
-// A snapshot carries the policies of configured budgets only, within the
-// configuration. Were those of other budgets kept here, a router that starts
-// from the snapshot would fold a later release differently from one that did
-// not; so all start over from the strictest.
+// A snapshot contains only the policies of configured budgets. Keeping the
+// policies of other budgets here would make a router that starts from a
+// snapshot apply a later release differently from one that did not. So all
+// budgets are reset to the strictest policy.
 void BudgetTable::ResetPolicies() {
   for (auto& [id, budget] : m_budgets) {
     budget.configured = false;
--- a/src/ledger/entry_context.cc
+++ b/src/ledger/entry_context.cc
@@ -9,8 +9,8 @@
 
 constexpr std::string_view kOperatorPrefix = "operator:";
 
-// A writer that claims to have read past its own entry proves nothing about its
-// age, so it counts as stale as well.
+// A writer that claims to have read past its own entry gives no evidence of the
+// entry's age, so the entry counts as stale too.
 bool IsStale(core::LogOffset seen, core::LogOffset offset, uint64_t window) {
   return seen > offset || offset.value() - seen.value() > window;
 }
@@ -70,9 +70,9 @@
       continue;
     }
     Fail({core::ErrorId::kConservationBroken, budget.id.value(),
-          "after the entry of " + m_entry.writer()});
+          "after applying the entry of " + m_entry.writer()});
   }
-  // A refused record may have left a holding that never held anything.
+  // A refused record may have created a holding that never had tokens.
   for (const ModifiedHolding& modified : m_modified) {
     m_state.members.RemoveUnusedHolding(modified.incarnation,
                                         modified.ref.budget().id);
--- a/src/ledger/fold.cc
+++ b/src/ledger/fold.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Budgets for which checkpoints come at the interval of the settings.
+/// Number of budgets up to which checkpoint_interval is not extended.
 constexpr size_t kBudgetsPerInterval = 512;
 
 bool IsOperatorRecord(v1::Record::BodyCase body) {
@@ -26,14 +26,15 @@
          body == v1::Record::kQuarantineReleased;
 }
 
-// What any writer may state.
+// Kinds of records that any writer may write.
 bool IsSharedRecord(v1::Record::BodyCase body) {
   return body == v1::Record::kRouterRetired ||
          body == v1::Record::kOrderIssued || body == v1::Record::kOrderEnded ||
          body == v1::Record::kSnapshot;
 }
 
-// What a retired incarnation may still add: the truth about its own past.
+// Kinds of records that a retired incarnation may still write: reports about
+// its own past.
 bool IsFinalRecord(v1::Record::BodyCase body) {
   return body == v1::Record::kSpendFinalized ||
          body == v1::Record::kTransferRecorded;
@@ -101,7 +102,7 @@
     case v1::Record::kDrainStarted:
       return FoldDrainStarted(context);
     case v1::Record::kRouterJoined:
-      // A join is folded before the records; a second one has no meaning.
+      // A join is valid only as the first record of an unknown incarnation.
       return context.Ignore(IgnoreReason::kInvalid);
     case v1::Record::BODY_NOT_SET:
       return;
@@ -122,9 +123,9 @@
   return !entry.records().empty() && entry.records(0).has_router_joined();
 }
 
-// A lost reply makes the writer append the same entry again. The sequence tells
-// the copy from the next entry, so it folds once; a gap cannot come from a
-// writer that has one append outstanding, so nothing is guessed about it.
+// A writer repeats an entry when the reply to its append was lost. The sequence
+// number identifies the copy, so the entry is applied once. A gap cannot come
+// from a writer that has one append outstanding, so such an entry is ignored.
 std::optional<IgnoreReason> CheckSequence(const Member& member,
                                           Sequence sequence) {
   if (sequence <= member.last_sequence) {
@@ -169,8 +170,8 @@
   FoldMemberEntry(context, *member, 0);
 }
 
-// A snapshot taken at the very offset where it landed can be compared too, if
-// the digest is taken before the entry changes anything.
+// Such a snapshot can be compared as well, if the digest is stored before the
+// entry is applied.
 bool HasSnapshotOf(const v1::Entry& entry, LogOffset offset) {
   for (const v1::Record& record : entry.records()) {
     if (record.has_snapshot() && record.snapshot().offset() == offset.value()) {
@@ -180,8 +181,9 @@
   return false;
 }
 
-// A checkpoint costs the whole state, so the larger the state, the rarer it is.
-// The factor follows from the state alone: all readers choose the same offsets.
+// A checkpoint hashes the whole state, so it is taken less often when the state
+// is large. The factor depends only on the state, so all readers use the same
+// offsets.
 bool IsCheckpoint(const detail::State& state) {
   const uint64_t factor =
       std::bit_ceil(state.budgets.size() / kBudgetsPerInterval + 1);
--- a/src/ledger/fold_balance.cc
+++ b/src/ledger/fold_balance.cc
@@ -9,15 +9,15 @@
 
 namespace {
 
-// Ids of operators' records without an id of their own start with this
-// character; a top-up id may not, so that the two cannot meet.
+// Prefix of generated ids of operators' records. Top-up ids must not start with
+// it, so that the two kinds cannot collide.
 constexpr char kOperatorRecordMark = '\x1f';
 
 std::optional<TopUpRefusal> CheckTopUp(EntryContext& context,
                                        const v1::ToppedUp& r) {
   State& state = context.state();
-  // Past the window the id may have been forgotten. Folding a repetition then
-  // would pay in twice, so the operator is told to look and to ask again.
+  // Beyond the window the id may have been removed, and a repeated record would
+  // be paid in twice. The operator has to check and to send a new request.
   if (context.stale()) {
     return TopUpRefusal::kStale;
   }
@@ -50,8 +50,8 @@
   if (&from == &to || r.tokens() <= 0) {
     return IgnoreReason::kInvalid;
   }
-  // The other side's record may have been forgotten by now; moving the tokens
-  // a second time would take from the sender what it still spends from.
+  // The record of the other side may no longer be remembered. Applying the
+  // transfer twice would remove tokens that the sender still spends.
   if (context.stale()) {
     return IgnoreReason::kStale;
   }
@@ -164,8 +164,8 @@
   context.Emit(TransferApplied{from->id, from->incarnation, to->id,
                                to->incarnation, r.transfer_id(), budget->id,
                                tokens});
-  // A receiver that is retired and narrowed cannot commit past its ceiling, no
-  // matter what it received: the surplus would be stranded for nothing.
+  // A retired receiver with a ceiling cannot commit more than the ceiling, so
+  // tokens above it would stay quarantined without need.
   EmitQuarantineChange(context, *to, receiver, receiver.ReleaseAboveCeiling());
 }
 
--- a/src/ledger/fold_config.cc
+++ b/src/ledger/fold_config.cc
@@ -23,8 +23,8 @@
   return Growth(state, declared) <= kMaxPaidIn - paid_in;
 }
 
-// The publisher has checked the file in full. Here stands what the balances
-// rest on, since a faulty publisher must not be able to break them.
+// The publisher has validated the whole file. Only what the balances depend on
+// is checked here, so that a faulty publisher cannot corrupt them.
 std::optional<ConfigRejection> CheckProposal(EntryContext& context,
                                              const v1::ConfigPublished& r) {
   const State& state = context.state();
@@ -63,8 +63,9 @@
   context.Emit(PaidIn{budget.id, growth, ""});
 }
 
-// The reply to the first append was lost and its writer repeated it. A
-// rejection would tell an operator that the own change had lost.
+// Detects a publication that was appended again because the reply to the first
+// append was lost. A rejection would tell the operator that the change had lost
+// against itself.
 bool IsRepetition(const State& state, const v1::ConfigPublished& r) {
   const Proposal* waiting = state.quorum.PendingProposal();
   const bool waits =
@@ -112,11 +113,12 @@
                               r.operator_name()});
 }
 
-// Failure: a minority of routers reads a configuration that the rest, cut off
-// from the log, cannot know. Symptom: two rule sets in force at once. Enough:
-// what is in force was read by more than half of the voters, and routers go on
-// without the log only in a group of more than half, none of whom knows of a
-// proposal; two majorities share a voter.
+// Requiring a majority prevents that two configurations are in force at once,
+// when a minority of the routers reads a configuration that the others, cut off
+// from the log, cannot know. A configuration in force was read by more than
+// half of the voters; routers continue without the log only in a group of more
+// than half, none of which knows of a proposal; and any two majorities share a
+// voter.
 void ApplyReadyChanges(EntryContext& context) {
   State& state = context.state();
   while (auto ready = state.quorum.TakeReadyChange()) {
--- a/src/ledger/fold_members.cc
+++ b/src/ledger/fold_members.cc
@@ -31,8 +31,8 @@
   if (context.state().members.Find(incarnation) != nullptr) {
     return JoinRefusal::kKnownIncarnation;
   }
-  // The incarnation may have joined, retired and been forgotten since this
-  // entry was written: a late copy must not bring it back to life.
+  // The incarnation may have joined, retired and been removed since the entry
+  // was written. A late copy of its join must not make it live again.
   if (context.stale()) {
     return JoinRefusal::kStale;
   }
@@ -96,8 +96,9 @@
                                   member->last_sequence});
     return;
   }
-  // An operator has seen that the router is gone; without this way out, a fleet
-  // that lost most of its routers at once could never change again.
+  // An operator has verified that the router is gone, so its vote is removed at
+  // once. Otherwise a fleet that lost most of its routers at once could never
+  // change its configuration again.
   Quorum& quorum = context.state().quorum;
   if (context.from_operator()) {
     quorum.Remove(member->incarnation);
--- a/src/ledger/fold_orders.cc
+++ b/src/ledger/fold_orders.cc
@@ -17,7 +17,8 @@
   return found == upstreams.end() ? nullptr : &*found;
 }
 
-// An upstream that left the configuration counts as the worse kind.
+// An upstream that is no longer configured is assumed not to check fencing
+// numbers.
 bool ChecksFencing(const State& state, const std::string& id) {
   const v1::Upstream* upstream = FindUpstream(state, id);
   return upstream != nullptr && upstream->checks_fencing();
@@ -39,12 +40,12 @@
   return found == state.orders.end() ? nullptr : &found->second;
 }
 
-// A paused router may resume and deliver an order that it took long ago. An
-// engine that checks fencing numbers refuses it; one that ignores them would
-// leave the newer order for the older one, and nobody would see it. So a newer
-// order is not issued before the older one is settled. That is enough, because
-// a router sends nothing that it has not taken in the log, and an order that
-// nobody took can no longer be taken once a newer one is in force.
+// A paused router may resume and send an order that it took long ago. An engine
+// that checks fencing numbers refuses it; any other would silently replace the
+// newer order by the older one. So a newer order is not issued before the older
+// one is settled. This is sufficient, because routers send only orders that
+// they have taken in the log, and an order that was not taken can no longer be
+// taken once a newer one is in force.
 bool MayStillArrive(const State& state, const Order& order) {
   return order.taken() && !order.settled() &&
          !ChecksFencing(state, order.order.upstream());
@@ -57,8 +58,9 @@
       order->fencing != FencingNumber(r.fencing_number())) {
     return OrderTakeRefusal::kNotInForce;
   }
-  // A retired holder may be paused with the order in its hands. Sending it a
-  // second time is harmless only where the engine can tell it from a later one.
+  // A retired holder may be paused and still send the order later. A second
+  // sender is safe only if the engine can tell the late order from newer ones
+  // by its fencing number.
   if (order->taken() &&
       (HolderIsLive(state, *order) || !ChecksFencing(state, r.upstream()))) {
     return OrderTakeRefusal::kHeld;
@@ -91,16 +93,16 @@
     if (r.outcome() != v1::SETTLED) {
       return IgnoreReason::kNotAllowed;
     }
-    // Its holder lives and may be sending it at this moment: settled now, a
-    // newer order could be overtaken by it. The holder states an outcome within
-    // a bounded number of tries, or is retired.
+    // The holder is live and may be sending the order now. If it were settled,
+    // the order could take effect after a newer one. The holder reports an
+    // outcome within a bounded number of attempts, or is retired.
     return MayStillArrive(context.state(), *order) && order->open() &&
                    HolderIsLive(context.state(), *order)
                ? std::optional(IgnoreReason::kOrderInProgress)
                : std::nullopt;
   }
-  // Open only: after an unknown outcome, handing the order back would hide that
-  // it may still arrive.
+  // Only while open: handing back an order with an unknown outcome would hide
+  // that it may still arrive.
   return order->open() && IsRouterOutcome(r.outcome()) &&
                  IsHolder(*order, *context.writer())
              ? std::nullopt
--- a/src/ledger/fold_quarantine.cc
+++ b/src/ledger/fold_quarantine.cc
@@ -23,9 +23,9 @@
   return ceilings;
 }
 
-// Without the check that the writer is the witness in force, a former witness
-// could state the ceilings it knew, while the router went on to commit up to
-// those of its successor. The symptom is tokens that are released and spent.
+// Only the current witness may report ceilings. A former witness would report
+// the ceilings it knew, while the router may have committed up to higher ones
+// of its successor; tokens would then be both released and spent.
 bool IsWitnessInForce(const Member* writer, const Member& retired) {
   return writer != nullptr && !retired.live() &&
          writer->id == retired.witness &&
@@ -58,8 +58,8 @@
   if (!folded) {
     return;
   }
-  // Tokens on their way to a peer stay here until the transfer is recorded:
-  // the peer may spend them already.
+  // Tokens of pending transfers stay in this holding until the transfer is
+  // recorded, because the receiver may already be spending them.
   HoldingRef ref = context.GetOrCreateHolding(member, *budget);
   const Tokens pending(std::clamp<int64_t>(final_spend.transfers_pending(), 0,
                                            kMaxPaidIn.value()));
@@ -115,7 +115,8 @@
     context.Ignore(IgnoreReason::kNotAllowed);
     return;
   }
-  // A budget that is not named stays quarantined: silence is no proof.
+  // A budget that is not listed stays quarantined: nothing is known about its
+  // final spend.
   for (const v1::FinalSpend& final_spend : r.budgets()) {
     ApplyFinalSpend(context, member, final_spend);
   }
--- a/src/ledger/fold_snapshot.cc
+++ b/src/ledger/fold_snapshot.cc
@@ -2,9 +2,10 @@
 
 namespace coppervalve::ledger::detail {
 
-// Two folds that differ would grant the same tokens twice or refuse what is
-// there, and nothing would show it. Comparing at snapshots bounds how long that
-// can last; which of the two is right cannot be known here, so this one stops.
+// Readers with different states would grant the same tokens twice or refuse
+// available ones, without any error. Comparing digests at snapshots bounds how
+// long this can last. It is unknown which of the two states is right, so this
+// fold stops.
 void FoldSnapshot(EntryContext& context, const v1::Snapshot& r) {
   const core::LogOffset taken_at(r.offset());
   const auto& digests = context.state().digests;
@@ -16,7 +17,7 @@
   if (own->second != r.digest()) {
     context.Fail({core::ErrorId::kDigestMismatch,
                   std::to_string(taken_at.value()),
-                  "snapshot of " + context.entry().writer()});
+                  "differs from the snapshot of " + context.entry().writer()});
     return;
   }
   context.Emit(SnapshotMatched{taken_at});
--- a/src/ledger/fold_spend.cc
+++ b/src/ledger/fold_spend.cc
@@ -9,16 +9,16 @@
 
 namespace {
 
-// What of a spend remains to be charged, and to whom it went so far.
+// The distribution of a spend: what is not charged yet, and what was billed or
+// written off.
 struct Charges {
   Tokens remaining;
   Tokens billed;
   Tokens written_off;
 };
 
-// A key is billed once. The caller's retry at another router may have run the
-// same work again; its tokens are spent all the same, but the account has paid
-// for its answer already.
+// A key is billed once. A retry at another router may have run the same work
+// again: its tokens are spent, but the account has already paid for the answer.
 void ChargeBill(EntryContext& context,
                 const Member& member,
                 const Budget& budget,
@@ -59,9 +59,9 @@
   const Tokens reclaimed = ref.Reclaim(delta);
   EmitQuarantineChange(context, member, ref, Tokens(0) - reclaimed);
   if (delta > ref.holding().held()) {
-    // Every commitment is made from a holding, so this is a fault of the
-    // protocol. Were it folded as if nothing had happened, the balance would
-    // let others spend what is gone: the fold stops instead.
+    // Routers commit only tokens that they hold, so this is a protocol error.
+    // Applying it would let others spend tokens that are gone, so the fold
+    // stops.
     context.Fail({core::ErrorId::kConservationBroken, budget.id.value(),
                   member.id.value() + " spent more than it held"});
     return false;
@@ -99,9 +99,9 @@
                            owner->incarnation});
     return;
   }
-  // An append that was held up for longer than the window may come after
-  // another router's claim of the key was made, used and forgotten. Winning now
-  // would run non-idempotent work twice.
+  // An append that was delayed beyond the window may follow a claim of another
+  // router that was made, used and removed again. Granting the key now would
+  // run non-idempotent work twice.
   if (context.stale()) {
     context.Emit(ClaimLost{member.id, member.incarnation, key, {}, {}});
     return;
--- a/src/ledger/holding_ref.cc
+++ b/src/ledger/holding_ref.cc
@@ -10,7 +10,8 @@
 
 constexpr int64_t kPermille = 1000;
 
-// Divides first: the product of a large balance and the share may overflow.
+// Divides first, because the product of a large balance and the share may
+// overflow.
 Tokens ShareOf(Tokens tokens, int64_t permille) {
   const int64_t whole = tokens.value() / kPermille * permille;
   const int64_t rest = tokens.value() % kPermille * permille / kPermille;
@@ -26,8 +27,8 @@
   if (admission_class == v1::GATE) {
     return free;
   }
-  // The held-back share is the last part of the balance: other classes stop
-  // above it, and requests of class GATE draw it down to nothing.
+  // The reserve is the last part of the balance. Only class GATE may draw on
+  // it, down to zero.
   const int64_t permille = std::min<int64_t>(gate_reserve_permille, kPermille);
   return std::max(Tokens(0), free - ShareOf(paid_in, permille));
 }
@@ -87,11 +88,10 @@
   return above;
 }
 
-// An operator may have released tokens that the retired incarnation had in fact
-// committed. The symptom is a late final report or transfer that the holding
-// cannot cover. What the balance still has is taken back before anyone else
-// draws it; when it has too little, the caller finds the holding short and
-// treats it as the fault it is.
+// An operator may have released tokens that the retired incarnation had
+// committed, so that a late final report or transfer exceeds the holding. What
+// the balance still has is reclaimed before another router draws it. When that
+// is too little, the holding stays short and the caller handles it as an error.
 Tokens HoldingRef::Reclaim(Tokens needed) {
   const Tokens missing = std::max(Tokens(0), needed - m_holding->held());
   const Tokens taken = std::min({missing, m_holding->released, m_budget->free});
--- a/src/ledger/quorum.cc
+++ b/src/ledger/quorum.cc
@@ -15,7 +15,7 @@
   }
 }
 
-// Without a voter there is nobody who could work under the old state.
+// Without voters, no router can be working under the old state.
 bool Quorum::HasMajority(LogOffset offset) const {
   size_t seen = 0;
   for (const auto& [incarnation, next_unread] : m_voters) {
@@ -42,8 +42,8 @@
     Add(newer, seen);
     return;
   }
-  // The older one was still waiting for its vote; the newer one waits in its
-  // place.
+  // The older incarnation is not a voter yet; the newer one takes its place
+  // among the pending changes.
   for (PendingChange& pending : m_pending) {
     auto* joins = std::get_if<VoterJoins>(&pending.change);
     if (joins != nullptr && joins->incarnation == older) {
--- a/src/ledger/snapshot_codec.cc
+++ b/src/ledger/snapshot_codec.cc
@@ -20,7 +20,7 @@
   return {core::ErrorId::kSnapshotInvalid, subject, detail};
 }
 
-// ---- Writing ---------------------------------------------------------------
+// ---- Encoding --------------------------------------------------------------
 
 void EncodePendingChange(const PendingChange& pending, v1::AwaitedState& to) {
   to.set_offset(pending.offset.value());
@@ -163,9 +163,9 @@
   }
 }
 
-// ---- Comparing -------------------------------------------------------------
+// ---- Digest ----------------------------------------------------------------
 
-// Tells parts apart whose encodings are alike.
+// Hash seeds that distinguish parts with equal encodings.
 enum class PartKind : uint64_t {
   kScalars,
   kConfiguration,
@@ -177,8 +177,8 @@
   kTransfer,
 };
 
-// Sums the hashes of the encoded parts of a state. The sum does not depend on
-// the order of the parts, so large states need not be sorted to be compared.
+// Sums the hashes of the encoded parts of a state. The sum is independent of
+// their order, so that large states need not be sorted for a comparison.
 class PartsDigest {
  public:
   void Add(const google::protobuf::MessageLite& part, PartKind kind) {
@@ -237,7 +237,7 @@
   }
 }
 
-// ---- Reading ---------------------------------------------------------------
+// ---- Decoding --------------------------------------------------------------
 
 void DecodeQuorum(const v1::FoldState& from, Quorum& quorum) {
   for (const v1::VoterState& voter : from.voters()) {
@@ -297,8 +297,8 @@
   return holding;
 }
 
-// Retired members go in by the offset of their retirement, which is the order
-// in which they are forgotten.
+// Retired members are added in the order of retirement, because Prune() removes
+// them in that order.
 core::Status DecodeMembers(const v1::FoldState& from, MemberTable& members) {
   std::vector<Member> sorted;
   for (const v1::RouterState& router : from.routers()) {
@@ -312,10 +312,11 @@
     const bool valid = v1::RouterPhase_IsValid(member.phase) &&
                        member.phase != v1::ROUTER_PHASE_UNSPECIFIED;
     if (!valid || members.Find(member.incarnation) != nullptr) {
-      return SnapshotError(member.id.value(), "phase or incarnation");
+      return SnapshotError(member.id.value(),
+                           "invalid phase or duplicate incarnation");
     }
     if (member.live() && members.FindLive(member.id) != nullptr) {
-      return SnapshotError(member.id.value(), "live twice");
+      return SnapshotError(member.id.value(), "has two live incarnations");
     }
     members.Add(std::move(member));
   }
@@ -329,12 +330,13 @@
     Member* member = members.Find(RouterId(encoded.router()),
                                   Incarnation(encoded.incarnation()));
     if (member == nullptr) {
-      return SnapshotError(budget.id.value(), "held by an unknown router");
+      return SnapshotError(budget.id.value(),
+                           "has a holding of an unknown router");
     }
     const Holding holding = DecodeHolding(encoded);
     if (!member->holdings.emplace(budget.id, holding).second) {
       return SnapshotError(budget.id.value(),
-                           "held twice by " + encoded.router());
+                           "has two holdings of " + encoded.router());
     }
     budget.held += holding.held();
     if (!member->live()) {
@@ -368,7 +370,7 @@
   for (const v1::Budget& declared : from.configuration().budgets()) {
     Budget* budget = budgets.Find(BudgetId(declared.id()));
     if (budget == nullptr) {
-      return SnapshotError(declared.id(), "configured, but without a balance");
+      return SnapshotError(declared.id(), "is configured but has no balance");
     }
     ApplyPolicy(declared, *budget);
   }
--- a/src/ledger/state.cc
+++ b/src/ledger/state.cc
@@ -59,17 +59,18 @@
     const HeldTotals& total = totals[budget->id];
     if (!IsBalanced(*budget)) {
       return ConservationError(budget->id,
-                               "the balance differs from its parts");
+                               "the balance differs from the sum of its parts");
     }
     if (total.held != budget->held ||
         total.quarantined != budget->quarantined) {
-      return ConservationError(budget->id,
-                               "the holdings differ from their total");
+      return ConservationError(
+          budget->id, "the total held differs from the sum of the holdings");
     }
     totals.erase(budget->id);
   }
   if (!totals.empty()) {
-    return ConservationError(totals.begin()->first, "held, but no such budget");
+    return ConservationError(totals.begin()->first,
+                             "has holdings, but is unknown");
   }
   return core::Ok();
 }
--- a/src/membership/address_list_builder.cc
+++ b/src/membership/address_list_builder.cc
@@ -18,14 +18,14 @@
 
 namespace {
 
-/// Loads that differ by less do not matter: heartbeats report them late.
+/// Tolerated difference in load, because heartbeats report it with a delay.
 constexpr uint64_t kLoadTolerance = 8;
 constexpr uint64_t kHighLoadFactor = 2;
 constexpr uint64_t kOverloadFactor = 4;
 constexpr int kRankBits = 64;
 
-/// In steps, so that an account's routers change only when one is clearly
-/// busier than the mean.
+/// The weight falls in steps, so that the routers of an account change only
+/// when one is clearly busier than the mean.
 double WeightOf(uint64_t load, uint64_t mean) {
   if (load > mean * kOverloadFactor + kLoadTolerance) {
     return 0.25;
@@ -33,8 +33,8 @@
   return load > mean * kHighLoadFactor + kLoadTolerance ? 0.5 : 1.0;
 }
 
-/// Weighted rendezvous hashing: a router is best with a probability in
-/// proportion to its weight, and other_slots keep their order.
+/// Weighted rendezvous hashing: the probability that a router is first is
+/// proportional to its weight, and the order of the others is unchanged.
 double Score(const core::AccountId& account,
              const MemberId& id,
              double weight) {
@@ -105,9 +105,9 @@
       [](const Candidate& candidate) { return candidate.own_domain; });
   const auto own_count = static_cast<size_t>(first_other - candidates.begin());
   const size_t other_count = candidates.size() - own_count;
-  // Failure: the whole failure domain is lost. Symptom: a caller whose list
-  // names no other is cut off for the list's lifetime. Enough: half of the
-  // list is left to other domains, as far as they can fill it.
+  // If a whole failure domain is lost, a caller whose list contains no other
+  // domain is cut off for the lifetime of the list. So half of the list is
+  // reserved for other domains, as far as they have enough routers.
   const size_t half = m_limits.max_addresses / 2;
   const size_t other_slots =
       std::min(other_count, m_limits.max_addresses - half);
--- a/src/membership/drain.cc
+++ b/src/membership/drain.cc
@@ -32,9 +32,9 @@
       return ListsExpired(now, inputs);
     case DrainPhase::kRefusingNew:
       return inputs.in_progress == 0 && inputs.queued == 0;
-    // Both wait for the log, without a limit of their own. To exit earlier
-    // loses the bills of the last requests and leaves what is unspent in
-    // quarantine, so giving up is left to whoever owns the process.
+    // Both phases wait for the log without a time limit. Exiting earlier would
+    // lose the bills of the last requests and leave unspent tokens in
+    // quarantine; the owner of the process decides when to give up.
     case DrainPhase::kReturning:
       return inputs.holdings_settled;
     case DrainPhase::kFinalising:
@@ -46,7 +46,7 @@
 }
 
 /// Other routers may hand out this router's address until they know of the
-/// drain, and callers keep a list for its lifetime.
+/// drain, and callers use a list for its lifetime.
 bool Drain::ListsExpired(core::TimePoint now, const DrainInputs& inputs) {
   const bool log_unavailable =
       now - m_requested_at >= m_limits.announce_timeout;
--- a/src/membership/freshness.cc
+++ b/src/membership/freshness.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Of a sample of contacts, at least this share must be reachable. A bare
-/// majority of a sample is often found by a router in a minority.
+/// Share of a sample of contacts that must be reachable. A router in a minority
+/// often finds a bare majority of a sample reachable.
 constexpr size_t kSampleNumerator = 7;
 constexpr size_t kSampleDenominator = 8;
 
@@ -33,10 +33,10 @@
 Freshness::Freshness(core::Duration bound) : m_bound(bound) {}
 
 void Freshness::OnReadToEnd(core::TimePoint issued) {
-  // Failure: the process is paused with a reply in its socket and handles it
-  // an hour later. Symptom: work under a configuration that was replaced.
-  // Enough: the reply shows the end of the log no earlier than the read was
-  // issued, and only that time counts.
+  // A process that was paused may handle a reply from its socket an hour late,
+  // and would then work under a configuration that was replaced. The reply
+  // shows the end of the log no earlier than the read was issued, so only that
+  // time counts.
   if (!m_read_to_end || *m_read_to_end < issued) {
     m_read_to_end = issued;
   }
@@ -90,17 +90,17 @@
       })) {
     return FreshBasis::kConfirmedByPeer;
   }
-  // Someone reads the log, so it is not out, and what is in force cannot be
-  // learnt from those who do not.
+  // A peer reads the log, so the log is available, and routers that cannot read
+  // it cannot tell what is in force.
   if (any([&](const PeerLogReport& peer) {
         return IsRecent(now, peer.claimed_read_to_end);
       })) {
     return StaleReason::kNotConfirmed;
   }
-  // Failure: voters outside this group accept a proposal that some inside have
-  // read. Symptom: this group works on under the version before. Enough: a
-  // majority accepted it, so one voter of any other majority has read it, and
-  // one that has is enough to stop all.
+  // Voters outside this group may accept a proposal that some inside have read,
+  // and this group would continue under the previous version. A majority
+  // accepted it, so any other majority contains at least one voter that has
+  // read it; one such voter is enough to make the whole group stale.
   if (inputs.known_version > inputs.config_version ||
       any([&](const PeerLogReport& peer) {
         return peer.known_version > inputs.config_version;
--- a/src/membership/peer_view.cc
+++ b/src/membership/peer_view.cc
@@ -20,8 +20,8 @@
   return a.rank != b.rank ? a.rank > b.rank : a.member->id < b.member->id;
 }
 
-/// Takes from each failure domain in pick, so that the loss of a domain, or of
-/// the way to it, costs a member only its share of contacts.
+/// Selects from each failure domain round-robin, so that the loss of a domain,
+/// or of the connection to it, costs a member only its share of contacts.
 std::vector<MemberId> ChooseAcrossDomains(std::vector<Ranked> ranked,
                                           size_t count) {
   std::sort(ranked.begin(), ranked.end(), HigherRank);
@@ -64,7 +64,7 @@
       m_self = member;
       continue;
     }
-    // A former start of this very router: it has ended.
+    // A previous incarnation of this router; it has ended.
     if (member.id.router == m_self.id.router) {
       continue;
     }
@@ -99,11 +99,11 @@
   }
   const core::TimePoint read =
       now - std::chrono::milliseconds(heartbeat.log_age_ms());
-  // Failure: heartbeats lie in a stalled connection, or in the socket of a
-  // paused process, and are handled much later than they were written.
-  // Symptom: an old "read just now" vouches for a configuration that has been
-  // replaced since. Enough: such ones come after a silence or in a burst; only
-  // one that comes about an interval after its predecessor vouches.
+  // Heartbeats that were delayed in a stalled connection, or in the socket of a
+  // paused process, are handled much later than they were written. Their "read
+  // just now" would confirm a configuration that has been replaced since. Such
+  // heartbeats arrive after a silence or in a burst, so only one that arrives
+  // about one interval after its predecessor counts.
   if (gap && *gap >= interval / 2 && *gap <= interval * 5 / 2) {
     entry.read_to_end =
         entry.read_to_end ? std::max(*entry.read_to_end, read) : read;
@@ -150,8 +150,8 @@
   return ChooseAcrossDomains(std::move(ranked), count);
 }
 
-/// Computed rather than told: a peer that answered whoever it hears would be
-/// answered in pick, and the links of old choices would never end.
+/// Computed locally instead of answering every peer that is heard: the answered
+/// peer would answer in turn, and links of former choices would never end.
 bool PeerView::HasChosenThisRouter(const Entry& entry) const {
   const auto [known, fresh] = m_chosen_by.try_emplace(entry.member.id, false);
   if (fresh) {
@@ -214,7 +214,8 @@
   if (IsContact(now, entry)) {
     return HeardRecently(now, entry);
   }
-  // No heartbeats are exchanged with it: only a failed send speaks against it.
+  // No heartbeats are exchanged with this peer, so only a failed send makes it
+  // unreachable.
   return !entry.send_failed ||
          now - *entry.send_failed > m_limits.send_failure_lifetime;
 }
--- a/src/membership/silent_member_detector.cc
+++ b/src/membership/silent_member_detector.cc
@@ -66,22 +66,21 @@
   tracked.silent += silence;
 }
 
-/// How much of the time since the last read counts against silent members.
+/// Part of the time since the last read that counts as silence of members
+/// without new entries.
 core::Duration SilentMemberDetector::CountedSilence(
     core::TimePoint issued) const {
   if (!m_is_member || !m_last_read || !m_own_entry_read) {
     return {};
   }
-  // Failure: appends fail for everybody while reads work. Symptom: when they
-  // work again, all routers retire each other before the first entry of the
-  // others is in. Enough: while none of its own entries arrive, this router
-  // holds nobody's silence against them.
+  // If appends fail for all routers while reads work, all routers would retire
+  // each other on recovery, before the first entries of the others arrive. So
+  // no silence is counted while none of this router's own entries arrive.
   if (issued - *m_own_entry_read > m_limits.max_own_entry_age) {
     return {};
   }
-  // Failure: this router was paused or cut off. Symptom: on resuming it takes
-  // its own absence for the silence of all. Enough: one read adds no more than
-  // a usual gap between reads.
+  // A router that was paused or cut off would count its own absence as silence
+  // of all others. So one read adds no more than a usual gap between reads.
   return std::min(issued - *m_last_read, m_limits.max_read_gap);
 }
 
@@ -124,9 +123,9 @@
   return tracked.silent >= timeout + m_limits.stagger * rank;
 }
 
-/// A draining member gets no new callers, so retiring it late costs little.
-/// When most are silent at once, the log or the way to it is the likelier
-/// cause, and retiring routers that work would refuse good requests.
+/// A draining member gets no new callers, so a late retirement costs little.
+/// When most members are silent at once, the log or the connection to it is the
+/// more likely cause, and retiring working routers would refuse valid requests.
 core::Duration SilentMemberDetector::TimeoutFor(const TrackedMember& tracked,
                                                 bool most_silent) const {
   core::Duration timeout = m_limits.retire_after;
@@ -147,8 +146,8 @@
   return silent * 2 > m_tracked.size() + 1;
 }
 
-/// Place of this router among the active observers of a silent member; a
-/// draining one comes last.
+/// Rank of this router among the active observers of a silent member; a
+/// draining observer ranks last.
 size_t SilentMemberDetector::OwnRank(const TrackedMember& target) const {
   const bool draining = m_own_phase == MemberPhase::kDraining;
   const uint64_t own = core::RendezvousRank(target.name, m_name);
--- a/src/membership/witness_selector.cc
+++ b/src/membership/witness_selector.cc
@@ -29,7 +29,7 @@
   return found == peers.end() ? nullptr : &*found;
 }
 
-/// Only one that was heard can acknowledge a ceiling.
+/// Only a peer that was heard can acknowledge a ceiling.
 bool IsEligible(const Peer& peer) {
   return peer.reachable && peer.heard && !peer.draining;
 }
@@ -68,8 +68,8 @@
   if (best && (leaving || unavailable_for >= m_limits.replace_after)) {
     return ChooseWitness{best->id};
   }
-  // Without anyone to raise the ceiling, work would stop at it although the
-  // holding has tokens. What a crash would strand then is the whole holding.
+  // Without a witness to raise the ceiling, work would stop at it although the
+  // holding has tokens. Without a ceiling, a crash strands the whole holding.
   if (!best && unavailable_for >= m_limits.give_up_after) {
     return ChooseNoWitness{};
   }
@@ -94,7 +94,8 @@
   std::optional<Candidate> best;
   for (const Peer& peer : peers) {
     const MemberId& id = peer.member.id;
-    // A router that is its own witness would lose its promise in the crash.
+    // A router must not be its own witness: it would lose the acknowledged
+    // ceilings in the crash.
     if (id.router == m_self.id.router || !IsEligible(peer)) {
       continue;
     }
--- a/tests/membership/fleet.h
+++ b/tests/membership/fleet.h
@@ -14,7 +14,7 @@
 constexpr core::TimePoint kStart{std::chrono::hours(1)};
 constexpr size_t kDomains = 3;
 
-/// Routers r0, r1, ... in three failure domains in turn.
+/// Routers r0, r1, ... assigned round-robin to three failure domains.
 inline std::vector<Member> MakeMembers(size_t count) {
   std::vector<Member> members(count);
   for (size_t i = 0; i < count; ++i) {
@@ -28,7 +28,7 @@
   return members;
 }
 
-/// Peers of r0 that are all reachable.
+/// Peers of r0, all reachable.
 inline std::vector<Peer> MakePeers(const std::vector<Member>& members) {
   std::vector<Peer> peers;
   for (size_t i = 1; i < members.size(); ++i) {
--- a/tests/membership/unit-choices.cc
+++ b/tests/membership/unit-choices.cc
@@ -67,9 +67,9 @@
   CHECK(MustChoose(witness) != witness);
 }
 
-// All other routers are gone or cut off. The ceiling can no longer be raised,
-// and this router would refuse work although its holding has tokens.
-TEST(WitnessSelector, a_router_left_alone_goes_on_without_a_witness) {
+// All other routers are gone or unreachable. The ceiling can no longer be
+// raised, and this router would refuse work although its holding has tokens.
+TEST(WitnessSelector, a_router_without_peers_continues_without_a_witness) {
   const MemberId witness = MustChoose(std::nullopt);
   for (Peer& peer : m_peers) {
     peer.reachable = false;
@@ -94,7 +94,7 @@
         m_members[0].failure_domain);
 }
 
-TEST(WitnessSelector, no_witness_of_840_routers_has_too_many_wards) {
+TEST(WitnessSelector, no_witness_of_840_routers_exceeds_its_limit) {
   std::vector<Member> members = MakeMembers(840);
   std::map<MemberId, size_t> witnessed_counts;
   for (Member& member : members) {
@@ -191,10 +191,10 @@
   }
 };
 
-// The router is told to leave while callers still hold lists that name it, and
-// requests are in progress. None may be cut, and no new one refused before the
-// lists have run out.
-TEST(Drain, it_serves_out_its_lists_and_its_requests) {
+// The router is asked to drain while callers still have lists with its address
+// and requests are in progress. No request may be aborted, and none refused
+// before the lists have expired.
+TEST(Drain, it_waits_for_its_lists_and_its_requests) {
   ExpectPhase(DrainPhase::kActive, {});
   CHECK(m_drain.Request(m_now));
   CHECK_FALSE(m_drain.Listed());
@@ -217,8 +217,7 @@
   ExpectPhase(DrainPhase::kExit, inputs);
 }
 
-// An impatient operator sends SIGTERM again. It neither restarts the wait nor
-// cuts it short.
+// A second SIGTERM must neither restart the wait nor shorten it.
 TEST(Drain, a_second_order_changes_nothing) {
   CHECK(m_drain.Request(m_now));
   const DrainInputs inputs{.announced = true, .in_progress = 1};
@@ -232,9 +231,10 @@
   ExpectPhase(DrainPhase::kRefusingNew, inputs);
 }
 
-// The log is out, so the drain cannot be announced in it. Peers learn of it by
-// heartbeat; the wait starts all the same, and only the end waits for the log.
-TEST(Drain, an_outage_of_the_log_does_not_stop_the_wait) {
+// The log is unavailable, so the drain cannot be announced in it. Peers learn
+// of it by heartbeat and the wait starts anyway; only the end waits for the
+// log.
+TEST(Drain, the_wait_starts_without_the_log) {
   m_drain.Request(m_now);
   const DrainInputs inputs;
   ExpectPhase(DrainPhase::kDraining, inputs);
--- a/tests/membership/unit-freshness.cc
+++ b/tests/membership/unit-freshness.cc
@@ -55,9 +55,9 @@
               StaleReason::kMinority);
 }
 
-// A router is paused for an hour and resumes. Its clock ran on, so it refuses
-// work until it has read; a reply of a read from before the pause, which was
-// waiting in its socket, does not help.
+// A router resumes after a pause of an hour. Its clock advanced, so it refuses
+// work until it has read again; the late reply of a read from before the pause
+// must not count.
 TEST(Freshness, a_resumed_router_is_stale_until_it_has_read_anew) {
   m_freshness.OnReadToEnd(kStart);
   const core::TimePoint resumed = kStart + 3'600 * kSecond;
@@ -69,14 +69,14 @@
               FreshBasis::kOwnReading);
 }
 
-TEST(Freshness, a_router_cut_off_from_the_log_is_fresh_when_vouched_for) {
+TEST(Freshness, a_router_cut_off_from_the_log_is_fresh_if_a_peer_confirms) {
   m_freshness.OnReadToEnd(kStart);
   ExpectFresh(m_freshness.Evaluate(m_later, Inputs(3, {ReadAt(m_later)})),
               FreshBasis::kConfirmedByPeer);
 }
 
 // A router is cut off from the log while its peers read it. One has a newer
-// configuration, so this router may not go on under its own.
+// configuration, so this router must not continue under its own.
 TEST(Freshness, a_peer_with_a_newer_version_makes_it_stale) {
   m_freshness.OnReadToEnd(kStart);
   ExpectStale(m_freshness.Evaluate(
@@ -86,9 +86,10 @@
               StaleReason::kNotConfirmed);
 }
 
-// The log is out for everybody and the fleet is split four to three. The four
-// go on; the three refuse work, since the others may have learnt of a change.
-TEST(Freshness, with_the_log_out_only_the_majority_goes_on) {
+// The log is unavailable for all routers and the fleet is partitioned four to
+// three. The four continue; the three refuse work, because the others may have
+// learned of a change.
+TEST(Freshness, without_the_log_only_the_majority_continues) {
   m_freshness.OnReadToEnd(kStart);
   const PeerLogReport old = ReadAt(kStart);
   std::vector<PeerLogReport> peers = {
@@ -102,9 +103,9 @@
               StaleReason::kMinority);
 }
 
-// A peer says that it reads the log, but its heartbeat may be an old one. It
-// is no log_report, and yet the log cannot be taken to be out for all.
-TEST(Freshness, a_peer_that_claims_to_read_rules_out_an_outage_for_all) {
+// A peer reports that it reads the log, but the heartbeat may be a late one. It
+// confirms nothing, but the log cannot be assumed to be unavailable for all.
+TEST(Freshness, a_peer_that_reports_reading_rules_out_an_outage_for_all) {
   m_freshness.OnReadToEnd(kStart);
   PeerLogReport claims = ReadAt(kStart);
   claims.claimed_read_to_end = m_later;
@@ -124,7 +125,7 @@
   ExpectStale(m_freshness.Evaluate(m_later, inputs), StaleReason::kMinority);
 }
 
-TEST(Freshness, staleness_states_since_when) {
+TEST(Freshness, staleness_reports_its_start) {
   m_freshness.OnReadToEnd(kStart);
   m_freshness.Evaluate(m_later, Inputs(3, {}));
   const FreshnessVerdict verdict =
--- a/tests/membership/unit-peer-view.cc
+++ b/tests/membership/unit-peer-view.cc
@@ -56,8 +56,8 @@
   CHECK_FALSE(m_view.Reachable(m_now + 3 * kSecond + kMillisecond, m_peer));
 }
 
-// A link flaps: every few seconds one heartbeat comes through. Requests that
-// were forwarded on the strength of it would hang.
+// On an unstable link one heartbeat arrives every few seconds. Requests
+// forwarded because of it would hang.
 TEST(PeerView, a_suspected_peer_must_be_heard_for_a_while) {
   HeartbeatsFor(1);
   m_now += 5 * kSecond;
@@ -75,10 +75,11 @@
   CHECK_FALSE(m_view.Reachable(m_now, m_peer));
 }
 
-// This router is paused for a minute while heartbeats pile up in its socket.
-// On resuming it handles them at once; each says "read the log just now". None
-// of them may vouch; the first that arrives at the usual pace may.
-TEST(PeerView, heartbeats_that_were_held_up_do_not_vouch) {
+// This router is paused for a minute while heartbeats accumulate in its socket,
+// and then handles them at once. Each reports a recent read, but none may
+// confirm the configuration; the first one that arrives at the usual interval
+// may.
+TEST(PeerView, delayed_heartbeats_confirm_nothing) {
   HeartbeatsFor(2);
   const core::TimePoint before = m_now;
   m_now += 60 * kSecond;
@@ -120,8 +121,8 @@
   }
 }
 
-// A full mesh of 840 routers would be 704,760 heartbeats a second. Each router
-// must send a bounded number, of bounded size, and be heard by some.
+// A full mesh of 840 routers would need 704,760 heartbeats a second. Each
+// router must send a bounded number of bounded size, and must be heard by some.
 TEST(PeerView, heartbeats_of_840_routers_are_bounded) {
   constexpr size_t kCount = 840;
   const std::vector<Member> members = MakeMembers(kCount);
--- a/tests/membership/unit-silent-member-detector.cc
+++ b/tests/membership/unit-silent-member-detector.cc
@@ -18,7 +18,8 @@
     last = core::Sequence(last.value() + 1);
   }
 
-  /// A second of reading in which all but `silent` members append.
+  /// Advances one second; all members except `silent` append, then reads to the
+  /// end.
   void ReadForOneSecond(SilentMemberDetector & detector,
                         const std::vector<size_t>& silent) {
     m_now += kSecond;
@@ -30,7 +31,7 @@
     detector.OnReadToEnd(m_now, m_members);
   }
 
-  /// @return after how many seconds records are due; 0: not within the limit
+  /// @return seconds until records are due; 0 if not within the limit
   int SecondsUntilDue(SilentMemberDetector & detector,
                       const std::vector<size_t>& silent, int limit) {
     for (int seconds = 1; seconds <= limit; ++seconds) {
@@ -66,8 +67,8 @@
   CHECK_EQUAL(5, SecondsUntilDue(detector, {1}, 10));
 }
 
-// This router is paused for an hour and resumes. Its next read shows no new
-// entry yet of anybody. It must not retire the fleet for its own absence.
+// The observer resumes after a pause of an hour, and its first read shows no
+// new entries. It must not retire the fleet for its own absence.
 TEST(SilentMemberDetector, a_pause_of_the_observer_retires_nobody) {
   SilentMemberDetector detector = MakeDetector(0);
   m_now += 3'600 * kSecond;
@@ -79,8 +80,8 @@
   }
 }
 
-// The observer is paused over and over, for a minute each time. Each read adds
-// no more than a usual gap, and others' entries come in between.
+// The observer is paused for a minute again and again. Each read adds no more
+// than a usual gap, and the others' entries arrive in between.
 TEST(SilentMemberDetector,
      an_observer_that_is_paused_repeatedly_retires_nobody) {
   SilentMemberDetector detector = MakeDetector(0);
@@ -92,8 +93,8 @@
   }
 }
 
-// The observer stops for four seconds at a time, while a member is silent. It
-// cannot know whether that member could append in between.
+// The observer stops for four seconds at a time while a member is silent. It
+// cannot know whether the member could append in between.
 TEST(SilentMemberDetector, one_read_adds_no_more_than_a_usual_gap) {
   SilentMemberDetector detector = MakeDetector(0);
   for (int i = 0; i < 5; ++i) {
@@ -103,8 +104,8 @@
   }
 }
 
-// The log takes no appends for a minute but can be read, so everybody looks
-// silent. When it recovers, this router's entry is the first one in.
+// Appends fail for a minute while reads work, so all members look silent. After
+// recovery, this router's entry is the first to arrive.
 TEST(SilentMemberDetector, an_outage_of_appends_retires_nobody) {
   SilentMemberDetector detector = MakeDetector(0);
   const std::vector<size_t> everybody = {0, 1, 2, 3, 4, 5};
@@ -119,10 +120,11 @@
   CHECK_EQUAL(0, SecondsUntilDue(detector, {1}, 60));
 }
 
-// A failure domain dies: a third of the fleet, at once. It is retired as fast
-// as one router. Silence of most of the fleet waits longer: the way to the log
-// is the likelier cause.
-TEST(SilentMemberDetector, a_failure_domain_goes_at_once_but_a_majority_waits) {
+// A failed domain, a third of the fleet, is retired as fast as one router. If
+// most of the fleet is silent, retirement waits longer: the connection to the
+// log is the more likely cause.
+TEST(SilentMemberDetector,
+     a_failure_domain_is_retired_at_once_but_a_majority_later) {
   SilentMemberDetector one = MakeDetector(0);
   CHECK_EQUAL(10, SecondsUntilDue(one, {1, 4}, 60));
   SilentMemberDetector most = MakeDetector(0);
@@ -135,9 +137,9 @@
   CHECK_EQUAL(20, SecondsUntilDue(detector, {1}, 60));
 }
 
-// All routers see the same silence. If all appended, a large fleet would flood
-// the log with one record from each; they take turns instead.
-TEST(SilentMemberDetector, observers_take_turns) {
+// All routers observe the same silence. If all appended a record at once, a
+// large fleet would flood the log, so they are staggered.
+TEST(SilentMemberDetector, observers_are_staggered) {
   m_members = MakeMembers(100);
   std::vector<SilentMemberDetector> detectors;
   for (size_t i = 1; i < m_members.size(); ++i) {
