--- a/src/ledger/fold_quarantine.cc
+++ b/src/ledger/fold_quarantine.cc
@@ -51,11 +51,11 @@
   if (budget == nullptr) {
     return;
   }
-  const bool folded = ApplySpendTotals(
+  const bool applied = ApplySpendTotals(
       context, member, *budget,
       {Tokens(final_spend.spent()), Tokens(final_spend.written_off())},
       final_spend.bills());
-  if (!folded) {
+  if (!applied) {
     return;
   }
   // Tokens of pending transfers stay in this holding until the transfer is
--- a/tests/ledger/test_log.h
+++ b/tests/ledger/test_log.h
@@ -14,14 +14,14 @@
 
 inline constexpr uint64_t kTestWindow = 100;
 
-/// @brief A writer that appends one entry after the other.
+/// @brief A writer that appends consecutive entries.
 struct Writer {
   std::string id;
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
 };
 
-/// @brief A log with one reader, which checks conservation after each entry.
+/// @brief A log with one reader that checks conservation after each entry.
 class TestLog {
  public:
   TestLog() : m_fold({.dedup_window = kTestWindow}) {}
@@ -30,7 +30,7 @@
   const std::vector<v1::Entry>& entries() const { return m_entries; }
   uint64_t next() const { return m_fold.next_offset().value(); }
 
-  /// @brief The writer's next entry, not appended yet.
+  /// @brief Creates the writer's next entry without appending it.
   v1::Entry Draft(Writer& writer, const std::vector<v1::Record>& records) {
     v1::Entry entry;
     entry.set_writer(writer.id);
@@ -79,7 +79,7 @@
   std::vector<v1::Entry> m_entries;
 };
 
-/// @return the first effect of a kind; null when there is none
+/// @return the first effect of a type; null when there is none
 template <typename T>
 const T* Find(const std::vector<Effect>& effects) {
   for (const Effect& effect : effects) {
@@ -268,7 +268,7 @@
     Write(r3, Join());
   }
 
-  /// @brief A router writes an entry and so shows how far it has read.
+  /// @brief Writes an entry of a router, which shows how far it has read.
   std::vector<Effect> ConfirmRead(Writer& router) {
     v1::Record record;
     record.mutable_config_confirmed()->set_version(
@@ -276,7 +276,7 @@
     return Write(router, record);
   }
 
-  /// @return what changed by all routers reading to the end
+  /// @return the effects of all routers reading to the end
   std::vector<Effect> ConfirmReadByAll() {
     std::vector<Effect> all;
     for (Writer* router : {&r1, &r2, &r3}) {
@@ -287,7 +287,8 @@
     return all;
   }
 
-  /// @brief r1 draws 100, is witnessed by r2, spends 30 and falls silent.
+  /// @brief r1 is granted 100 tokens, chooses r2 as witness, spends 30 and is
+  /// retired as silent.
   void RetireFirstRouter() {
     Write(r1, RequestAllotment(100));
     Write(r1, ChooseWitness(r2));
--- a/tests/ledger/unit-balance.cc
+++ b/tests/ledger/unit-balance.cc
@@ -9,7 +9,7 @@
 TEST_GROUP(Balance){};
 // clang-format on
 
-TEST(Balance, a_published_configuration_pays_its_prepaid_growth_in) {
+TEST(Balance, a_configuration_pays_in_the_growth_of_its_prepaid_amount) {
   TestLog log;
   Writer alice{"operator:alice", 11};
   const auto first = log.Write(alice, Publish(0, 1000, "c1"));
@@ -21,7 +21,7 @@
   STRCMP_EQUAL("name-c2", log.fold().config_operator().c_str());
 }
 
-TEST(Balance, a_shrinking_prepaid_amount_is_rejected_whole) {
+TEST(Balance, a_configuration_with_a_lower_prepaid_amount_is_rejected) {
   Fleet log;
   log.Write(log.alice, TopUp(700, "t1"));
   const auto effects = log.Write(log.alice, Publish(1, 900, "c2"));
@@ -42,9 +42,10 @@
   CHECK(Find<ConfigRejected>(huge)->reason == ConfigRejection::kInvalid);
 }
 
-// Two operators publish at the same moment, both based on version 1. The first
-// in log order is proposed and comes into force; the other is told who won,
-// because a merge that nobody has read would be in force otherwise.
+// Two operators publish at the same time, both based on version 1. The first in
+// log order is proposed and comes into force. The other is rejected and told
+// which change won; otherwise a merge that nobody has reviewed would be in
+// force.
 TEST(Balance, of_two_operators_at_once_the_first_in_log_order_wins) {
   Fleet log;
   Writer bob{"operator:bob", 12};
@@ -62,8 +63,8 @@
   CHECK(log.fold().config_version() == core::ConfigVersion(2));
 }
 
-// The reply to a publisher's append is lost, so it appends the same change
-// again. It must not read that its own change lost against itself.
+// The reply to an append is lost, so the publisher appends the same change
+// again. It must not be told that its change lost against itself.
 TEST(Balance, a_repeated_publication_is_a_duplicate_and_no_conflict) {
   Fleet log;
   const auto effects = log.Write(log.alice, Publish(0, 1000, "c1"));
@@ -85,9 +86,9 @@
   LONGS_EQUAL(200, Find<PaidIn>(log.ConfirmReadByAll())->tokens.value());
 }
 
-// An operator's top-up takes effect but its reply is lost; the tool repeats it,
-// once soon and once so late that its id is forgotten. The account must be paid
-// in once: the late one is refused by its age alone.
+// The reply to a top-up is lost and the tool repeats it, once soon and once
+// after its id was forgotten. The account must be paid in once; the late copy
+// is refused because of its age.
 TEST(Balance, a_repeated_top_up_pays_in_once_however_late_it_comes) {
   Fleet log;
   const v1::Entry entry = log.Draft(log.alice, {TopUp(500, "t1")});
@@ -99,8 +100,9 @@
   LONGS_EQUAL(1500, log.Free());
 }
 
-// A broken tool states an offset that it cannot have read yet. Its age is then
-// unknown, and an unlimited one would make every late copy look fresh.
+// A faulty tool sends an offset that it cannot have read yet. The age of the
+// entry is then unknown, and accepting it would make every late copy look
+// recent.
 TEST(Balance, a_top_up_from_the_future_is_stale) {
   Fleet log;
   v1::Entry entry = log.Draft(log.alice, {TopUp(500, "t1")});
@@ -108,7 +110,7 @@
   CHECK(Find<TopUpRefused>(log.Append(entry))->reason == TopUpRefusal::kStale);
 }
 
-TEST(Balance, a_top_up_without_meaning_is_refused_with_its_reason) {
+TEST(Balance, an_invalid_top_up_is_refused_with_its_reason) {
   Fleet log;
   const auto refusal = [&log](const v1::Record& record) {
     return Find<TopUpRefused>(log.Write(log.alice, record))->reason;
@@ -132,7 +134,7 @@
   LONGS_EQUAL(49, log.Free());
 }
 
-TEST(Balance, only_gate_work_draws_on_the_held_back_share) {
+TEST(Balance, only_gate_requests_draw_on_the_reserve) {
   Fleet log(v1::ON_PROOF, 100);
   LONGS_EQUAL(
       900,
@@ -155,9 +157,9 @@
   LONGS_EQUAL(960, log.Free());
 }
 
-// The reply to an append is lost after it took effect, so the router appends
-// the same entry again. It must hold one grant, not two.
-TEST(Balance, an_entry_appended_twice_folds_once) {
+// The reply to an append is lost, so the router appends the same entry again.
+// It must get one grant, not two.
+TEST(Balance, an_entry_appended_twice_is_applied_once) {
   Fleet log;
   const v1::Entry entry = log.Draft(log.r1, {RequestAllotment(100)});
   CHECK(Find<Granted>(log.Append(entry)) != nullptr);
@@ -165,7 +167,7 @@
   LONGS_EQUAL(900, log.Free());
 }
 
-TEST(Balance, an_entry_after_a_missing_one_folds_to_nothing) {
+TEST(Balance, an_entry_after_a_missing_one_is_ignored) {
   Fleet log;
   log.Draft(log.r1, {RequestAllotment(100)});
   CHECK(Ignored(log.Write(log.r1, RequestAllotment(100)),
@@ -173,7 +175,7 @@
   LONGS_EQUAL(1000, log.Free());
 }
 
-TEST(Balance, records_of_the_wrong_kind_of_writer_fold_to_nothing) {
+TEST(Balance, records_of_the_wrong_kind_of_writer_are_ignored) {
   Fleet log;
   CHECK(Ignored(log.Write(log.alice, RequestAllotment(100)),
                 IgnoreReason::kNotAllowed));
--- a/tests/ledger/unit-members.cc
+++ b/tests/ledger/unit-members.cc
@@ -32,9 +32,9 @@
         JoinRefusal::kInvalid);
 }
 
-// A peer sees no entry of r1 for too long and retires it, but r1's next entry
-// reached the log first. The peer decided on an old view, so r1 stays.
-TEST(Members, a_retirement_is_void_when_the_router_wrote_since) {
+// A peer retires r1 as silent, but r1's next entry reached the log first. The
+// peer decided on an outdated view, so r1 stays.
+TEST(Members, a_retirement_is_ignored_if_the_router_wrote_since) {
   Fleet log;
   const v1::Entry verdict = log.Draft(log.r2, {Retire(log.r1, 1)});
   log.Write(log.r1, RequestAllotment(10));
@@ -43,10 +43,10 @@
   CHECK(log.fold().FindLive(core::RouterId("r1")) != nullptr);
 }
 
-// r1 is paused with an append under way, is retired, and resumes. Its append
-// then lands as if nothing had happened: it must change nothing, and the entry
-// after it must still be in sequence.
-TEST(Members, what_a_retired_router_asks_for_after_its_pause_is_ignored) {
+// r1 is paused during an append, is retired, and resumes. Its append then
+// arrives: it must change nothing, and the entry after it must still be in
+// sequence.
+TEST(Members, requests_of_a_retired_router_after_its_pause_are_ignored) {
   Fleet log;
   log.Write(log.r1, RequestAllotment(100));
   const v1::Entry paused = log.Draft(log.r1, {RequestAllotment(50), Spend(20)});
@@ -58,9 +58,9 @@
   LONGS_EQUAL(980, log.Free());
 }
 
-// A copy of r1's join reaches the log long after r1 was retired and forgotten.
-// Were it folded, a router that no longer exists would count as live.
-TEST(Members, a_late_copy_of_a_join_does_not_bring_a_router_back) {
+// A copy of r1's join reaches the log long after r1 was retired and removed.
+// Applying it would make a router live that no longer exists.
+TEST(Members, a_late_copy_of_a_join_is_refused) {
   Fleet log;
   Writer r4{"r4", 4};
   const v1::Entry join = log.Draft(r4, {Join()});
@@ -83,7 +83,7 @@
   LONGS_EQUAL(970, log.Free());
 }
 
-TEST(Members, only_a_router_itself_can_say_that_it_is_drained) {
+TEST(Members, only_the_router_itself_can_retire_as_drained) {
   Fleet log;
   log.Write(log.r1, v1::Record());
   CHECK(Ignored(log.Write(log.r2, Retire(log.r1, 9, v1::DRAINED)),
--- a/tests/ledger/unit-orders.cc
+++ b/tests/ledger/unit-orders.cc
@@ -24,7 +24,7 @@
   return record;
 }
 
-// "blind" ignores fencing numbers; "e0" to "e2" check them.
+// The engine "blind" ignores fencing numbers; "e0" to "e2" check them.
 struct Engines : TestLog {
   Writer alice{"operator:alice", 11};
   Writer r1{"r1", 1};
@@ -74,9 +74,9 @@
 // clang-format on
 
 // r1 takes an order to an engine that ignores fencing numbers and is paused
-// before it sends. A newer order, delivered by somebody else, would be undone
-// without a trace when r1 resumes. So it is refused until an operator has seen
-// to r1 and settled the older one, which in turn waits until r1 is retired.
+// before sending it. A newer order would be silently undone when r1 resumes. So
+// it is refused until an operator has settled the older one, which requires
+// that r1 is retired.
 TEST(Orders, no_newer_order_is_issued_while_an_older_one_may_reach_the_engine) {
   Engines log;
   const uint64_t first = log.Issue("blind");
@@ -93,8 +93,8 @@
   CHECK(log.order("blind").fencing == core::FencingNumber(second));
 }
 
-// The same engine, but the sender stated that no valid reply came: the order
-// may be on its way for as long as the network likes.
+// As before, but the sender reports that it got no valid reply: the order may
+// still arrive at any time.
 TEST(Orders, an_unknown_outcome_stays_unsettled_until_an_operator_settles_it) {
   Engines log;
   const uint64_t first = log.Issue("blind");
@@ -106,7 +106,7 @@
   CHECK(Find<OrderInForce>(log.Write(log.alice, OrderModel("blind"))));
 }
 
-TEST(Orders, an_order_that_nobody_took_gives_way_to_a_newer_one) {
+TEST(Orders, an_order_that_was_not_taken_is_replaced_by_a_newer_one) {
   Engines log;
   const uint64_t first = log.Issue("blind");
   const uint64_t second = log.Issue("blind");
@@ -127,7 +127,7 @@
   CHECK(log.order("e0").open());
 }
 
-TEST(Orders, only_the_holder_states_an_outcome_and_only_once) {
+TEST(Orders, only_the_holder_reports_an_outcome_and_only_once) {
   Engines log;
   const uint64_t first = log.Issue("e0");
   CHECK_FALSE(log.End(log.r1, "e0", first, v1::DONE));
@@ -149,9 +149,9 @@
   CHECK(log.Take(log.r2, "blind", first));
 }
 
-// Three models are to be loaded at once, by three routers. The weight store is
+// Three routers are to load a model each at the same time. The weight store is
 // rate-limited, so the third waits until one of the others is done.
-TEST(Orders, no_more_loads_are_taken_than_the_weight_store_bears) {
+TEST(Orders, no_more_loads_are_taken_than_the_limit) {
   Engines log;
   const uint64_t a = log.Issue("e0");
   const uint64_t b = log.Issue("e1");
--- a/tests/ledger/unit-quarantine.cc
+++ b/tests/ledger/unit-quarantine.cc
@@ -9,7 +9,7 @@
 TEST_GROUP(Quarantine){};
 // clang-format on
 
-TEST(Quarantine, the_witness_frees_what_lies_past_the_ceiling) {
+TEST(Quarantine, the_witness_releases_tokens_above_the_ceiling) {
   Fleet log;
   log.RetireFirstRouter();
   const auto effects = log.Write(log.r2, NarrowQuarantine(log.r1, 60));
@@ -18,7 +18,7 @@
   LONGS_EQUAL(940, log.Free());
 }
 
-TEST(Quarantine, a_ceiling_below_the_reported_spend_frees_the_unspent_only) {
+TEST(Quarantine, a_ceiling_below_the_reported_spend_releases_only_the_rest) {
   Fleet log;
   log.RetireFirstRouter();
   log.Write(log.r2, NarrowQuarantine(log.r1, 10));
@@ -27,10 +27,10 @@
   CHECK(log.holding(log.r1).ceiling == core::Tokens(30));
 }
 
-// r1 replaced its witness r2 by r3 and was promised more there. r2 has not read
-// that yet and states its old, lower ceiling after r1 fell silent. Believing it
-// would free tokens that r1 may have committed with r3's word.
-TEST(Quarantine, a_witness_that_is_not_in_force_frees_nothing) {
+// r1 replaced its witness r2 by r3, which acknowledged a higher ceiling. r2 has
+// not read that yet and reports its old, lower ceiling after r1 became silent.
+// Accepting it would release tokens that r1 may have committed.
+TEST(Quarantine, a_witness_that_is_not_in_force_releases_nothing) {
   Fleet log;
   log.Write(log.r1, RequestAllotment(100));
   log.Write(log.r1, ChooseWitness(log.r2));
@@ -45,9 +45,9 @@
   LONGS_EQUAL(80, log.Quarantined());
 }
 
-// The witness restarts and is the same router under a new incarnation: it has
-// forgotten what it promised, so its word no longer counts.
-TEST(Quarantine, a_restarted_witness_frees_nothing) {
+// The witness restarts under a new incarnation. It has lost the ceilings that
+// it acknowledged, so its report must not count.
+TEST(Quarantine, a_restarted_witness_releases_nothing) {
   Fleet log;
   log.RetireFirstRouter();
   Writer again{"r2", 102};
@@ -56,7 +56,7 @@
                 IgnoreReason::kNotWitness));
 }
 
-TEST(Quarantine, a_strict_budget_takes_no_witness) {
+TEST(Quarantine, a_strict_budget_ignores_the_witness) {
   Fleet log(v1::OPERATOR_ONLY);
   log.RetireFirstRouter();
   CHECK(Ignored(log.Write(log.r2, NarrowQuarantine(log.r1, 60)),
@@ -66,10 +66,10 @@
   LONGS_EQUAL(955, log.Free());
 }
 
-// The witness narrows a paused router's quarantine; the router resumes, ends
-// its work within the ceiling and states its final spend. All that it did not
-// spend must be back, and none of it twice.
-TEST(Quarantine, a_final_report_after_narrowing_frees_the_rest_once) {
+// The witness narrows a paused router's quarantine. The router resumes,
+// finishes its work within the ceiling and reports its final spend. All unspent
+// tokens must be back in the balance, none of them twice.
+TEST(Quarantine, a_final_report_after_narrowing_releases_the_rest_once) {
   Fleet log;
   log.RetireFirstRouter();
   log.Write(log.r2, NarrowQuarantine(log.r1, 60));
@@ -107,8 +107,8 @@
   log.Write(log.r2, Spend(40));
 }
 
-// A copy of a transfer record hangs in the network past the window, so that its
-// id is forgotten. Folding it again would move tokens that r1 spends from.
+// A copy of a transfer record is delayed past the window, so that its id is
+// forgotten. Applying it again would move tokens that r1 still spends.
 TEST(Quarantine, a_transfer_record_after_the_window_moves_nothing) {
   Fleet log;
   log.Write(log.r1, RequestAllotment(100));
@@ -119,8 +119,9 @@
   LONGS_EQUAL(60, log.holding(log.r1).held().value());
 }
 
-// r1 sends 40 to r2 and dies before either side has recorded it. The witness's
-// ceiling counts the 40, so they are still there when r2 records them.
+// r1 sends 40 to r2 and fails before either side has recorded the transfer. The
+// witness's ceiling includes the 40, so they are still held when r2 records
+// them.
 TEST(Quarantine, a_transfer_recorded_after_narrowing_is_covered) {
   Fleet log;
   log.RetireFirstRouter();
@@ -131,7 +132,7 @@
   LONGS_EQUAL(930, log.Free());
 }
 
-TEST(Quarantine, a_pending_transfer_outlives_the_final_report) {
+TEST(Quarantine, a_pending_transfer_stays_held_after_the_final_report) {
   Fleet log;
   log.RetireFirstRouter();
   log.Write(log.r1, FinalizeSpend(log.r1, 35, 40));
@@ -140,7 +141,7 @@
   LONGS_EQUAL(0, log.Quarantined());
 }
 
-TEST(Quarantine, tokens_sent_to_a_narrowed_router_go_back_at_once) {
+TEST(Quarantine, tokens_sent_to_a_narrowed_router_are_released_at_once) {
   Fleet log;
   log.RetireFirstRouter();
   log.Write(log.r2, NarrowQuarantine(log.r1, 60));
@@ -148,15 +149,15 @@
   log.Write(log.r3, Transfer(log.r3, log.r1, 9, 25));
   LONGS_EQUAL(30, log.Quarantined());
   LONGS_EQUAL(865, log.Free());
-  // A later statement may lower the ceiling, never raise it again.
+  // A later report may lower the ceiling, but never raise it.
   log.Write(log.r2, NarrowQuarantine(log.r1, 90));
   log.Write(log.r3, Transfer(log.r3, log.r1, 10, 25));
   LONGS_EQUAL(30, log.Quarantined());
 }
 
-// r1 sent 40 to r2 and was retired; an operator released its quarantine and r3
-// drew all of it before r2 recorded the transfer. Nothing is left to cover it:
-// r2 is told, and the balance stays as it is.
+// r1 sent 40 to r2 and was retired. An operator released its quarantine and r3
+// was granted all of it before r2 recorded the transfer. Nothing covers it any
+// more: the record is ignored and the balance stays the same.
 TEST(Quarantine, a_transfer_that_nothing_covers_any_more_is_refused) {
   Fleet log;
   log.RetireFirstRouter();
@@ -167,7 +168,7 @@
   LONGS_EQUAL(0, log.Free());
 }
 
-TEST(Quarantine, a_repeated_release_by_an_operator_frees_once) {
+TEST(Quarantine, a_repeated_release_by_an_operator_is_applied_once) {
   Fleet log;
   log.RetireFirstRouter();
   const v1::Entry release = log.Draft(log.alice, {Release(log.r1, 30)});
@@ -181,10 +182,10 @@
   LONGS_EQUAL(970, log.Free());
 }
 
-// An operator releases what a paused router had in fact spent. The router comes
-// back and says so: the balance must give the tokens up again, not count them
-// as free.
-TEST(Quarantine, a_final_report_takes_back_what_was_released_too_early) {
+// An operator releases tokens that a paused router had spent. When the router
+// reports them, the balance must give them up again instead of counting them as
+// free.
+TEST(Quarantine, a_final_report_reclaims_tokens_released_too_early) {
   Fleet log;
   log.RetireFirstRouter();
   log.Write(log.alice, Release(log.r1, 70));
@@ -194,9 +195,9 @@
   LONGS_EQUAL(80, log.budget().billed.value());
 }
 
-// As before, but others have drawn the released tokens meanwhile: the budget is
-// overspent. That cannot be folded away, so the fold stops with an alarm.
-TEST(Quarantine, a_release_that_proves_overspent_stops_the_fold) {
+// As before, but other routers were granted the released tokens, so the budget
+// is overspent. No valid state can result, so the fold stops with an error.
+TEST(Quarantine, an_overspent_release_stops_the_fold) {
   Fleet log;
   log.RetireFirstRouter();
   log.Write(log.alice, Release(log.r1, 70));
--- a/tests/ledger/unit-quorum.cc
+++ b/tests/ledger/unit-quorum.cc
@@ -9,15 +9,15 @@
 TEST_GROUP(Acceptance){};
 // clang-format on
 
-TEST(Acceptance, a_fleet_without_routers_takes_a_configuration_at_once) {
+TEST(Acceptance, a_fleet_without_routers_accepts_a_configuration_at_once) {
   TestLog log;
   Writer alice{"operator:alice", 11};
   const auto effects = log.Write(alice, Publish(0, 1000, "c1"));
   CHECK(Find<ConfigAccepted>(effects) != nullptr);
 }
 
-// A configuration is published while most routers cannot read the log. Were it
-// in force for the one that can, the fleet would work under two rule sets. It
+// A configuration is published while most routers cannot read the log. If it
+// came into force for the one that can, two configurations would be in use. It
 // waits until a second of the three has read it.
 TEST(Acceptance, a_proposal_waits_until_more_than_half_have_read_it) {
   Fleet log;
@@ -31,8 +31,8 @@
   LONGS_EQUAL(1500, log.Free());
 }
 
-// An entry written before its writer had read the proposal is appended after
-// it. It shows nothing about the proposal and must not count.
+// An entry was written before its writer had read the proposal, but appended
+// after it. It is no evidence that the proposal was read.
 TEST(Acceptance, an_entry_written_before_the_proposal_does_not_count) {
   Fleet log;
   log.ConfirmReadByAll();
@@ -44,10 +44,10 @@
   CHECK(log.fold().config_version() == core::ConfigVersion(1));
 }
 
-// A minority that can read the log retires the others, which are cut off from
-// it but alive. It must not become a majority that way: the votes go only once
-// a majority has read the retirement.
-TEST(Acceptance, a_minority_cannot_vote_the_others_out) {
+// A minority that can read the log retires the others, which are live but cut
+// off from it. It must not become a majority that way: the votes are removed
+// only once a majority has read the retirement.
+TEST(Acceptance, a_minority_cannot_remove_the_votes_of_others) {
   Fleet log;
   log.ConfirmReadByAll();
   log.Write(log.r1, Retire(log.r2, log.r2.sequence));
@@ -57,8 +57,8 @@
   LONGS_EQUAL(3, log.fold().voters());
 }
 
-// The same minority starts new routers. They serve, but have no vote until a
-// majority of the old voters has read of them.
+// The same minority starts new routers. They serve requests, but have no vote
+// until a majority of the existing voters has read their joins.
 TEST(Acceptance, a_minority_cannot_outvote_the_others_with_new_routers) {
   Fleet log;
   log.ConfirmReadByAll();
@@ -73,8 +73,8 @@
   CHECK(log.fold().voters() > 3);
 }
 
-// Most routers are lost for good. The operator, who has seen it, retires them;
-// then the rest can change the configuration again.
+// Most routers are lost permanently. An operator retires them, after which the
+// rest can change the configuration again.
 TEST(Acceptance, an_operator_retires_lost_voters_at_once) {
   Fleet log;
   log.ConfirmReadByAll();
@@ -85,7 +85,8 @@
   CHECK(Find<ConfigAccepted>(log.ConfirmRead(log.r1)) != nullptr);
 }
 
-// A router is restarted while a proposal waits; its new incarnation votes.
+// A router restarts while a proposal is pending; its new incarnation is a
+// voter.
 TEST(Acceptance, a_restarted_router_keeps_its_vote) {
   Fleet log;
   log.ConfirmReadByAll();
@@ -97,9 +98,9 @@
   CHECK(Find<ConfigAccepted>(log.ConfirmRead(again)) != nullptr);
 }
 
-// A router that starts from a snapshot taken while a proposal waits must accept
-// it at the same offset as the others.
-TEST(Acceptance, a_snapshot_keeps_voters_and_the_waiting_proposal) {
+// A router that starts from a snapshot with a pending proposal must accept it
+// at the same offset as the others.
+TEST(Acceptance, a_snapshot_keeps_voters_and_the_pending_proposal) {
   Fleet log;
   log.ConfirmReadByAll();
   log.Write(log.alice, Publish(1, 1500, "c2"));
--- a/tests/ledger/unit-snapshot.cc
+++ b/tests/ledger/unit-snapshot.cc
@@ -21,8 +21,8 @@
   return fold;
 }
 
-// Three routers and an operator that do anything the schema allows, sensible or
-// not, each entry appended up to three times and now and then out of order.
+// Three routers and an operator that write random records, valid or not. Each
+// entry is appended up to three times, sometimes out of order.
 class RandomFleet {
  public:
   explicit RandomFleet(uint64_t seed) : m_random(seed) {}
@@ -43,7 +43,7 @@
     }
   }
 
-  /// @return the kinds of effects seen, as indices of the variant
+  /// @return the types of the effects, as indices of the variant
   const std::set<size_t>& kinds() const { return m_kinds; }
 
   TestLog& log() { return m_log; }
@@ -80,7 +80,7 @@
     }
   }
 
-  // What a router may truthfully report as spent, so that the fold goes on.
+  // A spend that the router may validly report, so that the fold does not stop.
   int64_t RandomSpend(const Writer& router) {
     const Holding* holding = m_log.fold().FindHolding(
         core::Incarnation(router.incarnation), core::BudgetId("tours"));
@@ -142,13 +142,12 @@
 TEST_GROUP(Snapshots){};
 // clang-format on
 
-// Every entry is checked for conservation by TestLog; here the fold is also
-// taken up again from four of its own states and must end as the whole fold
-// does.
-TEST(Snapshots, random_logs_conserve_and_any_snapshot_with_its_tail_agrees) {
+// TestLog checks conservation after every entry. In addition, the fold is
+// restored from four of its own states and must end with the same digest.
+TEST(Snapshots, random_logs_conserve_tokens_and_restored_states_agree) {
   constexpr uint64_t kSeeds = 20;
   constexpr int kSteps = 300;
-  // All but orders, drains, confirmations and snapshots.
+  // All effects except those of orders, drains, confirmations and snapshots.
   constexpr size_t kKindsAtLeast = 20;
   std::set<size_t> kinds;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -183,8 +182,9 @@
   LONGS_EQUAL(70, log.Quarantined());
 }
 
-// Two routers' folds differ by a fault. Nothing shows it until a snapshot of
-// one meets the fold of the other; that fold must stop and stay stopped.
+// The states of two routers differ because of a fault, which shows only when a
+// snapshot of one is compared by the other. That fold must stop and stay
+// stopped.
 TEST(Snapshots, a_digest_that_differs_stops_the_fold) {
   Fleet log;
   const v1::Record snapshot = SnapshotAt(log.fold(), log.fold().Digest() + 1);
@@ -193,9 +193,10 @@
   CHECK(core::Failure(log.Try({})).id == core::ErrorId::kDigestMismatch);
 }
 
-// Other entries reach the log between the taking of a snapshot and its append.
-// One taken at a checkpoint is compared all the same, any other is let pass.
-TEST(Snapshots, a_snapshot_of_a_checkpoint_is_compared_when_it_lands_later) {
+// Other entries reach the log between the creation of a snapshot and its
+// append. A snapshot taken at a checkpoint is still compared; any other is
+// accepted without comparison.
+TEST(Snapshots, a_snapshot_of_a_checkpoint_is_compared_when_appended_later) {
   std::vector<v1::Entry> entries(16);
   Fold fold = FoldAll(entries);
   CHECK(fold.last_checkpoint() == core::LogOffset(16));
@@ -213,7 +214,7 @@
   CHECK(core::Failure(land(bad)).id == core::ErrorId::kDigestMismatch);
 }
 
-TEST(Snapshots, an_offset_folded_before_is_passed_over_and_a_gap_is_an_error) {
+TEST(Snapshots, an_applied_offset_is_skipped_and_a_gap_is_an_error) {
   Fold fold = FoldAll(std::vector<v1::Entry>(3));
   CHECK(core::Value(fold.Apply(core::LogOffset(1), {})).empty());
   CHECK(core::Failure(fold.Apply(core::LogOffset(4), {})).id ==
--- a/tests/ledger/unit-spend.cc
+++ b/tests/ledger/unit-spend.cc
@@ -19,9 +19,9 @@
   CHECK(Ignored(log.Write(log.r1, Spend(69)), IgnoreReason::kSpendNotMonotone));
 }
 
-// A caller's router is cut off after it ran the request; the caller retries the
-// same key elsewhere and it runs again. Both routers report their bill: the
-// account pays for the first in log order, the second is written off.
+// A caller's router is cut off after running a request, and the caller's retry
+// of the same key runs at another router. Both routers report a bill: the
+// account pays for the first in log order, and the second is written off.
 TEST(Spending, a_key_billed_by_two_routers_is_paid_once) {
   Fleet log;
   log.Write(log.r1, RequestAllotment(100));
@@ -35,9 +35,9 @@
   CHECK(log.fold().IsBilled(core::HashOf("k")));
 }
 
-// An attempt is cut and another one answers the caller. Both used tokens, so
-// both are spent; the account is billed for the answer only. Counting the first
-// as billed would charge one request twice.
+// An attempt is aborted and another one answers the caller. Both used tokens,
+// so both are spent, but only the answer is billed. Billing the first as well
+// would charge the request twice.
 TEST(Spending, an_abandoned_attempt_is_spent_but_not_billed) {
   Fleet log;
   log.Write(log.r1, RequestAllotment(200));
@@ -50,16 +50,17 @@
   CHECK(Ignored(log.Write(log.r1, report), IgnoreReason::kSpendNotMonotone));
 }
 
-TEST(Spending, bills_past_the_reported_spend_are_cut_to_it) {
+TEST(Spending, bills_above_the_reported_spend_are_reduced_to_it) {
   Fleet log;
   log.Write(log.r1, RequestAllotment(100));
   log.Write(log.r1, Spend(10, {{"k", 40}, {"l", 5}}));
   LONGS_EQUAL(10, log.budget().billed.value());
 }
 
-// A router that spends more than it was given breaks the bound that everything
-// rests on. The fold stops rather than let others spend what is gone.
-TEST(Spending, a_spend_past_the_holding_stops_the_fold_for_good) {
+// A router that spends more than it holds violates the bound that all balances
+// depend on. The fold stops instead of letting others spend tokens that are
+// gone.
+TEST(Spending, a_spend_above_the_holding_stops_the_fold_permanently) {
   Fleet log;
   log.Write(log.r1, RequestAllotment(100));
   const auto result = log.Try(log.Draft(log.r1, {Spend(101)}));
@@ -76,8 +77,8 @@
         core::Incarnation(1));
 }
 
-// r1's claim hangs in the network for longer than the window. Meanwhile r2 won
-// the key, ran the request, and the claim was forgotten. r1 must not win now.
+// r1's claim is delayed beyond the window. Meanwhile r2 won the key, ran the
+// request, and its claim was forgotten. r1 must not win the key now.
 TEST(Spending, a_claim_that_arrives_after_the_window_is_lost) {
   Fleet log;
   const v1::Entry late = log.Draft(log.r1, {ClaimKey("seat")});
