--- a/include/coppervalve/ledger/budget.h
+++ b/include/coppervalve/ledger/budget.h
@@ -39,9 +39,8 @@
   core::Tokens free;
   core::Tokens billed;
   core::Tokens written_off;
-  core::Tokens held;  ///< by all incarnations, including retired ones
-  core::Tokens
-      quarantined;  ///< part of `held` that belongs to retired incarnations
+  core::Tokens held;         ///< by all incarnations, including retired ones
+  core::Tokens quarantined;  ///< part of `held` of retired ones
   uint32_t gate_reserve_permille = 0;
   v1::ReleasePolicy release = v1::OPERATOR_ONLY;
   bool configured = false;  ///< named in the configuration in force
--- a/include/coppervalve/ledger/effects.h
+++ b/include/coppervalve/ledger/effects.h
@@ -63,8 +63,7 @@
   std::string change_id;
   core::ConfigVersion based_on;
   core::ConfigVersion version_in_force;
-  std::string
-      winner_operator;  ///< publisher of the proposed or current version
+  std::string winner_operator;   ///< publisher of that version
   std::string winner_change_id;  ///< equal to `change_id` for a repeated append
 };
 
--- a/include/coppervalve/membership/silent_member_detector.h
+++ b/include/coppervalve/membership/silent_member_detector.h
@@ -26,9 +26,8 @@
   core::Duration stagger = std::chrono::milliseconds(500);
   /// Delay before a record that has not appeared in the log is issued again.
   core::Duration report_again_after = std::chrono::seconds(5);
-  int draining_factor = 2;  ///< on retire_after, for a draining member
-  int most_silent_factor =
-      3;  ///< on retire_after, when more than half are silent
+  int draining_factor = 2;     ///< on retire_after, for a draining member
+  int most_silent_factor = 3;  ///< on retire_after, if over half are silent
 };
 
 /// @brief Detects members that have been silent in the log long enough to be
@@ -55,8 +54,7 @@
     core::Sequence last_sequence;
     core::Duration silent{};  // counted while this router reads and appends
     MemberPhase phase = MemberPhase::kActive;
-    std::optional<size_t>
-        own_rank;  // among its observers, set once it is silent
+    std::optional<size_t> own_rank;  // among its observers, once silent
     std::optional<core::TimePoint> reported_at;
   };
 
