--- a/src/ledger/fold.cc
+++ b/src/ledger/fold.cc
@@ -170,8 +170,8 @@
   FoldMemberEntry(context, *member, 0);
 }
 
-// Such a snapshot can be compared as well, if the digest is stored before the
-// entry is applied.
+// A snapshot that is appended at the very offset at which it was taken can be
+// compared as well, if the digest is stored before the entry is applied.
 bool HasSnapshotOf(const v1::Entry& entry, LogOffset offset) {
   for (const v1::Record& record : entry.records()) {
     if (record.has_snapshot() && record.snapshot().offset() == offset.value()) {
--- a/src/ledger/fold_config.cc
+++ b/src/ledger/fold_config.cc
@@ -113,12 +113,12 @@
                               r.operator_name()});
 }
 
-// Requiring a majority prevents that two configurations are in force at once,
-// when a minority of the routers reads a configuration that the others, cut off
-// from the log, cannot know. A configuration in force was read by more than
-// half of the voters; routers continue without the log only in a group of more
-// than half, none of which knows of a proposal; and any two majorities share a
-// voter.
+// The required majority prevents two configurations from being in force at
+// once, when a minority of the routers reads a configuration that the others,
+// cut off from the log, cannot know. A configuration in force was read by more
+// than half of the voters; routers continue without the log only in a group of
+// more than half, none of which knows of a proposal; and any two majorities
+// share a voter.
 void ApplyReadyChanges(EntryContext& context) {
   State& state = context.state();
   while (auto ready = state.quorum.TakeReadyChange()) {
--- a/tests/ledger/unit-orders.cc
+++ b/tests/ledger/unit-orders.cc
@@ -6,16 +6,16 @@
 
 namespace {
 
-v1::Record Taking(const std::string& upstream, uint64_t fencing) {
+v1::Record MakeOrderTaken(const std::string& upstream, uint64_t fencing) {
   v1::Record record;
   record.mutable_order_taken()->set_upstream(upstream);
   record.mutable_order_taken()->set_fencing_number(fencing);
   return record;
 }
 
-v1::Record Ending(const std::string& upstream,
-                  uint64_t fencing,
-                  v1::OrderOutcome outcome) {
+v1::Record MakeOrderEnded(const std::string& upstream,
+                          uint64_t fencing,
+                          v1::OrderOutcome outcome) {
   v1::Record record;
   v1::OrderEnded& ended = *record.mutable_order_ended();
   ended.set_upstream(upstream);
@@ -53,14 +53,15 @@
     return fencing;
   }
   bool Take(Writer& router, const std::string& upstream, uint64_t fencing) {
-    return Find<OrderTaken>(Write(router, Taking(upstream, fencing))) !=
+    return Find<OrderTaken>(Write(router, MakeOrderTaken(upstream, fencing))) !=
            nullptr;
   }
   bool End(Writer& writer,
            const std::string& upstream,
            uint64_t fencing,
            v1::OrderOutcome outcome) {
-    return Find<OrderEnded>(Write(writer, Ending(upstream, fencing, outcome)));
+    return Find<OrderEnded>(
+        Write(writer, MakeOrderEnded(upstream, fencing, outcome)));
   }
   const Order& order(const std::string& upstream) {
     return *fold().FindOrder(core::UpstreamId(upstream));
@@ -83,7 +84,7 @@
   CHECK(log.Take(log.r1, "blind", first));
   const auto refused = log.Write(log.alice, OrderModel("blind"));
   CHECK(Find<OrderRefused>(refused)->unsettled == core::FencingNumber(first));
-  const v1::Record settle = Ending("blind", first, v1::SETTLED);
+  const v1::Record settle = MakeOrderEnded("blind", first, v1::SETTLED);
   CHECK(Ignored(log.Write(log.alice, settle), IgnoreReason::kOrderInProgress));
   log.Write(log.r2, Retire(log.r1, log.r1.sequence));
   CHECK_FALSE(log.Take(log.r2, "blind", first));
@@ -158,7 +159,7 @@
   const uint64_t c = log.Issue("e2");
   CHECK(log.Take(log.r1, "e0", a));
   CHECK(log.Take(log.r2, "e1", b));
-  const auto refused = log.Write(log.r3, Taking("e2", c));
+  const auto refused = log.Write(log.r3, MakeOrderTaken("e2", c));
   CHECK(Find<OrderTakeRefused>(refused)->reason ==
         OrderTakeRefusal::kLoadLimitReached);
   CHECK(log.End(log.r1, "e0", a, v1::DONE));
