--- a/src/membership/peer_view.cc
+++ b/src/membership/peer_view.cc
@@ -150,8 +150,8 @@
   return ChooseAcrossDomains(std::move(ranked), count);
 }
 
-/// Computed locally instead of answering every peer that is heard: the answered
-/// peer would answer in turn, and links of former choices would never end.
+/// Computed locally. If a peer instead answered whoever it hears, the answered
+/// peer would answer again, and links of former choices would never end.
 bool PeerView::HasChosenThisRouter(const Entry& entry) const {
   const auto [known, fresh] = m_chosen_by.try_emplace(entry.member.id, false);
   if (fresh) {
