--- a/src/ledger/fold.cc
+++ b/src/ledger/fold.cc
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// Budgets for which checkpoints come at the interval of the settings.
-constexpr size_t kBudgetsPerStep = 512;
+/// Number of budgets up to which checkpoint_interval is not extended.
+constexpr size_t kBudgetsPerInterval = 512;
 
 bool IsOperatorRecord(v1::Record::BodyCase body) {
   return body == v1::Record::kConfigPublished ||
@@ -26,20 +26,21 @@
          body == v1::Record::kQuarantineReleased;
 }
 
-// What any writer may state.
+// Kinds of records that any writer may write.
 bool IsSharedRecord(v1::Record::BodyCase body) {
   return body == v1::Record::kRouterRetired ||
          body == v1::Record::kOrderIssued || body == v1::Record::kOrderEnded ||
          body == v1::Record::kSnapshot;
 }
 
-// What a retired incarnation may still add: the truth about its own past.
+// Kinds of records that a retired incarnation may still write: reports about
+// its own past.
 bool IsFinalRecord(v1::Record::BodyCase body) {
   return body == v1::Record::kSpendFinalized ||
          body == v1::Record::kTransferRecorded;
 }
 
-std::optional<IgnoreReason> CheckAuthor(EntryContext& context,
+std::optional<IgnoreReason> CheckWriter(EntryContext& context,
                                         v1::Record::BodyCase body) {
   if (body == v1::Record::BODY_NOT_SET) {
     return IgnoreReason::kEmpty;
@@ -59,7 +60,7 @@
 }
 
 void FoldRecord(EntryContext& context, const v1::Record& r, size_t index) {
-  if (const auto reason = CheckAuthor(context, r.body_case())) {
+  if (const auto reason = CheckWriter(context, r.body_case())) {
     context.Ignore(*reason);
     return;
   }
@@ -101,7 +102,7 @@
     case v1::Record::kDrainStarted:
       return FoldDrainStarted(context);
     case v1::Record::kRouterJoined:
-      // A join is folded before the records; a second one has no meaning.
+      // A join is valid only as the first record of an unknown incarnation.
       return context.Ignore(IgnoreReason::kInvalid);
     case v1::Record::BODY_NOT_SET:
       return;
@@ -118,13 +119,13 @@
   }
 }
 
-bool OpensWithJoin(const v1::Entry& entry) {
+bool StartsWithJoin(const v1::Entry& entry) {
   return !entry.records().empty() && entry.records(0).has_router_joined();
 }
 
-// A lost reply makes the writer append the same entry again. The sequence tells
-// the copy from the next entry, so it folds once; a gap cannot come from a
-// writer that has one append outstanding, so nothing is guessed about it.
+// A writer repeats an entry when the reply to its append was lost. The sequence
+// number identifies the copy, so the entry is applied once. A gap cannot come
+// from a writer that has one append outstanding, so such an entry is ignored.
 std::optional<IgnoreReason> CheckSequence(const Member& member,
                                           Sequence sequence) {
   if (sequence <= member.last_sequence) {
@@ -157,7 +158,7 @@
   const v1::Entry& entry = context.entry();
   Member* member = context.state().members.Find(
       core::RouterId(entry.writer()), Incarnation(entry.incarnation()));
-  if (member == nullptr && OpensWithJoin(entry)) {
+  if (member == nullptr && StartsWithJoin(entry)) {
     return FoldJoiningEntry(context);
   }
   if (member == nullptr) {
@@ -169,8 +170,8 @@
   FoldMemberEntry(context, *member, 0);
 }
 
-// A snapshot taken at the very offset where it landed can be compared too, if
-// the digest is taken before the entry changes anything.
+// A snapshot that is appended at the very offset at which it was taken can be
+// compared as well, if the digest is stored before the entry is applied.
 bool HasSnapshotOf(const v1::Entry& entry, LogOffset offset) {
   for (const v1::Record& record : entry.records()) {
     if (record.has_snapshot() && record.snapshot().offset() == offset.value()) {
@@ -180,16 +181,17 @@
   return false;
 }
 
-// A checkpoint costs the whole state, so the larger the state, the rarer it is.
-// The factor follows from the state alone: all readers choose the same offsets.
+// A checkpoint hashes the whole state, so it is taken less often when the state
+// is large. The factor depends only on the state, so all readers use the same
+// offsets.
 bool IsCheckpoint(const detail::State& state) {
   const uint64_t factor =
-      std::bit_ceil(state.budgets.size() / kBudgetsPerStep + 1);
+      std::bit_ceil(state.budgets.size() / kBudgetsPerInterval + 1);
   const uint64_t interval = state.settings.checkpoint_interval * factor;
   return interval != 0 && state.next_offset.value() % interval == 0;
 }
 
-core::Error Gap(LogOffset expected, LogOffset offset) {
+core::Error LogGapError(LogOffset expected, LogOffset offset) {
   return {core::ErrorId::kLogGap, std::to_string(offset.value()),
           "expected offset " + std::to_string(expected.value())};
 }
@@ -215,10 +217,10 @@
     return std::vector<Effect>{};
   }
   if (offset > state.next_offset) {
-    return Gap(state.next_offset, offset);
+    return LogGapError(state.next_offset, offset);
   }
   if (HasSnapshotOf(entry, offset)) {
-    RememberDigest(state);
+    StoreDigest(state);
   }
   Prune(state, offset);
   EntryContext context(state, offset, entry);
@@ -227,15 +229,15 @@
   } else {
     FoldRouterEntry(context);
   }
-  SettleAwaited(context);
-  context.Finish();
+  ApplyReadyChanges(context);
+  context.FinishEntry();
   if (context.failure().has_value()) {
     state.failure = context.failure();
     return *state.failure;
   }
   state.next_offset = LogOffset(offset.value() + 1);
   if (IsCheckpoint(state)) {
-    RememberDigest(state);
+    StoreDigest(state);
   }
   return context.TakeEffects();
 }
@@ -249,7 +251,7 @@
 }
 
 core::ConfigVersion Fold::known_version() const {
-  const bool waits = m_state->quorum.WaitingProposal() != nullptr;
+  const bool waits = m_state->quorum.PendingProposal() != nullptr;
   return core::ConfigVersion(config_version().value() + (waits ? 1 : 0));
 }
 
@@ -333,8 +335,8 @@
   return orders;
 }
 
-size_t Fold::FreeLoads() const {
-  return detail::FreeLoads(*m_state);
+size_t Fold::AvailableLoads() const {
+  return detail::AvailableLoads(*m_state);
 }
 
 core::Status Fold::CheckConservation() const {
@@ -353,7 +355,7 @@
   if (!core::IsOk(status)) {
     return core::Failure(status);
   }
-  RememberDigest(*decoded);
+  StoreDigest(*decoded);
   return Fold(std::move(decoded));
 }
 
--- a/src/ledger/fold_balance.cc
+++ b/src/ledger/fold_balance.cc
@@ -9,15 +9,15 @@
 
 namespace {
 
-// Ids of operators' records without an id of their own start with this
-// character; a top-up id may not, so that the two cannot meet.
+// Prefix of generated ids of operators' records. Top-up ids must not start with
+// it, so that the two kinds cannot collide.
 constexpr char kOperatorRecordMark = '\x1f';
 
 std::optional<TopUpRefusal> CheckTopUp(EntryContext& context,
                                        const v1::ToppedUp& r) {
   State& state = context.state();
-  // Past the window the id may have been forgotten. Folding a repetition then
-  // would pay in twice, so the operator is told to look and to ask again.
+  // Beyond the window the id may have been removed, and a repeated record would
+  // be paid in twice. The operator has to check and to send a new request.
   if (context.stale()) {
     return TopUpRefusal::kStale;
   }
@@ -50,8 +50,8 @@
   if (&from == &to || r.tokens() <= 0) {
     return IgnoreReason::kInvalid;
   }
-  // The other side's record may have been forgotten by now; moving the tokens
-  // a second time would take from the sender what it still spends from.
+  // The record of the other side may no longer be remembered. Applying the
+  // transfer twice would remove tokens that the sender still spends.
   if (context.stale()) {
     return IgnoreReason::kStale;
   }
@@ -73,7 +73,7 @@
   return true;
 }
 
-bool RememberOperatorRecord(EntryContext& context, size_t index) {
+bool RegisterOperatorRecord(EntryContext& context, size_t index) {
   if (context.stale()) {
     context.Ignore(IgnoreReason::kStale);
     return false;
@@ -114,7 +114,7 @@
                         context.sequence()});
     return;
   }
-  context.Touch(member, *budget).Grant(tokens);
+  context.GetOrCreateHolding(member, *budget).Grant(tokens);
   context.Emit(
       Granted{member.id, member.incarnation, id, tokens, context.sequence()});
 }
@@ -126,7 +126,7 @@
     return;
   }
   Member& member = *context.writer();
-  HoldingRef ref = context.Touch(member, *budget);
+  HoldingRef ref = context.GetOrCreateHolding(member, *budget);
   const Tokens tokens(r.tokens());
   if (tokens <= Tokens(0) || tokens > ref.holding().held()) {
     context.Ignore(IgnoreReason::kExceedsHolding);
@@ -149,9 +149,9 @@
     return;
   }
   const Tokens tokens(r.tokens());
-  HoldingRef sender = context.Touch(*from, *budget);
-  const Tokens taken_back = sender.TakeBack(tokens);
-  EmitQuarantineChange(context, *from, sender, Tokens(0) - taken_back);
+  HoldingRef sender = context.GetOrCreateHolding(*from, *budget);
+  const Tokens reclaimed = sender.Reclaim(tokens);
+  EmitQuarantineChange(context, *from, sender, Tokens(0) - reclaimed);
   if (tokens > sender.holding().held()) {
     context.Ignore(IgnoreReason::kExceedsHolding);
     return;
@@ -159,14 +159,14 @@
   context.state().transfers.Insert(context.offset(),
                                    {from->incarnation, r.transfer_id()}, {});
   sender.TransferOut(tokens);
-  HoldingRef receiver = context.Touch(*to, *budget);
+  HoldingRef receiver = context.GetOrCreateHolding(*to, *budget);
   receiver.TransferIn(tokens);
-  context.Emit(TransferFolded{from->id, from->incarnation, to->id,
+  context.Emit(TransferApplied{from->id, from->incarnation, to->id,
                               to->incarnation, r.transfer_id(), budget->id,
                               tokens});
-  // A receiver that is retired and narrowed cannot commit past its ceiling, no
-  // matter what it received: the surplus would be stranded for nothing.
-  EmitQuarantineChange(context, *to, receiver, receiver.ReleasePastCeiling());
+  // A retired receiver with a ceiling cannot commit more than the ceiling, so
+  // tokens above it would stay quarantined without need.
+  EmitQuarantineChange(context, *to, receiver, receiver.ReleaseAboveCeiling());
 }
 
 }  // namespace coppervalve::ledger::detail
--- a/src/ledger/fold_members.cc
+++ b/src/ledger/fold_members.cc
@@ -31,8 +31,8 @@
   if (context.state().members.Find(incarnation) != nullptr) {
     return JoinRefusal::kKnownIncarnation;
   }
-  // The incarnation may have joined, retired and been forgotten since this
-  // entry was written: a late copy must not bring it back to life.
+  // The incarnation may have joined, retired and been removed since the entry
+  // was written. A late copy of its join must not make it live again.
   if (context.stale()) {
     return JoinRefusal::kStale;
   }
@@ -66,7 +66,7 @@
     RetireMember(context, *older, v1::REPLACED);
     quorum.Replace(replaced, incarnation, seen);
   } else {
-    quorum.Await({context.offset(), VoterJoins{incarnation}});
+    quorum.AddPending({context.offset(), VoterJoins{incarnation}});
   }
   Member member;
   member.id = id;
@@ -93,16 +93,17 @@
   }
   if (!by_itself && member->last_sequence > Sequence(r.as_of_sequence())) {
     context.Emit(
-        RetireVoided{member->id, member->incarnation, member->last_sequence});
+        RetirementVoided{member->id, member->incarnation, member->last_sequence});
     return;
   }
-  // An operator has seen that the router is gone; without this way out, a fleet
-  // that lost most of its routers at once could never change again.
+  // An operator has verified that the router is gone, so its vote is removed at
+  // once. Otherwise a fleet that lost most of its routers at once could never
+  // change its configuration again.
   Quorum& quorum = context.state().quorum;
   if (context.from_operator()) {
     quorum.Remove(member->incarnation);
   } else {
-    quorum.Await({context.offset(), VoterLeaves{member->incarnation}});
+    quorum.AddPending({context.offset(), VoterLeaves{member->incarnation}});
   }
   RetireMember(context, *member, r.reason());
 }
--- a/src/ledger/fold_spend.cc
+++ b/src/ledger/fold_spend.cc
@@ -9,16 +9,16 @@
 
 namespace {
 
-// What of a spend remains to be charged, and to whom it went so far.
+// The distribution of a spend: what is not charged yet, and what was billed or
+// written off.
 struct Charges {
   Tokens remaining;
   Tokens billed;
   Tokens written_off;
 };
 
-// A key is billed once. The caller's retry at another router may have run the
-// same work again; its tokens are spent all the same, but the account has paid
-// for its answer already.
+// A key is billed once. A retry at another router may have run the same work
+// again: its tokens are spent, but the account has already paid for the answer.
 void ChargeBill(EntryContext& context,
                 const Member& member,
                 const Budget& budget,
@@ -43,24 +43,24 @@
 
 }  // namespace
 
-bool FoldSpend(EntryContext& context,
+bool ApplySpendTotals(EntryContext& context,
                Member& member,
                Budget& budget,
                const SpendTotals& totals,
                const google::protobuf::RepeatedPtrField<v1::Bill>& bills) {
-  HoldingRef ref = context.Touch(member, budget);
+  HoldingRef ref = context.GetOrCreateHolding(member, budget);
   const Tokens delta = totals.spent - ref.holding().spent;
   const Tokens abandoned = totals.written_off - ref.holding().written_off;
   if (totals.spent < Tokens(0) || delta < Tokens(0) || abandoned < Tokens(0)) {
     context.Ignore(IgnoreReason::kSpendNotMonotone);
     return false;
   }
-  const Tokens taken_back = ref.TakeBack(delta);
-  EmitQuarantineChange(context, member, ref, Tokens(0) - taken_back);
+  const Tokens reclaimed = ref.Reclaim(delta);
+  EmitQuarantineChange(context, member, ref, Tokens(0) - reclaimed);
   if (delta > ref.holding().held()) {
-    // Every commitment is made from a holding, so this is a fault of the
-    // protocol. Were it folded as if nothing had happened, the balance would
-    // let others spend what is gone: the fold stops instead.
+    // Routers commit only tokens that they hold, so this is a protocol error.
+    // Applying it would let others spend tokens that are gone, so the fold
+    // stops.
     context.Fail({core::ErrorId::kConservationBroken, budget.id.value(),
                   member.id.value() + " spent more than it held"});
     return false;
@@ -81,7 +81,7 @@
   if (budget == nullptr) {
     return;
   }
-  FoldSpend(context, *context.writer(), *budget,
+  ApplySpendTotals(context, *context.writer(), *budget,
             {Tokens(r.spent()), Tokens(r.written_off())}, r.bills());
 }
 
@@ -98,9 +98,9 @@
                            owner->incarnation});
     return;
   }
-  // An append that was held up for longer than the window may come after
-  // another router's claim of the key was made, used and forgotten. Winning now
-  // would run non-idempotent work twice.
+  // An append that was delayed beyond the window may follow a claim of another
+  // router that was made, used and removed again. Granting the key now would
+  // run non-idempotent work twice.
   if (context.stale()) {
     context.Emit(ClaimLost{member.id, member.incarnation, key, {}, {}});
     return;
--- a/src/ledger/holding_ref.cc
+++ b/src/ledger/holding_ref.cc
@@ -10,7 +10,8 @@
 
 constexpr int64_t kPermille = 1000;
 
-// Divides first: the product of a large balance and the share may overflow.
+// Divides first, because the product of a large balance and the share may
+// overflow.
 Tokens ShareOf(Tokens tokens, int64_t permille) {
   const int64_t whole = tokens.value() / kPermille * permille;
   const int64_t rest = tokens.value() % kPermille * permille / kPermille;
@@ -26,8 +27,8 @@
   if (admission_class == v1::GATE) {
     return free;
   }
-  // The held-back share is the last part of the balance: other classes stop
-  // above it, and requests of class GATE draw it down to nothing.
+  // The reserve is the last part of the balance. Only class GATE may draw on
+  // it, down to zero.
   const int64_t permille = std::min<int64_t>(gate_reserve_permille, kPermille);
   return std::max(Tokens(0), free - ShareOf(paid_in, permille));
 }
@@ -75,31 +76,30 @@
   AddHeld(Tokens(0) - tokens);
 }
 
-Tokens HoldingRef::ReleasePastCeiling() {
+Tokens HoldingRef::ReleaseAboveCeiling() {
   if (!m_holding->ceiling.has_value()) {
     return Tokens(0);
   }
   const Tokens committed = m_holding->spent + m_holding->transferred_out;
   const Tokens uncommitted =
       std::max(Tokens(0), *m_holding->ceiling - committed);
-  const Tokens past = std::max(Tokens(0), m_holding->held() - uncommitted);
-  Release(past);
-  return past;
+  const Tokens above = std::max(Tokens(0), m_holding->held() - uncommitted);
+  Release(above);
+  return above;
 }
 
-// An operator may have released tokens that the retired incarnation had in fact
-// committed. The symptom is a late final report or transfer that the holding
-// cannot cover. What the balance still has is taken back before anyone else
-// draws it; when it has too little, the caller finds the holding short and
-// treats it as the fault it is.
-Tokens HoldingRef::TakeBack(Tokens needed) {
+// An operator may have released tokens that the retired incarnation had
+// committed, so that a late final report or transfer exceeds the holding. What
+// the balance still has is reclaimed before another router draws it. When that
+// is too little, the holding stays short and the caller handles it as an error.
+Tokens HoldingRef::Reclaim(Tokens needed) {
   const Tokens missing = std::max(Tokens(0), needed - m_holding->held());
   const Tokens taken = std::min({missing, m_holding->released, m_budget->free});
   Release(Tokens(0) - taken);
   return taken;
 }
 
-bool Balances(const Budget& budget) {
+bool IsBalanced(const Budget& budget) {
   const Tokens zero;
   const Tokens parts =
       budget.free + budget.billed + budget.written_off + budget.held;
@@ -108,7 +108,7 @@
          budget.quarantined >= zero && budget.held >= budget.quarantined;
 }
 
-bool Balances(const Holding& holding) {
+bool IsBalanced(const Holding& holding) {
   const Tokens zero;
   return holding.received >= zero && holding.spent >= zero &&
          holding.transferred_out >= zero && holding.released >= zero &&
--- a/src/ledger/snapshot_codec.cc
+++ b/src/ledger/snapshot_codec.cc
@@ -15,19 +15,19 @@
 
 namespace {
 
-core::Error Invalid(const std::string& subject, const std::string& detail) {
+core::Error SnapshotError(const std::string& subject, const std::string& detail) {
   return {core::ErrorId::kSnapshotInvalid, subject, detail};
 }
 
-// ---- Writing ---------------------------------------------------------------
+// ---- Encoding --------------------------------------------------------------
 
-void EncodeAwaited(const Awaited& awaited, v1::AwaitedState& to) {
-  to.set_offset(awaited.offset.value());
-  if (const auto* joins = std::get_if<VoterJoins>(&awaited.change)) {
+void EncodePendingChange(const PendingChange& pending, v1::AwaitedState& to) {
+  to.set_offset(pending.offset.value());
+  if (const auto* joins = std::get_if<VoterJoins>(&pending.change)) {
     to.set_voter_joins(joins->incarnation.value());
-  } else if (const auto* leaves = std::get_if<VoterLeaves>(&awaited.change)) {
+  } else if (const auto* leaves = std::get_if<VoterLeaves>(&pending.change)) {
     to.set_voter_leaves(leaves->incarnation.value());
-  } else if (const auto* proposal = std::get_if<Proposal>(&awaited.change)) {
+  } else if (const auto* proposal = std::get_if<Proposal>(&pending.change)) {
     *to.mutable_proposal() = proposal->published;
   }
 }
@@ -38,8 +38,8 @@
     voter.set_incarnation(incarnation.value());
     voter.set_seen_offset(seen.value());
   }
-  for (const Awaited& awaited : quorum.awaited()) {
-    EncodeAwaited(awaited, *to.add_awaited());
+  for (const PendingChange& pending : quorum.pending()) {
+    EncodePendingChange(pending, *to.add_awaited());
   }
 }
 
@@ -135,18 +135,18 @@
   to.set_offset(offset.value());
 }
 
-void EncodeWindows(const State& state, v1::FoldState& to) {
-  for (const auto& slot : state.claims.slots()) {
-    EncodeClaim(slot.key, *state.claims.Find(slot.key), *to.add_claims());
+void EncodeDedupWindows(const State& state, v1::FoldState& to) {
+  for (const auto& entry : state.claims.entries()) {
+    EncodeClaim(entry.key, *state.claims.Find(entry.key), *to.add_claims());
   }
-  for (const auto& slot : state.billed_keys.slots()) {
-    EncodeBilledKey(slot.key, slot.offset, *to.add_billed_keys());
+  for (const auto& entry : state.billed_keys.entries()) {
+    EncodeBilledKey(entry.key, entry.offset, *to.add_billed_keys());
   }
-  for (const auto& slot : state.operator_ids.slots()) {
-    EncodeOperatorId(slot.key, slot.offset, *to.add_top_ups());
+  for (const auto& entry : state.operator_ids.entries()) {
+    EncodeOperatorId(entry.key, entry.offset, *to.add_top_ups());
   }
-  for (const auto& slot : state.transfers.slots()) {
-    EncodeTransfer(slot.key, slot.offset, *to.add_transfers());
+  for (const auto& entry : state.transfers.entries()) {
+    EncodeTransfer(entry.key, entry.offset, *to.add_transfers());
   }
 }
 
@@ -162,9 +162,9 @@
   }
 }
 
-// ---- Comparing -------------------------------------------------------------
+// ---- Digest ----------------------------------------------------------------
 
-// Tells parts apart whose encodings are alike.
+// Hash seeds that distinguish parts with equal encodings.
 enum class PartKind : uint64_t {
   kScalars,
   kConfiguration,
@@ -176,8 +176,8 @@
   kTransfer,
 };
 
-// Sums the hashes of the encoded parts of a state. The sum does not depend on
-// the order of the parts, so large states need not be sorted to be compared.
+// Sums the hashes of the encoded parts of a state. The sum is independent of
+// their order, so that large states need not be sorted for a comparison.
 class PartsDigest {
  public:
   void Add(const google::protobuf::MessageLite& part, PartKind kind) {
@@ -213,30 +213,30 @@
   }
 }
 
-void AddWindows(const State& state, PartsDigest& digest) {
+void AddDedupWindows(const State& state, PartsDigest& digest) {
   v1::ClaimState claim;
-  for (const auto& slot : state.claims.slots()) {
-    EncodeClaim(slot.key, *state.claims.Find(slot.key), claim);
+  for (const auto& entry : state.claims.entries()) {
+    EncodeClaim(entry.key, *state.claims.Find(entry.key), claim);
     digest.Add(claim, PartKind::kClaim);
   }
   v1::BilledKey billed;
-  for (const auto& slot : state.billed_keys.slots()) {
-    EncodeBilledKey(slot.key, slot.offset, billed);
+  for (const auto& entry : state.billed_keys.entries()) {
+    EncodeBilledKey(entry.key, entry.offset, billed);
     digest.Add(billed, PartKind::kBilledKey);
   }
   v1::TopUpSeen seen;
-  for (const auto& slot : state.operator_ids.slots()) {
-    EncodeOperatorId(slot.key, slot.offset, seen);
+  for (const auto& entry : state.operator_ids.entries()) {
+    EncodeOperatorId(entry.key, entry.offset, seen);
     digest.Add(seen, PartKind::kOperatorId);
   }
   v1::TransferSeen transfer;
-  for (const auto& slot : state.transfers.slots()) {
-    EncodeTransfer(slot.key, slot.offset, transfer);
+  for (const auto& entry : state.transfers.entries()) {
+    EncodeTransfer(entry.key, entry.offset, transfer);
     digest.Add(transfer, PartKind::kTransfer);
   }
 }
 
-// ---- Reading ---------------------------------------------------------------
+// ---- Decoding --------------------------------------------------------------
 
 void DecodeQuorum(const v1::FoldState& from, Quorum& quorum) {
   for (const v1::VoterState& voter : from.voters()) {
@@ -244,15 +244,15 @@
                LogOffset(voter.seen_offset()));
   }
   for (const v1::AwaitedState& encoded : from.awaited()) {
-    Awaited awaited{LogOffset(encoded.offset()), {}};
+    PendingChange pending{LogOffset(encoded.offset()), {}};
     if (encoded.has_proposal()) {
-      awaited.change = Proposal{encoded.proposal()};
+      pending.change = Proposal{encoded.proposal()};
     } else if (encoded.has_voter_leaves()) {
-      awaited.change = VoterLeaves{core::Incarnation(encoded.voter_leaves())};
+      pending.change = VoterLeaves{core::Incarnation(encoded.voter_leaves())};
     } else {
-      awaited.change = VoterJoins{core::Incarnation(encoded.voter_joins())};
+      pending.change = VoterJoins{core::Incarnation(encoded.voter_joins())};
     }
-    quorum.Await(std::move(awaited));
+    quorum.AddPending(std::move(pending));
   }
 }
 
@@ -296,8 +296,8 @@
   return holding;
 }
 
-// Retired members go in by the offset of their retirement, which is the order
-// in which they are forgotten.
+// Retired members are added in the order of retirement, because Prune() removes
+// them in that order.
 core::Status DecodeMembers(const v1::FoldState& from, MemberTable& members) {
   std::vector<Member> sorted;
   for (const v1::RouterState& router : from.routers()) {
@@ -311,10 +311,10 @@
     const bool valid = v1::RouterPhase_IsValid(member.phase) &&
                        member.phase != v1::ROUTER_PHASE_UNSPECIFIED;
     if (!valid || members.Find(member.incarnation) != nullptr) {
-      return Invalid(member.id.value(), "phase or incarnation");
+      return SnapshotError(member.id.value(), "invalid phase or duplicate incarnation");
     }
     if (member.live() && members.FindLive(member.id) != nullptr) {
-      return Invalid(member.id.value(), "live twice");
+      return SnapshotError(member.id.value(), "has two live incarnations");
     }
     members.Add(std::move(member));
   }
@@ -328,11 +328,11 @@
     Member* member = members.Find(RouterId(encoded.router()),
                                   Incarnation(encoded.incarnation()));
     if (member == nullptr) {
-      return Invalid(budget.id.value(), "held by an unknown router");
+      return SnapshotError(budget.id.value(), "has a holding of an unknown router");
     }
     const Holding holding = DecodeHolding(encoded);
     if (!member->holdings.emplace(budget.id, holding).second) {
-      return Invalid(budget.id.value(), "held twice by " + encoded.router());
+      return SnapshotError(budget.id.value(), "has two holdings of " + encoded.router());
     }
     budget.held += holding.held();
     if (!member->live()) {
@@ -346,7 +346,7 @@
   for (const v1::BudgetState& encoded : from.budgets()) {
     const BudgetId id(encoded.id());
     if (state.budgets.Find(id) != nullptr) {
-      return Invalid(encoded.id(), "budget listed twice");
+      return SnapshotError(encoded.id(), "budget listed twice");
     }
     Budget& budget = state.budgets.Declare(id);
     budget.paid_in = Tokens(encoded.paid_in());
@@ -366,14 +366,14 @@
   for (const v1::Budget& declared : from.configuration().budgets()) {
     Budget* budget = budgets.Find(BudgetId(declared.id()));
     if (budget == nullptr) {
-      return Invalid(declared.id(), "configured, but without a balance");
+      return SnapshotError(declared.id(), "is configured but has no balance");
     }
     ApplyPolicy(declared, *budget);
   }
   return core::Ok();
 }
 
-void DecodeWindows(const v1::FoldState& from, State& state) {
+void DecodeDedupWindows(const v1::FoldState& from, State& state) {
   for (const v1::ClaimState& encoded : from.claims()) {
     const LogOffset offset(encoded.offset());
     state.claims.Insert(offset, Hash128::FromBytes(encoded.key_hash()),
@@ -413,7 +413,7 @@
   EncodeQuorum(state.quorum, to);
   *to.mutable_configuration() = *state.config.configuration;
   EncodeBudgets(state, to);
-  EncodeWindows(state, to);
+  EncodeDedupWindows(state, to);
   EncodeOrders(state, to);
   return to;
 }
@@ -432,7 +432,7 @@
   if (!core::IsOk(status)) {
     return status;
   }
-  DecodeWindows(from, state);
+  DecodeDedupWindows(from, state);
   DecodeOrders(from, state);
   return CheckConservation(state);
 }
@@ -452,7 +452,7 @@
     digest.Add(encoded, PartKind::kBudget);
   }
   AddMembers(state, digest);
-  AddWindows(state, digest);
+  AddDedupWindows(state, digest);
   return digest.value();
 }
 
--- a/src/membership/drain.cc
+++ b/src/membership/drain.cc
@@ -8,23 +8,23 @@
   m_limits.address_lifetime = lifetime;
 }
 
-bool Drain::Ask(core::TimePoint now) {
+bool Drain::Request(core::TimePoint now) {
   if (m_phase != DrainPhase::kActive) {
     return false;
   }
   m_phase = DrainPhase::kDraining;
-  m_asked = now;
+  m_requested_at = now;
   return true;
 }
 
 DrainPhase Drain::Advance(core::TimePoint now, const DrainInputs& inputs) {
-  while (MayLeave(now, inputs)) {
+  while (PhaseComplete(now, inputs)) {
     m_phase = static_cast<DrainPhase>(static_cast<uint8_t>(m_phase) + 1);
   }
   return m_phase;
 }
 
-bool Drain::MayLeave(core::TimePoint now, const DrainInputs& inputs) {
+bool Drain::PhaseComplete(core::TimePoint now, const DrainInputs& inputs) {
   switch (m_phase) {
     case DrainPhase::kActive:
       return false;
@@ -32,9 +32,9 @@
       return ListsExpired(now, inputs);
     case DrainPhase::kRefusingNew:
       return inputs.in_progress == 0 && inputs.queued == 0;
-    // Both wait for the log, without a limit of their own. To exit earlier
-    // loses the bills of the last requests and leaves what is unspent in
-    // quarantine, so giving up is left to whoever owns the process.
+    // Both phases wait for the log without a time limit. Exiting earlier would
+    // lose the bills of the last requests and leave unspent tokens in
+    // quarantine; the owner of the process decides when to give up.
     case DrainPhase::kReturning:
       return inputs.holdings_settled;
     case DrainPhase::kFinalising:
@@ -46,14 +46,14 @@
 }
 
 /// Other routers may hand out this router's address until they know of the
-/// drain, and callers keep a list for its lifetime.
+/// drain, and callers use a list for its lifetime.
 bool Drain::ListsExpired(core::TimePoint now, const DrainInputs& inputs) {
-  const bool log_out = now - m_asked >= m_limits.announce_patience;
-  if (!m_waiting_since && (inputs.announced || log_out)) {
-    m_waiting_since = now;
+  const bool log_unavailable = now - m_requested_at >= m_limits.announce_timeout;
+  if (!m_lists_expiring_since && (inputs.announced || log_unavailable)) {
+    m_lists_expiring_since = now;
   }
-  return m_waiting_since &&
-         now - *m_waiting_since >= m_limits.address_lifetime + m_limits.margin;
+  return m_lists_expiring_since &&
+         now - *m_lists_expiring_since >= m_limits.address_lifetime + m_limits.margin;
 }
 
 }  // namespace coppervalve::membership
--- a/src/membership/freshness.cc
+++ b/src/membership/freshness.cc
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// Of a sample of contacts, at least this share must be reachable. A bare
-/// majority of a sample is often found by a router in a minority.
+/// Share of a sample of contacts that must be reachable. A router in a minority
+/// often finds a bare majority of a sample reachable.
 constexpr size_t kSampleNumerator = 7;
 constexpr size_t kSampleDenominator = 8;
 
 bool ReachesMajority(const FreshnessInputs& inputs) {
   size_t counted = 0;
   size_t reachable = 0;
-  for (const PeerVoucher& peer : inputs.vouchers) {
+  for (const PeerLogReport& peer : inputs.log_reports) {
     if (!peer.counts) {
       continue;
     }
@@ -33,16 +33,16 @@
 Freshness::Freshness(core::Duration bound) : m_bound(bound) {}
 
 void Freshness::OnReadToEnd(core::TimePoint issued) {
-  // Failure: the process is paused with a reply in its socket and handles it
-  // an hour later. Symptom: work under a configuration that was replaced.
-  // Enough: the reply shows the end of the log no earlier than the read was
-  // issued, and only that time counts.
+  // A process that was paused may handle a reply from its socket an hour late,
+  // and would then work under a configuration that was replaced. The reply
+  // shows the end of the log no earlier than the read was issued, so only that
+  // time counts.
   if (!m_read_to_end || *m_read_to_end < issued) {
     m_read_to_end = issued;
   }
 }
 
-FreshnessVerdict Freshness::Judge(core::TimePoint now,
+FreshnessVerdict Freshness::Evaluate(core::TimePoint now,
                                   const FreshnessInputs& inputs) {
   const auto decision = Decide(now, inputs);
   if (const auto* basis = std::get_if<FreshBasis>(&decision)) {
@@ -56,7 +56,7 @@
 }
 
 bool Freshness::ReadRecently(core::TimePoint now) const {
-  return Recent(now, m_read_to_end);
+  return IsRecent(now, m_read_to_end);
 }
 
 std::optional<core::Duration> Freshness::LogAge(core::TimePoint now) const {
@@ -72,37 +72,37 @@
   if (!m_read_to_end) {
     return StaleReason::kNeverRead;
   }
-  if (Recent(now, m_read_to_end)) {
+  if (IsRecent(now, m_read_to_end)) {
     return FreshBasis::kOwnReading;
   }
   const auto any = [&inputs](auto predicate) {
-    return std::any_of(inputs.vouchers.begin(), inputs.vouchers.end(),
+    return std::any_of(inputs.log_reports.begin(), inputs.log_reports.end(),
                        predicate);
   };
-  if (any([&](const PeerVoucher& peer) {
+  if (any([&](const PeerLogReport& peer) {
         return peer.config_version > inputs.config_version;
       })) {
     return StaleReason::kNewerVersion;
   }
-  if (any([&](const PeerVoucher& peer) {
-        return Recent(now, peer.read_to_end) &&
+  if (any([&](const PeerLogReport& peer) {
+        return IsRecent(now, peer.read_to_end) &&
                peer.config_version == inputs.config_version;
       })) {
-    return FreshBasis::kVouched;
+    return FreshBasis::kConfirmedByPeer;
   }
-  // Someone reads the log, so it is not out, and what is in force cannot be
-  // learnt from those who do not.
-  if (any([&](const PeerVoucher& peer) {
-        return Recent(now, peer.claimed_read_to_end);
+  // A peer reads the log, so the log is available, and routers that cannot read
+  // it cannot tell what is in force.
+  if (any([&](const PeerLogReport& peer) {
+        return IsRecent(now, peer.claimed_read_to_end);
       })) {
-    return StaleReason::kNotVouched;
+    return StaleReason::kNotConfirmed;
   }
-  // Failure: voters outside this group accept a proposal that some inside have
-  // read. Symptom: this group works on under the version before. Enough: a
-  // majority accepted it, so one voter of any other majority has read it, and
-  // one that has is enough to stop all.
+  // Voters outside this group may accept a proposal that some inside have read,
+  // and this group would continue under the previous version. A majority
+  // accepted it, so any other majority contains at least one voter that has
+  // read it; one such voter is enough to make the whole group stale.
   if (inputs.known_version > inputs.config_version ||
-      any([&](const PeerVoucher& peer) {
+      any([&](const PeerLogReport& peer) {
         return peer.known_version > inputs.config_version;
       })) {
     return StaleReason::kNewerVersion;
@@ -110,10 +110,10 @@
   if (!ReachesMajority(inputs)) {
     return StaleReason::kMinority;
   }
-  return FreshBasis::kLogOutForMajority;
+  return FreshBasis::kLogUnavailable;
 }
 
-bool Freshness::Recent(core::TimePoint now,
+bool Freshness::IsRecent(core::TimePoint now,
                        std::optional<core::TimePoint> read) const {
   return read && now - *read <= m_bound;
 }
--- a/tests/ledger/test_log.h
+++ b/tests/ledger/test_log.h
@@ -14,14 +14,14 @@
 
 inline constexpr uint64_t kTestWindow = 100;
 
-/// @brief A writer that appends one entry after the other.
+/// @brief A writer that appends consecutive entries.
 struct Writer {
   std::string id;
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
 };
 
-/// @brief A log with one reader, which checks conservation after each entry.
+/// @brief A log with one reader that checks conservation after each entry.
 class TestLog {
  public:
   TestLog() : m_fold({.dedup_window = kTestWindow}) {}
@@ -30,7 +30,7 @@
   const std::vector<v1::Entry>& entries() const { return m_entries; }
   uint64_t next() const { return m_fold.next_offset().value(); }
 
-  /// @brief The writer's next entry, not appended yet.
+  /// @brief Creates the writer's next entry without appending it.
   v1::Entry Draft(Writer& writer, const std::vector<v1::Record>& records) {
     v1::Entry entry;
     entry.set_writer(writer.id);
@@ -59,7 +59,7 @@
     return Append(Draft(writer, {record}));
   }
 
-  void Skip(uint64_t offsets) {
+  void SkipOffsets(uint64_t offsets) {
     for (uint64_t i = 0; i < offsets; ++i) {
       Append({});
     }
@@ -79,7 +79,7 @@
   std::vector<v1::Entry> m_entries;
 };
 
-/// @return the first effect of a kind; null when there is none
+/// @return the first effect of a type; null when there is none
 template <typename T>
 const T* Find(const std::vector<Effect>& effects) {
   for (const Effect& effect : effects) {
@@ -129,7 +129,7 @@
   return record;
 }
 
-inline v1::Record Ask(int64_t tokens,
+inline v1::Record RequestAllotment(int64_t tokens,
                       int64_t minimum = 1,
                       v1::AdmissionClass admission_class = v1::INTERACTIVE) {
   v1::Record record;
@@ -141,7 +141,7 @@
   return record;
 }
 
-inline v1::Record GiveBack(int64_t tokens) {
+inline v1::Record ReturnAllotment(int64_t tokens) {
   v1::Record record;
   record.mutable_allotment_returned()->set_budget("tours");
   record.mutable_allotment_returned()->set_tokens(tokens);
@@ -163,7 +163,7 @@
   return record;
 }
 
-inline v1::Record Claiming(const std::string& key) {
+inline v1::Record ClaimKey(const std::string& key) {
   v1::Record record;
   record.mutable_key_claimed()->set_key_hash(core::HashOf(key).ToBytes());
   return record;
@@ -188,7 +188,7 @@
   return record;
 }
 
-inline v1::Record NarrowTo(const Writer& retired, int64_t ceiling) {
+inline v1::Record NarrowQuarantine(const Writer& retired, int64_t ceiling) {
   v1::Record record;
   v1::QuarantineNarrowed& narrowed = *record.mutable_quarantine_narrowed();
   narrowed.set_router(retired.id);
@@ -198,7 +198,7 @@
   return record;
 }
 
-inline v1::Record FinalSpendOf(const Writer& retired,
+inline v1::Record FinalizeSpend(const Writer& retired,
                                int64_t spent,
                                int64_t transfers_pending = 0) {
   v1::Record record;
@@ -267,28 +267,29 @@
     Write(r3, Join());
   }
 
-  /// @brief A router writes an entry and so shows how far it has read.
-  std::vector<Effect> Read(Writer& router) {
+  /// @brief Writes an entry of a router, which shows how far it has read.
+  std::vector<Effect> ConfirmRead(Writer& router) {
     v1::Record record;
     record.mutable_config_confirmed()->set_version(
         fold().config_version().value());
     return Write(router, record);
   }
 
-  /// @return what changed by all routers reading to the end
-  std::vector<Effect> ReadByAll() {
+  /// @return the effects of all routers reading to the end
+  std::vector<Effect> ConfirmReadByAll() {
     std::vector<Effect> all;
     for (Writer* router : {&r1, &r2, &r3}) {
-      for (Effect& effect : Read(*router)) {
+      for (Effect& effect : ConfirmRead(*router)) {
         all.push_back(std::move(effect));
       }
     }
     return all;
   }
 
-  /// @brief r1 draws 100, is witnessed by r2, spends 30 and falls silent.
-  void RetireFirst() {
-    Write(r1, Ask(100));
+  /// @brief r1 is granted 100 tokens, chooses r2 as witness, spends 30 and is
+  /// retired as silent.
+  void RetireFirstRouter() {
+    Write(r1, RequestAllotment(100));
     Write(r1, ChooseWitness(r2));
     Write(r1, Spend(30));
     Write(r3, Retire(r1, r1.sequence));
--- a/tests/membership/unit-peer-view.cc
+++ b/tests/membership/unit-peer-view.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-v1::Heartbeat Beat(uint64_t log_age_ms = 100) {
+v1::Heartbeat MakeHeartbeat(uint64_t log_age_ms = 100) {
   v1::Heartbeat heartbeat;
   heartbeat.set_log_age_ms(log_age_ms);
   heartbeat.set_config_version(5);
@@ -35,7 +35,7 @@
   void HeartbeatsFor(int seconds) {
     for (int i = 0; i < seconds; ++i) {
       m_now += kSecond;
-      m_view.OnHeartbeat(m_now, m_peer, Beat());
+      m_view.OnHeartbeat(m_now, m_peer, MakeHeartbeat());
     }
   }
 };
@@ -56,12 +56,12 @@
   CHECK_FALSE(m_view.Reachable(m_now + 3 * kSecond + kMillisecond, m_peer));
 }
 
-// A link flaps: every few seconds one heartbeat comes through. Requests that
-// were forwarded on the strength of it would hang.
+// On an unstable link one heartbeat arrives every few seconds. Requests
+// forwarded because of it would hang.
 TEST(PeerView, a_suspected_peer_must_be_heard_for_a_while) {
   HeartbeatsFor(1);
   m_now += 5 * kSecond;
-  m_view.OnHeartbeat(m_now, m_peer, Beat());
+  m_view.OnHeartbeat(m_now, m_peer, MakeHeartbeat());
   CHECK_FALSE(m_view.Reachable(m_now, m_peer));
   HeartbeatsFor(2);
   CHECK(m_view.Reachable(m_now, m_peer));
@@ -70,25 +70,26 @@
 }
 
 TEST(PeerView, a_heartbeat_of_another_incarnation_is_ignored) {
-  m_view.OnHeartbeat(m_now, {m_peer.router, core::Incarnation(1)}, Beat());
+  m_view.OnHeartbeat(m_now, {m_peer.router, core::Incarnation(1)}, MakeHeartbeat());
   CHECK_FALSE(m_view.Reachable(m_now, m_peer));
 }
 
-// This router is paused for a minute while heartbeats pile up in its socket.
-// On resuming it handles them at once; each says "read the log just now". None
-// of them may vouch; the first that arrives at the usual pace may.
-TEST(PeerView, heartbeats_that_were_held_up_do_not_vouch) {
+// This router is paused for a minute while heartbeats accumulate in its socket,
+// and then handles them at once. Each reports a recent read, but none may
+// confirm the configuration; the first one that arrives at the usual interval
+// may.
+TEST(PeerView, delayed_heartbeats_confirm_nothing) {
   HeartbeatsFor(2);
   const core::TimePoint before = m_now;
   m_now += 60 * kSecond;
   for (int i = 0; i < 60; ++i) {
-    m_view.OnHeartbeat(m_now, m_peer, Beat());
+    m_view.OnHeartbeat(m_now, m_peer, MakeHeartbeat());
   }
-  PeerVoucher voucher = m_view.Vouchers(m_now).front();
-  CHECK(*voucher.read_to_end < before);
+  PeerLogReport log_report = m_view.LogReports(m_now).front();
+  CHECK(*log_report.read_to_end < before);
   HeartbeatsFor(1);
-  voucher = m_view.Vouchers(m_now).front();
-  CHECK(*voucher.read_to_end == m_now - 100 * kMillisecond);
+  log_report = m_view.LogReports(m_now).front();
+  CHECK(*log_report.read_to_end == m_now - 100 * kMillisecond);
 }
 
 TEST(PeerView, the_status_names_all_peers) {
@@ -119,8 +120,8 @@
   }
 }
 
-// A full mesh of 840 routers would be 704,760 heartbeats a second. Each router
-// must send a bounded number, of bounded size, and be heard by some.
+// A full mesh of 840 routers would need 704,760 heartbeats a second. Each
+// router must send a bounded number of bounded size, and must be heard by some.
 TEST(PeerView, heartbeats_of_840_routers_are_bounded) {
   constexpr size_t kCount = 840;
   const std::vector<Member> members = MakeMembers(kCount);
@@ -139,7 +140,7 @@
     std::set<core::FailureDomainId> domains;
     for (const MemberId& peer : chosen[i]) {
       domains.insert(members[index[peer]].failure_domain);
-      views[index[peer]].OnHeartbeat(kStart, members[i].id, Beat());
+      views[index[peer]].OnHeartbeat(kStart, members[i].id, MakeHeartbeat());
     }
     UNSIGNED_LONGS_EQUAL(kDomains, domains.size());
   }
