--- a/bench/capacity/placement.cc
+++ b/bench/capacity/placement.cc
@@ -37,7 +37,7 @@
 void MeasurePlacement(Figures& figures) {
   for (const size_t count : {size_t{12}, size_t{1'000}, size_t{10'000}}) {
     uint64_t random = 1;
-    const routing::RandomHook hook = [&random] {
+    const routing::RandomSource hook = [&random] {
       random = random * 6364136223846793005ULL + 1442695040888963407ULL;
       return random;
     };
--- a/bench/routing/engine_model.cc
+++ b/bench/routing/engine_model.cc
@@ -14,7 +14,7 @@
     : m_options(options), m_report_lag(report_lag), m_queues(kPriorities) {}
 
 bool Engine::Submit(const EngineWork& work) {
-  if (m_options.longest_queue > 0 && Queued() >= m_options.longest_queue) {
+  if (m_options.max_queue > 0 && Queued() >= m_options.max_queue) {
     return false;
   }
   m_queues[work.priority].push_back(work);
--- a/bench/routing/engine_model.h
+++ b/bench/routing/engine_model.h
@@ -15,7 +15,7 @@
 /// a cache of prompt prefixes.
 struct EngineOptions {
   size_t slots = 32;
-  size_t longest_queue = 64;  ///< declines above; 0 = never
+  size_t max_queue = 64;  ///< declines above; 0 = never
   size_t cached_prefixes = 24;
   int64_t prefill_steps = 20;  ///< without the prefix in the cache
   int64_t cached_prefill_steps = 2;
--- a/bench/routing/fleet_model.cc
+++ b/bench/routing/fleet_model.cc
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-routing::RandomHook Seeded(uint64_t seed) {
+routing::RandomSource Seeded(uint64_t seed) {
   auto engine = std::make_shared<pcg64>(seed);
   return [engine] { return (*engine)(); };
 }
@@ -82,7 +82,7 @@
                       std::vector<int64_t>(options.engines.size(), -1)) {
   for (EngineOptions engine : options.engines) {
     if (options.management == Management::kNoQueue) {
-      engine.longest_queue = 0;
+      engine.max_queue = 0;
     }
     m_engines.emplace_back(engine, options.report_lag_steps);
   }
@@ -128,7 +128,7 @@
   RouterView& router = *m_routers[state.router];
   if (router.queue.HasWaiting(pool, state.job.admission_class) ||
       !TryPlace(id)) {
-    Wait(id);
+    Enqueue(id);
   }
 }
 
@@ -138,12 +138,12 @@
   Send(state, m_next_engine);
   // The caller times out and asks again; the engine does not know and runs the
   // first one too.
-  Schedule(m_now + state.job.longest_wait, [this, id] {
+  Schedule(m_now + state.job.max_wait, [this, id] {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end() || found->second.started) {
       return;
     }
-    if (m_now - found->second.arrived > m_options.patience_steps) {
+    if (m_now - found->second.arrived > m_options.retry_window_steps) {
       Refuse(id, std::nullopt);
       return;
     }
@@ -152,11 +152,11 @@
   });
 }
 
-void Fleet::Wait(uint64_t id) {
+void Fleet::Enqueue(uint64_t id) {
   JobState& state = m_jobs.at(id);
   RouterView& router = *m_routers[state.router];
   const core::TimePoint start_by =
-      core::TimePoint(kStep * (state.entered + state.job.longest_wait));
+      core::TimePoint(kStep * (state.entered + state.job.max_wait));
   const routing::QueueEntry entry{core::RequestId(id),
                                   core::AccountId(state.job.account),
                                   routing::PoolOf(kTarget),
@@ -194,7 +194,7 @@
 
 void Fleet::SendFirst(JobState& state, size_t engine) {
   RouterView& router = *m_routers[state.router];
-  if (m_options.count_own) {
+  if (m_options.count_own_attempts) {
     router.table.OnDispatch(EngineId(engine));
   }
   if (state.attempts == 0) {
@@ -260,7 +260,7 @@
   state.exclude = retry->exclude;
   Schedule(m_now + StepsOf(retry->after), [this, id] {
     if (!TryPlace(id)) {
-      Wait(id);
+      Enqueue(id);
     }
   });
 }
@@ -282,7 +282,7 @@
   Count(state, [](Outcome& outcome) { ++outcome.refusals; });
   const int64_t back =
       m_now + StepsOf(retry_after.value_or(core::Duration::zero()));
-  if (retry_after && back - state.arrived < m_options.patience_steps) {
+  if (retry_after && back - state.arrived < m_options.retry_window_steps) {
     Schedule(back, [this, id] { Enter(id); });
     return;
   }
@@ -311,7 +311,7 @@
   }
   for (const std::unique_ptr<RouterView>& router : m_routers) {
     for (const routing::ProbeDue& probe : router->table.TakeProbesDue(Now())) {
-      const bool healthy = !m_down || m_options.probes_lie;
+      const bool healthy = !m_down || m_options.probes_always_succeed;
       router->table.OnProbe(probe.upstream, healthy, std::nullopt, Now());
     }
     router->queue.Drain(Now(), [this](const routing::QueueEntry& entry) {
--- a/bench/routing/fleet_model.h
+++ b/bench/routing/fleet_model.h
@@ -24,11 +24,11 @@
 constexpr int64_t kStepsPerSecond = 200;
 
 /// @brief A seeded source of randomness.
-routing::RandomHook Seeded(uint64_t seed);
+routing::RandomSource Seeded(uint64_t seed);
 
 /// @brief Makes a policy from its source of randomness.
 using PolicyMaker =
-    std::function<routing::PlacementPolicy(routing::RandomHook random)>;
+    std::function<routing::PlacementPolicy(routing::RandomSource random)>;
 
 /// @brief How requests get to the engines.
 enum class Management {
@@ -47,10 +47,10 @@
   PolicyMaker policy = routing::DefaultPolicy;
   Management management = Management::kFull;
   RetryMode retries = RetryMode::kPolicy;
-  bool probes_lie = false;  ///< probes succeed while requests fail
-  bool count_own = true;    ///< false: the estimate is the report alone
+  bool probes_always_succeed = false;  ///< probes succeed while requests fail
+  bool count_own_attempts = true;  ///< false: the estimate is the report alone
   /// Callers that were refused come back for so long after their first try.
-  int64_t patience_steps = 0;
+  int64_t retry_window_steps = 0;
   uint64_t seed = 1;
 };
 
@@ -61,7 +61,7 @@
   v1::AdmissionClass admission_class = v1::INTERACTIVE;
   uint64_t prefix = 0;
   int64_t output_steps = 1;
-  int64_t longest_wait = 0;  ///< steps until its start is of no use
+  int64_t max_wait = 0;  ///< steps until its start is of no use
 };
 
 /// @brief What became of the jobs of one class or account.
@@ -126,7 +126,7 @@
   void FailAttempt(JobState& state, size_t engine, routing::AttemptEnd end);
   void RetryTwice(JobState& state);
   void Refuse(uint64_t id, std::optional<core::Duration> retry_after);
-  void Wait(uint64_t id);
+  void Enqueue(uint64_t id);
   void Started(uint64_t attempt);
   void Done(uint64_t attempt);
   void Count(const JobState& state, const std::function<void(Outcome&)>& count);
--- a/bench/routing/scenario_faults.cc
+++ b/bench/routing/scenario_faults.cc
@@ -24,14 +24,14 @@
   double recovery_steps = 0;
 };
 
-OutageResult RunOutage(RetryMode retries, bool probes_lie) {
+OutageResult RunOutage(RetryMode retries, bool probes_always_succeed) {
   constexpr int64_t kBefore = 10 * kStepsPerSecond;
   constexpr int64_t kOutage = 60 * kStepsPerSecond;
   constexpr int64_t kAfter = 30 * kStepsPerSecond;
   constexpr double kLoad = 0.5;
   FleetOptions options;
   options.retries = retries;
-  options.probes_lie = probes_lie;
+  options.probes_always_succeed = probes_always_succeed;
   if (retries == RetryMode::kTwice) {
     options.management = Management::kNoQueue;
   }
@@ -82,22 +82,22 @@
                  BoundKind::kAtMost, 800, twice.recovery_steps);
   // The worse outage: the engines answer probes and fail every request, so
   // that they return from ejection again and again.
-  const OutageResult lying = RunOutage(RetryMode::kPolicy, true);
+  const OutageResult false_probes = RunOutage(RetryMode::kPolicy, true);
   figures.Report("lying_probes_attempts_per_request",
-                 lying.attempts_per_request, "ratio", BoundKind::kAtMost, 0.3,
-                 twice.attempts_per_request);
+                 false_probes.attempts_per_request, "ratio", BoundKind::kAtMost,
+                 0.3, twice.attempts_per_request);
 }
 
 namespace {
 
-constexpr size_t kLeaver = 3;
+constexpr size_t kLeavingEngine = 3;
 constexpr int64_t kLeavesAt = 10 * kStepsPerSecond + 7;
 constexpr int64_t kGoneAt = kLeavesAt + 30 * kStepsPerSecond;
 constexpr int64_t kPollEvery = kStepsPerSecond;
 constexpr int64_t kListLag = 2 * kStepsPerSecond;
 
 /// The step at which a router first reads a VM list that shows the leaving VM.
-int64_t KnowsAt(size_t router) {
+int64_t ListReadAt(size_t router) {
   const int64_t shown = kLeavesAt + kListLag;
   const int64_t phase = static_cast<int64_t>(router) * 29 % kPollEvery;
   return shown + (kPollEvery + phase - shown % kPollEvery) % kPollEvery;
@@ -116,16 +116,16 @@
   while (fleet.now() < kGoneAt) {
     fleet.Step();
     for (size_t router = 0; router < fleet.routers(); ++router) {
-      if (reads_list && fleet.now() == KnowsAt(router)) {
-        fleet.SetLeaving(router, kLeaver);
+      if (reads_list && fleet.now() == ListReadAt(router)) {
+        fleet.SetLeaving(router, kLeavingEngine);
       }
     }
     workload.Offer(stream);
   }
   LeavingResult result;
   for (size_t router = 0; router < fleet.routers(); ++router) {
-    const int64_t last = fleet.LastDispatch(router, kLeaver);
-    const int64_t known = last - KnowsAt(router);
+    const int64_t last = fleet.LastDispatch(router, kLeavingEngine);
+    const int64_t known = last - ListReadAt(router);
     result.after_known =
         std::max(result.after_known, static_cast<double>(known));
     result.after_leaving =
--- a/bench/routing/scenario_overload.cc
+++ b/bench/routing/scenario_overload.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int64_t kBurstSteps = 20 * kStepsPerSecond;
-constexpr int64_t kPatienceSteps = 400 * kStepsPerSecond;
+constexpr int64_t kRetryWindowSteps = 400 * kStepsPerSecond;
 constexpr int64_t kGateWait = 2 * kStepsPerSecond;
 constexpr int64_t kBatchWait = 60 * kStepsPerSecond;
 constexpr double kGateShare = 0.1;  ///< of the capacity
@@ -31,13 +31,13 @@
   Outcome itineraries;
   double gate_p50 = 0;
   double gate_p99 = 0;
-  uint64_t vanished = 0;
+  uint64_t lost = 0;
 };
 
 OverloadResult RunOverload(Management management, double factor) {
   FleetOptions options;
   options.management = management;
-  options.patience_steps = kPatienceSteps;
+  options.retry_window_steps = kRetryWindowSteps;
   Fleet fleet(options);
   Workload workload(fleet, 11);
   const double slots = CapacityPerStep(options, 1);
@@ -48,13 +48,13 @@
     workload.Offer(gate);
     workload.Offer(itineraries);
   }
-  while (fleet.Unfinished() > 0 && fleet.now() < 2 * kPatienceSteps) {
+  while (fleet.Unfinished() > 0 && fleet.now() < 2 * kRetryWindowSteps) {
     fleet.Step();
   }
   OverloadResult result{fleet.OutcomeOf(v1::GATE), fleet.OutcomeOf(v1::BATCH)};
   result.gate_p50 = Percentile(result.gate.waits, 0.5);
   result.gate_p99 = Percentile(result.gate.waits, 0.99);
-  result.vanished = fleet.Unfinished();
+  result.lost = fleet.Unfinished();
   return result;
 }
 
@@ -63,10 +63,10 @@
 void MeasureOverload(Figures& figures) {
   struct Load {
     int factor;
-    double longest_itinerary_wait;
-    double most_itinerary_refusals;
+    double max_itinerary_wait;
+    double max_itinerary_refusals;
   };
-  for (const auto& [factor, longest_wait, most_refusals] :
+  for (const auto& [factor, max_wait, max_refusals] :
        {Load{1, 1000, 0.01}, Load{2, 7000, 0.4}, Load{5, 23'000, 2.5}}) {
     const OverloadResult ours = RunOverload(Management::kFull, factor);
     const OverloadResult fifo = RunOverload(Management::kNoQueue, factor);
@@ -82,7 +82,7 @@
                    BoundKind::kAtLeast, 0.99, fifo.itineraries.FinishedShare());
     figures.Report("itinerary_wait_p99" + at,
                    Percentile(ours.itineraries.waits, 0.99), "steps",
-                   BoundKind::kAtMost, longest_wait,
+                   BoundKind::kAtMost, max_wait,
                    Percentile(fifo.itineraries.waits, 0.99));
     figures.Report("gate_refusals" + at,
                    ours.gate.PerRequest(ours.gate.refusals), "per_request",
@@ -90,11 +90,11 @@
                    fifo.gate.PerRequest(fifo.gate.refusals));
     figures.Report("itinerary_refusals" + at,
                    ours.itineraries.PerRequest(ours.itineraries.refusals),
-                   "per_request", BoundKind::kAtMost, most_refusals,
+                   "per_request", BoundKind::kAtMost, max_refusals,
                    fifo.itineraries.PerRequest(fifo.itineraries.refusals));
-    figures.Report("requests_vanished" + at, static_cast<double>(ours.vanished),
+    figures.Report("requests_vanished" + at, static_cast<double>(ours.lost),
                    "count", BoundKind::kAtMost, 0,
-                   static_cast<double>(fifo.vanished));
+                   static_cast<double>(fifo.lost));
   }
 }
 
--- a/bench/routing/scenario_placement.cc
+++ b/bench/routing/scenario_placement.cc
@@ -11,25 +11,25 @@
 struct NamedPolicy {
   std::string name;
   PolicyMaker make;
-  double least_hits = 0;  ///< bounds of the prefix scenario
-  double highest_imbalance = 0;
-  double longest_wait = 0;
+  double min_hits = 0;  ///< bounds of the prefix scenario
+  double max_imbalance = 0;
+  double max_wait = 0;
 };
 
 std::vector<NamedPolicy> Policies() {
   return {
       {"ordered_criteria",
-       [](const routing::RandomHook&) { return routing::OrderedCriteria(); },
+       [](const routing::RandomSource&) { return routing::OrderedCriteria(); },
        0.65, 1.9, 40},
       {"least_of_two", routing::LeastOfTwo, 0.3, 1.4, 4},
   };
 }
 
-routing::PlacementPolicy MakePrefixAffine(routing::RandomHook random) {
+routing::PlacementPolicy MakePrefixAffine(routing::RandomSource random) {
   return routing::PrefixAffine({}, std::move(random));
 }
 
-routing::PlacementPolicy MakeRoundRobin(const routing::RandomHook&) {
+routing::PlacementPolicy MakeRoundRobin(const routing::RandomSource&) {
   return routing::RoundRobin();
 }
 
@@ -112,10 +112,12 @@
       least_of_two = result;
     }
     FleetOptions report_only = UnevenFleet(lag, routing::LeastOfTwo);
-    report_only.count_own = false;
-    const PlacementResult herd = RunPlacement(report_only, kLoad, 0);
+    report_only.count_own_attempts = false;
+    const PlacementResult report_only_result =
+        RunPlacement(report_only, kLoad, 0);
     figures.Report("imbalance_counting_own" + suffix, least_of_two.imbalance,
-                   "ratio", BoundKind::kAtMost, 1.4, herd.imbalance);
+                   "ratio", BoundKind::kAtMost, 1.4,
+                   report_only_result.imbalance);
   }
 }
 
@@ -134,14 +136,12 @@
   for (const NamedPolicy& policy : policies) {
     const PlacementResult result = run(policy.make);
     figures.Report("prefix_hits_" + policy.name, result.hit_ratio, "share",
-                   BoundKind::kAtLeast, policy.least_hits,
-                   round_robin.hit_ratio);
+                   BoundKind::kAtLeast, policy.min_hits, round_robin.hit_ratio);
     figures.Report("prefix_imbalance_" + policy.name, result.imbalance, "ratio",
-                   BoundKind::kAtMost, policy.highest_imbalance,
+                   BoundKind::kAtMost, policy.max_imbalance,
                    round_robin.imbalance);
     figures.Report("prefix_wait_p99_" + policy.name, result.wait_p99, "steps",
-                   BoundKind::kAtMost, policy.longest_wait,
-                   round_robin.wait_p99);
+                   BoundKind::kAtMost, policy.max_wait, round_robin.wait_p99);
   }
 }
 
@@ -163,18 +163,19 @@
                                      Seeded(3), {});
   const routing::CandidateSet& set =
       table.CandidatesFor({core::ModelId("chat"), {}}, {}, {});
-  const routing::RandomHook random = Seeded(4);
-  size_t most = 0;
+  const routing::RandomSource random = Seeded(4);
+  size_t max_considered = 0;
   for (int i = 0; i < kDecisions; ++i) {
     routing::PlacementRequest request;
     request.affinity = random();
     const routing::PlacementDecision decision =
         placement.Choose(table, set, request, {});
-    most = std::max(most, decision.considered);
+    max_considered = std::max(max_considered, decision.considered);
     table.OnDispatch(*decision.upstream);
   }
-  figures.Report("candidates_considered_of_10000", static_cast<double>(most),
-                 "count", BoundKind::kAtMost, 256, kUpstreams);
+  figures.Report("candidates_considered_of_10000",
+                 static_cast<double>(max_considered), "count",
+                 BoundKind::kAtMost, 256, kUpstreams);
 }
 
 }  // namespace coppervalve::bench
--- a/bench/routing/workload.cc
+++ b/bench/routing/workload.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr double kUnit = 1 << 30;
+constexpr double kUniformRange = 1 << 30;
 
-double UniformUnit(const routing::RandomHook& random) {
+double UniformUnit(const routing::RandomSource& random) {
   return (static_cast<double>(routing::UniformBelow(random, 1 << 30)) + 0.5) /
-         kUnit;
+         kUniformRange;
 }
 
 }  // namespace
@@ -26,12 +26,12 @@
     Job job;
     job.account = stream.account;
     job.admission_class = stream.admission_class;
-    job.longest_wait = stream.longest_wait;
+    job.max_wait = stream.max_wait;
     job.prefix = Prefix(stream.prefixes);
-    const auto span = static_cast<uint64_t>(stream.longest_output -
-                                            stream.shortest_output + 1);
+    const auto span =
+        static_cast<uint64_t>(stream.max_output - stream.min_output + 1);
     job.output_steps =
-        stream.shortest_output +
+        stream.min_output +
         static_cast<int64_t>(routing::UniformBelow(m_random, span));
     m_fleet.Arrive(routing::UniformBelow(m_random, m_fleet.routers()), job);
   }
--- a/bench/routing/workload.h
+++ b/bench/routing/workload.h
@@ -13,9 +13,9 @@
   std::string account;
   v1::AdmissionClass admission_class = v1::INTERACTIVE;
   double jobs_per_step = 0;
-  int64_t shortest_output = 1;
-  int64_t longest_output = 1;
-  int64_t longest_wait = 0;
+  int64_t min_output = 1;
+  int64_t max_output = 1;
+  int64_t max_wait = 0;
   uint64_t prefixes = 0;  ///< number of prompt prefixes, skewed; 0 = none
 };
 
@@ -32,7 +32,7 @@
   uint64_t Prefix(uint64_t prefixes);
 
   Fleet& m_fleet;
-  routing::RandomHook m_random;
+  routing::RandomSource m_random;
 };
 
 /// @brief Jobs a step that the engines can serve at a mean number of steps.
--- a/include/coppervalve/entry/placement.h
+++ b/include/coppervalve/entry/placement.h
@@ -11,7 +11,7 @@
 #include "coppervalve/entry/peer_loads.h"
 #include "coppervalve/entry/upstream_directory.h"
 #include "coppervalve/entry/upstream_gate.h"
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 
 namespace coppervalve::entry {
 
@@ -103,7 +103,7 @@
          core::FailureDomainId own_domain,
          const PeerLoads& peers,
          const UpstreamGate& gate,
-         routing::RandomHook random);
+         routing::RandomSource random);
 
   /// @complexity linear in the upstreams of the service
   Placement Choose(const UpstreamDirectory& directory,
@@ -149,7 +149,7 @@
   core::FailureDomainId m_own_domain;
   const PeerLoads& m_peers;
   const UpstreamGate& m_gate;
-  routing::RandomHook m_random;
+  routing::RandomSource m_random;
 };
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/gateway/beat_writer.h
+++ b/include/coppervalve/gateway/beat_writer.h
@@ -10,7 +10,7 @@
 
 #include "coppervalve/beat.pb.h"
 #include "coppervalve/gateway/keyed_store.h"
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 
 namespace coppervalve::gateway {
 
@@ -47,7 +47,7 @@
   BeatWriter(boost::asio::io_context& io,
              BeatOptions options,
              const KeyedStore& store,
-             routing::RandomHook random,
+             routing::RandomSource random,
              Hooks hooks);
 
   /// @param last_epoch of this router's newest record; 0 when it has none
@@ -67,7 +67,7 @@
 
   BeatOptions m_options;
   const KeyedStore& m_store;
-  routing::RandomHook m_random;
+  routing::RandomSource m_random;
   Hooks m_hooks;
   boost::asio::steady_timer m_timer;
   v1::RouterBeat m_beat;
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -52,7 +52,7 @@
   CrashWatch& crashes;
   EventLog& log;
   GatewayMetrics& metrics;
-  routing::RandomHook random;
+  routing::RandomSource random;
   std::function<entry::ConfigurationView()> configuration;
   /// Asks for a higher ceiling soon; the exchange is told when it is there.
   std::function<void(std::function<void()> on_grant)> wait_for_grant;
--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -160,7 +160,7 @@
   entry::Policy m_policy;
   Dialect m_dialect;
   KeyedStore m_store;
-  routing::RandomHook m_random;
+  routing::RandomSource m_random;
   EventLog m_log;
   GatewayMetrics m_metrics;
 
--- a/include/coppervalve/gateway/place_asker.h
+++ b/include/coppervalve/gateway/place_asker.h
@@ -34,7 +34,7 @@
   PlaceAsker(boost::asio::io_context& io,
              std::string reply_address,
              Hooks hooks,
-             routing::RandomHook random);
+             routing::RandomSource random);
   void SetEpoch(uint64_t epoch) { m_epoch = epoch; }
 
   /// @param on_told called once, never from within
@@ -55,7 +55,7 @@
   boost::asio::io_context& m_io;
   std::string m_reply_address;
   Hooks m_hooks;
-  routing::RandomHook m_random;
+  routing::RandomSource m_random;
   uint64_t m_epoch = 0;
   uint64_t m_last_id = 0;
   std::unordered_map<uint64_t, Pending> m_pending;
--- a/include/coppervalve/gateway/topic_follower.h
+++ b/include/coppervalve/gateway/topic_follower.h
@@ -11,7 +11,7 @@
 
 #include "coppervalve/entry/read_plan.h"
 #include "coppervalve/gateway/keyed_store.h"
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 
 namespace coppervalve::gateway {
 
@@ -45,7 +45,7 @@
   TopicFollower(boost::asio::io_context& io,
                 FollowerOptions options,
                 const KeyedStore& store,
-                routing::RandomHook random,
+                routing::RandomSource random,
                 Hooks hooks);
   void Start() { Take(m_plan.OnGap()); }
   /// @brief Reads again from the newest, if reading stopped and the topic is of
@@ -68,7 +68,7 @@
 
   FollowerOptions m_options;
   const KeyedStore& m_store;
-  routing::RandomHook m_random;
+  routing::RandomSource m_random;
   Hooks m_hooks;
   boost::asio::steady_timer m_timer;
   entry::ReadPlan m_plan;
--- a/include/coppervalve/routing/admission_queue.h
+++ b/include/coppervalve/routing/admission_queue.h
@@ -15,7 +15,7 @@
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/routing/drain_rate.h"
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 #include "coppervalve/routing/refusal.h"
 #include "coppervalve/routing/upstream_table.h"
 
@@ -42,15 +42,15 @@
   /// An account may hold this multiple of its class's free places.
   double account_share = 6.0;
   /// One in so many starts of a pool goes to the class when it waits.
-  uint32_t interactive_turn = 8;
-  uint32_t batch_turn = 10;
-  core::Duration shortest_retry_after{100'000};
-  core::Duration longest_retry_after{120'000'000};
+  uint32_t interactive_start_interval = 8;
+  uint32_t batch_start_interval = 10;
+  core::Duration min_retry_after{100'000};
+  core::Duration max_retry_after{120'000'000};
   /// Retry-After when the drain rate is not known yet.
   core::Duration default_retry_after{1'000'000};
   /// Waiting work is given up when its expected wait exceeds the time it has
   /// by this factor.
-  double hopeless_factor = 2.0;
+  double late_wait_factor = 2.0;
 };
 
 /// @brief A request that waits for an upstream.
@@ -90,7 +90,7 @@
 /// entries by earliest deadline.
 class AdmissionQueue {
  public:
-  AdmissionQueue(AdmissionQueueOptions options, RandomHook random);
+  AdmissionQueue(AdmissionQueueOptions options, RandomSource random);
   ~AdmissionQueue();
   AdmissionQueue(const AdmissionQueue&) = delete;
   AdmissionQueue& operator=(const AdmissionQueue&) = delete;
@@ -124,18 +124,18 @@
  private:
   struct ClassQueue;
   struct Pool;
-  class Round;
+  class DrainPass;
 
-  static size_t AheadOf(const ClassQueue& queue,
-                        const core::AccountId& account,
-                        size_t own_ahead);
+  static size_t CountAhead(const ClassQueue& queue,
+                           const core::AccountId& account,
+                           size_t own_ahead);
   Refusal Refuse(core::ErrorId id,
                  const QueueEntry& entry,
                  core::TimePoint now) const;
-  std::optional<core::Duration> WaitBehind(const Pool& pool,
-                                           size_t class_index,
-                                           size_t ahead,
-                                           core::TimePoint now) const;
+  std::optional<core::Duration> EstimateWait(const Pool& pool,
+                                             size_t class_index,
+                                             size_t ahead,
+                                             core::TimePoint now) const;
   std::optional<core::Duration> ExpectedWait(const QueueEntry& entry,
                                              core::TimePoint now) const;
   size_t ClassCapacity(v1::AdmissionClass admission_class) const;
@@ -143,14 +143,15 @@
   std::optional<QueueRefusal> DisplaceBatch(core::TimePoint now);
   void Insert(const QueueEntry& entry);
   void Erase(const QueueEntry& entry);
-  void Started(Pool& pool, const QueueEntry& entry, core::TimePoint now);
+  void OnStarted(Pool& pool, const QueueEntry& entry, core::TimePoint now);
   std::vector<QueueEntry> Overdue(const Pool& pool, core::TimePoint now) const;
-  std::vector<QueueEntry> Hopeless(const Pool& pool, core::TimePoint now) const;
+  std::vector<QueueEntry> PredictedLate(const Pool& pool,
+                                        core::TimePoint now) const;
   void PruneIdlePools();
-  core::Duration Jittered(std::optional<core::Duration> wait) const;
+  core::Duration AddJitter(std::optional<core::Duration> wait) const;
 
   AdmissionQueueOptions m_options;
-  RandomHook m_random;
+  RandomSource m_random;
   std::map<PoolId, std::unique_ptr<Pool>> m_pools;
   std::unordered_map<core::RequestId, QueueEntry> m_entries;
   core::TimePoint m_estimated_at{};
--- a/include/coppervalve/routing/drain_rate.h
+++ b/include/coppervalve/routing/drain_rate.h
@@ -22,7 +22,7 @@
                                         core::TimePoint now) const;
 
  private:
-  bool m_anchored = false;
+  bool m_backlogged = false;
   uint32_t m_samples = 0;
   double m_mean_interval_us = 0;
   core::TimePoint m_last{};
--- a/include/coppervalve/routing/health.h
+++ b/include/coppervalve/routing/health.h
@@ -4,7 +4,7 @@
 #include <cstdint>  // uint32_t
 
 #include "coppervalve/core/units.h"
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 #include "coppervalve/routing/upstream.h"
 
 namespace coppervalve::routing {
@@ -16,14 +16,14 @@
   double error_ratio = 0.5;
   double error_ratio_weight = 0.1;    ///< of one outcome in the average
   uint32_t error_ratio_samples = 20;  ///< outcomes before the ratio counts
-  core::Duration first_probe{250'000};
-  core::Duration longest_probe{2'000'000};
+  core::Duration initial_probe_interval{250'000};
+  core::Duration max_probe_interval{2'000'000};
   core::Duration probe_timeout{2'000'000};
   core::Duration slow_start{5'000'000};
   double slow_start_floor = 0.1;
   /// A silent connection does not count when the upstream answered another
   /// attempt within this time.
-  core::Duration recent_success{1'000'000};
+  core::Duration recent_success_window{1'000'000};
 };
 
 /// @brief Passive health of one upstream, with active probing when ejected.
@@ -35,10 +35,10 @@
   void OnSuccess(core::TimePoint now);
   void OnFailure(FailureKind kind,
                  core::TimePoint now,
-                 const RandomHook& random);
+                 const RandomSource& random);
   /// @brief The attempt did not get as far as sending: no connection.
-  void OnNotSent(core::TimePoint now, const RandomHook& random);
-  void OnProbe(bool healthy, core::TimePoint now, const RandomHook& random);
+  void OnNotSent(core::TimePoint now, const RandomSource& random);
+  void OnProbe(bool healthy, core::TimePoint now, const RandomSource& random);
   /// @return true once for each probe that is due
   bool TakeProbeDue(core::TimePoint now);
 
@@ -46,17 +46,17 @@
   /// @brief Share of its normal work the upstream may get, (0, 1].
   double weight(core::TimePoint now) const;
   /// @return ejected for its error ratio only: it still answers some work
-  bool answers_some() const { return m_ejected && m_by_ratio; }
+  bool ejected_by_ratio() const { return m_ejected && m_ejected_by_ratio; }
 
  private:
-  void CountFailure(core::TimePoint now, const RandomHook& random);
-  void Eject(bool by_ratio, core::TimePoint now, const RandomHook& random);
-  void ScheduleProbe(core::TimePoint now, const RandomHook& random);
-  void Return(core::TimePoint now);
+  void CountFailure(core::TimePoint now, const RandomSource& random);
+  void Eject(bool by_ratio, core::TimePoint now, const RandomSource& random);
+  void ScheduleProbe(core::TimePoint now, const RandomSource& random);
+  void Readmit(core::TimePoint now);
 
   HealthOptions m_options;
   bool m_ejected = false;
-  bool m_by_ratio = false;
+  bool m_ejected_by_ratio = false;
   bool m_probing = false;
   bool m_returned = false;
   bool m_succeeded = false;
--- a/include/coppervalve/routing/placement.h
+++ b/include/coppervalve/routing/placement.h
@@ -12,13 +12,13 @@
 
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 #include "coppervalve/routing/upstream_table.h"
 
 namespace coppervalve::routing {
 
-/// @brief Why an upstream was chosen, or why none was.
-enum class PlacementWhy : uint8_t {
+/// @brief Why an upstream was chosen, or reason none was.
+enum class ChoiceReason : uint8_t {
   kRoundRobin,
   kCriterion,       ///< first of the ordered criteria that a candidate met
   kLeastOfTwo,      ///< lower estimated load of two random candidates
@@ -32,7 +32,7 @@
 };
 
 /// @brief Stable lower_snake_case name for log lines.
-std::string_view ToString(PlacementWhy why);
+std::string_view ToString(ChoiceReason reason);
 
 /// @brief What a placement is asked for.
 struct PlacementRequest {
@@ -45,7 +45,7 @@
 /// @brief What a policy chose among usable candidates.
 struct PolicyChoice {
   size_t index = 0;
-  PlacementWhy why = PlacementWhy::kOnlyCandidate;
+  ChoiceReason reason = ChoiceReason::kOnlyCandidate;
   uint32_t criterion = 0;  ///< 1-based; with kCriterion only
 };
 
@@ -59,24 +59,24 @@
 /// @brief Tiers of queue length, load and warm prefix, then preference.
 PlacementPolicy OrderedCriteria();
 /// @brief The less loaded of two random candidates.
-PlacementPolicy LeastOfTwo(RandomHook random);
+PlacementPolicy LeastOfTwo(RandomSource random);
 /// @brief Constants of the prefix-affine policy.
 struct PrefixAffineOptions {
   /// The owner of a prefix is passed over above this multiple of the mean load.
   double load_bound = 1.25;
   /// Load that is always allowed, so that an idle fleet keeps affinity.
-  double free_load = 1;
+  double load_allowance = 1;
 };
 /// @brief Rendezvous hashing of the prefix with bounded load; the less loaded
 /// of two for work without a prefix.
-PlacementPolicy PrefixAffine(PrefixAffineOptions options, RandomHook random);
+PlacementPolicy PrefixAffine(PrefixAffineOptions options, RandomSource random);
 /// @brief The best as measured by bench/routing.
-PlacementPolicy DefaultPolicy(RandomHook random);
+PlacementPolicy DefaultPolicy(RandomSource random);
 
 /// @brief The outcome of a placement with the facts behind it.
 struct PlacementDecision {
   std::optional<core::UpstreamId> upstream;
-  PlacementWhy why = PlacementWhy::kNoCandidate;
+  ChoiceReason reason = ChoiceReason::kNoCandidate;
   uint32_t criterion = 0;
   size_t considered = 0;  ///< candidates looked at
   size_t usable = 0;
@@ -87,9 +87,9 @@
 
 /// @brief Bounds of one placement.
 struct PlacementOptions {
-  size_t window = 64;         ///< usable candidates handed to the policy
-  size_t longest_scan = 256;  ///< candidates looked at to fill the window
-  size_t facts = 4;           ///< candidates described in the log line
+  size_t window = 64;     ///< usable candidates handed to the policy
+  size_t max_scan = 256;  ///< candidates looked at to fill the window
+  size_t facts = 4;       ///< candidates described in the log line
 };
 
 /// @brief Chooses upstreams with one policy over a bounded window.
@@ -97,11 +97,11 @@
  public:
   Placement(PlacementOptions options,
             PlacementPolicy policy,
-            RandomHook random,
+            RandomSource random,
             core::FailureDomainId own_domain);
 
   /// @brief Chooses an upstream; does not count the dispatch.
-  /// @complexity O(longest_scan), whatever the size of the set
+  /// @complexity O(max_scan), whatever the size of the set
   PlacementDecision Choose(const UpstreamTable& table,
                            const CandidateSet& candidates,
                            const PlacementRequest& request,
@@ -114,14 +114,14 @@
                   const CandidateSet& candidates,
                   const PlacementRequest& request,
                   core::TimePoint now) const;
-  void Sort(const Candidate& candidate, Scan& scan) const;
+  void Classify(const Candidate& candidate, Scan& scan) const;
   size_t WindowStart(const UpstreamTable& table,
                      const CandidateSet& candidates,
                      uint64_t affinity) const;
 
   PlacementOptions m_options;
   PlacementPolicy m_policy;
-  RandomHook m_random;
+  RandomSource m_random;
   core::FailureDomainId m_own_domain;
 };
 
--- a/include/coppervalve/routing/random_hook.h
+++ b/include/coppervalve/routing/random_source.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ROUTING_RANDOM_HOOK_H_
-#define COPPERVALVE_ROUTING_RANDOM_HOOK_H_
+#ifndef COPPERVALVE_ROUTING_RANDOM_SOURCE_H_
+#define COPPERVALVE_ROUTING_RANDOM_SOURCE_H_
 
 #include <cstdint>     // uint64_t
 #include <functional>  // function
@@ -9,14 +9,14 @@
 namespace coppervalve::routing {
 
 /// @brief The only source of randomness: 64 uniform bits a call.
-using RandomHook = std::function<uint64_t()>;
+using RandomSource = std::function<uint64_t()>;
 
 /// @brief Uniform in [0, bound); 0 when the bound is 0.
-uint64_t UniformBelow(const RandomHook& random, uint64_t bound);
+uint64_t UniformBelow(const RandomSource& random, uint64_t bound);
 
 /// @brief Uniform in [0, span); zero when the span is not positive.
-core::Duration UniformDuration(const RandomHook& random, core::Duration span);
+core::Duration UniformDuration(const RandomSource& random, core::Duration span);
 
 }  // namespace coppervalve::routing
 
-#endif  // COPPERVALVE_ROUTING_RANDOM_HOOK_H_
+#endif  // COPPERVALVE_ROUTING_RANDOM_SOURCE_H_
--- a/include/coppervalve/routing/rate_limiter.h
+++ b/include/coppervalve/routing/rate_limiter.h
@@ -54,7 +54,7 @@
   struct Bucket {
     AccountLimit limit;
     bool started = false;
-    double level = 0;
+    double tokens = 0;
     double demand = 0;
     double reported_demand = 0;
     core::TimePoint last{};
--- a/include/coppervalve/routing/retry_policy.h
+++ b/include/coppervalve/routing/retry_policy.h
@@ -10,7 +10,7 @@
 #include "coppervalve/core/error.h"
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 #include "coppervalve/routing/retry_budget.h"
 
 namespace coppervalve::routing {
@@ -20,8 +20,8 @@
   uint32_t max_attempts = 3;  ///< when the rule gives none
   RetryBudgetOptions per_upstream;
   RetryBudgetOptions per_account;
-  core::Duration first_backoff{10'000};
-  core::Duration longest_backoff{1'000'000};
+  core::Duration initial_backoff{10'000};
+  core::Duration max_backoff{1'000'000};
 };
 
 /// @brief How far an attempt got.
@@ -67,7 +67,7 @@
 /// paid from budgets of the upstream that failed and of the account.
 class RetryPolicy {
  public:
-  RetryPolicy(RetryPolicyOptions options, RandomHook random);
+  RetryPolicy(RetryPolicyOptions options, RandomSource random);
 
   /// @brief A first attempt goes out: both budgets earn. @complexity O(1)
   void OnFirstAttempt(const core::AccountId& account,
@@ -75,14 +75,14 @@
   /// @complexity O(tried)
   RetryDecision Decide(const FailedAttempt& failed, core::TimePoint now);
   /// @brief Forgets the budgets of upstreams that are no longer configured.
-  void Keep(const std::vector<core::UpstreamId>& upstreams);
+  void RetainUpstreams(const std::vector<core::UpstreamId>& upstreams);
 
  private:
   core::Duration Backoff(uint32_t attempts) const;
-  bool SpendBoth(const FailedAttempt& failed, core::TimePoint now);
+  bool SpendBudgets(const FailedAttempt& failed, core::TimePoint now);
 
   RetryPolicyOptions m_options;
-  RandomHook m_random;
+  RandomSource m_random;
   std::unordered_map<core::UpstreamId, RetryBudget> m_by_upstream;
   std::unordered_map<core::AccountId, RetryBudget> m_by_account;
 };
--- a/include/coppervalve/routing/upstream_table.h
+++ b/include/coppervalve/routing/upstream_table.h
@@ -14,7 +14,7 @@
 #include "coppervalve/core/units.h"
 #include "coppervalve/routing/concurrency_limit.h"
 #include "coppervalve/routing/health.h"
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 #include "coppervalve/routing/upstream.h"
 
 namespace coppervalve::routing {
@@ -35,10 +35,10 @@
   core::Duration report_max_age{10'000'000};
   /// Pause after a decline that names none.
   core::Duration default_hold_off{200'000};
-  core::Duration longest_hold_off{5'000'000};
+  core::Duration max_hold_off{5'000'000};
   /// Probes handed out at a time: a fleet of thousands that is ejected whole is
   /// asked little by little.
-  size_t probes_at_once = 32;
+  size_t max_probes_per_call = 32;
 };
 
 /// @brief What work asks for: a model, or a plain service.
@@ -88,7 +88,7 @@
 /// the configuration dropped its upstream.
 class UpstreamTable {
  public:
-  UpstreamTable(UpstreamTableOptions options, RandomHook random);
+  UpstreamTable(UpstreamTableOptions options, RandomSource random);
   ~UpstreamTable();
   UpstreamTable(const UpstreamTable&) = delete;
   UpstreamTable& operator=(const UpstreamTable&) = delete;
@@ -163,12 +163,12 @@
 
   Entry* FindEntry(const core::UpstreamId& id);
   const Entry* FindEntry(const core::UpstreamId& id) const;
-  void Install(const UpstreamInfo& info);
-  size_t TakeFreeSlot();
-  void IndexSets();
+  void AddOrUpdate(const UpstreamInfo& info);
+  size_t AllocateSlot();
+  void RebuildCandidateSets();
   static void EndAttempt(Entry& entry);
-  void NoteHealth(const Entry& entry, core::TimePoint now);
-  void ForgetIfIdle(const core::UpstreamId& id);
+  void UpdateEjectedSlots(const Entry& entry, core::TimePoint now);
+  void RemoveIfIdle(const core::UpstreamId& id);
   void SortByHash(CandidateSet& set) const;
   static bool Serves(const UpstreamInfo& info, const WorkTarget& target);
   uint32_t LimitFor(const Entry& entry,
@@ -179,17 +179,17 @@
                                core::TimePoint now);
 
   UpstreamTableOptions m_options;
-  RandomHook m_random;
+  RandomSource m_random;
   std::vector<std::unique_ptr<Entry>> m_entries;  ///< by slot; null when free
   std::vector<size_t> m_free_slots;
-  std::set<size_t> m_ejected;  ///< slots to be probed
-  size_t m_next_probed = 0;    ///< slot where the next call goes on
-  core::TimePoint m_probes_looked_at{};
+  std::set<size_t> m_ejected;    ///< slots to be probed
+  size_t m_next_probe_slot = 0;  ///< slot where the next call goes on
+  core::TimePoint m_last_probe_scan{};
   std::unordered_map<core::UpstreamId, size_t> m_slots;
   std::unordered_map<core::ModelId, CandidateSet> m_by_model;
   std::unordered_map<core::ServiceId, CandidateSet> m_by_service;
   std::unordered_map<std::string, CandidateSet> m_by_rule;
-  CandidateSet m_none;
+  CandidateSet m_empty_set;
 };
 
 }  // namespace coppervalve::routing
--- a/include/coppervalve/rules/condition.h
+++ b/include/coppervalve/rules/condition.h
@@ -18,14 +18,14 @@
 
   /// @return whether all given conditions hold
   /// @complexity logarithmic in the lists of ids, linear in the other lists
-  bool Holds(const RequestFacts& facts) const;
+  bool Matches(const RequestFacts& facts) const;
 
  private:
-  bool TargetHolds(const RequestFacts& facts) const;
-  bool SizesHold(const RequestFacts& facts) const;
-  bool PathHolds(const RequestFacts& facts) const;
-  bool HeadersHold(const RequestFacts& facts) const;
-  bool TimeHolds(uint32_t minute) const;
+  bool TargetMatches(const RequestFacts& facts) const;
+  bool SizesMatch(const RequestFacts& facts) const;
+  bool PathMatches(const RequestFacts& facts) const;
+  bool HeadersMatch(const RequestFacts& facts) const;
+  bool TimeMatches(uint32_t minute) const;
 
   std::vector<std::string> m_accounts;  // sorted, like the next three
   std::vector<std::string> m_models;
@@ -35,10 +35,10 @@
   std::vector<std::pair<std::string, std::string>> m_headers;
   int64_t m_min_prompt = 0;
   int64_t m_max_prompt = 0;
-  int64_t m_output_over = 0;
+  int64_t m_output_lower_bound = 0;
   bool m_has_window = false;
-  uint32_t m_from = 0;
-  uint32_t m_until = 0;
+  uint32_t m_from_minute = 0;
+  uint32_t m_until_minute = 0;
 };
 
 }  // namespace coppervalve::rules
--- a/src/entry/placement.cc
+++ b/src/entry/placement.cc
@@ -90,7 +90,7 @@
                core::FailureDomainId own_domain,
                const PeerLoads& peers,
                const UpstreamGate& gate,
-               routing::RandomHook random)
+               routing::RandomSource random)
     : m_options(options),
       m_own_domain(std::move(own_domain)),
       m_peers(peers),
--- a/src/gateway/beat_writer.cc
+++ b/src/gateway/beat_writer.cc
@@ -7,7 +7,7 @@
 BeatWriter::BeatWriter(boost::asio::io_context& io,
                        BeatOptions options,
                        const KeyedStore& store,
-                       routing::RandomHook random,
+                       routing::RandomSource random,
                        Hooks hooks)
     : m_options(std::move(options)),
       m_store(store),
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -32,7 +32,7 @@
 }
 
 // Uniform in [0, 1).
-double Fraction(const routing::RandomHook& random) {
+double Fraction(const routing::RandomSource& random) {
   constexpr uint64_t kSteps = 1'000'000;
   return static_cast<double>(routing::UniformBelow(random, kSteps)) / kSteps;
 }
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -28,7 +28,7 @@
 constexpr core::Duration kClosingTime{400'000};
 constexpr core::Duration kQuietBeforeEnd{1'500'000};
 
-routing::RandomHook SeededRandom() {
+routing::RandomSource SeededRandom() {
   constexpr unsigned kBitsOfSeed = 32;
   std::random_device device;
   const uint64_t high = device();
--- a/src/gateway/place_asker.cc
+++ b/src/gateway/place_asker.cc
@@ -60,7 +60,7 @@
 PlaceAsker::PlaceAsker(boost::asio::io_context& io,
                        std::string reply_address,
                        Hooks hooks,
-                       routing::RandomHook random)
+                       routing::RandomSource random)
     : m_io(io),
       m_reply_address(std::move(reply_address)),
       m_hooks(std::move(hooks)),
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -10,7 +10,7 @@
 TopicFollower::TopicFollower(boost::asio::io_context& io,
                              FollowerOptions options,
                              const KeyedStore& store,
-                             routing::RandomHook random,
+                             routing::RandomSource random,
                              Hooks hooks)
     : m_options(std::move(options)),
       m_store(store),
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -176,8 +176,8 @@
     Start(now, *work, decision);
     return true;
   }
-  const bool dead = decision.why == routing::PlacementWhy::kNoneAlive ||
-                    decision.why == routing::PlacementWhy::kNoCandidate;
+  const bool dead = decision.reason == routing::ChoiceReason::kNoneAlive ||
+                    decision.reason == routing::ChoiceReason::kNoCandidate;
   // BATCH work may wait for an upstream to return; a person would wait in vain.
   // It is refused after this round and not reported as a start: starts measure
   // the drain rate, and callers would be told to come back too early.
@@ -222,7 +222,7 @@
        {"rule", work.route.rule.value()},
        {"class", v1::AdmissionClass_Name(work.route.admission_class)},
        {"upstream", work.upstream.value()},
-       {"why", std::string(routing::ToString(decision.why))},
+       {"why", std::string(routing::ToString(decision.reason))},
        {"attempt", std::to_string(work.attempts)},
        {"candidates", routing::DescribeFacts(decision, m_upstreams)}});
   m_parts.outbox.Add(std::move(dispatch));
--- a/src/router/flow_arrival.cc
+++ b/src/router/flow_arrival.cc
@@ -63,7 +63,7 @@
     ids.push_back(from.id);
   }
   m_upstreams.SetUpstreams(upstreams);
-  m_retries.Keep(ids);
+  m_retries.RetainUpstreams(ids);
 
   std::vector<routing::AccountLimit> limits;
   for (const config::Account& account : tables.accounts()) {
--- a/src/routing/admission_queue.cc
+++ b/src/routing/admission_queue.cc
@@ -17,8 +17,8 @@
 constexpr size_t kInteractive = 1;
 constexpr size_t kBatch = 2;
 /// Pools without waiting entries keep their drain rates up to this number.
-constexpr size_t kIdlePools = 256;
-constexpr core::Duration kEstimateEvery{10'000};
+constexpr size_t kMaxIdlePools = 256;
+constexpr core::Duration kEstimateInterval{10'000};
 
 size_t ClassIndex(v1::AdmissionClass admission_class) {
   switch (admission_class) {
@@ -61,7 +61,7 @@
   /// Virtual time of the last start: an account that comes back starts here,
   /// so that it cannot save up turns while it is away.
   double virtual_time = 0;
-  uint32_t passed_over = 0;  ///< starts of higher classes while this waited
+  uint32_t skipped_starts = 0;  ///< starts of higher classes while this waited
   DrainRate rate;
 };
 
@@ -77,9 +77,9 @@
 };
 
 /// What one Drain has found to be blocked, and picks next.
-class AdmissionQueue::Round {
+class AdmissionQueue::DrainPass {
  public:
-  Round(const AdmissionQueueOptions& options, const Pool& pool)
+  DrainPass(const AdmissionQueueOptions& options, const Pool& pool)
       : m_options(options), m_pool(pool) {}
 
   /// The next entry to try, or none when all that waits is blocked.
@@ -92,7 +92,7 @@
     return std::nullopt;
   }
 
-  /// Urgency of what Next would give; lower is more urgent.
+  /// Urgency of what Next would give; lower is more next_pass.
   size_t NextClass() const {
     for (const size_t index : ClassOrder()) {
       if (Head(m_pool.classes[index], index)) {
@@ -113,11 +113,12 @@
     // Strict priority alone starves itineraries for as long as gate work keeps
     // the upstreams full: they wait for hours and expire unserved. One turn in
     // so many bounds the wait and costs gate work at most that share.
-    if (batch.size > 0 && batch.passed_over + 1 >= m_options.batch_turn) {
+    if (batch.size > 0 &&
+        batch.skipped_starts + 1 >= m_options.batch_start_interval) {
       return {kBatch, kGate, kInteractive};
     }
-    if (interactive.size > 0 &&
-        interactive.passed_over + 1 >= m_options.interactive_turn) {
+    if (interactive.size > 0 && interactive.skipped_starts + 1 >=
+                                    m_options.interactive_start_interval) {
       return {kInteractive, kGate, kBatch};
     }
     return {kGate, kInteractive, kBatch};
@@ -149,7 +150,8 @@
   std::set<std::pair<LaneId, size_t>> m_blocked;
 };
 
-AdmissionQueue::AdmissionQueue(AdmissionQueueOptions options, RandomHook random)
+AdmissionQueue::AdmissionQueue(AdmissionQueueOptions options,
+                               RandomSource random)
     : m_options(options), m_random(std::move(random)) {}
 
 AdmissionQueue::~AdmissionQueue() = default;
@@ -185,49 +187,49 @@
 }
 
 size_t AdmissionQueue::Drain(core::TimePoint now, const TryStart& try_start) {
-  std::vector<std::pair<Pool*, Round>> rounds;
+  std::vector<std::pair<Pool*, DrainPass>> passes;
   for (const auto& [id, pool] : m_pools) {
     if (pool->Size() > 0) {
-      rounds.emplace_back(pool.get(), Round(m_options, *pool));
+      passes.emplace_back(pool.get(), DrainPass(m_options, *pool));
     }
   }
   size_t starts = 0;
   while (true) {
-    // Pools may share upstreams: the most urgent class of all goes first.
-    size_t urgent = rounds.size();
-    size_t urgent_class = kClasses;
-    for (size_t index = 0; index < rounds.size(); ++index) {
-      const size_t next_class = rounds[index].second.NextClass();
-      if (next_class < urgent_class) {
-        urgent = index;
-        urgent_class = next_class;
+    // Pools may share upstreams: the most next_pass class of all goes first.
+    size_t next_pass = passes.size();
+    size_t best_class = kClasses;
+    for (size_t index = 0; index < passes.size(); ++index) {
+      const size_t next_class = passes[index].second.NextClass();
+      if (next_class < best_class) {
+        next_pass = index;
+        best_class = next_class;
       }
     }
-    if (urgent == rounds.size()) {
+    if (next_pass == passes.size()) {
       return starts;
     }
-    auto& [pool, round] = rounds[urgent];
-    const QueueEntry entry = m_entries.at(*round.Next());
+    auto& [pool, pass] = passes[next_pass];
+    const QueueEntry entry = m_entries.at(*pass.Next());
     if (!try_start(entry)) {
-      round.Block(entry.lane, ClassIndex(entry.admission_class));
+      pass.Block(entry.lane, ClassIndex(entry.admission_class));
       continue;
     }
-    Started(*pool, entry, now);
+    OnStarted(*pool, entry, now);
     ++starts;
   }
 }
 
-void AdmissionQueue::Started(Pool& pool,
-                             const QueueEntry& entry,
-                             core::TimePoint now) {
+void AdmissionQueue::OnStarted(Pool& pool,
+                               const QueueEntry& entry,
+                               core::TimePoint now) {
   const size_t class_index = ClassIndex(entry.admission_class);
   ClassQueue& queue = pool.classes[class_index];
   ClassQueue::Account& account = queue.accounts.at(entry.account);
   queue.virtual_time = account.served_cost;
   account.served_cost += std::max(entry.cost, 0.0);
-  queue.passed_over = 0;
+  queue.skipped_starts = 0;
   for (size_t lower = class_index + 1; lower < kClasses; ++lower) {
-    pool.classes[lower].passed_over += pool.classes[lower].size > 0 ? 1 : 0;
+    pool.classes[lower].skipped_starts += pool.classes[lower].size > 0 ? 1 : 0;
   }
   Erase(entry);
   queue.rate.OnServed(now, queue.size > 0);
@@ -237,7 +239,7 @@
 std::vector<QueueRefusal> AdmissionQueue::Expire(core::TimePoint now) {
   std::vector<QueueRefusal> refusals;
   // Called after every event; the estimates of all entries need not be.
-  const bool estimate = now - m_estimated_at >= kEstimateEvery;
+  const bool estimate = now - m_estimated_at >= kEstimateInterval;
   m_estimated_at = estimate ? now : m_estimated_at;
   for (const auto& [id, pool] : m_pools) {
     if (pool->Size() == 0) {
@@ -251,7 +253,7 @@
     if (!estimate) {
       continue;
     }
-    for (const QueueEntry& entry : Hopeless(*pool, now)) {
+    for (const QueueEntry& entry : PredictedLate(*pool, now)) {
       Erase(entry);
       refusals.push_back(
           {entry.request,
@@ -280,22 +282,23 @@
   return overdue;
 }
 
-std::vector<QueueEntry> AdmissionQueue::Hopeless(const Pool& pool,
-                                                 core::TimePoint now) const {
-  std::vector<QueueEntry> hopeless;
+std::vector<QueueEntry> AdmissionQueue::PredictedLate(
+    const Pool& pool,
+    core::TimePoint now) const {
+  std::vector<QueueEntry> predicted_late;
   for (size_t index = 0; index < kClasses; ++index) {
     const ClassQueue& queue = pool.classes[index];
     for (const auto& [id, account] : queue.accounts) {
       size_t own_ahead = 0;
       for (const auto& [lane, flow] : account.flows) {
         for (const auto& [start_by, request] : flow) {
-          const size_t ahead = AheadOf(queue, id, own_ahead);
-          const auto wait = WaitBehind(pool, index, ahead, now);
+          const size_t ahead = CountAhead(queue, id, own_ahead);
+          const auto wait = EstimateWait(pool, index, ahead, now);
           const double time_left =
               static_cast<double>((start_by - now).count());
           if (wait && static_cast<double>(wait->count()) >
-                          time_left * m_options.hopeless_factor) {
-            hopeless.push_back(m_entries.at(request));
+                          time_left * m_options.late_wait_factor) {
+            predicted_late.push_back(m_entries.at(request));
             continue;
           }
           ++own_ahead;
@@ -303,7 +306,7 @@
       }
     }
   }
-  return hopeless;
+  return predicted_late;
 }
 
 bool AdmissionQueue::Remove(core::RequestId request) {
@@ -349,7 +352,7 @@
   entry.account = account;
   entry.admission_class = admission_class;
   entry.start_by = core::TimePoint::max();
-  return Jittered(ExpectedWait(entry, now));
+  return AddJitter(ExpectedWait(entry, now));
 }
 
 size_t AdmissionQueue::SizeOf(v1::AdmissionClass admission_class) const {
@@ -366,21 +369,20 @@
           retry_after};
 }
 
-core::Duration AdmissionQueue::Jittered(
+core::Duration AdmissionQueue::AddJitter(
     std::optional<core::Duration> wait) const {
-  const core::Duration base =
-      std::max(wait.value_or(m_options.default_retry_after),
-               m_options.shortest_retry_after);
+  const core::Duration base = std::max(
+      wait.value_or(m_options.default_retry_after), m_options.min_retry_after);
   // Callers that were refused together must not come back together.
   return std::min(base + UniformDuration(m_random, base / 2),
-                  m_options.longest_retry_after);
+                  m_options.max_retry_after);
 }
 
 /// Entries that go before the one that has `own_ahead` of its account's before
 /// it, when accounts take turns.
-size_t AdmissionQueue::AheadOf(const ClassQueue& queue,
-                               const core::AccountId& account,
-                               size_t own_ahead) {
+size_t AdmissionQueue::CountAhead(const ClassQueue& queue,
+                                  const core::AccountId& account,
+                                  size_t own_ahead) {
   size_t ahead = own_ahead;
   for (const auto& [id, other] : queue.accounts) {
     if (id != account) {
@@ -390,7 +392,7 @@
   return ahead;
 }
 
-std::optional<core::Duration> AdmissionQueue::WaitBehind(
+std::optional<core::Duration> AdmissionQueue::EstimateWait(
     const Pool& pool,
     size_t class_index,
     size_t ahead,
@@ -432,8 +434,8 @@
       own_ahead += static_cast<size_t>(std::distance(flow.begin(), later));
     }
   }
-  return WaitBehind(pool, class_index, AheadOf(queue, entry.account, own_ahead),
-                    now);
+  return EstimateWait(pool, class_index,
+                      CountAhead(queue, entry.account, own_ahead), now);
 }
 
 size_t AdmissionQueue::ClassCapacity(v1::AdmissionClass admission_class) const {
@@ -464,23 +466,22 @@
 }
 
 std::optional<QueueRefusal> AdmissionQueue::DisplaceBatch(core::TimePoint now) {
-  const QueueEntry* farthest = nullptr;
+  const QueueEntry* latest = nullptr;
   for (const auto& [request, entry] : m_entries) {
     if (entry.admission_class != v1::BATCH) {
       continue;
     }
-    const bool farther = farthest == nullptr ||
-                         entry.start_by > farthest->start_by ||
-                         (entry.start_by == farthest->start_by &&
-                          entry.request > farthest->request);
-    if (farther) {
-      farthest = &entry;
+    const bool is_later =
+        latest == nullptr || entry.start_by > latest->start_by ||
+        (entry.start_by == latest->start_by && entry.request > latest->request);
+    if (is_later) {
+      latest = &entry;
     }
   }
-  if (farthest == nullptr) {
+  if (latest == nullptr) {
     return std::nullopt;
   }
-  const QueueEntry entry = *farthest;
+  const QueueEntry entry = *latest;
   Erase(entry);
   return QueueRefusal{entry.request,
                       Refuse(core::ErrorId::kQueueFull, entry, now)};
@@ -523,7 +524,7 @@
   --account.size;
   --queue.size;
   if (queue.size == 0) {
-    queue.passed_over = 0;
+    queue.skipped_starts = 0;
     queue.accounts.clear();  // nobody waits: nothing to be fair about
   }
   --m_class_sizes[class_index];
@@ -535,7 +536,7 @@
 }
 
 void AdmissionQueue::PruneIdlePools() {
-  if (m_pools.size() <= kIdlePools) {
+  if (m_pools.size() <= kMaxIdlePools) {
     return;
   }
   std::erase_if(m_pools,
--- a/src/routing/health.cc
+++ b/src/routing/health.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr uint32_t kLongestBackoffStep = 16;
+constexpr uint32_t kMaxBackoffStep = 16;
 
 }  // namespace
 
@@ -23,33 +23,33 @@
 
 void Health::OnFailure(FailureKind kind,
                        core::TimePoint now,
-                       const RandomHook& random) {
+                       const RandomSource& random) {
   // A connection that something on the way has lost track of goes silent while
   // new ones work. Ejecting its upstream would turn one lost stream into lost
   // capacity; an upstream that is really stuck stops answering the others too
   // and is counted as soon as its last success is no longer recent.
   const bool answers_others =
-      m_succeeded && now - m_last_success < m_options.recent_success;
+      m_succeeded && now - m_last_success < m_options.recent_success_window;
   if (kind == FailureKind::kSilent && answers_others) {
     return;
   }
   CountFailure(now, random);
 }
 
-void Health::OnNotSent(core::TimePoint now, const RandomHook& random) {
+void Health::OnNotSent(core::TimePoint now, const RandomSource& random) {
   CountFailure(now, random);
 }
 
-void Health::CountFailure(core::TimePoint now, const RandomHook& random) {
+void Health::CountFailure(core::TimePoint now, const RandomSource& random) {
   ++m_consecutive;
   ++m_samples;
   m_error_ratio += m_options.error_ratio_weight * (1 - m_error_ratio);
-  const bool in_a_row = m_consecutive >= m_options.consecutive_failures;
+  const bool consecutive = m_consecutive >= m_options.consecutive_failures;
   if (m_ejected) {
-    m_by_ratio = m_by_ratio && !in_a_row;
+    m_ejected_by_ratio = m_ejected_by_ratio && !consecutive;
     return;
   }
-  if (in_a_row) {
+  if (consecutive) {
     Eject(false, now, random);
     return;
   }
@@ -61,17 +61,18 @@
 
 void Health::Eject(bool by_ratio,
                    core::TimePoint now,
-                   const RandomHook& random) {
+                   const RandomSource& random) {
   m_ejected = true;
-  m_by_ratio = by_ratio;
+  m_ejected_by_ratio = by_ratio;
   m_probing = false;
   ScheduleProbe(now, random);
 }
 
-void Health::ScheduleProbe(core::TimePoint now, const RandomHook& random) {
-  const uint32_t step = std::min(m_backoff_step, kLongestBackoffStep);
-  const core::Duration backoff = std::min(
-      m_options.first_probe * (int64_t{1} << step), m_options.longest_probe);
+void Health::ScheduleProbe(core::TimePoint now, const RandomSource& random) {
+  const uint32_t step = std::min(m_backoff_step, kMaxBackoffStep);
+  const core::Duration backoff =
+      std::min(m_options.initial_probe_interval * (int64_t{1} << step),
+               m_options.max_probe_interval);
   m_backoff_step = step + 1;
   // Seven routers that saw the same failure must not probe at one moment.
   m_next_probe = now + backoff / 2 + UniformDuration(random, backoff / 2);
@@ -89,21 +90,21 @@
 
 void Health::OnProbe(bool healthy,
                      core::TimePoint now,
-                     const RandomHook& random) {
+                     const RandomSource& random) {
   if (!m_ejected || !m_probing) {
     return;
   }
   m_probing = false;
   if (healthy) {
-    Return(now);
+    Readmit(now);
     return;
   }
   ScheduleProbe(now, random);
 }
 
-void Health::Return(core::TimePoint now) {
+void Health::Readmit(core::TimePoint now) {
   m_ejected = false;
-  m_by_ratio = false;
+  m_ejected_by_ratio = false;
   m_returned = true;
   m_returned_at = now;
   m_consecutive = 0;
--- a/src/routing/placement.cc
+++ b/src/routing/placement.cc
@@ -5,27 +5,27 @@
 
 namespace coppervalve::routing {
 
-std::string_view ToString(PlacementWhy why) {
-  switch (why) {
-    case PlacementWhy::kRoundRobin:
+std::string_view ToString(ChoiceReason reason) {
+  switch (reason) {
+    case ChoiceReason::kRoundRobin:
       return "round_robin";
-    case PlacementWhy::kCriterion:
+    case ChoiceReason::kCriterion:
       return "criterion";
-    case PlacementWhy::kLeastOfTwo:
+    case ChoiceReason::kLeastOfTwo:
       return "least_of_two";
-    case PlacementWhy::kPrefixOwner:
+    case ChoiceReason::kPrefixOwner:
       return "prefix_owner";
-    case PlacementWhy::kPrefixOverflow:
+    case ChoiceReason::kPrefixOverflow:
       return "prefix_overflow";
-    case PlacementWhy::kOnlyCandidate:
+    case ChoiceReason::kOnlyCandidate:
       return "only_candidate";
-    case PlacementWhy::kLastResort:
+    case ChoiceReason::kLastResort:
       return "last_resort";
-    case PlacementWhy::kAllBusy:
+    case ChoiceReason::kAllBusy:
       return "all_busy";
-    case PlacementWhy::kNoneAlive:
+    case ChoiceReason::kNoneAlive:
       return "none_alive";
-    case PlacementWhy::kNoCandidate:
+    case ChoiceReason::kNoCandidate:
       return "no_candidate";
   }
   return "unknown";
@@ -45,7 +45,7 @@
 
 Placement::Placement(PlacementOptions options,
                      PlacementPolicy policy,
-                     RandomHook random,
+                     RandomSource random,
                      core::FailureDomainId own_domain)
     : m_options(options),
       m_policy(std::move(policy)),
@@ -74,8 +74,8 @@
     scan.usable = std::move(scan.last_resort);
   }
   if (scan.usable.empty()) {
-    decision.why =
-        scan.any_busy ? PlacementWhy::kAllBusy : PlacementWhy::kNoneAlive;
+    decision.reason =
+        scan.any_busy ? ChoiceReason::kAllBusy : ChoiceReason::kNoneAlive;
     decision.facts = std::move(scan.unusable);
     return decision;
   }
@@ -84,7 +84,7 @@
     choice = m_policy(scan.usable, request.affinity);
   }
   decision.upstream = table.InfoOf(scan.usable[choice.index].slot).id;
-  decision.why = last_resort ? PlacementWhy::kLastResort : choice.why;
+  decision.reason = last_resort ? ChoiceReason::kLastResort : choice.reason;
   decision.criterion = choice.criterion;
   std::swap(scan.usable.front(), scan.usable[choice.index]);
   scan.usable.resize(std::min(scan.usable.size(), m_options.facts));
@@ -104,20 +104,21 @@
   }
   Scan scan;
   const size_t start = WindowStart(table, candidates, request.affinity);
-  const size_t longest = std::min(candidates.size(), m_options.longest_scan);
-  while (scan.considered < longest && scan.usable.size() < m_options.window) {
+  const size_t scan_limit = std::min(candidates.size(), m_options.max_scan);
+  while (scan.considered < scan_limit &&
+         scan.usable.size() < m_options.window) {
     const size_t index = (start + scan.considered) % candidates.size();
     ++scan.considered;
     Candidate candidate = table.Inspect(
         candidates[index], request.admission_class, m_own_domain, now);
     candidate.excluded = std::find(excluded.begin(), excluded.end(),
                                    candidate.slot) != excluded.end();
-    Sort(candidate, scan);
+    Classify(candidate, scan);
   }
   return scan;
 }
 
-void Placement::Sort(const Candidate& candidate, Scan& scan) const {
+void Placement::Classify(const Candidate& candidate, Scan& scan) const {
   switch (candidate.usability) {
     case Usability::kUsable:
       (candidate.excluded ? scan.excluded : scan.usable).push_back(candidate);
--- a/src/routing/placement_policies.cc
+++ b/src/routing/placement_policies.cc
@@ -26,7 +26,7 @@
 }
 
 PolicyChoice ChooseLeastOfTwo(std::span<const Candidate> candidates,
-                              const RandomHook& random) {
+                              const RandomSource& random) {
   const size_t first = UniformBelow(random, candidates.size());
   size_t second = UniformBelow(random, candidates.size() - 1);
   if (second >= first) {
@@ -34,19 +34,19 @@
   }
   const bool second_is_better =
       LessLoaded(candidates[second], candidates[first]);
-  return {second_is_better ? second : first, PlacementWhy::kLeastOfTwo};
+  return {second_is_better ? second : first, ChoiceReason::kLeastOfTwo};
 }
 
-/// The nearness of a candidate to the prompt prefix, a hint at a warm cache.
-enum class Nearness : uint8_t { kOwner, kNear, kAny };
+/// The tier of a candidate to the prompt prefix, a hint at a warm cache.
+enum class AffinityTier : uint8_t { kOwner, kNear, kAny };
 
-constexpr size_t kNearRanks = 3;
+constexpr size_t kTieredRanks = 3;
 
 /// One line of the ordered list; the fields are upper bounds.
 struct Criterion {
   uint32_t queued;
   double utilization;
-  Nearness nearness;
+  AffinityTier tier;
 };
 
 constexpr uint32_t kAnyQueue = UINT32_MAX;
@@ -57,25 +57,25 @@
 /// In the order of the Best Copy Selection list: queue and load and warmth
 /// first, each condition given up in turn.
 constexpr std::array<Criterion, 10> kCriteria{{
-    {kShortQueue, kHalfLoad, Nearness::kOwner},
-    {kShortQueue, kHalfLoad, Nearness::kNear},
-    {kAnyQueue, kHalfLoad, Nearness::kOwner},
-    {kAnyQueue, kHalfLoad, Nearness::kNear},
-    {kAnyQueue, kHalfLoad, Nearness::kAny},
-    {kShortQueue, kAnyLoad, Nearness::kOwner},
-    {kShortQueue, kAnyLoad, Nearness::kNear},
-    {kAnyQueue, kAnyLoad, Nearness::kOwner},
-    {kAnyQueue, kAnyLoad, Nearness::kNear},
-    {kAnyQueue, kAnyLoad, Nearness::kAny},
+    {kShortQueue, kHalfLoad, AffinityTier::kOwner},
+    {kShortQueue, kHalfLoad, AffinityTier::kNear},
+    {kAnyQueue, kHalfLoad, AffinityTier::kOwner},
+    {kAnyQueue, kHalfLoad, AffinityTier::kNear},
+    {kAnyQueue, kHalfLoad, AffinityTier::kAny},
+    {kShortQueue, kAnyLoad, AffinityTier::kOwner},
+    {kShortQueue, kAnyLoad, AffinityTier::kNear},
+    {kAnyQueue, kAnyLoad, AffinityTier::kOwner},
+    {kAnyQueue, kAnyLoad, AffinityTier::kNear},
+    {kAnyQueue, kAnyLoad, AffinityTier::kAny},
 }};
 
 struct RankedCandidate {
   size_t index = 0;
   uint64_t rank = 0;
-  Nearness nearness = Nearness::kAny;
+  AffinityTier tier = AffinityTier::kAny;
 };
 
-std::vector<RankedCandidate> RankByNearness(
+std::vector<RankedCandidate> RankByAffinity(
     std::span<const Candidate> candidates,
     uint64_t affinity) {
   std::vector<RankedCandidate> ranked;
@@ -89,18 +89,20 @@
             [](const RankedCandidate& a, const RankedCandidate& b) {
               return a.rank > b.rank;
             });
-  for (size_t place = 0; place < ranked.size() && place < kNearRanks; ++place) {
-    ranked[place].nearness = place == 0 ? Nearness::kOwner : Nearness::kNear;
+  for (size_t position = 0; position < ranked.size() && position < kTieredRanks;
+       ++position) {
+    ranked[position].tier =
+        position == 0 ? AffinityTier::kOwner : AffinityTier::kNear;
   }
   return ranked;
 }
 
 bool Meets(const Candidate& candidate,
-           Nearness nearness,
+           AffinityTier tier,
            const Criterion& criterion) {
-  const bool near_enough =
-      criterion.nearness == Nearness::kAny || nearness == criterion.nearness;
-  return near_enough && candidate.queued <= criterion.queued &&
+  const bool tier_matches =
+      criterion.tier == AffinityTier::kAny || tier == criterion.tier;
+  return tier_matches && candidate.queued <= criterion.queued &&
          candidate.Utilization() < criterion.utilization;
 }
 
@@ -126,18 +128,18 @@
 
 PolicyChoice ChooseByCriteria(std::span<const Candidate> candidates,
                               uint64_t affinity) {
-  std::vector<RankedCandidate> ranked = RankByNearness(candidates, affinity);
+  std::vector<RankedCandidate> ranked = RankByAffinity(candidates, affinity);
   SortByPreference(ranked, candidates);
   uint32_t number = 0;
   for (const Criterion& criterion : kCriteria) {
     ++number;
     for (const RankedCandidate& entry : ranked) {
-      if (Meets(candidates[entry.index], entry.nearness, criterion)) {
-        return {entry.index, PlacementWhy::kCriterion, number};
+      if (Meets(candidates[entry.index], entry.tier, criterion)) {
+        return {entry.index, ChoiceReason::kCriterion, number};
       }
     }
   }
-  return {ranked.front().index, PlacementWhy::kCriterion, number};
+  return {ranked.front().index, ChoiceReason::kCriterion, number};
 }
 
 double MeanLoad(std::span<const Candidate> candidates) {
@@ -152,7 +154,7 @@
                             uint64_t affinity,
                             const PrefixAffineOptions& options) {
   const double bound =
-      MeanLoad(candidates) * options.load_bound + options.free_load;
+      MeanLoad(candidates) * options.load_bound + options.load_allowance;
   size_t owner = 0;
   uint64_t owner_rank = 0;
   size_t best = 0;
@@ -170,8 +172,8 @@
     }
   }
   const bool is_owner = best == owner;
-  return {best, is_owner ? PlacementWhy::kPrefixOwner
-                         : PlacementWhy::kPrefixOverflow};
+  return {best, is_owner ? ChoiceReason::kPrefixOwner
+                         : ChoiceReason::kPrefixOverflow};
 }
 
 }  // namespace
@@ -193,7 +195,7 @@
     }
     const size_t chosen = next.value_or(lowest);
     *last = candidates[chosen].slot.value();
-    return PolicyChoice{chosen, PlacementWhy::kRoundRobin};
+    return PolicyChoice{chosen, ChoiceReason::kRoundRobin};
   };
 }
 
@@ -201,14 +203,14 @@
   return ChooseByCriteria;
 }
 
-PlacementPolicy LeastOfTwo(RandomHook random) {
+PlacementPolicy LeastOfTwo(RandomSource random) {
   return [random = std::move(random)](std::span<const Candidate> candidates,
                                       uint64_t) {
     return ChooseLeastOfTwo(candidates, random);
   };
 }
 
-PlacementPolicy PrefixAffine(PrefixAffineOptions options, RandomHook random) {
+PlacementPolicy PrefixAffine(PrefixAffineOptions options, RandomSource random) {
   return [options, random = std::move(random)](
              std::span<const Candidate> candidates, uint64_t affinity) {
     if (affinity == 0) {
@@ -218,7 +220,7 @@
   };
 }
 
-PlacementPolicy DefaultPolicy(RandomHook random) {
+PlacementPolicy DefaultPolicy(RandomSource random) {
   return PrefixAffine({}, std::move(random));
 }
 
--- a/src/routing/random_hook.cc
+++ b/src/routing/random_source.cc
@@ -1,15 +1,16 @@
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 
 namespace coppervalve::routing {
 
-uint64_t UniformBelow(const RandomHook& random, uint64_t bound) {
+uint64_t UniformBelow(const RandomSource& random, uint64_t bound) {
   if (bound == 0) {
     return 0;
   }
   return random() % bound;  // the bias is below 2^-40 for bounds in use
 }
 
-core::Duration UniformDuration(const RandomHook& random, core::Duration span) {
+core::Duration UniformDuration(const RandomSource& random,
+                               core::Duration span) {
   if (span.count() <= 0) {
     return core::Duration::zero();
   }
--- a/src/routing/rate_limiter.cc
+++ b/src/routing/rate_limiter.cc
@@ -13,9 +13,9 @@
 constexpr double kDemandWindowUs = 2e6;
 /// Part of the limit that is split equally whatever the demand: a router whose
 /// first request of an account arrives has no demand to show yet.
-constexpr double kEqualPart = 0.25;
+constexpr double kEqualShare = 0.25;
 /// A bucket that holds less than one request would never admit any.
-constexpr double kSmallestBurst = 1;
+constexpr double kMinBurst = 1;
 
 }  // namespace
 
@@ -60,13 +60,13 @@
   Bucket& bucket = found->second;
   Advance(bucket, now);
   bucket.demand += kMicrosPerSecond / kDemandWindowUs;
-  if (bucket.level >= 1) {
-    bucket.level -= 1;
+  if (bucket.tokens >= 1) {
+    bucket.tokens -= 1;
     return std::nullopt;
   }
   const double rate = bucket.limit.requests_per_second * ShareOf(bucket);
   const double wait_us =
-      std::ceil((1 - bucket.level) / rate * kMicrosPerSecond);
+      std::ceil((1 - bucket.tokens) / rate * kMicrosPerSecond);
   return Refusal{
       {core::ErrorId::kRateLimited, account.value(),
        "limit of " + std::to_string(bucket.limit.requests_per_second) +
@@ -105,7 +105,8 @@
   if (m_peer_demand.empty() || total <= 0) {
     return equal;
   }
-  return kEqualPart * equal + (1 - kEqualPart) * bucket.reported_demand / total;
+  return kEqualShare * equal +
+         (1 - kEqualShare) * bucket.reported_demand / total;
 }
 
 void RateLimiter::Advance(Bucket& bucket, core::TimePoint now) const {
@@ -113,17 +114,17 @@
   const AccountLimit& limit = bucket.limit;
   const uint32_t fleet_burst =
       limit.burst == 0 ? limit.requests_per_second : limit.burst;
-  const double burst = std::max(kSmallestBurst, fleet_burst * share);
+  const double burst = std::max(kMinBurst, fleet_burst * share);
   if (!bucket.started) {
     bucket.started = true;
-    bucket.level = burst;
+    bucket.tokens = burst;
     bucket.last = now;
     return;
   }
   const double elapsed = static_cast<double>((now - bucket.last).count());
   const double earned =
       elapsed / kMicrosPerSecond * limit.requests_per_second * share;
-  bucket.level = std::min(bucket.level + earned, burst);
+  bucket.tokens = std::min(bucket.tokens + earned, burst);
   bucket.demand = DemandAt(bucket, now);
   bucket.last = now;
 }
--- a/src/routing/retry_policy.cc
+++ b/src/routing/retry_policy.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr uint32_t kLongestBackoffStep = 16;
+constexpr uint32_t kMaxBackoffStep = 16;
 
 /// The outcome that is true of the request when no further attempt is made.
-GiveUp Final(const FailedAttempt& failed) {
+GiveUp FinalOutcome(const FailedAttempt& failed) {
   if (failed.end != AttemptEnd::kFailed) {
     return {failed.error, core::RunState::kNotRun, std::nullopt};
   }
@@ -28,7 +28,7 @@
   return {failed.error, core::RunState::kUnknown, std::nullopt};
 }
 
-bool MayRunAgain(const FailedAttempt& failed) {
+bool IsRetryable(const FailedAttempt& failed) {
   if (failed.end != AttemptEnd::kFailed) {
     return true;
   }
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-RetryPolicy::RetryPolicy(RetryPolicyOptions options, RandomHook random)
+RetryPolicy::RetryPolicy(RetryPolicyOptions options, RandomSource random)
     : m_options(options), m_random(std::move(random)) {}
 
 void RetryPolicy::OnFirstAttempt(const core::AccountId& account,
@@ -55,18 +55,18 @@
                                   core::TimePoint now) {
   const uint32_t max_attempts =
       failed.max_attempts == 0 ? m_options.max_attempts : failed.max_attempts;
-  if (!MayRunAgain(failed) || failed.attempts >= max_attempts) {
-    return Final(failed);
+  if (!IsRetryable(failed) || failed.attempts >= max_attempts) {
+    return FinalOutcome(failed);
   }
   const core::Duration after = Backoff(failed.attempts);
   if (failed.deadline && now + after >= *failed.deadline) {
-    return Final(failed);
+    return FinalOutcome(failed);
   }
-  if (!SpendBoth(failed, now)) {
-    GiveUp give_up = Final(failed);
+  if (!SpendBudgets(failed, now)) {
+    GiveUp give_up = FinalOutcome(failed);
     if (give_up.run_state == core::RunState::kNotRun) {
       give_up.error.id = core::ErrorId::kRetryBudgetSpent;
-      give_up.retry_after = m_options.longest_backoff;
+      give_up.retry_after = m_options.max_backoff;
     }
     return give_up;
   }
@@ -79,7 +79,8 @@
   return retry;
 }
 
-bool RetryPolicy::SpendBoth(const FailedAttempt& failed, core::TimePoint now) {
+bool RetryPolicy::SpendBudgets(const FailedAttempt& failed,
+                               core::TimePoint now) {
   RetryBudget& upstream =
       m_by_upstream.try_emplace(failed.upstream, m_options.per_upstream)
           .first->second;
@@ -95,16 +96,16 @@
 }
 
 core::Duration RetryPolicy::Backoff(uint32_t attempts) const {
-  const uint32_t step = std::min(attempts - 1, kLongestBackoffStep);
-  const core::Duration longest =
-      std::min(m_options.first_backoff * (int64_t{1} << step),
-               m_options.longest_backoff);
+  const uint32_t step = std::min(attempts - 1, kMaxBackoffStep);
+  const core::Duration backoff = std::min(
+      m_options.initial_backoff * (int64_t{1} << step), m_options.max_backoff);
   // Half is fixed and half is random: callers that failed together spread out,
   // and none hits the next upstream at once.
-  return longest / 2 + UniformDuration(m_random, longest / 2);
+  return backoff / 2 + UniformDuration(m_random, backoff / 2);
 }
 
-void RetryPolicy::Keep(const std::vector<core::UpstreamId>& upstreams) {
+void RetryPolicy::RetainUpstreams(
+    const std::vector<core::UpstreamId>& upstreams) {
   const std::unordered_set<core::UpstreamId> kept(upstreams.begin(),
                                                   upstreams.end());
   std::erase_if(m_by_upstream, [&kept](const auto& entry) {
--- a/src/routing/upstream_table.cc
+++ b/src/routing/upstream_table.cc
@@ -14,12 +14,12 @@
 /// A standing queue of more than this share of the running requests means that
 /// the upstream has more work than its batch takes.
 constexpr uint32_t kQueueShareOfRunning = 16;
-constexpr uint32_t kQueueAlwaysAllowed = 1;
-constexpr core::Duration kProbeResolution{10'000};
+constexpr uint32_t kMinStandingQueue = 1;
+constexpr core::Duration kProbeScanInterval{10'000};
 
 bool HasStandingQueue(const LoadReport& load) {
   return load.queued >
-         std::max(kQueueAlwaysAllowed, load.running / kQueueShareOfRunning);
+         std::max(kMinStandingQueue, load.running / kQueueShareOfRunning);
 }
 
 std::string RuleKey(const WorkTarget& target, const core::RuleId& rule) {
@@ -55,7 +55,7 @@
   core::TimePoint held_off_until{};
 };
 
-UpstreamTable::UpstreamTable(UpstreamTableOptions options, RandomHook random)
+UpstreamTable::UpstreamTable(UpstreamTableOptions options, RandomSource random)
     : m_options(options), m_random(std::move(random)) {}
 
 UpstreamTable::~UpstreamTable() = default;
@@ -64,7 +64,7 @@
   std::unordered_set<core::UpstreamId> kept;
   for (const UpstreamInfo& info : upstreams) {
     kept.insert(info.id);
-    Install(info);
+    AddOrUpdate(info);
   }
   std::vector<core::UpstreamId> gone;
   for (const auto& [id, slot] : m_slots) {
@@ -74,15 +74,15 @@
   }
   for (const core::UpstreamId& id : gone) {
     FindEntry(id)->removed = true;
-    ForgetIfIdle(id);
+    RemoveIfIdle(id);
   }
-  IndexSets();
+  RebuildCandidateSets();
 }
 
-void UpstreamTable::Install(const UpstreamInfo& info) {
+void UpstreamTable::AddOrUpdate(const UpstreamInfo& info) {
   Entry* known = FindEntry(info.id);
   if (known == nullptr) {
-    m_slots[info.id] = TakeFreeSlot();
+    m_slots[info.id] = AllocateSlot();
     m_entries[m_slots[info.id]] = std::make_unique<Entry>(info, m_options);
     return;
   }
@@ -100,7 +100,7 @@
   known->limit.SetHardCap(info.max_concurrency);
 }
 
-size_t UpstreamTable::TakeFreeSlot() {
+size_t UpstreamTable::AllocateSlot() {
   if (m_free_slots.empty()) {
     m_entries.emplace_back();
     return m_entries.size() - 1;
@@ -110,7 +110,7 @@
   return slot;
 }
 
-void UpstreamTable::IndexSets() {
+void UpstreamTable::RebuildCandidateSets() {
   m_by_model.clear();
   m_by_service.clear();
   m_by_rule.clear();
@@ -187,7 +187,7 @@
   if (load) {
     OnLoad(id, *load, now);
   }
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnDeclined(const core::UpstreamId& id,
@@ -199,15 +199,14 @@
     return;
   }
   entry->limit.OnOverload(now);
-  const core::Duration pause =
-      std::min(retry_after.value_or(m_options.default_hold_off),
-               m_options.longest_hold_off);
+  const core::Duration pause = std::min(
+      retry_after.value_or(m_options.default_hold_off), m_options.max_hold_off);
   entry->held_off_until = std::max(entry->held_off_until, now + pause);
   EndAttempt(*entry);
   if (load) {
     OnLoad(id, *load, now);
   }
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnFailed(const core::UpstreamId& id,
@@ -218,9 +217,9 @@
     return;
   }
   entry->health.OnFailure(kind, now, m_random);
-  NoteHealth(*entry, now);
+  UpdateEjectedSlots(*entry, now);
   EndAttempt(*entry);
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnNotSent(const core::UpstreamId& id, core::TimePoint now) {
@@ -229,9 +228,9 @@
     return;
   }
   entry->health.OnNotSent(now, m_random);
-  NoteHealth(*entry, now);
+  UpdateEjectedSlots(*entry, now);
   EndAttempt(*entry);
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnCancelled(const core::UpstreamId& id) {
@@ -240,7 +239,7 @@
     return;
   }
   EndAttempt(*entry);
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnLoad(const core::UpstreamId& id,
@@ -257,11 +256,12 @@
   const uint32_t total = load.running + load.queued;
   const double others = total > entry->own ? total - entry->own : 0;
   const double gap_us = static_cast<double>((now - entry->reported_at).count());
-  const double memory_us =
+  const double time_constant_us =
       static_cast<double>(m_options.report_smoothing.count());
-  const double keep =
-      entry->reported && memory_us > 0 ? std::exp(-gap_us / memory_us) : 0;
-  entry->others = keep * entry->others + (1 - keep) * others;
+  const double decay = entry->reported && time_constant_us > 0
+                           ? std::exp(-gap_us / time_constant_us)
+                           : 0;
+  entry->others = decay * entry->others + (1 - decay) * others;
   entry->queued = load.queued;
   entry->reported = true;
   entry->reported_at = now;
@@ -274,21 +274,21 @@
   std::vector<ProbeDue> due;
   // Asked after every event: looking at each upstream each time would cost more
   // than all other decisions in a large fleet.
-  if (m_ejected.empty() || now - m_probes_looked_at < kProbeResolution) {
+  if (m_ejected.empty() || now - m_last_probe_scan < kProbeScanInterval) {
     return due;
   }
-  m_probes_looked_at = now;
-  std::vector<size_t> in_turn(m_ejected.lower_bound(m_next_probed),
-                              m_ejected.end());
-  in_turn.insert(in_turn.end(), m_ejected.begin(),
-                 m_ejected.lower_bound(m_next_probed));
-  for (const size_t slot : in_turn) {
+  m_last_probe_scan = now;
+  std::vector<size_t> probe_order(m_ejected.lower_bound(m_next_probe_slot),
+                                  m_ejected.end());
+  probe_order.insert(probe_order.end(), m_ejected.begin(),
+                     m_ejected.lower_bound(m_next_probe_slot));
+  for (const size_t slot : probe_order) {
     Entry& entry = *m_entries[slot];
     if (entry.removed || entry.leaving) {
       continue;
     }
-    if (due.size() == m_options.probes_at_once) {
-      m_next_probed = slot;
+    if (due.size() == m_options.max_probes_per_call) {
+      m_next_probe_slot = slot;
       break;
     }
     if (entry.health.TakeProbeDue(now)) {
@@ -298,7 +298,8 @@
   return due;
 }
 
-void UpstreamTable::NoteHealth(const Entry& entry, core::TimePoint now) {
+void UpstreamTable::UpdateEjectedSlots(const Entry& entry,
+                                       core::TimePoint now) {
   const size_t slot = m_slots.at(entry.info.id);
   if (entry.health.state(now) == HealthState::kEjected) {
     m_ejected.insert(slot);
@@ -316,7 +317,7 @@
     return;
   }
   entry->health.OnProbe(healthy, now, m_random);
-  NoteHealth(*entry, now);
+  UpdateEjectedSlots(*entry, now);
   if (load) {
     OnLoad(id, *load, now);
   }
@@ -328,7 +329,7 @@
     const std::vector<core::UpstreamId>& allowed) {
   const auto by_model = m_by_model.find(target.model);
   const auto by_service = m_by_service.find(target.service);
-  const CandidateSet* all = &m_none;
+  const CandidateSet* all = &m_empty_set;
   if (by_model != m_by_model.end()) {
     all = &by_model->second;
   } else if (by_service != m_by_service.end()) {
@@ -416,7 +417,7 @@
     return Usability::kLeaving;
   }
   const bool ejected = entry.health.state(now) == HealthState::kEjected;
-  if (ejected && !entry.health.answers_some()) {
+  if (ejected && !entry.health.ejected_by_ratio()) {
     return Usability::kEjected;
   }
   if (now < entry.held_off_until) {
@@ -482,7 +483,7 @@
   }
 }
 
-void UpstreamTable::ForgetIfIdle(const core::UpstreamId& id) {
+void UpstreamTable::RemoveIfIdle(const core::UpstreamId& id) {
   const Entry* entry = FindEntry(id);
   if (entry == nullptr || !entry->removed || entry->own > 0) {
     return;
--- a/src/rules/condition.cc
+++ b/src/rules/condition.cc
@@ -13,13 +13,13 @@
   return sorted;
 }
 
-bool EmptyOrHas(const std::vector<std::string>& sorted,
-                std::string_view value) {
+bool EmptyOrContains(const std::vector<std::string>& sorted,
+                     std::string_view value) {
   return sorted.empty() ||
          std::binary_search(sorted.begin(), sorted.end(), value);
 }
 
-std::string Lowered(std::string text) {
+std::string ToLower(std::string text) {
   for (char& c : text) {
     if (c >= 'A' && c <= 'Z') {
       c = static_cast<char>(c - 'A' + 'a');
@@ -38,36 +38,37 @@
       m_path_prefixes(when.path_prefixes().begin(), when.path_prefixes().end()),
       m_min_prompt(when.min_prompt_bytes()),
       m_max_prompt(when.max_prompt_bytes()),
-      m_output_over(when.max_output_tokens_over()),
+      m_output_lower_bound(when.max_output_tokens_over()),
       m_has_window(when.has_time_window()),
-      m_from(when.time_window().from_minute()),
-      m_until(when.time_window().until_minute()) {
+      m_from_minute(when.time_window().from_minute()),
+      m_until_minute(when.time_window().until_minute()) {
   for (const v1::HeaderMatch& header : when.headers()) {
-    m_headers.emplace_back(Lowered(header.name()), header.equals());
+    m_headers.emplace_back(ToLower(header.name()), header.equals());
   }
 }
 
-bool Condition::Holds(const RequestFacts& facts) const {
-  return EmptyOrHas(m_accounts, facts.account.value()) && TargetHolds(facts) &&
-         SizesHold(facts) && EmptyOrHas(m_methods, facts.method) &&
-         PathHolds(facts) && HeadersHold(facts) &&
-         TimeHolds(facts.minute_of_day);
+bool Condition::Matches(const RequestFacts& facts) const {
+  return EmptyOrContains(m_accounts, facts.account.value()) &&
+         TargetMatches(facts) && SizesMatch(facts) &&
+         EmptyOrContains(m_methods, facts.method) && PathMatches(facts) &&
+         HeadersMatch(facts) && TimeMatches(facts.minute_of_day);
 }
 
-bool Condition::TargetHolds(const RequestFacts& facts) const {
-  return EmptyOrHas(m_models, facts.model.value()) &&
-         EmptyOrHas(m_services, facts.service.value());
+bool Condition::TargetMatches(const RequestFacts& facts) const {
+  return EmptyOrContains(m_models, facts.model.value()) &&
+         EmptyOrContains(m_services, facts.service.value());
 }
 
-bool Condition::SizesHold(const RequestFacts& facts) const {
+bool Condition::SizesMatch(const RequestFacts& facts) const {
   const int64_t prompt = facts.prompt.value();
   if (prompt < m_min_prompt || (m_max_prompt != 0 && prompt > m_max_prompt)) {
     return false;
   }
-  return m_output_over == 0 || facts.max_output_tokens.value() > m_output_over;
+  return m_output_lower_bound == 0 ||
+         facts.max_output_tokens.value() > m_output_lower_bound;
 }
 
-bool Condition::PathHolds(const RequestFacts& facts) const {
+bool Condition::PathMatches(const RequestFacts& facts) const {
   return m_path_prefixes.empty() ||
          std::any_of(m_path_prefixes.begin(), m_path_prefixes.end(),
                      [&](const std::string& prefix) {
@@ -75,7 +76,7 @@
                      });
 }
 
-bool Condition::HeadersHold(const RequestFacts& facts) const {
+bool Condition::HeadersMatch(const RequestFacts& facts) const {
   return std::all_of(
       m_headers.begin(), m_headers.end(), [&](const auto& wanted) {
         return std::any_of(
@@ -86,14 +87,14 @@
       });
 }
 
-bool Condition::TimeHolds(uint32_t minute) const {
+bool Condition::TimeMatches(uint32_t minute) const {
   if (!m_has_window) {
     return true;
   }
-  if (m_from <= m_until) {
-    return minute >= m_from && minute < m_until;
+  if (m_from_minute <= m_until_minute) {
+    return minute >= m_from_minute && minute < m_until_minute;
   }
-  return minute >= m_from || minute < m_until;
+  return minute >= m_from_minute || minute < m_until_minute;
 }
 
 }  // namespace coppervalve::rules
--- a/src/rules/rule_set.cc
+++ b/src/rules/rule_set.cc
@@ -21,14 +21,14 @@
 }
 
 template <typename Key>
-std::unordered_map<Key, config::SharedUpstreamIds> Freeze(
+std::unordered_map<Key, config::SharedUpstreamIds> ToShared(
     std::unordered_map<Key, config::UpstreamIds> lists) {
-  std::unordered_map<Key, config::SharedUpstreamIds> frozen;
+  std::unordered_map<Key, config::SharedUpstreamIds> shared;
   for (auto& [key, list] : lists) {
-    frozen.emplace(
+    shared.emplace(
         key, std::make_shared<const config::UpstreamIds>(std::move(list)));
   }
-  return frozen;
+  return shared;
 }
 
 }  // namespace
@@ -53,7 +53,7 @@
   for (size_t position = cursor.Next();
        position != config::RuleIndex::Cursor::kEnd; position = cursor.Next()) {
     const Rule& rule = m_rules[position];
-    if (rule.condition.Holds(facts)) {
+    if (rule.condition.Matches(facts)) {
       return Decide(rule, facts);
     }
   }
@@ -62,7 +62,7 @@
 
 Decision RuleSet::MatchLinear(const RequestFacts& facts) const {
   for (const Rule& rule : m_rules) {
-    if (rule.condition.Holds(facts)) {
+    if (rule.condition.Matches(facts)) {
       return Decide(rule, facts);
     }
   }
@@ -119,8 +119,8 @@
       by_service[upstream->service].push_back(upstream->id);
     }
   }
-  compiled.by_model = Freeze(std::move(by_model));
-  compiled.by_service = Freeze(std::move(by_service));
+  compiled.by_model = ToShared(std::move(by_model));
+  compiled.by_service = ToShared(std::move(by_service));
 }
 
 config::SharedUpstreamIds RuleSet::Candidates(const Rule& rule,
--- a/tests/entry/upstream_fleet.cc
+++ b/tests/entry/upstream_fleet.cc
@@ -58,7 +58,7 @@
 struct Knowledge {
   Knowledge(const core::RouterId& name,
             const FleetPlay& play,
-            routing::RandomHook random)
+            routing::RandomSource random)
       : contact(core::Duration(1'200'000), core::Duration(5'000'000)),
         members(name, core::Duration(3'500'000), contact, 3),
         senders(members, play.warm_up),
--- a/tests/routing/routing_fixture.h
+++ b/tests/routing/routing_fixture.h
@@ -7,14 +7,14 @@
 #include <vector>   // vector
 
 #include "coppervalve/routing/placement.h"
-#include "coppervalve/routing/random_hook.h"
+#include "coppervalve/routing/random_source.h"
 #include "coppervalve/routing/upstream_table.h"
 #include "pcg_random.hpp"
 
 namespace coppervalve::routing::testing {
 
 /// @brief A seeded source of randomness.
-inline RandomHook Seeded(uint64_t seed) {
+inline RandomSource Seeded(uint64_t seed) {
   auto engine = std::make_shared<pcg64>(seed);
   return [engine] { return (*engine)(); };
 }
@@ -54,7 +54,7 @@
 inline UpstreamTableOptions TestOptions() {
   UpstreamTableOptions options;
   options.limit.initial = 16;
-  options.health.longest_probe = Millis(4000);
+  options.health.max_probe_interval = Millis(4000);
   options.report_weight = 1;
   return options;
 }
--- a/tests/routing/unit-admission-queue.cc
+++ b/tests/routing/unit-admission-queue.cc
@@ -38,7 +38,9 @@
 }
 
 /// Feeds and drains so that the queue has measured a start every `interval`.
-void Measure(AdmissionQueue& queue, int64_t interval_ms, int64_t until_ms) {
+void MeasureStartRate(AdmissionQueue& queue,
+                      int64_t interval_ms,
+                      int64_t until_ms) {
   for (uint64_t i = 0; i < 20; ++i) {
     queue.Offer(Entry(900'000 + i, v1::BATCH, 10'000'000, "measure"), At(0));
   }
@@ -84,7 +86,7 @@
   // Random load far above capacity with callers going away, a full queue and
   // displaced itineraries. Each request ends in one way: started, refused with
   // a type, removed by its caller, or refused at the drain. None vanishes.
-  const RandomHook random = Seeded(42);
+  const RandomSource random = Seeded(42);
   AdmissionQueueOptions options;
   options.capacity = 40;
   options.batch_share = 1;
@@ -162,7 +164,7 @@
   // Starts happen every 100 ms and 10 wait. A caller with 500 ms left would
   // get its refusal only after those, when nothing else can be tried.
   AdmissionQueue queue({}, Seeded(1));
-  Measure(queue, 100, 2000);
+  MeasureStartRate(queue, 100, 2000);
   for (uint64_t i = 1; i <= 10; ++i) {
     queue.Offer(Entry(i, v1::BATCH, 60'000), At(2000));
   }
@@ -171,9 +173,9 @@
   CHECK(!late.refused);  // accounts take turns: only one goes before it
   const OfferOutcome same = queue.Offer(Entry(12, v1::BATCH, 60'001), At(2000));
   CHECK(!same.refused);
-  const OfferOutcome hopeless =
+  const OfferOutcome predicted_late =
       queue.Offer(Entry(13, v1::BATCH, 2150, "y"), At(2000));
-  CHECK(hopeless.refused->error.id == core::ErrorId::kDeadlineTooShort);
+  CHECK(predicted_late.refused->error.id == core::ErrorId::kDeadlineTooShort);
 }
 
 TEST(AdmissionQueue, waiting_work_is_given_up_when_service_slows_down) {
@@ -181,7 +183,7 @@
   // upstreams slow down to one start every 5 s. Those at the back are told
   // long before their deadline.
   AdmissionQueue queue({}, Seeded(1));
-  Measure(queue, 100, 2000);
+  MeasureStartRate(queue, 100, 2000);
   for (uint64_t i = 1; i <= 10; ++i) {
     CHECK(!queue.Offer(Entry(i, v1::BATCH, 20'000), At(2000)).refused);
   }
@@ -201,7 +203,7 @@
 
 TEST(AdmissionQueue, retry_after_grows_with_the_backlog) {
   AdmissionQueue queue({}, [] { return uint64_t{0}; });
-  Measure(queue, 100, 2000);
+  MeasureStartRate(queue, 100, 2000);
   core::Duration last{};
   for (uint64_t i = 1; i <= 100; ++i) {
     queue.Offer(Entry(i, v1::BATCH, 60'000), At(2000));
--- a/tests/routing/unit-placement.cc
+++ b/tests/routing/unit-placement.cc
@@ -55,14 +55,14 @@
   PlacementRequest request;
   request.affinity = core::Hash64("tours assistant, school party");
   const PlacementDecision first = view.Choose(At(0), request);
-  CHECK(first.why == PlacementWhy::kPrefixOwner);
+  CHECK(first.reason == ChoiceReason::kPrefixOwner);
   view.table.OnDispatch(*first.upstream);
   CHECK(view.Choose(At(1), request).upstream == first.upstream);
   for (int i = 0; i < 60; ++i) {
     view.table.OnDispatch(*view.Choose(At(2), request).upstream);
   }
   CHECK(HighestInProgress(view, kEngines) <= 9);
-  CHECK(view.Choose(At(3), request).why == PlacementWhy::kPrefixOverflow);
+  CHECK(view.Choose(At(3), request).reason == ChoiceReason::kPrefixOverflow);
 }
 
 TEST(Placement, an_upstream_that_comes_moves_few_prefixes) {
@@ -87,7 +87,7 @@
   for (int i = 0; i < 2000; ++i) {
     request.affinity = i % 2 == 0 ? core::Hash64(std::to_string(i)) : 0;
     const PlacementDecision decision = view.Choose(At(0), request);
-    CHECK(decision.considered <= PlacementOptions{}.longest_scan);
+    CHECK(decision.considered <= PlacementOptions{}.max_scan);
     ++times[decision.upstream->value()];
   }
   CHECK(times.size() > 1500);
@@ -109,12 +109,12 @@
   for (int i = 0; i < 64; ++i) {
     view.table.OnDispatch(EngineId(0));
   }
-  CHECK(view.Choose(At(0)).why == PlacementWhy::kAllBusy);
+  CHECK(view.Choose(At(0)).reason == ChoiceReason::kAllBusy);
   view.Eject(0, At(0));
-  CHECK(view.Choose(At(0)).why == PlacementWhy::kNoneAlive);
+  CHECK(view.Choose(At(0)).reason == ChoiceReason::kNoneAlive);
   const CandidateSet none;
-  CHECK(view.placement.Choose(view.table, none, {}, At(0)).why ==
-        PlacementWhy::kNoCandidate);
+  CHECK(view.placement.Choose(view.table, none, {}, At(0)).reason ==
+        ChoiceReason::kNoCandidate);
 }
 
 TEST(Placement, ordered_criteria_put_a_short_queue_before_preference) {
@@ -126,7 +126,7 @@
   view.table.OnLoad(EngineId(2), {50, 0}, At(0));
   const PlacementDecision decision = view.Choose(At(1));
   CHECK(decision.upstream == EngineId(1));
-  CHECK(decision.why == PlacementWhy::kCriterion);
+  CHECK(decision.reason == ChoiceReason::kCriterion);
   LONGS_EQUAL(5, decision.criterion);
 }
 
--- a/tests/routing/unit-upstream-table.cc
+++ b/tests/routing/unit-upstream-table.cc
@@ -96,7 +96,7 @@
   size_t probed = 0;
   for (int64_t now = 1000; now < 1050; now += 10) {
     const size_t due = view.table.TakeProbesDue(At(now)).size();
-    CHECK(due <= UpstreamTableOptions{}.probes_at_once);
+    CHECK(due <= UpstreamTableOptions{}.max_probes_per_call);
     probed += due;
   }
   LONGS_EQUAL(100, probed);
@@ -164,7 +164,7 @@
   }
   const PlacementDecision decision = view.Choose(At(60));
   CHECK(decision.upstream == EngineId(0));
-  CHECK(decision.why == PlacementWhy::kLastResort);
+  CHECK(decision.reason == ChoiceReason::kLastResort);
 }
 
 TEST(UpstreamTable, a_decline_pauses_the_upstream_and_lowers_its_limit) {
--- a/tests/rules/unit-index-equivalence.cc
+++ b/tests/rules/unit-index-equivalence.cc
@@ -78,13 +78,13 @@
 }
 
 template <typename List>
-bool EmptyOrHas(const List& list, std::string_view value) {
+bool EmptyOrContains(const List& list, std::string_view value) {
   return list.empty() ||
          std::any_of(list.begin(), list.end(),
                      [&](const std::string& item) { return item == value; });
 }
 
-bool WindowHolds(const v1::When& when, uint32_t minute) {
+bool WindowMatches(const v1::When& when, uint32_t minute) {
   if (!when.has_time_window()) {
     return true;
   }
@@ -99,14 +99,14 @@
   return false;
 }
 
-bool HeadersHold(const v1::When& when, const Headers& headers) {
+bool HeadersMatch(const v1::When& when, const Headers& headers) {
   for (const v1::HeaderMatch& wanted : when.headers()) {
-    bool held = false;
+    bool found = false;
     for (const auto& [name, value] : headers) {
-      held = held || (name == "x-kind" &&
-                      (wanted.equals().empty() || wanted.equals() == value));
+      found = found || (name == "x-kind" &&
+                        (wanted.equals().empty() || wanted.equals() == value));
     }
-    if (!held) {
+    if (!found) {
       return false;
     }
   }
@@ -114,26 +114,26 @@
 }
 
 // Reads the schema's words one by one, without the compiled form.
-bool HoldsBySchema(const v1::When& when,
-                   const rules::RequestFacts& facts,
-                   const Headers& headers) {
+bool MatchesBySchema(const v1::When& when,
+                     const rules::RequestFacts& facts,
+                     const Headers& headers) {
   bool path = when.path_prefixes().empty();
   for (const std::string& prefix : when.path_prefixes()) {
     path = path || facts.path.substr(0, prefix.size()) == prefix;
   }
   const int64_t size = facts.prompt.value();
-  const bool size_holds =
+  const bool size_matches =
       size >= when.min_prompt_bytes() &&
       (when.max_prompt_bytes() == 0 || size <= when.max_prompt_bytes());
-  const bool output_holds =
+  const bool output_matches =
       when.max_output_tokens_over() == 0 ||
       facts.max_output_tokens.value() > when.max_output_tokens_over();
-  return EmptyOrHas(when.accounts(), facts.account.value()) &&
-         EmptyOrHas(when.models(), facts.model.value()) &&
-         EmptyOrHas(when.services(), facts.service.value()) &&
-         EmptyOrHas(when.methods(), facts.method) && path && size_holds &&
-         output_holds && HeadersHold(when, headers) &&
-         WindowHolds(when, facts.minute_of_day);
+  return EmptyOrContains(when.accounts(), facts.account.value()) &&
+         EmptyOrContains(when.models(), facts.model.value()) &&
+         EmptyOrContains(when.services(), facts.service.value()) &&
+         EmptyOrContains(when.methods(), facts.method) && path &&
+         size_matches && output_matches && HeadersMatch(when, headers) &&
+         WindowMatches(when, facts.minute_of_day);
 }
 
 std::string RuleOf(const rules::Decision& decision) {
@@ -145,7 +145,7 @@
                          const rules::RequestFacts& facts,
                          const Headers& headers) {
   for (const v1::Rule& rule : configuration.rules()) {
-    if (HoldsBySchema(rule.when(), facts, headers)) {
+    if (MatchesBySchema(rule.when(), facts, headers)) {
       return rule.id();
     }
   }
