--- a/bench/routing/engine_model.h
+++ b/bench/routing/engine_model.h
@@ -11,18 +11,18 @@
 
 namespace coppervalve::bench {
 
-/// @brief A model engine in steps: a batch of slots, a queue by priority, and
-/// a cache of prompt prefixes.
+/// @brief Options of a simulated model engine with a batch of slots, a queue
+/// per priority and a cache of prompt prefixes. Time advances in steps.
 struct EngineOptions {
   size_t slots = 32;
-  size_t max_queue = 64;  ///< declines above; 0 = never
+  size_t max_queue = 64;  ///< declines above this length; 0 = never
   size_t cached_prefixes = 24;
-  int64_t prefill_steps = 20;  ///< without the prefix in the cache
+  int64_t prefill_steps = 20;  ///< when the prefix is not cached
   int64_t cached_prefill_steps = 2;
-  double speed = 1;  ///< steps done in one step of the model
+  double speed = 1;  ///< engine steps per simulation step
 };
 
-/// @brief One attempt as an engine sees it.
+/// @brief One attempt at an engine.
 struct EngineWork {
   uint64_t attempt = 0;
   uint32_t priority = 0;  ///< 0 is the most urgent
@@ -30,13 +30,14 @@
   int64_t output_steps = 1;
 };
 
-/// @brief What one step brought about.
+/// @brief Attempts that started and finished in one step.
 struct EngineStep {
   std::vector<uint64_t> started;
   std::vector<uint64_t> done;
 };
 
-/// @brief The engine itself; reports its load as it was some steps ago.
+/// @brief Simulated engine. Reports its load with a delay of `report_lag`
+/// steps.
 class Engine {
  public:
   Engine(EngineOptions options, size_t report_lag);
--- a/bench/routing/figure.h
+++ b/bench/routing/figure.h
@@ -7,10 +7,10 @@
 
 namespace coppervalve::bench {
 
-/// @brief Which side of its bound a figure must stay on.
+/// @brief Whether a bound is an upper or a lower one.
 enum class BoundKind { kAtMost, kAtLeast };
 
-/// @brief Prints figures and remembers whether one broke its bound.
+/// @brief Prints figures and records whether any violated its bound.
 class Figures {
  public:
   /// @brief Prints one figure with its bound and the baseline's figure.
@@ -32,7 +32,8 @@
   bool m_exceeded = false;
 };
 
-/// @brief The value that `share` of the samples do not exceed; 0 without any.
+/// @brief Returns the value that `share` of the samples do not exceed; 0
+/// without samples.
 double Percentile(std::vector<int64_t> samples, double share);
 
 }  // namespace coppervalve::bench
--- a/bench/routing/fleet_model.h
+++ b/bench/routing/fleet_model.h
@@ -19,27 +19,27 @@
 
 namespace coppervalve::bench {
 
-/// @brief Length of a model step.
+/// @brief Duration of one simulation step.
 constexpr core::Duration kStep{5'000};
 constexpr int64_t kStepsPerSecond = 200;
 
-/// @brief A seeded source of randomness.
+/// @brief Returns a seeded source of randomness.
 routing::RandomSource Seeded(uint64_t seed);
 
 /// @brief Makes a policy from its source of randomness.
 using PolicyMaker =
     std::function<routing::PlacementPolicy(routing::RandomSource random)>;
 
-/// @brief How requests get to the engines.
+/// @brief How requests are sent to the engines.
 enum class Management {
   kFull,     ///< admission queues, limits, priorities, retry budgets
-  kNoQueue,  ///< round robin at once into unbounded FIFO queues of the engines
+  kNoQueue,  ///< immediate round robin into unbounded engine FIFO queues
 };
 
-/// @brief What happens to an attempt that failed.
+/// @brief How failed attempts are retried.
 enum class RetryMode { kPolicy, kTwice };
 
-/// @brief A fleet and its engines.
+/// @brief Options of a simulated fleet and its engines.
 struct FleetOptions {
   size_t routers = 7;
   std::vector<EngineOptions> engines = std::vector<EngineOptions>(12);
@@ -48,29 +48,29 @@
   Management management = Management::kFull;
   RetryMode retries = RetryMode::kPolicy;
   bool probes_always_succeed = false;  ///< probes succeed while requests fail
-  bool count_own_attempts = true;  ///< false: the estimate is the report alone
-  /// Callers that were refused come back for so long after their first try.
+  bool count_own_attempts = true;      ///< false: estimate by reports alone
+  /// Time after their first try during which refused callers retry.
   int64_t retry_window_steps = 0;
   uint64_t seed = 1;
 };
 
-/// @brief A request of a caller.
+/// @brief One request of a caller.
 struct Job {
   uint64_t id = 0;
   std::string account;
   v1::AdmissionClass admission_class = v1::INTERACTIVE;
   uint64_t prefix = 0;
   int64_t output_steps = 1;
-  int64_t max_wait = 0;  ///< steps until its start is of no use
+  int64_t max_wait = 0;  ///< steps after which a start is useless
 };
 
-/// @brief What became of the jobs of one class or account.
+/// @brief Results of the jobs of one class or account.
 struct Outcome {
   uint64_t offered = 0;
   uint64_t finished = 0;
-  uint64_t refused = 0;        ///< finally, with a typed refusal
-  uint64_t refusals = 0;       ///< callers that come back are counted again
-  uint64_t attempts = 0;       ///< that reached an engine
+  uint64_t refused = 0;        ///< refused for good, with a typed refusal
+  uint64_t refusals = 0;       ///< all refusals, including those of retries
+  uint64_t attempts = 0;       ///< attempts sent to an engine
   std::vector<int64_t> waits;  ///< steps from the first try to the start
 
   double FinishedShare() const { return PerRequest(finished); }
@@ -80,17 +80,17 @@
   }
 };
 
-/// @brief Routers that share engines, in virtual time.
+/// @brief Simulated routers that share engines, in virtual time.
 class Fleet {
  public:
   explicit Fleet(const FleetOptions& options);
   ~Fleet();
 
-  /// @brief A caller's first try at one router.
+  /// @brief Adds the first try of a caller at one router.
   void Arrive(size_t router, Job job);
   void Step();
   void SetEnginesDown(bool down) { m_down = down; }
-  /// @brief One router hears that an engine leaves.
+  /// @brief Tells one router that an engine is leaving.
   void SetLeaving(size_t router, size_t engine);
 
   int64_t now() const { return m_now; }
@@ -98,13 +98,15 @@
   const std::vector<Engine>& engines() const { return m_engines; }
   const Outcome& OutcomeOf(v1::AdmissionClass admission_class) const;
   const Outcome& OutcomeOf(const std::string& account) const;
-  /// @brief Jobs that neither finished nor were finally refused yet.
+  /// @brief Jobs that have neither finished nor been refused for good.
   uint64_t Unfinished() const { return m_jobs.size(); }
-  /// @brief Step of the router's last attempt at the engine; -1 when none.
+  /// @brief Step of the router's last attempt at the engine; -1 when there was
+  /// none.
   int64_t LastDispatch(size_t router, size_t engine) const {
     return m_last_dispatch[router][engine];
   }
-  /// @brief Largest over mean utilization of the engines now.
+  /// @brief Ratio of the largest to the mean current utilization of the
+  /// engines.
   double Imbalance() const;
 
  private:
--- a/bench/routing/scenario_faults.cc
+++ b/bench/routing/scenario_faults.cc
@@ -54,7 +54,7 @@
   result.attempts_per_request =
       static_cast<double>(during.attempts - before.attempts) /
       static_cast<double>(during.offered - before.offered);
-  // Recovered: a second's finished work reaches 90% of what comes in.
+  // Recovered: the jobs finished in one second reach 90% of the arrivals.
   const double wanted =
       stream.jobs_per_step * static_cast<double>(kStepsPerSecond) * 0.9;
   const int64_t back = fleet.now();
@@ -80,8 +80,8 @@
                  "ratio", BoundKind::kAtMost, 0.05, twice.attempts_per_request);
   figures.Report("outage_recovery", ours.recovery_steps, "steps",
                  BoundKind::kAtMost, 800, twice.recovery_steps);
-  // The worse outage: the engines answer probes and fail every request, so
-  // that they return from ejection again and again.
+  // A worse outage: the engines answer probes but fail every request, so that
+  // they are readmitted and ejected repeatedly.
   const OutageResult false_probes = RunOutage(RetryMode::kPolicy, true);
   figures.Report("lying_probes_attempts_per_request",
                  false_probes.attempts_per_request, "ratio", BoundKind::kAtMost,
@@ -96,7 +96,7 @@
 constexpr int64_t kPollEvery = kStepsPerSecond;
 constexpr int64_t kListLag = 2 * kStepsPerSecond;
 
-/// The step at which a router first reads a VM list that shows the leaving VM.
+/// Step at which a router first reads a VM list that shows the VM as leaving.
 int64_t ListReadAt(size_t router) {
   const int64_t shown = kLeavesAt + kListLag;
   const int64_t phase = static_cast<int64_t>(router) * 29 % kPollEvery;
@@ -104,8 +104,8 @@
 }
 
 struct LeavingResult {
-  double after_known = 0;    ///< by the router that sent it
-  double after_leaving = 0;  ///< in truth
+  double after_known = 0;    ///< steps after the sending router knew
+  double after_leaving = 0;  ///< steps after the VM began to leave
 };
 
 LeavingResult RunLeaving(bool reads_list) {
--- a/bench/routing/scenario_placement.cc
+++ b/bench/routing/scenario_placement.cc
@@ -81,7 +81,7 @@
   return result;
 }
 
-/// Two engines of twelve run at half speed, as after a noisy neighbour.
+/// Two of twelve engines run at half speed, as with a noisy neighbor.
 FleetOptions UnevenFleet(size_t report_lag_steps, PolicyMaker policy) {
   FleetOptions options;
   options.engines[0].speed = 0.5;
@@ -155,7 +155,7 @@
   }
   routing::UpstreamTable table({}, Seeded(1));
   table.SetUpstreams(infos);
-  // A third leaves at once: windows must reach past them.
+  // A third of the upstreams is leaving, so windows must extend past them.
   for (size_t index = 0; index < kUpstreams; index += 3) {
     table.SetLeaving(infos[index].id, true);
   }
--- a/bench/routing/scenarios.h
+++ b/bench/routing/scenarios.h
@@ -5,21 +5,24 @@
 
 namespace coppervalve::bench {
 
-/// @brief Gate work while itineraries come at 1, 2 and 5 times the capacity.
+/// @brief Measures GATE requests while BATCH requests arrive at 1, 2 and 5
+/// times the capacity.
 void MeasureOverload(Figures& figures);
-/// @brief One large and small accounts of one class.
+/// @brief Measures a small account beside a large account of the same class.
 void MeasureAccountFairness(Figures& figures);
-/// @brief Load imbalance by policy and lag of the reports.
+/// @brief Measures load imbalance by policy and delay of the load reports.
 void MeasureImbalance(Figures& figures);
-/// @brief Prefix cache hits by policy.
+/// @brief Measures prefix cache hits by policy.
 void MeasurePrefixHits(Figures& figures);
-/// @brief Candidates looked at in a fleet of 10,000 upstreams.
+/// @brief Measures the candidates inspected per decision in a fleet of 10,000
+/// upstreams.
 void MeasureDecisionCost(Figures& figures);
-/// @brief Attempts during a full outage, and the time to recover from it.
+/// @brief Measures the attempts during a full outage and the time to recover
+/// from it.
 void MeasureOutage(Figures& figures);
-/// @brief New work at an upstream that leaves.
+/// @brief Measures new requests at an upstream that is leaving.
 void MeasureLeaving(Figures& figures);
-/// @brief Shares of a fleet-wide rate limit.
+/// @brief Measures how a fleet-wide rate limit is shared.
 void MeasureRateLimiter(Figures& figures);
 
 }  // namespace coppervalve::bench
--- a/bench/routing/workload.cc
+++ b/bench/routing/workload.cc
@@ -41,7 +41,8 @@
   if (prefixes == 0) {
     return 0;
   }
-  // Log-uniform ranks: about 1/k of the work for the k-th prefix (Zipf).
+  // Log-uniform ranks: the k-th prefix gets a share of the jobs proportional to
+  // about 1/k (Zipf).
   const double rank =
       std::exp(UniformUnit(m_random) * std::log(static_cast<double>(prefixes)));
   constexpr uint64_t kSpread = 0x9E3779B97F4A7C15;
--- a/bench/routing/workload.h
+++ b/bench/routing/workload.h
@@ -16,16 +16,17 @@
   int64_t min_output = 1;
   int64_t max_output = 1;
   int64_t max_wait = 0;
-  uint64_t prefixes = 0;  ///< number of prompt prefixes, skewed; 0 = none
+  uint64_t prefixes = 0;  ///< prompt prefixes, Zipf-distributed; 0 = none
 };
 
-/// @brief Feeds streams into a fleet, spread over its routers.
+/// @brief Generates the arrivals of streams, spread over the routers of a
+/// fleet.
 class Workload {
  public:
   Workload(Fleet& fleet, uint64_t seed)
       : m_fleet(fleet), m_random(Seeded(seed)) {}
 
-  /// @brief Offers the arrivals of one step.
+  /// @brief Adds the arrivals of one step.
   void Offer(const Stream& stream);
 
  private:
@@ -35,7 +36,8 @@
   routing::RandomSource m_random;
 };
 
-/// @brief Jobs a step that the engines can serve at a mean number of steps.
+/// @brief Jobs per step that the engines can serve when a job takes
+/// `mean_steps`.
 double CapacityPerStep(const FleetOptions& options, double mean_steps);
 
 }  // namespace coppervalve::bench
--- a/include/coppervalve/routing/admission_queue.h
+++ b/include/coppervalve/routing/admission_queue.h
@@ -21,35 +21,38 @@
 
 namespace coppervalve::routing {
 
-/// @brief Work for one model or service: its classes share the upstreams'
-/// capacity, so priorities and minimum shares hold within a pool.
+/// @brief Identifies the work for one model or service. Its classes share the
+/// capacity of the same upstreams, so priorities and minimum shares apply
+/// within a pool.
 using PoolId = core::NumberId<struct PoolTag>;
-/// @brief Work of a pool with one candidate set; entries of one lane never wait
-/// because another lane's upstreams are busy.
+/// @brief Identifies the work of a pool that has one candidate set. Busy
+/// upstreams of one lane never delay the entries of another lane.
 using LaneId = core::NumberId<struct LaneTag>;
 
-/// @brief The pool of the work that asks for a target.
+/// @brief Returns the pool of requests for a target.
 PoolId PoolOf(const WorkTarget& target);
-/// @brief The lane of the work that asks for a target under a rule.
+/// @brief Returns the lane of requests for a target under a rule.
 LaneId LaneOf(const WorkTarget& target, const core::RuleId& rule);
 
-/// @brief Constants of the queue.
+/// @brief Options of the queue.
 struct AdmissionQueueOptions {
-  size_t capacity = 1024;  ///< entries over all lanes and classes
+  size_t capacity = 1024;  ///< maximum entries over all lanes and classes
   /// Shares of the capacity that the lower classes may fill.
   double interactive_share = 0.95;
   double batch_share = 0.85;
-  /// An account may hold this multiple of its class's free places.
+  /// An account may hold at most this multiple of the places that are free for
+  /// its class.
   double account_share = 6.0;
-  /// One in so many starts of a pool goes to the class when it waits.
+  /// While the class has waiting entries, one in this many starts of the pool
+  /// is reserved for it.
   uint32_t interactive_start_interval = 8;
   uint32_t batch_start_interval = 10;
   core::Duration min_retry_after{100'000};
   core::Duration max_retry_after{120'000'000};
   /// Retry-After when the drain rate is not known yet.
   core::Duration default_retry_after{1'000'000};
-  /// Waiting work is given up when its expected wait exceeds the time it has
-  /// by this factor.
+  /// A waiting entry is refused when its expected wait exceeds the time left
+  /// until its deadline by this factor.
   double late_wait_factor = 2.0;
 };
 
@@ -60,34 +63,34 @@
   PoolId pool;
   LaneId lane;
   v1::AdmissionClass admission_class = v1::INTERACTIVE;
-  core::TimePoint start_by{};  ///< the latest start that is of use
+  core::TimePoint start_by{};  ///< latest useful start
   double cost = 1;  ///< relative amount of work, for fairness between accounts
 };
 
-/// @brief A refusal of one waiting or arriving request.
+/// @brief Refusal of one waiting or arriving request.
 struct QueueRefusal {
   core::RequestId request;
   Refusal refusal;
 };
 
-/// @brief What Offer did. Each refusal must reach its caller.
+/// @brief Result of Offer. Each refusal must be sent to its caller.
 struct OfferOutcome {
-  std::optional<Refusal> refused;         ///< the newcomer did not get in
-  std::optional<QueueRefusal> displaced;  ///< a BATCH entry made room for it
-  std::optional<core::Duration> expected_wait;  ///< when measured
+  std::optional<Refusal> refused;         ///< the offered entry was not queued
+  std::optional<QueueRefusal> displaced;  ///< the BATCH entry evicted for it
+  std::optional<core::Duration> expected_wait;  ///< unset when not measured
 };
 
-/// @brief Tries to start an entry; false when nothing of its lane and class
-/// can start now. It may not call the queue.
+/// @brief Tries to start an entry. Returns false when no entry of its lane and
+/// class can start now. Must not call the queue.
 using TryStart = std::function<bool(const QueueEntry& entry)>;
 
-/// @brief Bounded waiting room in front of the upstreams.
+/// @brief Bounded queue of requests that wait for an upstream.
 ///
-/// An entry leaves by a start, by a typed refusal (kQueueFull,
-/// kDeadlineTooShort, kQueueTimeout) or by Remove; nothing else drops one.
-/// GATE goes first; INTERACTIVE and BATCH have a minimum share of the starts.
-/// Within a class accounts are served fairly by cost, and each account's
-/// entries by earliest deadline.
+/// An entry leaves only by a start, by a typed refusal (kQueueFull,
+/// kDeadlineTooShort, kQueueTimeout) or by Remove. GATE has priority;
+/// INTERACTIVE and BATCH have a minimum share of the starts. Within a class,
+/// accounts are served fairly by cost, and the entries of one account in the
+/// order of their deadlines.
 class AdmissionQueue {
  public:
   AdmissionQueue(AdmissionQueueOptions options, RandomSource random);
@@ -95,24 +98,26 @@
   AdmissionQueue(const AdmissionQueue&) = delete;
   AdmissionQueue& operator=(const AdmissionQueue&) = delete;
 
-  /// @brief Takes an entry in, or says at once why not.
+  /// @brief Queues an entry or refuses it immediately.
   /// @complexity O(accounts and lanes of its class + log n); O(n) when full
   OfferOutcome Offer(const QueueEntry& entry, core::TimePoint now);
-  /// @brief Starts what can start. @return the number of starts
+  /// @brief Starts all entries that can start. @return the number of starts
   /// @complexity O(starts * (pools + accounts * lanes))
   size_t Drain(core::TimePoint now, const TryStart& try_start);
-  /// @brief Refusals of entries that are too late, or cannot make it any more.
+  /// @brief Removes the entries whose deadline has passed or is not expected to
+  /// be met, and returns their refusals.
   /// @complexity O(n * accounts) once in 10 ms, else O(accounts * lanes)
   std::vector<QueueRefusal> Expire(core::TimePoint now);
-  /// @brief The caller is gone. @return false when the request does not wait
+  /// @brief Removes the request of a caller that disconnected. @return false
+  /// when the request is not queued
   bool Remove(core::RequestId request);
-  /// @brief Refuses all that wait, for a drain: each gets `error`.
+  /// @brief Refuses all entries with `error`; used when the router drains.
   std::vector<QueueRefusal> RefuseAll(const core::Error& error);
 
   /// @return true when an entry of the class must queue behind others
   bool HasWaiting(PoolId pool, v1::AdmissionClass admission_class) const;
-  /// @brief When a caller refused now should come back: expected wait of a new
-  /// entry plus jitter.
+  /// @brief Delay after which a caller refused now should retry: the expected
+  /// wait of a new entry plus jitter.
   core::Duration RetryAfter(PoolId pool,
                             const core::AccountId& account,
                             v1::AdmissionClass admission_class,
--- a/include/coppervalve/routing/concurrency_limit.h
+++ b/include/coppervalve/routing/concurrency_limit.h
@@ -7,30 +7,32 @@
 
 namespace coppervalve::routing {
 
-/// @brief Constants of the additive-increase, multiplicative-decrease limit.
+/// @brief Options of the additive-increase, multiplicative-decrease limit.
 struct ConcurrencyLimitOptions {
   double initial = 4;
   double minimum = 2;
   double decrease_factor = 0.8;
-  /// At most one decrease in this time: one overload is one signal.
+  /// At most one decrease per interval, so that one overload counts once.
   core::Duration decrease_interval{100'000};
-  /// First-token latency above this multiple of the best seen is overload.
+  /// A first-token latency above this multiple of the best observed one counts
+  /// as overload.
   double latency_tolerance = 4.0;
 };
 
-/// @brief How many attempts this router keeps in progress at one upstream,
-/// adapted from declines, queue reports and latency, below a hard cap.
+/// @brief Limit on the attempts that this router has in progress at one
+/// upstream. Adapts to declines, reported queues and latency, up to a hard cap.
 class ConcurrencyLimit {
  public:
   explicit ConcurrencyLimit(ConcurrencyLimitOptions options, uint32_t hard_cap);
 
   /// @complexity constant, as all of this class
   void SetHardCap(uint32_t hard_cap);
-  /// @brief An answer came back without a sign of overload.
+  /// @brief Records an answer without a sign of overload.
   void OnSuccess(uint32_t in_progress);
-  /// @brief The upstream declined, timed out or reports a standing queue.
+  /// @brief Records that the upstream declined, timed out or reported a
+  /// standing queue.
   void OnOverload(core::TimePoint now);
-  /// @brief Compares a first-token latency with the best seen.
+  /// @brief Compares a first-token latency with the best observed one.
   void OnLatency(core::Duration latency, core::TimePoint now);
 
   /// @return at least 1, at most the hard cap
--- a/include/coppervalve/routing/drain_rate.h
+++ b/include/coppervalve/routing/drain_rate.h
@@ -9,15 +9,16 @@
 
 namespace coppervalve::routing {
 
-/// @brief Rate at which a queue is served, measured only while it is
-/// backlogged: an idle queue's rate is the arrivals', not the capacity's.
+/// @brief Rate at which a queue is served. Measured only while the queue is
+/// backlogged, because the rate of an idle queue is the arrival rate and not
+/// the capacity.
 class DrainRate {
  public:
   /// @complexity constant, as all of this class
   void OnServed(core::TimePoint now, bool backlogged);
-  /// @brief Time to serve `count` entries, or none when not measured yet. A
-  /// pause since the last service counts against the rate while a backlog
-  /// waits; a while after it ended the rate is forgotten.
+  /// @brief Estimates the time to serve `count` entries; none without a valid
+  /// measurement. While a backlog waits, time without a service lowers the
+  /// rate. The rate expires some time after the backlog has ended.
   std::optional<core::Duration> TimeFor(double count,
                                         core::TimePoint now) const;
 
--- a/include/coppervalve/routing/health.h
+++ b/include/coppervalve/routing/health.h
@@ -9,20 +9,20 @@
 
 namespace coppervalve::routing {
 
-/// @brief Constants of ejection, probing and slow start.
+/// @brief Options of ejection, probing and slow start.
 struct HealthOptions {
   uint32_t consecutive_failures = 3;
-  /// Ejected when the smoothed share of failures exceeds this.
+  /// The upstream is ejected when the smoothed share of failures exceeds this.
   double error_ratio = 0.5;
-  double error_ratio_weight = 0.1;    ///< of one outcome in the average
-  uint32_t error_ratio_samples = 20;  ///< outcomes before the ratio counts
+  double error_ratio_weight = 0.1;    ///< weight of one outcome in the average
+  uint32_t error_ratio_samples = 20;  ///< outcomes before the ratio is used
   core::Duration initial_probe_interval{250'000};
   core::Duration max_probe_interval{2'000'000};
   core::Duration probe_timeout{2'000'000};
   core::Duration slow_start{5'000'000};
   double slow_start_floor = 0.1;
-  /// A silent connection does not count when the upstream answered another
-  /// attempt within this time.
+  /// A silent connection is not counted as a failure when the upstream answered
+  /// another attempt within this time.
   core::Duration recent_success_window{1'000'000};
 };
 
@@ -36,16 +36,18 @@
   void OnFailure(FailureKind kind,
                  core::TimePoint now,
                  const RandomSource& random);
-  /// @brief The attempt did not get as far as sending: no connection.
+  /// @brief Records an attempt that failed before sending because there was no
+  /// connection.
   void OnNotSent(core::TimePoint now, const RandomSource& random);
   void OnProbe(bool healthy, core::TimePoint now, const RandomSource& random);
   /// @return true once for each probe that is due
   bool TakeProbeDue(core::TimePoint now);
 
   HealthState state(core::TimePoint now) const;
-  /// @brief Share of its normal work the upstream may get, (0, 1].
+  /// @brief Share of its normal load that the upstream may get, in (0, 1].
   double weight(core::TimePoint now) const;
-  /// @return ejected for its error ratio only: it still answers some work
+  /// @return true when ejected only for its error ratio: it still answers some
+  /// requests
   bool ejected_by_ratio() const { return m_ejected && m_ejected_by_ratio; }
 
  private:
--- a/include/coppervalve/routing/placement.h
+++ b/include/coppervalve/routing/placement.h
@@ -17,15 +17,16 @@
 
 namespace coppervalve::routing {
 
-/// @brief Why an upstream was chosen, or reason none was.
+/// @brief Why an upstream was chosen, or why none was.
 enum class ChoiceReason : uint8_t {
   kRoundRobin,
   kCriterion,       ///< first of the ordered criteria that a candidate met
   kLeastOfTwo,      ///< lower estimated load of two random candidates
   kPrefixOwner,     ///< first by rendezvous hashing of the prompt prefix
-  kPrefixOverflow,  ///< a later one: those before it are above the load bound
+  kPrefixOverflow,  ///< a lower-ranked candidate: those ranked higher exceed
+                    ///< the load bound
   kOnlyCandidate,
-  kLastResort,   ///< nothing healthy; it still answers some requests
+  kLastResort,   ///< no healthy candidate; this one still answers some requests
   kAllBusy,      ///< none chosen: wait for capacity
   kNoneAlive,    ///< none chosen: all are ejected or leaving
   kNoCandidate,  ///< none chosen: nothing is configured for the work
@@ -34,15 +35,16 @@
 /// @brief Stable lower_snake_case name for log lines.
 std::string_view ToString(ChoiceReason reason);
 
-/// @brief What a placement is asked for.
+/// @brief Input of one placement.
 struct PlacementRequest {
   v1::AdmissionClass admission_class = v1::INTERACTIVE;
   uint64_t affinity = 0;  ///< hash of the prompt prefix; 0 = none
-  /// Tried before by this request: taken again only when no other is usable.
+  /// Upstreams that this request has tried; chosen again only when no other is
+  /// usable.
   std::vector<core::UpstreamId> exclude;
 };
 
-/// @brief What a policy chose among usable candidates.
+/// @brief Choice of a policy among usable candidates.
 struct PolicyChoice {
   size_t index = 0;
   ChoiceReason reason = ChoiceReason::kOnlyCandidate;
@@ -54,45 +56,48 @@
     std::function<PolicyChoice(std::span<const Candidate> candidates,
                                uint64_t affinity)>;
 
-/// @brief In turn; the baseline.
+/// @brief Chooses the candidates in turn; the baseline of the benchmarks.
 PlacementPolicy RoundRobin();
-/// @brief Tiers of queue length, load and warm prefix, then preference.
+/// @brief Applies an ordered list of criteria on queue length, load and prefix
+/// affinity; orders candidates that meet the same criterion by preference.
 PlacementPolicy OrderedCriteria();
-/// @brief The less loaded of two random candidates.
+/// @brief Chooses the less loaded of two random candidates.
 PlacementPolicy LeastOfTwo(RandomSource random);
-/// @brief Constants of the prefix-affine policy.
+/// @brief Options of the prefix-affine policy.
 struct PrefixAffineOptions {
-  /// The owner of a prefix is passed over above this multiple of the mean load.
+  /// The owner of a prefix is skipped when its load exceeds this multiple of
+  /// the mean load.
   double load_bound = 1.25;
-  /// Load that is always allowed, so that an idle fleet keeps affinity.
+  /// Load that is always allowed, so that affinity also holds in an idle fleet.
   double load_allowance = 1;
 };
-/// @brief Rendezvous hashing of the prefix with bounded load; the less loaded
-/// of two for work without a prefix.
+/// @brief Chooses by rendezvous hashing of the prefix with bounded load;
+/// without a prefix, the less loaded of two random candidates.
 PlacementPolicy PrefixAffine(PrefixAffineOptions options, RandomSource random);
-/// @brief The best as measured by bench/routing.
+/// @brief The policy with the best results in bench/routing.
 PlacementPolicy DefaultPolicy(RandomSource random);
 
-/// @brief The outcome of a placement with the facts behind it.
+/// @brief Result of a placement and the candidate data it is based on.
 struct PlacementDecision {
   std::optional<core::UpstreamId> upstream;
   ChoiceReason reason = ChoiceReason::kNoCandidate;
   uint32_t criterion = 0;
-  size_t considered = 0;  ///< candidates looked at
+  size_t considered = 0;  ///< candidates inspected
   size_t usable = 0;
-  /// The chosen one first, then the best rivals, or the first that were
-  /// unusable.
+  /// The chosen candidate, then other usable ones; when none was chosen, the
+  /// first unusable candidates.
   std::vector<Candidate> facts;
 };
 
-/// @brief Bounds of one placement.
+/// @brief Limits of one placement.
 struct PlacementOptions {
-  size_t window = 64;     ///< usable candidates handed to the policy
-  size_t max_scan = 256;  ///< candidates looked at to fill the window
-  size_t facts = 4;       ///< candidates described in the log line
+  size_t window = 64;     ///< maximum usable candidates passed to the policy
+  size_t max_scan = 256;  ///< maximum candidates inspected to fill the window
+  size_t facts = 4;       ///< maximum candidates described in the log line
 };
 
-/// @brief Chooses upstreams with one policy over a bounded window.
+/// @brief Chooses upstreams with one policy from a bounded window of
+/// candidates.
 class Placement {
  public:
   Placement(PlacementOptions options,
@@ -100,8 +105,8 @@
             RandomSource random,
             core::FailureDomainId own_domain);
 
-  /// @brief Chooses an upstream; does not count the dispatch.
-  /// @complexity O(max_scan), whatever the size of the set
+  /// @brief Chooses an upstream. Does not count the dispatch.
+  /// @complexity O(max_scan), independent of the size of the set
   PlacementDecision Choose(const UpstreamTable& table,
                            const CandidateSet& candidates,
                            const PlacementRequest& request,
@@ -125,8 +130,8 @@
   core::FailureDomainId m_own_domain;
 };
 
-/// @brief The facts of a decision for its log line, for example
-/// "eng-3 load=4 own=2 limit=16 queued=0 health=healthy; eng-7 ...".
+/// @brief Describes the candidates of a decision for its log line, for example
+/// "eng-3 own=2 others=4 queued=0 limit=16 health=healthy state=usable; ...".
 std::string DescribeFacts(const PlacementDecision& decision,
                           const UpstreamTable& table);
 
--- a/include/coppervalve/routing/random_source.h
+++ b/include/coppervalve/routing/random_source.h
@@ -8,7 +8,7 @@
 
 namespace coppervalve::routing {
 
-/// @brief The only source of randomness: 64 uniform bits a call.
+/// @brief The only source of randomness; returns 64 uniform bits per call.
 using RandomSource = std::function<uint64_t()>;
 
 /// @brief Uniform in [0, bound); 0 when the bound is 0.
--- a/include/coppervalve/routing/rate_limiter.h
+++ b/include/coppervalve/routing/rate_limiter.h
@@ -12,42 +12,44 @@
 
 namespace coppervalve::routing {
 
-/// @brief A fleet-wide limit of one account.
+/// @brief Fleet-wide request limit of one account.
 struct AccountLimit {
   core::AccountId account;
   uint32_t requests_per_second = 0;  ///< 0 = no limit
-  uint32_t burst = 0;                ///< 0 = one second's worth
+  uint32_t burst = 0;                ///< 0 = the requests of one second
 };
 
-/// @brief Demand of one account as a router sees it: requests asked for a
-/// second, admitted or not.
+/// @brief Demand of one account at one router: requests received per second,
+/// admitted or not.
 struct AccountDemand {
   core::AccountId account;
   double requests_per_second = 0;
 };
 
-/// @brief This router's share of fleet-wide request limits.
+/// @brief Enforces this router's share of fleet-wide request limits.
 ///
-/// Each router runs a token bucket with a share of the limit: a small equal
-/// floor, and the rest by its share of the demand that routers report to each
-/// other; equal shares while no demand is known.
+/// Each router has a token bucket with a share of the limit. A small part of
+/// the limit is divided equally; the rest is divided in proportion to the
+/// demand that the routers report to each other. While no demand is known, all
+/// shares are equal.
 class RateLimiter {
  public:
-  /// @brief Installs the limits of a configuration; levels are kept.
+  /// @brief Sets the limits of a configuration. Accounts that stay keep their
+  /// tokens.
   void SetLimits(const std::vector<AccountLimit>& limits);
-  /// @brief Live routers, this one included; at least 1.
+  /// @brief Sets the number of live routers, including this one; at least 1.
   void SetRouters(uint32_t routers);
-  /// @brief What a peer reported last; replaces its earlier report.
+  /// @brief Sets the demand that a peer reported; replaces its earlier report.
   void SetPeerDemand(const core::RouterId& peer,
                      const std::vector<AccountDemand>& demand);
   void ForgetPeer(const core::RouterId& peer);
 
-  /// @brief Takes a token. @return kRateLimited with the time of the next one
-  /// when there is none @complexity O(peers)
+  /// @brief Takes a token. @return kRateLimited with the time until the next
+  /// token when there is none @complexity O(peers)
   std::optional<Refusal> Admit(const core::AccountId& account,
                                core::TimePoint now);
-  /// @brief This router's demand, to be sent to all peers; shares rest on what
-  /// was reported last. @complexity O(accounts)
+  /// @brief Returns this router's demand, to be sent to all peers. Shares are
+  /// computed from the last reported demand. @complexity O(accounts)
   std::vector<AccountDemand> ReportDemand(core::TimePoint now);
 
  private:
--- a/include/coppervalve/routing/refusal.h
+++ b/include/coppervalve/routing/refusal.h
@@ -8,7 +8,7 @@
 
 namespace coppervalve::routing {
 
-/// @brief A typed refusal of work that did not run, and when to come back.
+/// @brief Typed refusal of a request that did not run, and when to retry it.
 struct Refusal {
   core::Error error;
   std::optional<core::Duration> retry_after;
--- a/include/coppervalve/routing/retry_budget.h
+++ b/include/coppervalve/routing/retry_budget.h
@@ -5,14 +5,15 @@
 
 namespace coppervalve::routing {
 
-/// @brief Constants of a retry budget.
+/// @brief Options of a retry budget.
 struct RetryBudgetOptions {
-  double ratio = 0.1;     ///< retries earned by one request
-  double per_second = 1;  ///< retries earned by time alone
-  double capacity = 10;   ///< most that can be saved up
+  double ratio = 0.1;     ///< retries earned per request
+  double per_second = 1;  ///< retries earned per second without any request
+  double capacity = 10;   ///< maximum retries that accumulate
 };
 
-/// @brief Tokens for retries: earned by first attempts, spent by retries.
+/// @brief Token bucket for retries: first attempts earn tokens, retries spend
+/// them.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetOptions options)
--- a/include/coppervalve/routing/retry_policy.h
+++ b/include/coppervalve/routing/retry_policy.h
@@ -15,20 +15,20 @@
 
 namespace coppervalve::routing {
 
-/// @brief Constants of the policy.
+/// @brief Options of the policy.
 struct RetryPolicyOptions {
-  uint32_t max_attempts = 3;  ///< when the rule gives none
+  uint32_t max_attempts = 3;  ///< when the rule sets none
   RetryBudgetOptions per_upstream;
   RetryBudgetOptions per_account;
   core::Duration initial_backoff{10'000};
   core::Duration max_backoff{1'000'000};
 };
 
-/// @brief How far an attempt got.
+/// @brief How far an attempt got before it failed.
 enum class AttemptEnd : uint8_t {
   kNotSent,   ///< no byte reached the kernel
-  kDeclined,  ///< the upstream said that it did not take it
-  kFailed,    ///< sent, and no whole answer came
+  kDeclined,  ///< the upstream reported that it did not accept the request
+  kFailed,    ///< sent, but no complete answer arrived
 };
 
 /// @brief A request whose attempt just ended without an answer.
@@ -45,13 +45,14 @@
   std::optional<core::TimePoint> deadline;
 };
 
-/// @brief Place it again after a pause, at another upstream if there is one.
+/// @brief The request is placed again after a delay, at another upstream if
+/// possible.
 struct Retry {
   core::Duration after{};
   std::vector<core::UpstreamId> exclude;
 };
 
-/// @brief The final, truthful outcome.
+/// @brief No further attempt is made; the final outcome.
 struct GiveUp {
   core::Error error;
   core::RunState run_state = core::RunState::kUnknown;
@@ -62,19 +63,21 @@
 
 /// @brief Decides whether an attempt is followed by another.
 ///
-/// Any request may be tried again when it provably did not run; after bytes
-/// were sent only an idempotent one whose caller has nothing yet. Retries are
-/// paid from budgets of the upstream that failed and of the account.
+/// A request that provably did not run may be retried. After bytes were sent,
+/// only an idempotent request whose caller has received nothing may be retried.
+/// A retry spends from the budgets of the failed upstream and of the account.
 class RetryPolicy {
  public:
   RetryPolicy(RetryPolicyOptions options, RandomSource random);
 
-  /// @brief A first attempt goes out: both budgets earn. @complexity O(1)
+  /// @brief Records a first attempt, which adds to both budgets. @complexity
+  /// O(1)
   void OnFirstAttempt(const core::AccountId& account,
                       const core::UpstreamId& upstream);
   /// @complexity O(tried)
   RetryDecision Decide(const FailedAttempt& failed, core::TimePoint now);
-  /// @brief Forgets the budgets of upstreams that are no longer configured.
+  /// @brief Removes the budgets of upstreams that are not listed, because they
+  /// are no longer configured.
   void RetainUpstreams(const std::vector<core::UpstreamId>& upstreams);
 
  private:
--- a/include/coppervalve/routing/upstream.h
+++ b/include/coppervalve/routing/upstream.h
@@ -12,7 +12,7 @@
 
 namespace coppervalve::routing {
 
-/// @brief What the configuration says of an upstream.
+/// @brief Configured properties of an upstream.
 struct UpstreamInfo {
   core::UpstreamId id;
   std::string address;  ///< "ip:port"
@@ -20,14 +20,15 @@
   core::FailureDomainId failure_domain;
   std::vector<core::ModelId> models;  ///< model engines
   core::ServiceId service;            ///< plain services
-  uint32_t max_concurrency = 64;      ///< hard cap over this router's attempts
+  uint32_t max_concurrency = 64;      ///< hard cap on this router's attempts
   bool checks_fencing = false;
   bool repeatable = false;
 
   friend bool operator==(const UpstreamInfo&, const UpstreamInfo&) = default;
 };
 
-/// @brief Load as an upstream reports it, over all routers; lags.
+/// @brief Load of an upstream over all routers, as reported by it with some
+/// delay.
 struct LoadReport {
   uint32_t running = 0;
   uint32_t queued = 0;
@@ -36,23 +37,24 @@
 /// @brief How an attempt failed after its first byte was sent.
 enum class FailureKind : uint8_t {
   kError,     ///< the upstream answered with a server error or closed
-  kSilent,    ///< a watchdog fired: no first or no next token
-  kProtocol,  ///< the answer made no sense
+  kSilent,    ///< a timeout expired before the first or the next token
+  kProtocol,  ///< the answer was malformed
 };
 
-/// @brief Whether an upstream is given work.
+/// @brief Whether an upstream is given requests.
 enum class HealthState : uint8_t {
   kHealthy,
-  kSlowStart,  ///< back from ejection or new: its share of work ramps up
-  kEjected,    ///< no work; probed with exponential backoff
+  kSlowStart,  ///< readmitted after an ejection: its share of load ramps up
+  kEjected,    ///< gets no requests; probed with exponential backoff
 };
 
-/// @brief Why a candidate cannot be chosen now.
+/// @brief Whether a candidate can be chosen now, and why not.
 enum class Usability : uint8_t {
   kUsable,
   kBusy,        ///< at its concurrency limit for this class
-  kHeldOff,     ///< declined work and asked for a pause
-  kLastResort,  ///< ejected for its error ratio, yet it answers some requests
+  kHeldOff,     ///< declined a request; paused for the time it asked for
+  kLastResort,  ///< ejected only for its error ratio; still answers some
+                ///< requests
   kEjected,
   kLeaving,
 };
--- a/include/coppervalve/routing/upstream_table.h
+++ b/include/coppervalve/routing/upstream_table.h
@@ -19,73 +19,76 @@
 
 namespace coppervalve::routing {
 
-/// @brief Constants of the table.
+/// @brief Options of the table.
 struct UpstreamTableOptions {
   ConcurrencyLimitOptions limit;
   HealthOptions health;
-  /// Share of the limit that INTERACTIVE and BATCH work may fill; GATE work may
-  /// go past the adaptive limit up to the hard cap.
+  /// Shares of the adaptive limit that INTERACTIVE and BATCH requests may use.
+  /// GATE requests may exceed the adaptive limit up to the hard cap.
   double interactive_share = 1.0;
   double batch_share = 0.9;
-  /// Time constant of the average over load reports.
+  /// Time constant of the moving average over load reports.
   core::Duration report_smoothing{10'000'000};
-  /// What others' reported work counts beside own attempts, which are exact.
+  /// Weight of the reported load of other routers. Own attempts have weight 1,
+  /// because their number is exact.
   double report_weight = 0.5;
-  /// A load report older than this says nothing any more.
+  /// Load reports older than this are ignored.
   core::Duration report_max_age{10'000'000};
-  /// Pause after a decline that names none.
+  /// Pause after a decline that does not name one.
   core::Duration default_hold_off{200'000};
   core::Duration max_hold_off{5'000'000};
-  /// Probes handed out at a time: a fleet of thousands that is ejected whole is
-  /// asked little by little.
+  /// Maximum probes returned per call, so that the probes of a fleet of
+  /// thousands of ejected upstreams are spread over time.
   size_t max_probes_per_call = 32;
 };
 
-/// @brief What work asks for: a model, or a plain service.
+/// @brief Target of a request: a model or a plain service.
 struct WorkTarget {
-  core::ModelId model;      ///< model work; empty for a plain service
-  core::ServiceId service;  ///< plain work; empty for a model
+  core::ModelId model;      ///< empty for a plain service
+  core::ServiceId service;  ///< empty for a model
 };
 
-/// @brief Position of an upstream in the table; stable while it is known.
+/// @brief Index of an upstream in the table; stable while the upstream is
+/// known.
 using UpstreamSlot = core::NumberId<struct UpstreamSlotTag>;
 
-/// @brief Upstreams that may serve some work, ordered by the hash of their id,
-/// so that a bounded window of it is stable when others come and go.
+/// @brief Upstreams that may serve a request, ordered by the hash of their id.
+/// The order keeps a bounded window of the set stable when upstreams are added
+/// or removed.
 using CandidateSet = std::vector<UpstreamSlot>;
 
-/// @brief The facts about one candidate that a decision rests on.
+/// @brief State of one candidate that a placement is based on.
 struct Candidate {
   UpstreamSlot slot;
   uint64_t id_hash = 0;
   Usability usability = Usability::kUsable;
   HealthState health = HealthState::kHealthy;
   bool same_domain = false;
-  bool excluded = false;  ///< tried before by this request
+  bool excluded = false;  ///< already tried by this request
   uint32_t own = 0;       ///< this router's attempts in progress
-  uint32_t others = 0;    ///< estimate of the other routers' work
-  uint32_t queued = 0;    ///< last reported, 0 when unknown or too old
+  uint32_t others = 0;    ///< estimated requests of the other routers
+  uint32_t queued = 0;    ///< as last reported; 0 when unknown or too old
   uint32_t limit = 0;     ///< this router's limit for the class
   uint32_t hard_cap = 0;
   double weight = 1;  ///< slow start
 
-  /// @brief Estimated requests there per unit of weight.
+  /// @brief Estimated requests at the upstream per unit of weight.
   double Load() const { return (own + others) / weight; }
   /// @brief Load as a share of the upstream's hard cap; lower is better.
   double Utilization() const { return Load() / hard_cap; }
 };
 
-/// @brief A probe the shell should make.
+/// @brief A probe that the caller of TakeProbesDue should make.
 struct ProbeDue {
   core::UpstreamId upstream;
   std::string address;
 };
 
-/// @brief All that this router knows of the upstreams: configured facts, own
+/// @brief State of all upstreams as known to this router: configuration, own
 /// attempts, reported load, adaptive limits and health.
 ///
-/// Ids that are not known are ignored by the events: an attempt may end after
-/// the configuration dropped its upstream.
+/// Events for unknown ids are ignored, because an attempt may end after its
+/// upstream was removed from the configuration.
 class UpstreamTable {
  public:
   UpstreamTable(UpstreamTableOptions options, RandomSource random);
@@ -93,15 +96,15 @@
   UpstreamTable(const UpstreamTable&) = delete;
   UpstreamTable& operator=(const UpstreamTable&) = delete;
 
-  /// @brief Installs the upstreams of a configuration. What was learned of
-  /// those that stay is kept; those that are gone get no new work and are
-  /// forgotten with their last attempt. A changed address starts anew.
+  /// @brief Sets the upstreams of a configuration. Upstreams that stay keep
+  /// their state, unless their address changed. Upstreams that were removed get
+  /// no new requests and are deleted when their last attempt ends.
   /// @complexity O(n log n)
   void SetUpstreams(const std::vector<UpstreamInfo>& upstreams);
-  /// @brief The VM list shows it as leaving (or live again).
+  /// @brief Sets whether the VM list shows the upstream as leaving.
   void SetLeaving(const core::UpstreamId& id, bool leaving);
 
-  // Events of attempts. Each OnDispatch is ended by exactly one of OnDone,
+  // Events of attempts. Each OnDispatch is followed by exactly one of OnDone,
   // OnDeclined, OnFailed, OnNotSent or OnCancelled. All are O(1).
   void OnDispatch(const core::UpstreamId& id);
   void OnFirstToken(const core::UpstreamId& id,
@@ -119,14 +122,16 @@
                 FailureKind kind,
                 core::TimePoint now);
   void OnNotSent(const core::UpstreamId& id, core::TimePoint now);
-  /// @brief The caller went away; says nothing about the upstream.
+  /// @brief The caller disconnected; does not affect the health of the
+  /// upstream.
   void OnCancelled(const core::UpstreamId& id);
   void OnLoad(const core::UpstreamId& id,
               const LoadReport& load,
               core::TimePoint now);
 
-  /// @brief Probes to make now; each is handed out once until it ends or its
-  /// timeout passes; those past the bound are due again at the next call.
+  /// @brief Returns the probes to make now. A probe is not returned again until
+  /// it ends or its timeout passes. Probes above the maximum per call are
+  /// returned by the next call.
   /// @complexity O(ejected) once in 10 ms, else O(1)
   std::vector<ProbeDue> TakeProbesDue(core::TimePoint now);
   void OnProbe(const core::UpstreamId& id,
@@ -134,16 +139,16 @@
                const std::optional<LoadReport>& load,
                core::TimePoint now);
 
-  /// @brief Upstreams that serve the target, restricted to `allowed` unless it
-  /// is empty. Cached per rule until the next SetUpstreams, so `allowed` must
-  /// be the rule's own list.
+  /// @brief Returns the upstreams that serve the target, restricted to
+  /// `allowed` unless it is empty. The result is cached per rule until the next
+  /// SetUpstreams, so `allowed` must be the list of that rule.
   /// @complexity O(1) when cached, else O(allowed)
   const CandidateSet& CandidatesFor(
       const WorkTarget& target,
       const core::RuleId& rule,
       const std::vector<core::UpstreamId>& allowed);
 
-  /// @brief The facts about one candidate. @complexity O(1)
+  /// @brief Returns the state of one candidate. @complexity O(1)
   Candidate Inspect(UpstreamSlot slot,
                     v1::AdmissionClass admission_class,
                     const core::FailureDomainId& own_domain,
@@ -153,7 +158,8 @@
   /// @return nullptr when the id is not known
   const UpstreamInfo* Find(const core::UpstreamId& id) const;
   std::optional<UpstreamSlot> SlotOf(const core::UpstreamId& id) const;
-  /// @brief Own attempts in progress at the upstream; 0 when unknown.
+  /// @brief Own attempts in progress at the upstream; 0 when the id is not
+  /// known.
   uint32_t InProgress(const core::UpstreamId& id) const;
   /// @brief Slots of all known upstreams, for metrics and status.
   std::vector<UpstreamSlot> Slots() const;
@@ -182,8 +188,8 @@
   RandomSource m_random;
   std::vector<std::unique_ptr<Entry>> m_entries;  ///< by slot; null when free
   std::vector<size_t> m_free_slots;
-  std::set<size_t> m_ejected;    ///< slots to be probed
-  size_t m_next_probe_slot = 0;  ///< slot where the next call goes on
+  std::set<size_t> m_ejected;    ///< slots of ejected upstreams
+  size_t m_next_probe_slot = 0;  ///< slot at which the next call continues
   core::TimePoint m_last_probe_scan{};
   std::unordered_map<core::UpstreamId, size_t> m_slots;
   std::unordered_map<core::ModelId, CandidateSet> m_by_model;
--- a/include/coppervalve/rules/condition.h
+++ b/include/coppervalve/rules/condition.h
@@ -16,7 +16,7 @@
  public:
   explicit Condition(const v1::When& when);
 
-  /// @return whether all given conditions hold
+  /// @return whether the request meets all conditions that are set
   /// @complexity logarithmic in the lists of ids, linear in the other lists
   bool Matches(const RequestFacts& facts) const;
 
@@ -27,7 +27,7 @@
   bool HeadersMatch(const RequestFacts& facts) const;
   bool TimeMatches(uint32_t minute) const;
 
-  std::vector<std::string> m_accounts;  // sorted, like the next three
+  std::vector<std::string> m_accounts;  // sorted, as are the next three
   std::vector<std::string> m_models;
   std::vector<std::string> m_services;
   std::vector<std::string> m_methods;
--- a/include/coppervalve/rules/decision.h
+++ b/include/coppervalve/rules/decision.h
@@ -13,7 +13,7 @@
 
 namespace coppervalve::rules {
 
-/// @brief The request may run, under these terms. All defaults are applied.
+/// @brief The request may run with these parameters. All defaults are applied.
 struct Route {
   core::RuleId rule;
   /// Upstreams that serve the request's model or service, in the rule's order
--- a/include/coppervalve/rules/facts.h
+++ b/include/coppervalve/rules/facts.h
@@ -12,18 +12,18 @@
 
 namespace coppervalve::rules {
 
-/// @brief What the conditions of a rule can look at. The views must stay valid
-/// during the match only.
+/// @brief Properties of a request that the conditions of a rule can test. The
+/// views need to stay valid only during the match.
 struct RequestFacts {
   core::AccountId account;
-  core::ModelId model;      ///< model work only
-  core::ServiceId service;  ///< plain services only
+  core::ModelId model;      ///< set for models only
+  core::ServiceId service;  ///< set for plain services only
   std::string_view method;
   std::string_view path;
   /// Names in lower case.
   std::span<const std::pair<std::string, std::string>> headers;
   core::Bytes prompt;
-  core::Tokens max_output_tokens;  ///< asked for; 0 = not given
+  core::Tokens max_output_tokens;  ///< requested; 0 = not given
   uint32_t minute_of_day = 0;      ///< UTC, 0..1439
 };
 
--- a/include/coppervalve/rules/rule_set.h
+++ b/include/coppervalve/rules/rule_set.h
@@ -14,8 +14,8 @@
 
 namespace coppervalve::rules {
 
-/// @brief The compiled rules of one configuration; the first match decides.
-/// Immutable, safe to use from several threads.
+/// @brief Compiled rules of one configuration; the first matching rule decides.
+/// Immutable and thread-safe.
 class RuleSet {
  public:
   /// @param tables compiled from the same configuration
@@ -28,8 +28,8 @@
   /// and its model or service (or none)
   Decision Match(const RequestFacts& facts) const;
 
-  /// @brief The same answer by trying every rule; the reference for tests and
-  /// the baseline of the benchmark.
+  /// @brief Returns the same decision by testing the rules one by one; the
+  /// reference for tests and the baseline of the benchmark.
   /// @complexity linear in the number of rules
   Decision MatchLinear(const RequestFacts& facts) const;
 
@@ -39,7 +39,8 @@
   struct Rule {
     Condition condition;
     std::variant<Route, Refused> outcome;
-    /// For a rule that lists upstreams: the listed ones by model or service.
+    /// Upstreams listed by the rule, by model or service; empty when the rule
+    /// lists none.
     std::unordered_map<core::ModelId, config::SharedUpstreamIds> by_model;
     std::unordered_map<core::ServiceId, config::SharedUpstreamIds> by_service;
     bool lists_upstreams = false;
--- a/src/routing/admission_queue.cc
+++ b/src/routing/admission_queue.cc
@@ -16,7 +16,8 @@
 constexpr size_t kGate = 0;
 constexpr size_t kInteractive = 1;
 constexpr size_t kBatch = 2;
-/// Pools without waiting entries keep their drain rates up to this number.
+/// Pools without entries are kept for their drain rates up to this number of
+/// pools.
 constexpr size_t kMaxIdlePools = 256;
 constexpr core::Duration kEstimateInterval{10'000};
 
@@ -46,9 +47,9 @@
   return LaneId(core::Hash64(rule.value(), PoolOf(target).value()));
 }
 
-/// The waiting entries of one class in one pool.
+/// Waiting entries of one class in one pool.
 struct AdmissionQueue::ClassQueue {
-  /// Entries of one account in one lane, the earliest deadline first.
+  /// Entries of one account in one lane, earliest deadline first.
   using Flow = std::multimap<core::TimePoint, core::RequestId>;
   struct Account {
     std::map<LaneId, Flow> flows;
@@ -58,14 +59,15 @@
 
   std::map<core::AccountId, Account> accounts;
   size_t size = 0;
-  /// Virtual time of the last start: an account that comes back starts here,
-  /// so that it cannot save up turns while it is away.
+  /// Virtual time of the last start. An account that has entries again starts
+  /// here, so that it accumulates no credit while it has none.
   double virtual_time = 0;
-  uint32_t skipped_starts = 0;  ///< starts of higher classes while this waited
+  /// Starts of higher classes while this class waited.
+  uint32_t skipped_starts = 0;
   DrainRate rate;
 };
 
-/// The waiting work for one model or service.
+/// Waiting entries for one model or service.
 struct AdmissionQueue::Pool {
   std::array<ClassQueue, kClasses> classes;
   DrainRate rate;
@@ -76,13 +78,14 @@
   }
 };
 
-/// What one Drain has found to be blocked, and picks next.
+/// State of one Drain call: tracks the blocked lanes and selects the next
+/// entry.
 class AdmissionQueue::DrainPass {
  public:
   DrainPass(const AdmissionQueueOptions& options, const Pool& pool)
       : m_options(options), m_pool(pool) {}
 
-  /// The next entry to try, or none when all that waits is blocked.
+  /// Next entry to try; none when all waiting entries are blocked.
   std::optional<core::RequestId> Next() const {
     for (const size_t index : ClassOrder()) {
       if (const auto head = Head(m_pool.classes[index], index)) {
@@ -92,7 +95,8 @@
     return std::nullopt;
   }
 
-  /// Urgency of what Next would give; lower is more next_pass.
+  /// Index of the class of the entry that Next returns; a lower index is more
+  /// urgent.
   size_t NextClass() const {
     for (const size_t index : ClassOrder()) {
       if (Head(m_pool.classes[index], index)) {
@@ -110,9 +114,10 @@
   std::array<size_t, kClasses> ClassOrder() const {
     const ClassQueue& batch = m_pool.classes[kBatch];
     const ClassQueue& interactive = m_pool.classes[kInteractive];
-    // Strict priority alone starves itineraries for as long as gate work keeps
-    // the upstreams full: they wait for hours and expire unserved. One turn in
-    // so many bounds the wait and costs gate work at most that share.
+    // With strict priority alone, BATCH requests starve for as long as GATE
+    // requests keep the upstreams full: they wait for hours and expire.
+    // Reserving one in N starts bounds their wait and costs GATE requests at
+    // most that share.
     if (batch.size > 0 &&
         batch.skipped_starts + 1 >= m_options.batch_start_interval) {
       return {kBatch, kGate, kInteractive};
@@ -124,7 +129,7 @@
     return {kGate, kInteractive, kBatch};
   }
 
-  /// The account with the least served cost goes next; at equal cost the
+  /// Selects the account with the lowest served cost; at equal cost, the
   /// earliest deadline.
   std::optional<core::RequestId> Head(const ClassQueue& queue,
                                       size_t class_index) const {
@@ -160,9 +165,9 @@
                                    core::TimePoint now) {
   OfferOutcome outcome;
   outcome.expected_wait = ExpectedWait(entry, now);
-  // Held until its deadline it would only keep others waiting and its caller
-  // in doubt: one that cannot make it is told so while it can still go
-  // elsewhere.
+  // Refuses an entry that is not expected to start in time, while its caller
+  // can still go elsewhere. Queued until its deadline, it would only delay
+  // other entries and leave its caller waiting.
   const core::Duration wait =
       outcome.expected_wait.value_or(core::Duration::zero());
   if (now + wait >= entry.start_by) {
@@ -195,7 +200,8 @@
   }
   size_t starts = 0;
   while (true) {
-    // Pools may share upstreams: the most next_pass class of all goes first.
+    // Pools may share upstreams, so the most urgent class over all pools goes
+    // first.
     size_t next_pass = passes.size();
     size_t best_class = kClasses;
     for (size_t index = 0; index < passes.size(); ++index) {
@@ -238,7 +244,8 @@
 
 std::vector<QueueRefusal> AdmissionQueue::Expire(core::TimePoint now) {
   std::vector<QueueRefusal> refusals;
-  // Called after every event; the estimates of all entries need not be.
+  // Called after every event, but the wait estimates of all entries are not
+  // needed as often.
   const bool estimate = now - m_estimated_at >= kEstimateInterval;
   m_estimated_at = estimate ? now : m_estimated_at;
   for (const auto& [id, pool] : m_pools) {
@@ -373,13 +380,13 @@
     std::optional<core::Duration> wait) const {
   const core::Duration base = std::max(
       wait.value_or(m_options.default_retry_after), m_options.min_retry_after);
-  // Callers that were refused together must not come back together.
+  // Jitter keeps callers that were refused together from retrying together.
   return std::min(base + UniformDuration(m_random, base / 2),
                   m_options.max_retry_after);
 }
 
-/// Entries that go before the one that has `own_ahead` of its account's before
-/// it, when accounts take turns.
+/// Number of entries that start before the one with `own_ahead` entries of its
+/// own account before it, when accounts take turns.
 size_t AdmissionQueue::CountAhead(const ClassQueue& queue,
                                   const core::AccountId& account,
                                   size_t own_ahead) {
@@ -399,8 +406,8 @@
     core::TimePoint now) const {
   const ClassQueue& queue = pool.classes[class_index];
   if (ahead > 0) {
-    // The rate of a class that waits includes all that higher classes take
-    // from it, those yet to come too.
+    // The measured rate of a backlogged class already accounts for the starts
+    // that higher classes take, including those of future arrivals.
     const auto by_class =
         queue.rate.TimeFor(static_cast<double>(ahead + 1), now);
     if (by_class) {
@@ -411,7 +418,7 @@
     ahead += pool.classes[higher].size;
   }
   if (ahead == 0) {
-    return std::nullopt;  // next in line: it starts as soon as anything can
+    return std::nullopt;  // first in the queue: starts as soon as any entry can
   }
   return pool.rate.TimeFor(static_cast<double>(ahead + 1), now);
 }
@@ -451,9 +458,9 @@
 }
 
 bool AdmissionQueue::AccountHasRoom(const QueueEntry& entry) const {
-  // A fixed cap for each account wastes places when few are active; a share of
-  // what is free lets one account have most of an idle queue, yet always
-  // leaves places to the next.
+  // A fixed cap per account wastes places when few accounts are active. A
+  // multiple of the free places lets one account use most of an idle queue, yet
+  // always leaves places for the next account.
   const auto& sizes = m_account_sizes[ClassIndex(entry.admission_class)];
   const auto found = sizes.find(entry.account);
   if (found == sizes.end()) {
@@ -525,7 +532,7 @@
   --queue.size;
   if (queue.size == 0) {
     queue.skipped_starts = 0;
-    queue.accounts.clear();  // nobody waits: nothing to be fair about
+    queue.accounts.clear();  // no entries wait, so no fairness state is needed
   }
   --m_class_sizes[class_index];
   const auto counted = m_account_sizes[class_index].find(entry.account);
--- a/src/routing/concurrency_limit.cc
+++ b/src/routing/concurrency_limit.cc
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// The best latency creeps up by this factor per sample, so that one lucky
-/// sample from an idle time does not make all later ones look like overload.
+/// The best latency is raised by this factor per sample, so that one unusually
+/// low sample from an idle period does not make all later ones count as
+/// overload.
 constexpr double kBestLatencyDrift = 1.002;
 
 }  // namespace
@@ -23,14 +24,15 @@
 }
 
 void ConcurrencyLimit::OnSuccess(uint32_t in_progress) {
-  // A limit that is not reached has not been tested: growing it would let a
-  // later burst through unchecked.
+  // A limit that was not reached is untested: raising it would admit a later
+  // burst unchecked.
   if (in_progress + 1 < value()) {
     return;
   }
-  // Until the first overload the limit doubles with each round of answers: a
-  // low start keeps seven routers together from filling an engine with long
-  // work in its first second, and should not cost more than that second.
+  // Until the first overload, the limit doubles with each round of answers. The
+  // low initial limit prevents seven routers together from filling an engine
+  // with long requests in its first second; doubling limits the cost of the low
+  // start to about that second.
   const double step = m_decreased ? 1.0 / m_limit : 1.0;
   m_limit = std::min(m_limit + step, static_cast<double>(m_hard_cap));
 }
--- a/src/routing/drain_rate.cc
+++ b/src/routing/drain_rate.cc
@@ -8,7 +8,7 @@
 
 constexpr uint32_t kMinSamples = 8;
 constexpr uint32_t kAveragedSamples = 16;
-/// A rate from a backlog that ended this long ago is expired.
+/// A rate measured in a backlog that ended longer ago than this is not used.
 constexpr core::Duration kRateLifetime{10'000'000};
 
 }  // namespace
@@ -28,8 +28,9 @@
 
 std::optional<core::Duration> DrainRate::TimeFor(double count,
                                                  core::TimePoint now) const {
-  // The rate of last night's slow upstream would refuse the second of two gate
-  // scans that come together in the morning, with every upstream idle.
+  // An outdated rate must not refuse work: the rate of an upstream that was
+  // slow at night would refuse the second of two simultaneous GATE requests in
+  // the morning, although all upstreams are idle.
   const bool expired = !m_backlogged && now - m_last > kRateLifetime;
   if (expired || m_samples < kMinSamples) {
     return std::nullopt;
--- a/src/routing/health.cc
+++ b/src/routing/health.cc
@@ -24,10 +24,11 @@
 void Health::OnFailure(FailureKind kind,
                        core::TimePoint now,
                        const RandomSource& random) {
-  // A connection that something on the way has lost track of goes silent while
-  // new ones work. Ejecting its upstream would turn one lost stream into lost
-  // capacity; an upstream that is really stuck stops answering the others too
-  // and is counted as soon as its last success is no longer recent.
+  // A network device between the two ends may lose the state of one connection,
+  // which then goes silent while new connections work. Ejecting the upstream
+  // would lose its whole capacity for one lost stream. An upstream that hangs
+  // stops answering the other attempts too, and its failures count as soon as
+  // its last success is no longer recent.
   const bool answers_others =
       m_succeeded && now - m_last_success < m_options.recent_success_window;
   if (kind == FailureKind::kSilent && answers_others) {
@@ -74,7 +75,8 @@
       std::min(m_options.initial_probe_interval * (int64_t{1} << step),
                m_options.max_probe_interval);
   m_backoff_step = step + 1;
-  // Seven routers that saw the same failure must not probe at one moment.
+  // Jitter keeps the seven routers that saw the same failure from probing at
+  // the same time.
   m_next_probe = now + backoff / 2 + UniformDuration(random, backoff / 2);
 }
 
@@ -82,7 +84,7 @@
   if (!m_ejected || now < m_next_probe) {
     return false;
   }
-  // The result may never come; the next probe is then due after the timeout.
+  // The result may never arrive; the next probe is then due after the timeout.
   m_probing = true;
   m_next_probe = now + m_options.probe_timeout;
   return true;
--- a/src/routing/placement.cc
+++ b/src/routing/placement.cc
@@ -31,16 +31,16 @@
   return "unknown";
 }
 
-/// Candidates of one placement, sorted into those a policy may choose from and
-/// those it falls back to.
+/// Candidates of one placement, grouped into those that the policy may choose
+/// from and the fallbacks.
 struct Placement::Scan {
   std::vector<Candidate> usable;
-  std::vector<Candidate> excluded;  ///< usable, but tried before
+  std::vector<Candidate> excluded;  ///< usable, but already tried
   std::vector<Candidate> last_resort;
-  std::vector<Candidate> unusable;  ///< at most as many as are described
+  std::vector<Candidate> unusable;  ///< at most PlacementOptions::facts
   size_t considered = 0;
   bool any_busy = false;
-  bool untried_busy = false;  ///< busy, and not tried before
+  bool untried_busy = false;  ///< busy, and not yet tried
 };
 
 Placement::Placement(PlacementOptions options,
@@ -63,8 +63,8 @@
   Scan scan = ScanWindow(table, candidates, request, now);
   decision.considered = scan.considered;
   decision.usable = scan.usable.size() + scan.excluded.size();
-  // The one that just failed is worth another attempt only when waiting would
-  // not lead to one that has not been tried.
+  // Upstreams that were already tried are used again only when no untried
+  // upstream will become free by waiting.
   if (scan.usable.empty() && !scan.untried_busy) {
     scan.usable = std::move(scan.excluded);
   }
@@ -149,8 +149,9 @@
   if (affinity == 0) {
     return UniformBelow(m_random, candidates.size());
   }
-  // On the ring of id hashes: the same prefix meets the same window at every
-  // router, and a candidate that comes or goes shifts few windows.
+  // The window starts at the position of the prefix on the ring of id hashes. A
+  // prefix has the same window at every router, and adding or removing a
+  // candidate changes few windows.
   const auto found =
       std::lower_bound(candidates.begin(), candidates.end(), affinity,
                        [&table](UpstreamSlot slot, uint64_t hash) {
--- a/src/routing/placement_policies.cc
+++ b/src/routing/placement_policies.cc
@@ -37,12 +37,13 @@
   return {second_is_better ? second : first, ChoiceReason::kLeastOfTwo};
 }
 
-/// The tier of a candidate to the prompt prefix, a hint at a warm cache.
+/// Rank group of a candidate for a prompt prefix; a higher one makes it more
+/// likely that the prefix is in the candidate's cache.
 enum class AffinityTier : uint8_t { kOwner, kNear, kAny };
 
 constexpr size_t kTieredRanks = 3;
 
-/// One line of the ordered list; the fields are upper bounds.
+/// One entry of the ordered list. The numbers are upper bounds.
 struct Criterion {
   uint32_t queued;
   double utilization;
@@ -54,8 +55,8 @@
 constexpr uint32_t kShortQueue = 1;
 constexpr double kHalfLoad = 0.5;
 
-/// In the order of the Best Copy Selection list: queue and load and warmth
-/// first, each condition given up in turn.
+/// In the order of the Best Copy Selection list: starts with conditions on
+/// queue, load and prefix affinity, which are then dropped one after another.
 constexpr std::array<Criterion, 10> kCriteria{{
     {kShortQueue, kHalfLoad, AffinityTier::kOwner},
     {kShortQueue, kHalfLoad, AffinityTier::kNear},
@@ -106,7 +107,8 @@
          candidate.Utilization() < criterion.utilization;
 }
 
-/// Sorts by queue length, then by preference, as the list's first step does.
+/// Sorts by queue length, then by preference, like the first step of Best Copy
+/// Selection.
 void SortByPreference(std::vector<RankedCandidate>& ranked,
                       std::span<const Candidate> candidates) {
   std::sort(ranked.begin(), ranked.end(),
--- a/src/routing/random_source.cc
+++ b/src/routing/random_source.cc
@@ -6,7 +6,8 @@
   if (bound == 0) {
     return 0;
   }
-  return random() % bound;  // the bias is below 2^-40 for bounds in use
+  // The modulo bias is below 2^-40 for the bounds in use.
+  return random() % bound;
 }
 
 core::Duration UniformDuration(const RandomSource& random,
--- a/src/routing/rate_limiter.cc
+++ b/src/routing/rate_limiter.cc
@@ -11,8 +11,8 @@
 constexpr double kMicrosPerSecond = 1e6;
 /// Time constant of the demand average.
 constexpr double kDemandWindowUs = 2e6;
-/// Part of the limit that is split equally whatever the demand: a router whose
-/// first request of an account arrives has no demand to show yet.
+/// Part of the limit that is divided equally, independent of demand: a router
+/// that receives the first request of an account has no demand to report yet.
 constexpr double kEqualShare = 0.25;
 /// A bucket that holds less than one request would never admit any.
 constexpr double kMinBurst = 1;
@@ -91,9 +91,9 @@
 }
 
 double RateLimiter::ShareOf(const Bucket& bucket) const {
-  // Own demand counts as it was reported, not as it is now: when work begins
-  // everywhere at once, each router would else see itself as the only one and
-  // the fleet would admit almost the whole limit at every router.
+  // Uses the own demand as last reported, not the current one. Otherwise, when
+  // requests start at all routers at once, each would see only its own demand
+  // and admit almost the whole limit.
   double total = bucket.reported_demand;
   for (const auto& [peer, demand] : m_peer_demand) {
     const auto found = demand.find(bucket.limit.account);
--- a/src/routing/retry_policy.cc
+++ b/src/routing/retry_policy.cc
@@ -10,7 +10,7 @@
 
 constexpr uint32_t kMaxBackoffStep = 16;
 
-/// The outcome that is true of the request when no further attempt is made.
+/// Outcome of a request that is not attempted again.
 GiveUp FinalOutcome(const FailedAttempt& failed) {
   if (failed.end != AttemptEnd::kFailed) {
     return {failed.error, core::RunState::kNotRun, std::nullopt};
@@ -32,9 +32,9 @@
   if (failed.end != AttemptEnd::kFailed) {
     return true;
   }
-  // After bytes were sent the work may have run: a second seat hold blocks a
-  // paid party. And a caller that has part of one answer must not get the rest
-  // of another.
+  // Once bytes were sent, the request may have run, and a duplicate can do
+  // harm: a second seat hold blocks a party that has paid. A caller that has
+  // received part of one answer must not get the rest of another.
   return failed.idempotent && !failed.forwarded_bytes;
 }
 
@@ -99,8 +99,8 @@
   const uint32_t step = std::min(attempts - 1, kMaxBackoffStep);
   const core::Duration backoff = std::min(
       m_options.initial_backoff * (int64_t{1} << step), m_options.max_backoff);
-  // Half is fixed and half is random: callers that failed together spread out,
-  // and none hits the next upstream at once.
+  // Half of the delay is fixed and half is random: requests that failed
+  // together are spread out, and none reaches the next upstream immediately.
   return backoff / 2 + UniformDuration(m_random, backoff / 2);
 }
 
--- a/src/routing/upstream_table.cc
+++ b/src/routing/upstream_table.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A standing queue of more than this share of the running requests means that
-/// the upstream has more work than its batch takes.
+/// A queue longer than the running requests divided by this means that the
+/// upstream has more requests than fit into its batch.
 constexpr uint32_t kQueueShareOfRunning = 16;
 constexpr uint32_t kMinStandingQueue = 1;
 constexpr core::Duration kProbeScanInterval{10'000};
@@ -45,8 +45,8 @@
   uint64_t id_hash;
   ConcurrencyLimit limit;
   Health health;
-  bool leaving = false;  ///< by the VM list
-  bool removed = false;  ///< by the configuration
+  bool leaving = false;  ///< shown as leaving by the VM list
+  bool removed = false;  ///< no longer in the configuration
   uint32_t own = 0;
   double others = 0;
   uint32_t queued = 0;
@@ -87,8 +87,8 @@
     return;
   }
   if (known->info.address != info.address) {
-    // Another process: nothing learned holds, but attempts at the old address
-    // still end under this id.
+    // A different process: the learned state does not apply to it, but attempts
+    // at the old address still end under this id.
     const uint32_t own = known->own;
     *known = Entry(info, m_options);
     known->own = own;
@@ -161,7 +161,8 @@
   if (entry == nullptr) {
     return;
   }
-  // A reported queue says directly what latency only hints at: prompts differ.
+  // A reported queue is a direct signal of overload. Latency is only an
+  // indirect one, because it also depends on the prompt.
   if (!entry->reported) {
     entry->limit.OnLatency(latency, now);
   }
@@ -249,10 +250,10 @@
   if (entry == nullptr) {
     return;
   }
-  // The report counts this router's attempts too. Kept apart, they can be
-  // replaced by the exact present number: between two late reports every
-  // router would otherwise send its work to the upstream that was idle at the
-  // last one, and all of them at once.
+  // The report includes this router's attempts. They are subtracted and
+  // replaced by their exact current number. Otherwise all routers would send
+  // their requests to the upstream that was idle in the last report until the
+  // next one arrives.
   const uint32_t total = load.running + load.queued;
   const double others = total > entry->own ? total - entry->own : 0;
   const double gap_us = static_cast<double>((now - entry->reported_at).count());
@@ -272,8 +273,8 @@
 
 std::vector<ProbeDue> UpstreamTable::TakeProbesDue(core::TimePoint now) {
   std::vector<ProbeDue> due;
-  // Asked after every event: looking at each upstream each time would cost more
-  // than all other decisions in a large fleet.
+  // Called after every event. In a large fleet, checking each upstream every
+  // time would cost more than all other decisions.
   if (m_ejected.empty() || now - m_last_probe_scan < kProbeScanInterval) {
     return due;
   }
@@ -335,7 +336,7 @@
   } else if (by_service != m_by_service.end()) {
     all = &by_service->second;
   }
-  // Names come from callers: only known ones may take room in the cache.
+  // Target names come from callers, so only known ones are cached.
   if (allowed.empty() || all->empty()) {
     return *all;
   }
@@ -395,8 +396,8 @@
   double limit = entry.limit.value();
   switch (admission_class) {
     case v1::GATE:
-      // Engines honour priorities: gate work that waits here behind a limit
-      // that itineraries fill would wait longer than in the engine.
+      // Engines schedule by priority. A GATE request that waited here for a
+      // limit used up by BATCH requests would wait longer than in the engine.
       limit = entry.limit.hard_cap();
       break;
     case v1::BATCH:
--- a/tests/routing/routing_fixture.h
+++ b/tests/routing/routing_fixture.h
@@ -13,7 +13,7 @@
 
 namespace coppervalve::routing::testing {
 
-/// @brief A seeded source of randomness.
+/// @brief Returns a seeded source of randomness.
 inline RandomSource Seeded(uint64_t seed) {
   auto engine = std::make_shared<pcg64>(seed);
   return [engine] { return (*engine)(); };
@@ -31,7 +31,8 @@
   return core::UpstreamId("engine-" + std::to_string(number));
 }
 
-/// @brief `count` engines that serve the model "chat", over three domains.
+/// @brief Returns `count` engines that serve the model "chat" in three failure
+/// domains.
 inline std::vector<UpstreamInfo> Engines(int count) {
   std::vector<UpstreamInfo> engines;
   for (int number = 0; number < count; ++number) {
@@ -50,7 +51,8 @@
   return {core::ModelId("chat"), {}};
 }
 
-/// @brief Constants of the tests' own, apart from those that the bench tunes.
+/// @brief Options for the tests, independent of the defaults that bench/routing
+/// covers.
 inline UpstreamTableOptions TestOptions() {
   UpstreamTableOptions options;
   options.limit.initial = 16;
@@ -59,7 +61,7 @@
   return options;
 }
 
-/// @brief A table and a placement as one router has them.
+/// @brief The upstream table and placement of one router.
 struct RouterView {
   explicit RouterView(int engines,
                       uint64_t seed = 1,
@@ -78,7 +80,7 @@
     return placement.Choose(table, set, request, now);
   }
 
-  /// Ejects an engine by failures in a row.
+  /// Ejects an engine by consecutive failures.
   void Eject(int number, core::TimePoint now) {
     for (uint32_t i = 0; i < HealthOptions{}.consecutive_failures; ++i) {
       table.OnDispatch(EngineId(number));
--- a/tests/routing/unit-admission-queue.cc
+++ b/tests/routing/unit-admission-queue.cc
@@ -24,7 +24,7 @@
           admission_class,          At(start_by_ms),          1};
 }
 
-/// Starts at most one entry. @return its id, 0 when none started
+/// Starts at most one entry. @return its id; 0 when none started
 uint64_t StartOne(AdmissionQueue& queue, core::TimePoint now) {
   uint64_t started = 0;
   queue.Drain(now, [&started](const QueueEntry& entry) {
@@ -37,7 +37,8 @@
   return started;
 }
 
-/// Feeds and drains so that the queue has measured a start every `interval`.
+/// Queues and starts entries so that the queue measures one start per
+/// `interval_ms`.
 void MeasureStartRate(AdmissionQueue& queue,
                       int64_t interval_ms,
                       int64_t until_ms) {
@@ -55,10 +56,12 @@
 TEST_GROUP(AdmissionQueue){};
 // clang-format on
 
-TEST(AdmissionQueue, gate_goes_first_and_every_itinerary_starts_in_the_end) {
-  // Gate work arrives as fast as it is served, for as long as the run lasts.
-  // It is started almost at once, yet the 20 itineraries that wait all start:
-  // one start in ten is theirs.
+TEST(AdmissionQueue,
+     gate_has_priority_and_every_batch_entry_starts_eventually) {
+  // Guards against starvation of BATCH entries. GATE entries arrive as fast as
+  // they are served during the whole test and start almost immediately. The 20
+  // waiting BATCH entries still all start, because one start in ten is reserved
+  // for them.
   AdmissionQueue queue({}, Seeded(1));
   for (uint64_t i = 1; i <= 20; ++i) {
     CHECK(!queue.Offer(Entry(i, v1::BATCH, 1'000'000), At(0)).refused);
@@ -82,10 +85,11 @@
   CHECK(longest_gate_wait <= 2);
 }
 
-TEST(AdmissionQueue, each_offered_request_leaves_exactly_once) {
-  // Random load far above capacity with callers going away, a full queue and
-  // displaced itineraries. Each request ends in one way: started, refused with
-  // a type, removed by its caller, or refused at the drain. None vanishes.
+TEST(AdmissionQueue, each_offered_request_ends_exactly_once) {
+  // Random load far above capacity, with callers that disconnect, a full queue
+  // and displaced BATCH entries. Each request must end exactly once: started,
+  // refused with a type, removed for its caller, or refused at the drain. None
+  // may be lost.
   const RandomSource random = Seeded(42);
   AdmissionQueueOptions options;
   options.capacity = 40;
@@ -141,9 +145,11 @@
   CHECK(displaced > 0);
 }
 
-TEST(AdmissionQueue, a_gate_request_displaces_the_latest_itinerary) {
-  // The queue is full when a gate scan arrives. The itinerary with the most
-  // time left is told at once to come back; the scan waits in its place.
+TEST(AdmissionQueue,
+     a_gate_request_displaces_the_batch_entry_with_the_latest_deadline) {
+  // The queue is full when a GATE request arrives. The BATCH entry with the
+  // latest deadline is refused at once with a retry time, and the GATE request
+  // takes its place.
   AdmissionQueueOptions options;
   options.capacity = 4;
   options.batch_share = 1;
@@ -160,9 +166,11 @@
   CHECK(batch.refused->error.id == core::ErrorId::kQueueFull);
 }
 
-TEST(AdmissionQueue, a_request_that_cannot_make_it_is_refused_at_once) {
-  // Starts happen every 100 ms and 10 wait. A caller with 500 ms left would
-  // get its refusal only after those, when nothing else can be tried.
+TEST(AdmissionQueue,
+     a_request_that_would_miss_its_deadline_is_refused_at_once) {
+  // One entry starts every 100 ms and 10 wait. Without an early refusal, a
+  // caller whose deadline is too close would be refused only after the entries
+  // before it, too late to try anything else.
   AdmissionQueue queue({}, Seeded(1));
   MeasureStartRate(queue, 100, 2000);
   for (uint64_t i = 1; i <= 10; ++i) {
@@ -170,7 +178,7 @@
   }
   const OfferOutcome late =
       queue.Offer(Entry(11, v1::BATCH, 2500, "x"), At(2000));
-  CHECK(!late.refused);  // accounts take turns: only one goes before it
+  CHECK(!late.refused);  // accounts take turns: only one entry is before it
   const OfferOutcome same = queue.Offer(Entry(12, v1::BATCH, 60'001), At(2000));
   CHECK(!same.refused);
   const OfferOutcome predicted_late =
@@ -178,10 +186,11 @@
   CHECK(predicted_late.refused->error.id == core::ErrorId::kDeadlineTooShort);
 }
 
-TEST(AdmissionQueue, waiting_work_is_given_up_when_service_slows_down) {
-  // Ten requests with 3 s each were taken in at a start every 100 ms. Then the
-  // upstreams slow down to one start every 5 s. Those at the back are told
-  // long before their deadline.
+TEST(AdmissionQueue,
+     waiting_entries_are_refused_early_when_service_slows_down) {
+  // Ten requests with 18 s left were queued at a rate of one start every 100
+  // ms. Then the upstreams slow down to one start every 5 s. The entries at the
+  // end of the queue must be refused well before their deadline.
   AdmissionQueue queue({}, Seeded(1));
   MeasureStartRate(queue, 100, 2000);
   for (uint64_t i = 1; i <= 10; ++i) {
@@ -219,10 +228,11 @@
   CHECK(last <= Millis(12'000));
 }
 
-TEST(AdmissionQueue, an_old_rate_does_not_refuse_work_of_another_day) {
-  // At night an upstream was slow: a start every 3 s. In the morning two gate
-  // scans arrive together, each with 2 s. By the old rate the second could not
-  // make it, though nothing waits and all upstreams are idle.
+TEST(AdmissionQueue, an_expired_rate_does_not_refuse_new_requests) {
+  // During the night an upstream was slow, with one start every 3 s. In the
+  // morning two GATE requests arrive together, each with 2 s left. By the old
+  // rate the second would be refused, although nothing waits and all upstreams
+  // are idle.
   AdmissionQueue queue({}, Seeded(1));
   for (uint64_t i = 1; i <= 20; ++i) {
     queue.Offer(Entry(i, v1::GATE, 1'000'000), At(0));
@@ -239,8 +249,8 @@
 }
 
 TEST(AdmissionQueue, accounts_of_one_class_take_turns) {
-  // A large account queues 200 itineraries before a small one queues 5. The
-  // small one's are not behind all of them: it gets every other start.
+  // A large account queues 200 BATCH entries before a small account queues 5.
+  // The small account does not wait for all of them but gets every other start.
   AdmissionQueue queue({}, Seeded(1));
   for (uint64_t i = 1; i <= 200; ++i) {
     queue.Offer(Entry(i, v1::BATCH, 100'000, "large"), At(0));
@@ -255,7 +265,7 @@
   LONGS_EQUAL(5, small);
 }
 
-TEST(AdmissionQueue, one_account_cannot_take_all_places) {
+TEST(AdmissionQueue, one_account_cannot_fill_the_queue) {
   AdmissionQueueOptions options;
   options.interactive_share = 0.9;
   options.account_share = 2;
@@ -271,7 +281,7 @@
   CHECK(!queue.Offer(small, At(0)).refused);
 }
 
-TEST(AdmissionQueue, within_an_account_the_earliest_deadline_goes_first) {
+TEST(AdmissionQueue, entries_of_an_account_start_by_earliest_deadline) {
   AdmissionQueue queue({}, Seeded(1));
   queue.Offer(Entry(1, v1::INTERACTIVE, 9000), At(0));
   queue.Offer(Entry(2, v1::INTERACTIVE, 3000), At(0));
@@ -281,9 +291,9 @@
   LONGS_EQUAL(1, StartOne(queue, At(3)));
 }
 
-TEST(AdmissionQueue, a_blocked_lane_does_not_hold_up_another) {
-  // The rule of request 1 allows only busy engines; request 2 of the same
-  // account, behind it, may go elsewhere.
+TEST(AdmissionQueue, a_blocked_lane_does_not_block_another) {
+  // The rule of request 1 allows only busy engines. Request 2 of the same
+  // account, which is behind it, may use other engines.
   AdmissionQueue queue({}, Seeded(1));
   queue.Offer(Entry(1, v1::BATCH, 5000), At(0));
   QueueEntry other = Entry(2, v1::BATCH, 9000);
--- a/tests/routing/unit-placement.cc
+++ b/tests/routing/unit-placement.cc
@@ -28,10 +28,10 @@
 TEST_GROUP(Placement){};
 // clang-format on
 
-TEST(Placement, own_dispatches_count_between_late_load_reports) {
-  // Every engine but one reports a load of 20, and no report comes for a
-  // while. A router that trusts the report alone sends all of its next 100
-  // requests to the one that looked idle, which then has the longest queue.
+TEST(Placement, own_dispatches_count_between_load_reports) {
+  // Every engine but one reports a load of 20, and then no report arrives for a
+  // while. A router that used the reports alone would send all of its next 100
+  // requests to the idle engine and overload it.
   for (const PlacementPolicy& policy :
        {LeastOfTwo(Seeded(7)), OrderedCriteria(), DefaultPolicy(Seeded(8))}) {
     RouterView view(kEngines, 1, policy);
@@ -47,10 +47,10 @@
   }
 }
 
-TEST(Placement, one_prefix_stays_with_its_owner_until_that_is_loaded) {
-  // A school party sends many requests with one prompt prefix. They share a
-  // warm cache at one engine; once it has clearly more than the mean, the next
-  // in rank takes over, so that affinity never becomes a hot spot.
+TEST(Placement, a_prefix_stays_with_its_owner_up_to_the_load_bound) {
+  // Many requests with one prompt prefix share the prefix cache of one engine.
+  // Once the load of that engine is clearly above the mean, the next in rank
+  // takes over, so that affinity does not create a hot spot.
   RouterView view(kEngines);
   PlacementRequest request;
   request.affinity = core::Hash64("tours assistant, school party");
@@ -65,7 +65,7 @@
   CHECK(view.Choose(At(3), request).reason == ChoiceReason::kPrefixOverflow);
 }
 
-TEST(Placement, an_upstream_that_comes_moves_few_prefixes) {
+TEST(Placement, an_added_upstream_moves_few_prefixes) {
   RouterView before(kEngines);
   RouterView after(kEngines + 1);
   int moved = 0;
@@ -93,7 +93,7 @@
   CHECK(times.size() > 1500);
 }
 
-TEST(Placement, a_tried_upstream_is_taken_again_only_as_the_last) {
+TEST(Placement, a_tried_upstream_is_reused_only_when_no_other_is_usable) {
   RouterView view(2);
   PlacementRequest request;
   request.exclude = {EngineId(0)};
@@ -104,7 +104,7 @@
   CHECK(view.Choose(At(0), request).upstream == EngineId(0));
 }
 
-TEST(Placement, it_tells_busy_from_dead_from_unknown) {
+TEST(Placement, the_reason_distinguishes_busy_ejected_and_unconfigured) {
   RouterView view(1);
   for (int i = 0; i < 64; ++i) {
     view.table.OnDispatch(EngineId(0));
@@ -117,9 +117,10 @@
         ChoiceReason::kNoCandidate);
 }
 
-TEST(Placement, ordered_criteria_put_a_short_queue_before_preference) {
-  // The paper's example: the copy that meets an earlier criterion wins even
-  // though the list was sorted with the other one first.
+TEST(Placement, ordered_criteria_take_precedence_over_preference) {
+  // The example of the Best Copy Selection paper: the candidate that meets an
+  // earlier criterion is chosen, although another one is first in the sorted
+  // list.
   RouterView view(3, 1, OrderedCriteria());
   view.table.OnLoad(EngineId(0), {40, 0}, At(0));
   view.table.OnLoad(EngineId(1), {10, 8}, At(0));
@@ -130,7 +131,7 @@
   LONGS_EQUAL(5, decision.criterion);
 }
 
-TEST(Placement, a_rule_with_a_list_restricts_the_candidates) {
+TEST(Placement, a_rule_that_lists_upstreams_restricts_the_candidates) {
   RouterView view(4);
   const std::vector<core::UpstreamId> allowed{EngineId(1), EngineId(3),
                                               core::UpstreamId("unknown")};
--- a/tests/routing/unit-rate-limiter.cc
+++ b/tests/routing/unit-rate-limiter.cc
@@ -15,7 +15,7 @@
 const core::AccountId kTours("tours");
 constexpr size_t kRouters = 7;
 
-/// Routers that tell each other their demand every 500 ms.
+/// Routers that exchange their demand every 500 ms.
 struct Fleet {
   explicit Fleet(uint32_t limit) : routers(kRouters) {
     for (RateLimiter& router : routers) {
@@ -46,9 +46,9 @@
 // clang-format on
 
 TEST(RateLimiter, an_account_at_one_router_gets_nearly_the_whole_limit) {
-  // Callers keep the address that the fleet gave them, so an account's work is
-  // at one router of seven. Equal shares would refuse six sevenths of what the
-  // account is entitled to.
+  // Callers keep using the address that they were given, so all requests of an
+  // account may arrive at one of seven routers. Equal shares would refuse six
+  // sevenths of the account's limit.
   Fleet fleet(70);
   int admitted = 0;
   for (int64_t now = 0; now < 20'000; now += 10) {
--- a/tests/routing/unit-retry-policy.cc
+++ b/tests/routing/unit-retry-policy.cc
@@ -32,9 +32,9 @@
 // clang-format on
 
 TEST(RetryPolicy, a_full_outage_does_not_multiply_the_requests) {
-  // All engines fail for a minute under 100 requests a second. Retrying each
-  // twice triples the load on engines that try to come back; the budget keeps
-  // it near a tenth.
+  // All engines fail for a minute under 100 requests per second. Retrying each
+  // request twice would triple the load on recovering engines; the budget
+  // limits the retries to about a tenth of the requests.
   RetryPolicy policy({}, Seeded(1));
   int requests = 0;
   int retries = 0;
@@ -53,9 +53,11 @@
   CHECK(retries <= requests * 12 / 100);
 }
 
-TEST(RetryPolicy, a_seat_hold_is_not_repeated_once_bytes_were_sent) {
-  // The engine closed after it took the request. The hold may exist: a second
-  // one blocks a paid party, so the caller hears that the outcome is unknown.
+TEST(RetryPolicy,
+     a_non_idempotent_request_is_not_retried_once_bytes_were_sent) {
+  // The engine closed the connection after it received a seat hold. The hold
+  // may exist, and a second one would block a party that has paid, so the
+  // caller is told that the outcome is unknown.
   const RetryDecision sent = DecideOnce(Failed(AttemptEnd::kFailed, false));
   CHECK(std::get<GiveUp>(sent).error.id == core::ErrorId::kOutcomeUnknown);
   CHECK(std::get<GiveUp>(sent).run_state == core::RunState::kUnknown);
@@ -67,14 +69,15 @@
   CHECK(std::get<Retry>(not_sent).exclude.front() == EngineId(0));
 }
 
-TEST(RetryPolicy, an_answer_that_was_begun_is_not_begun_again) {
+TEST(RetryPolicy,
+     a_request_is_not_retried_after_part_of_the_answer_was_forwarded) {
   FailedAttempt failed = Failed(AttemptEnd::kFailed, true);
   failed.forwarded_bytes = true;
   const RetryDecision decision = DecideOnce(failed);
   CHECK(std::get<GiveUp>(decision).error.id == core::ErrorId::kAnswerCut);
 }
 
-TEST(RetryPolicy, attempts_and_the_deadline_end_the_retries) {
+TEST(RetryPolicy, retries_end_at_the_attempt_limit_or_the_deadline) {
   FailedAttempt failed = Failed(AttemptEnd::kFailed, true);
   failed.attempts = RetryPolicyOptions{}.max_attempts;
   CHECK(std::holds_alternative<GiveUp>(DecideOnce(failed)));
@@ -84,7 +87,8 @@
   CHECK(std::holds_alternative<GiveUp>(DecideOnce(failed)));
 }
 
-TEST(RetryPolicy, work_that_did_not_run_is_refused_as_such_without_budget) {
+TEST(RetryPolicy,
+     a_request_that_did_not_run_is_reported_as_not_run_without_budget) {
   RetryPolicyOptions options;
   options.per_account = {0.1, 0, 1};
   RetryPolicy policy(options, Seeded(1));
@@ -97,7 +101,7 @@
   CHECK(give_up.retry_after.has_value());
 }
 
-TEST(RetryPolicy, one_failing_upstream_does_not_spend_the_others_budget) {
+TEST(RetryPolicy, a_failing_upstream_does_not_spend_the_budget_of_others) {
   RetryPolicyOptions options;
   options.per_upstream = {0.1, 0, 2};
   RetryPolicy policy(options, Seeded(1));
--- a/tests/routing/unit-upstream-table.cc
+++ b/tests/routing/unit-upstream-table.cc
@@ -28,10 +28,11 @@
 TEST_GROUP(UpstreamTable){};
 // clang-format on
 
-TEST(UpstreamTable, a_leaving_upstream_gets_no_new_work_and_keeps_its_own) {
-  // An operator drains a VM. The VM list shows it as leaving while one answer
-  // still streams. New work at it would be cut off when the VM goes; the one
-  // in progress must stay counted until it ends.
+TEST(UpstreamTable,
+     a_leaving_upstream_gets_no_new_requests_and_keeps_its_attempts) {
+  // An operator drains a VM, and the VM list shows it as leaving while an
+  // answer is still streaming. New requests would be cut off when the VM stops.
+  // The attempt in progress must stay counted until it ends.
   RouterView view(3);
   view.table.OnDispatch(EngineId(1));
   view.table.SetLeaving(EngineId(1), true);
@@ -42,10 +43,11 @@
   CHECK(TimesChosen(view, 1, 200, At(1)) > 0);
 }
 
-TEST(UpstreamTable, an_upstream_dropped_by_a_configuration_ends_its_attempts) {
-  // A configuration without engine 2 comes in force while it streams. Its end
-  // arrives later: the table must neither lose count nor give it new work, and
-  // must forget it afterwards.
+TEST(UpstreamTable,
+     an_upstream_removed_from_the_configuration_ends_its_attempts) {
+  // A configuration without engine 2 is applied while the engine is streaming.
+  // Until the attempt ends, the table must count it and send no new requests
+  // there; afterwards it must delete the entry.
   RouterView view(3);
   view.table.OnDispatch(EngineId(2));
   view.table.SetUpstreams(Engines(2));
@@ -67,9 +69,10 @@
   CHECK(UsabilityOf(view, 0, At(2)) == Usability::kUsable);
 }
 
-TEST(UpstreamTable, an_ejected_upstream_is_probed_with_growing_pauses) {
-  // An engine crashes. Work stops going there after three failures; probes ask
-  // whether it is back, ever more rarely, so that a dead address costs little.
+TEST(UpstreamTable, an_ejected_upstream_is_probed_at_growing_intervals) {
+  // An engine crashes and gets no more requests after three failures. It is
+  // probed at growing intervals, so that an address that stays down costs
+  // little.
   RouterView view(3);
   view.Eject(0, At(0));
   LONGS_EQUAL(0, TimesChosen(view, 0, 100, At(0)));
@@ -86,9 +89,10 @@
   CHECK(probed_at.back() - probed_at[probed_at.size() - 2] >= 2000);
 }
 
-TEST(UpstreamTable, a_fleet_that_is_ejected_whole_is_probed_little_by_little) {
-  // A cut takes all 100 engines away. Their probes come due together; sent at
-  // once by every router they would be a burst of their own. None is forgotten.
+TEST(UpstreamTable, probes_of_a_fully_ejected_fleet_are_spread_over_time) {
+  // A network partition makes all 100 engines unreachable, and their probes
+  // become due together. Sent at once by every router, they would be a burst of
+  // load. No engine may be left out.
   RouterView view(100);
   for (int number = 0; number < 100; ++number) {
     view.Eject(number, At(0));
@@ -102,9 +106,9 @@
   LONGS_EQUAL(100, probed);
 }
 
-TEST(UpstreamTable, a_lost_probe_is_made_again) {
-  // The probe's connection goes silent for good and no result ever comes. The
-  // upstream must not stay ejected for ever.
+TEST(UpstreamTable, a_probe_without_a_result_is_repeated) {
+  // The connection of a probe goes silent and no result ever arrives. The
+  // upstream must not stay ejected forever.
   RouterView view(2);
   view.Eject(0, At(0));
   LONGS_EQUAL(1, view.table.TakeProbesDue(At(1000)).size());
@@ -112,9 +116,10 @@
   LONGS_EQUAL(1, view.table.TakeProbesDue(At(3100)).size());
 }
 
-TEST(UpstreamTable, a_returned_upstream_starts_slowly) {
-  // Engine 0 is back with a cold cache. Given its full share at once, queues
-  // form there and it is ejected again; its share ramps up instead.
+TEST(UpstreamTable, a_readmitted_upstream_starts_slowly) {
+  // Engine 0 is readmitted with a cold cache. With its full share at once,
+  // queues would form there and it would be ejected again, so its share ramps
+  // up.
   RouterView view(2);
   view.Eject(0, At(0));
   view.table.TakeProbesDue(At(1000));
@@ -130,9 +135,9 @@
 }
 
 TEST(UpstreamTable, one_silent_connection_does_not_eject_its_upstream) {
-  // Something between the two ends loses track of a few connections: they go
-  // silent while others at the same engine are answered. The connection is to
-  // blame. When nothing is answered any more, the engine is.
+  // A network device loses the state of a few connections, which go silent
+  // while others at the same engine are answered. These failures must not count
+  // against the engine. When no attempt is answered any more, they must.
   RouterView view(2);
   const auto silent = [&view](int64_t now) {
     view.table.OnDispatch(EngineId(0));
@@ -150,9 +155,9 @@
   CHECK(UsabilityOf(view, 0, At(3003)) == Usability::kEjected);
 }
 
-TEST(UpstreamTable, upstreams_that_fail_in_part_are_still_a_last_resort) {
-  // Both case-record servers fail two calls of three. Ejecting both would
-  // refuse the lookups that would have been answered.
+TEST(UpstreamTable, partially_failing_upstreams_are_used_as_a_last_resort) {
+  // All upstreams of a service fail two calls of three. Ejecting them
+  // completely would refuse the calls that would have been answered.
   RouterView view(1);
   for (int i = 0; i < 60; ++i) {
     view.table.OnDispatch(EngineId(0));
@@ -177,7 +182,8 @@
   CHECK(view.table.Inspect(slot, v1::INTERACTIVE, {}, At(301)).limit < 16);
 }
 
-TEST(UpstreamTable, gate_work_may_pass_the_adaptive_limit_up_to_the_cap) {
+TEST(UpstreamTable,
+     gate_requests_may_exceed_the_adaptive_limit_up_to_the_hard_cap) {
   RouterView view(1);
   const auto slot = *view.table.SlotOf(EngineId(0));
   for (int i = 0; i < 16; ++i) {
@@ -195,7 +201,7 @@
   CHECK(usability(v1::GATE) == Usability::kBusy);
 }
 
-TEST(UpstreamTable, a_standing_queue_lowers_the_limit_and_health_raises_it) {
+TEST(UpstreamTable, a_standing_queue_lowers_the_limit_and_successes_raise_it) {
   RouterView view(1);
   const auto slot = *view.table.SlotOf(EngineId(0));
   const auto limit = [&view, slot] {
--- a/tests/rules/unit-first-match.cc
+++ b/tests/rules/unit-first-match.cc
@@ -160,7 +160,7 @@
          config::UpstreamIds{core::UpstreamId("e1"), core::UpstreamId("e3")}));
 }
 
-TEST(FirstMatch, a_refusal_carries_its_reason_and_when_to_come_back) {
+TEST(FirstMatch, a_refusal_carries_its_reason_and_retry_after) {
   v1::Rule& rule = *m_configuration.add_rules();
   rule.set_id("closed");
   rule.mutable_then()->mutable_refuse()->set_reason("closed for the season");
--- a/tests/rules/unit-index-equivalence.cc
+++ b/tests/rules/unit-index-equivalence.cc
@@ -33,7 +33,7 @@
   for (uint32_t i = Below(random, 3); i > 0; --i) {
     when.add_accounts(Name("a", Below(random, 6)));
   }
-  // Rules with many models pass the index's bound of entries a rule.
+  // Rules with many models exceed the maximum number of index entries per rule.
   const uint32_t models = Below(random, 8) == 0 ? 70 : Below(random, 2);
   for (uint32_t i = 0; i < models; ++i) {
     when.add_models(Name("m", Below(random, 80)));
@@ -88,7 +88,7 @@
   if (!when.has_time_window()) {
     return true;
   }
-  // Walk the window minute by minute.
+  // Steps through the window minute by minute.
   uint32_t at = when.time_window().from_minute();
   while (at != when.time_window().until_minute()) {
     if (at == minute) {
@@ -113,7 +113,7 @@
   return true;
 }
 
-// Reads the schema's words one by one, without the compiled form.
+// Evaluates the fields of the schema directly, without the compiled form.
 bool MatchesBySchema(const v1::When& when,
                      const rules::RequestFacts& facts,
                      const Headers& headers) {
@@ -186,7 +186,7 @@
 TEST_GROUP(IndexEquivalence){};
 // clang-format on
 
-TEST(IndexEquivalence, the_index_and_the_scan_decide_as_the_schema_reads) {
+TEST(IndexEquivalence, index_and_linear_scan_decide_as_the_schema_defines) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Random random(seed);
     const v1::Configuration configuration = RandomRules(random);
