--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -52,7 +52,7 @@
   CrashMonitor& crash_monitor;
   EventLog& log;
   GatewayMetrics& metrics;
-  routing::RandomHook random;
+  routing::RandomSource random;
   std::function<entry::ConfigurationView()> configuration;
   /// Requests a higher ceiling; calls the handler when it is granted.
   std::function<void(std::function<void()> on_grant)> wait_for_grant;
--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -162,7 +162,7 @@
   entry::Policy m_policy;
   PlatformAdapter m_adapter;
   KeyedStore m_store;
-  routing::RandomHook m_random;
+  routing::RandomSource m_random;
   EventLog m_log;
   GatewayMetrics m_metrics;
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -30,7 +30,7 @@
 constexpr core::Duration kClosingTimeout{400'000};
 constexpr core::Duration kDrainQuietTime{1'500'000};
 
-routing::RandomHook SeededRandom() {
+routing::RandomSource SeededRandom() {
   constexpr unsigned kSeedWordBits = 32;
   std::random_device device;
   const uint64_t high = device();
--- a/src/gateway/heartbeat_writer.cc
+++ b/src/gateway/heartbeat_writer.cc
@@ -7,7 +7,7 @@
 HeartbeatWriter::HeartbeatWriter(boost::asio::io_context& io,
                        HeartbeatOptions options,
                        const KeyedStore& store,
-                       routing::RandomHook random,
+                       routing::RandomSource random,
                        Hooks hooks)
     : m_options(std::move(options)),
       m_store(store),
--- a/src/routing/upstream_table.cc
+++ b/src/routing/upstream_table.cc
@@ -11,15 +11,15 @@
 
 namespace {
 
-/// A standing queue of more than this share of the running requests means that
-/// the upstream has more work than its batch takes.
+/// A queue longer than the running requests divided by this means that the
+/// upstream has more requests than fit into its batch.
 constexpr uint32_t kQueueShareOfRunning = 16;
-constexpr uint32_t kQueueAlwaysAllowed = 1;
-constexpr core::Duration kProbeResolution{10'000};
+constexpr uint32_t kMinStandingQueue = 1;
+constexpr core::Duration kProbeScanInterval{10'000};
 
 bool HasStandingQueue(const LoadReport& load) {
   return load.queued >
-         std::max(kQueueAlwaysAllowed, load.running / kQueueShareOfRunning);
+         std::max(kMinStandingQueue, load.running / kQueueShareOfRunning);
 }
 
 std::string RuleKey(const WorkTarget& target, const core::RuleId& rule) {
@@ -45,8 +45,8 @@
   uint64_t id_hash;
   ConcurrencyLimit limit;
   Health health;
-  bool leaving = false;  ///< by the VM list
-  bool removed = false;  ///< by the configuration
+  bool leaving = false;  ///< shown as leaving by the VM list
+  bool removed = false;  ///< no longer in the configuration
   uint32_t own = 0;
   double others = 0;
   uint32_t queued = 0;
@@ -55,7 +55,7 @@
   core::TimePoint held_off_until{};
 };
 
-UpstreamTable::UpstreamTable(UpstreamTableOptions options, RandomHook random)
+UpstreamTable::UpstreamTable(UpstreamTableOptions options, RandomSource random)
     : m_options(options), m_random(std::move(random)) {}
 
 UpstreamTable::~UpstreamTable() = default;
@@ -64,7 +64,7 @@
   std::unordered_set<core::UpstreamId> kept;
   for (const UpstreamInfo& info : upstreams) {
     kept.insert(info.id);
-    Install(info);
+    AddOrUpdate(info);
   }
   std::vector<core::UpstreamId> gone;
   for (const auto& [id, slot] : m_slots) {
@@ -74,21 +74,21 @@
   }
   for (const core::UpstreamId& id : gone) {
     FindEntry(id)->removed = true;
-    ForgetIfIdle(id);
+    RemoveIfIdle(id);
   }
-  IndexSets();
+  RebuildCandidateSets();
 }
 
-void UpstreamTable::Install(const UpstreamInfo& info) {
+void UpstreamTable::AddOrUpdate(const UpstreamInfo& info) {
   Entry* known = FindEntry(info.id);
   if (known == nullptr) {
-    m_slots[info.id] = TakeFreeSlot();
+    m_slots[info.id] = AllocateSlot();
     m_entries[m_slots[info.id]] = std::make_unique<Entry>(info, m_options);
     return;
   }
   if (known->info.address != info.address) {
-    // Another process: nothing learned holds, but attempts at the old address
-    // still end under this id.
+    // A different process: the learned state does not apply to it, but attempts
+    // at the old address still end under this id.
     const uint32_t own = known->own;
     *known = Entry(info, m_options);
     known->own = own;
@@ -100,7 +100,7 @@
   known->limit.SetHardCap(info.max_concurrency);
 }
 
-size_t UpstreamTable::TakeFreeSlot() {
+size_t UpstreamTable::AllocateSlot() {
   if (m_free_slots.empty()) {
     m_entries.emplace_back();
     return m_entries.size() - 1;
@@ -110,7 +110,7 @@
   return slot;
 }
 
-void UpstreamTable::IndexSets() {
+void UpstreamTable::RebuildCandidateSets() {
   m_by_model.clear();
   m_by_service.clear();
   m_by_rule.clear();
@@ -161,7 +161,8 @@
   if (entry == nullptr) {
     return;
   }
-  // A reported queue says directly what latency only hints at: prompts differ.
+  // A reported queue is a direct signal of overload. Latency is only an
+  // indirect one, because it also depends on the prompt.
   if (!entry->reported) {
     entry->limit.OnLatency(latency, now);
   }
@@ -187,7 +188,7 @@
   if (load) {
     OnLoad(id, *load, now);
   }
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnDeclined(const core::UpstreamId& id,
@@ -201,13 +202,13 @@
   entry->limit.OnOverload(now);
   const core::Duration pause =
       std::min(retry_after.value_or(m_options.default_hold_off),
-               m_options.longest_hold_off);
+               m_options.max_hold_off);
   entry->held_off_until = std::max(entry->held_off_until, now + pause);
   EndAttempt(*entry);
   if (load) {
     OnLoad(id, *load, now);
   }
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnFailed(const core::UpstreamId& id,
@@ -218,9 +219,9 @@
     return;
   }
   entry->health.OnFailure(kind, now, m_random);
-  NoteHealth(*entry, now);
+  UpdateEjectedSlots(*entry, now);
   EndAttempt(*entry);
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnNotSent(const core::UpstreamId& id, core::TimePoint now) {
@@ -229,9 +230,9 @@
     return;
   }
   entry->health.OnNotSent(now, m_random);
-  NoteHealth(*entry, now);
+  UpdateEjectedSlots(*entry, now);
   EndAttempt(*entry);
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnCancelled(const core::UpstreamId& id) {
@@ -240,7 +241,7 @@
     return;
   }
   EndAttempt(*entry);
-  ForgetIfIdle(id);
+  RemoveIfIdle(id);
 }
 
 void UpstreamTable::OnLoad(const core::UpstreamId& id,
@@ -250,18 +251,18 @@
   if (entry == nullptr) {
     return;
   }
-  // The report counts this router's attempts too. Kept apart, they can be
-  // replaced by the exact present number: between two late reports every
-  // router would otherwise send its work to the upstream that was idle at the
-  // last one, and all of them at once.
+  // The report includes this router's attempts. They are subtracted and
+  // replaced by their exact current number. Otherwise all routers would send
+  // their requests to the upstream that was idle in the last report until the
+  // next one arrives.
   const uint32_t total = load.running + load.queued;
   const double others = total > entry->own ? total - entry->own : 0;
   const double gap_us = static_cast<double>((now - entry->reported_at).count());
-  const double memory_us =
+  const double time_constant_us =
       static_cast<double>(m_options.report_smoothing.count());
-  const double keep =
-      entry->reported && memory_us > 0 ? std::exp(-gap_us / memory_us) : 0;
-  entry->others = keep * entry->others + (1 - keep) * others;
+  const double decay =
+      entry->reported && time_constant_us > 0 ? std::exp(-gap_us / time_constant_us) : 0;
+  entry->others = decay * entry->others + (1 - decay) * others;
   entry->queued = load.queued;
   entry->reported = true;
   entry->reported_at = now;
@@ -272,23 +273,23 @@
 
 std::vector<ProbeDue> UpstreamTable::TakeProbesDue(core::TimePoint now) {
   std::vector<ProbeDue> due;
-  // Asked after every event: looking at each upstream each time would cost more
-  // than all other decisions in a large fleet.
-  if (m_ejected.empty() || now - m_probes_looked_at < kProbeResolution) {
+  // Called after every event. In a large fleet, checking each upstream every
+  // time would cost more than all other decisions.
+  if (m_ejected.empty() || now - m_last_probe_scan < kProbeScanInterval) {
     return due;
   }
-  m_probes_looked_at = now;
-  std::vector<size_t> in_turn(m_ejected.lower_bound(m_next_probed),
+  m_last_probe_scan = now;
+  std::vector<size_t> probe_order(m_ejected.lower_bound(m_next_probe_slot),
                               m_ejected.end());
-  in_turn.insert(in_turn.end(), m_ejected.begin(),
-                 m_ejected.lower_bound(m_next_probed));
-  for (const size_t slot : in_turn) {
+  probe_order.insert(probe_order.end(), m_ejected.begin(),
+                 m_ejected.lower_bound(m_next_probe_slot));
+  for (const size_t slot : probe_order) {
     Entry& entry = *m_entries[slot];
     if (entry.removed || entry.leaving) {
       continue;
     }
-    if (due.size() == m_options.probes_at_once) {
-      m_next_probed = slot;
+    if (due.size() == m_options.max_probes_per_call) {
+      m_next_probe_slot = slot;
       break;
     }
     if (entry.health.TakeProbeDue(now)) {
@@ -298,7 +299,7 @@
   return due;
 }
 
-void UpstreamTable::NoteHealth(const Entry& entry, core::TimePoint now) {
+void UpstreamTable::UpdateEjectedSlots(const Entry& entry, core::TimePoint now) {
   const size_t slot = m_slots.at(entry.info.id);
   if (entry.health.state(now) == HealthState::kEjected) {
     m_ejected.insert(slot);
@@ -316,7 +317,7 @@
     return;
   }
   entry->health.OnProbe(healthy, now, m_random);
-  NoteHealth(*entry, now);
+  UpdateEjectedSlots(*entry, now);
   if (load) {
     OnLoad(id, *load, now);
   }
@@ -328,13 +329,13 @@
     const std::vector<core::UpstreamId>& allowed) {
   const auto by_model = m_by_model.find(target.model);
   const auto by_service = m_by_service.find(target.service);
-  const CandidateSet* all = &m_none;
+  const CandidateSet* all = &m_empty_set;
   if (by_model != m_by_model.end()) {
     all = &by_model->second;
   } else if (by_service != m_by_service.end()) {
     all = &by_service->second;
   }
-  // Names come from callers: only known ones may take room in the cache.
+  // Target names come from callers, so only known ones are cached.
   if (allowed.empty() || all->empty()) {
     return *all;
   }
@@ -394,8 +395,8 @@
   double limit = entry.limit.value();
   switch (admission_class) {
     case v1::GATE:
-      // Engines honour priorities: gate work that waits here behind a limit
-      // that itineraries fill would wait longer than in the engine.
+      // Engines schedule by priority. A GATE request that waited here for a
+      // limit used up by BATCH requests would wait longer than in the engine.
       limit = entry.limit.hard_cap();
       break;
     case v1::BATCH:
@@ -416,7 +417,7 @@
     return Usability::kLeaving;
   }
   const bool ejected = entry.health.state(now) == HealthState::kEjected;
-  if (ejected && !entry.health.answers_some()) {
+  if (ejected && !entry.health.ejected_by_ratio()) {
     return Usability::kEjected;
   }
   if (now < entry.held_off_until) {
@@ -482,7 +483,7 @@
   }
 }
 
-void UpstreamTable::ForgetIfIdle(const core::UpstreamId& id) {
+void UpstreamTable::RemoveIfIdle(const core::UpstreamId& id) {
   const Entry* entry = FindEntry(id);
   if (entry == nullptr || !entry->removed || entry->own > 0) {
     return;
--- a/tests/rules/unit-index-equivalence.cc
+++ b/tests/rules/unit-index-equivalence.cc
@@ -33,7 +33,7 @@
   for (uint32_t i = Below(random, 3); i > 0; --i) {
     when.add_accounts(Name("a", Below(random, 6)));
   }
-  // Rules with many models pass the index's bound of entries a rule.
+  // Rules with many models exceed the maximum number of index entries per rule.
   const uint32_t models = Below(random, 8) == 0 ? 70 : Below(random, 2);
   for (uint32_t i = 0; i < models; ++i) {
     when.add_models(Name("m", Below(random, 80)));
@@ -78,17 +78,17 @@
 }
 
 template <typename List>
-bool EmptyOrHas(const List& list, std::string_view value) {
+bool EmptyOrContains(const List& list, std::string_view value) {
   return list.empty() ||
          std::any_of(list.begin(), list.end(),
                      [&](const std::string& item) { return item == value; });
 }
 
-bool WindowHolds(const v1::When& when, uint32_t minute) {
+bool WindowMatches(const v1::When& when, uint32_t minute) {
   if (!when.has_time_window()) {
     return true;
   }
-  // Walk the window minute by minute.
+  // Steps through the window minute by minute.
   uint32_t at = when.time_window().from_minute();
   while (at != when.time_window().until_minute()) {
     if (at == minute) {
@@ -99,22 +99,22 @@
   return false;
 }
 
-bool HeadersHold(const v1::When& when, const Headers& headers) {
+bool HeadersMatch(const v1::When& when, const Headers& headers) {
   for (const v1::HeaderMatch& wanted : when.headers()) {
-    bool held = false;
+    bool found = false;
     for (const auto& [name, value] : headers) {
-      held = held || (name == "x-kind" &&
+      found = found || (name == "x-kind" &&
                       (wanted.equals().empty() || wanted.equals() == value));
     }
-    if (!held) {
+    if (!found) {
       return false;
     }
   }
   return true;
 }
 
-// Reads the schema's words one by one, without the compiled form.
-bool HoldsBySchema(const v1::When& when,
+// Evaluates the fields of the schema directly, without the compiled form.
+bool MatchesBySchema(const v1::When& when,
                    const rules::RequestFacts& facts,
                    const Headers& headers) {
   bool path = when.path_prefixes().empty();
@@ -122,18 +122,18 @@
     path = path || facts.path.substr(0, prefix.size()) == prefix;
   }
   const int64_t size = facts.prompt.value();
-  const bool size_holds =
+  const bool size_matches =
       size >= when.min_prompt_bytes() &&
       (when.max_prompt_bytes() == 0 || size <= when.max_prompt_bytes());
-  const bool output_holds =
+  const bool output_matches =
       when.max_output_tokens_over() == 0 ||
       facts.max_output_tokens.value() > when.max_output_tokens_over();
-  return EmptyOrHas(when.accounts(), facts.account.value()) &&
-         EmptyOrHas(when.models(), facts.model.value()) &&
-         EmptyOrHas(when.services(), facts.service.value()) &&
-         EmptyOrHas(when.methods(), facts.method) && path && size_holds &&
-         output_holds && HeadersHold(when, headers) &&
-         WindowHolds(when, facts.minute_of_day);
+  return EmptyOrContains(when.accounts(), facts.account.value()) &&
+         EmptyOrContains(when.models(), facts.model.value()) &&
+         EmptyOrContains(when.services(), facts.service.value()) &&
+         EmptyOrContains(when.methods(), facts.method) && path && size_matches &&
+         output_matches && HeadersMatch(when, headers) &&
+         WindowMatches(when, facts.minute_of_day);
 }
 
 std::string RuleOf(const rules::Decision& decision) {
@@ -145,7 +145,7 @@
                          const rules::RequestFacts& facts,
                          const Headers& headers) {
   for (const v1::Rule& rule : configuration.rules()) {
-    if (HoldsBySchema(rule.when(), facts, headers)) {
+    if (MatchesBySchema(rule.when(), facts, headers)) {
       return rule.id();
     }
   }
@@ -186,7 +186,7 @@
 TEST_GROUP(IndexEquivalence){};
 // clang-format on
 
-TEST(IndexEquivalence, the_index_and_the_scan_decide_as_the_schema_reads) {
+TEST(IndexEquivalence, index_and_linear_scan_decide_as_the_schema_defines) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Random random(seed);
     const v1::Configuration configuration = RandomRules(random);
