--- a/include/coppervalve/entry/admission.h
+++ b/include/coppervalve/entry/admission.h
@@ -12,41 +12,42 @@
 
 namespace coppervalve::entry {
 
-/// @brief What a caller asks for, free of how it was put.
+/// @brief The facts of a request, independent of the protocol it arrived in.
 struct RequestFacts {
-  std::string id;  ///< of this one attempt of the caller
+  std::string id;  ///< unique to this attempt of the caller
   std::string host;
   std::string target;
-  std::string key;            ///< empty when none was sent
-  core::Duration patience{};  ///< how long the caller waits; 0 = not said
+  std::string key;            ///< API key; empty if none was sent
+  core::Duration patience{};  ///< caller's timeout; 0 = unknown
   core::Tokens prompt{};
   core::Tokens most_output{};
-  std::string shared_prefix;  ///< parts of the prompt shared with others
+  std::string shared_prefix;  ///< prompt prefix shared with other requests
   core::Tokens shared_tokens{};
-  std::string resume_after;  ///< id of the last event the caller has
+  std::string resume_after;  ///< id of the last event the caller received
 };
 
-/// @brief A request that may be sent.
+/// @brief A request that passed admission and may be sent.
 struct Admitted {
-  std::shared_ptr<const InForce> in_force;  ///< keeps `route` and `account`
+  std::shared_ptr<const InForce> in_force;  ///< owns `route` and `account`
   const Route* route = nullptr;
   const Account* account = nullptr;  ///< null on a public route
   core::ServiceId service;
-  core::Duration limit{};  ///< from arrival to the final answer
+  core::Duration limit{};  ///< from arrival to the end of the response
   uint8_t priority = 0;
 };
 
-/// @brief How far this router's configuration can be trusted.
+/// @brief The router's configuration and how current it is.
 struct ConfigurationView {
-  std::shared_ptr<const InForce> in_force;  ///< null: none yet
-  /// No newer one can have been in force for long.
+  std::shared_ptr<const InForce> in_force;  ///< null if none was read yet
+  /// True if a newer configuration can't have been in force for long.
   bool fresh = false;
-  /// Too old to go on honouring keys that may have been taken away.
+  /// True if the configuration is too old to accept keys that may have been
+  /// revoked since.
   bool keys_expired = false;
 };
 
-/// @brief Decides by the configuration alone.
-/// @param draw uniform bits
+/// @brief Admits or rejects a request by the configuration alone.
+/// @param draw uniformly distributed random bits
 /// @return kNotReady without a configuration, kNotFound, kUnauthorized, or
 /// kConfigurationStale where a newer configuration may decide otherwise
 core::Result<Admitted> Admit(const ConfigurationView& view,
--- a/include/coppervalve/entry/configuration.h
+++ b/include/coppervalve/entry/configuration.h
@@ -11,66 +11,69 @@
 
 namespace coppervalve::entry {
 
-/// @brief What may be repeated of a request.
+/// @brief Whether a request may be repeated.
 enum class RouteKind : uint8_t {
   kIdempotent,  ///< may run more than once
-  kAtMostOnce,  ///< runs once at most
+  kAtMostOnce,  ///< must not run more than once
   kStream,      ///< server-sent events; at most once unless `resumable`
 };
 
-/// @brief A service with its share of a route's requests.
+/// @brief A service and its weight among the services of a route.
 struct WeightedService {
   core::ServiceId service;
   uint32_t weight = 1;
 };
 
-/// @brief One when-then rule: when host and path prefix match, then these
-/// services. Among the rules of a host the longest matching prefix decides.
+/// @brief A routing rule: requests that match the host and the path prefix go
+/// to these services. Among the rules of a host the longest matching prefix
+/// applies.
 struct Route {
   core::RuleId name;
   std::string host;
   std::string prefix;  ///< begins and ends with a slash
   RouteKind kind = RouteKind::kAtMostOnce;
   bool resumable = false;
-  bool is_public = false;  ///< needs no key
+  bool is_public = false;  ///< no API key required
   bool prefix_affinity = false;
-  uint32_t max_attempts = 1;  ///< upstreams one request may be sent to
-  uint8_t priority = 0;       ///< 0 first
+  uint32_t max_attempts = 1;  ///< upstreams that one request may be sent to
+  uint8_t priority = 0;       ///< 0 is the most urgent
   core::Duration timeout{};
   core::Duration target_latency{};
-  core::Duration target_gap{};  ///< between events of a stream; 0 = none
+  core::Duration target_gap{};  ///< between events of a stream; 0 = no target
   std::vector<WeightedService> services;
 };
 
-/// @brief What is known of the model engines of a service.
+/// @brief Properties of the model engines of a service.
 struct EngineFacts {
   uint32_t tokens_per_event = 1;
 };
 
-/// @brief How upstreams of a service become as fast as they can be.
+/// @brief How long upstreams of a service are cold after a start, and the
+/// request rate they can handle meanwhile.
 struct WarmUp {
   core::Duration lasts{};  ///< after a start
-  double per_second = 0;   ///< requests that a cold one bears
+  double per_second = 0;   ///< requests that a cold upstream can handle
 };
 
 /// @brief A group of upstreams.
 struct Service {
   core::ServiceId name;
-  uint32_t max_connections = 0;  ///< from all routers together; 0 = no bound
+  uint32_t max_connections = 0;  ///< from all routers together; 0 = unlimited
   std::optional<EngineFacts> engine;
-  std::optional<WarmUp> warm_up;  ///< absent: warm from the start
+  std::optional<WarmUp> warm_up;  ///< absent: warm as soon as it starts
 };
 
 /// @brief A client account.
 struct Account {
   core::AccountId name;
   std::vector<std::string> keys;
-  std::optional<uint8_t> priority;  ///< goes before the route's
-  /// All that the account may use; grows with top-ups. Absent: unlimited.
+  std::optional<uint8_t> priority;  ///< overrides the route's priority
+  /// Total tokens that the account may use, including top-ups. Unlimited if
+  /// absent.
   std::optional<core::Tokens> prepaid;
 };
 
-/// @brief Bounds on what a caller may send and how long it may take.
+/// @brief Limits on the size and the duration of a caller's request.
 struct CallerBounds {
   core::Bytes header{16'384};
   core::Bytes body{4'194'304};
@@ -78,7 +81,7 @@
   core::Duration idle_time{15'000'000};
 };
 
-/// @brief What operators publish, whole.
+/// @brief A complete configuration as operators publish it.
 struct Configuration {
   core::ConfigVersion version;
   std::vector<Route> routes;
--- a/include/coppervalve/entry/crash_record.h
+++ b/include/coppervalve/entry/crash_record.h
@@ -17,86 +17,95 @@
 
 namespace coppervalve::entry {
 
-/// @brief One start of an upstream, as routers tell each other of it.
+/// @brief Identifies one start of an upstream in messages between routers.
 using UpstreamStart = core::NumberId<struct UpstreamStartTag>;
 UpstreamStart StartOf(const UpstreamEntry& entry);
 
-/// @brief What the ends of upstreams say about a request that they ran.
+/// @brief How a request is treated, given the upstreams that terminated while
+/// running it.
 enum class Standing : uint8_t {
-  kClear,        ///< nothing, or too little
-  kSuspect,      ///< one more end settles it: tried alone, and never repeated
-  kQuarantined,  ///< sent to no upstream
+  kClear,        ///< no terminations, or too few
+  kSuspect,      ///< one more termination quarantines it: tried alone, never repeated
+  kQuarantined,  ///< not sent to any upstream
 };
 
-/// @brief Constants of the record.
+/// @brief Constants of the quarantine.
 struct CrashOptions {
-  /// One end proves nothing, and two in a row are met by accident.
+  /// Terminations until a request is quarantined, and until it is suspect. One
+  /// proves nothing, and two in a row happen by coincidence.
   size_t ends_to_quarantine = 3;
   size_t ends_to_suspect = 2;
-  /// Ends within this time of each other may have one cause, such as a rack:
-  /// alone they quarantine nothing.
+  /// Terminations within this time of each other may have one cause, such as a
+  /// rack failure, and do not quarantine a request on their own.
   core::Duration one_event{1'000'000};
-  /// How long an end is remembered that quarantined nothing.
+  /// How long a termination is remembered that led to no quarantine.
   core::Duration doubt{60'000'000};
-  /// How long a request is refused at first; twice as long each time that a
-  /// trial afterwards ends an upstream again. A release may have mended it.
+  /// Duration of the first quarantine; doubled each time that a trial
+  /// afterwards terminates an upstream again. A release may have fixed the
+  /// fault meanwhile.
   core::Duration refused_for{600'000'000};
-  /// An answer that broke off counts when its upstream is known to have ended
-  /// within this time: entries lapse after some seconds of silence.
+  /// A broken response counts if its upstream is known to have terminated
+  /// within this time: entries expire after some seconds of silence.
   core::Duration known_within{8'000'000};
-  /// Other routers hear of an end for so long, longer than cuts from the store
-  /// last; of what quarantined a request, for as long as it is refused.
+  /// How long a termination is reported to other routers: longer than
+  /// disconnections from the store last. The terminations that quarantined a
+  /// request are reported for as long as the quarantine lasts.
   core::Duration told_for{15'000'000};
   size_t most_requests = 2'048;
   size_t most_told = 64;
 };
 
-/// @brief Which requests upstreams ended under, by content, as this router saw
-/// it and as all others tell. A request that ends its upstreams comes again,
-/// anywhere and under a new id; by it alone, each upstream looks like one that
-/// happened to end.
+/// @brief Records the requests that were running when upstreams terminated, as
+/// seen by this router and as reported by all others. Requests are identified
+/// by content: one that crashes its upstreams is retried at any router under a
+/// new id, and each upstream on its own looks like a coincidental crash.
 ///
-/// What a router tells stands in its beat: written again it changes nothing,
-/// the newest stays in the store, and every router reads it.
+/// The reports of a router are part of its heartbeat: writing one again changes
+/// nothing, the store keeps the newest, and every router reads it.
 class CrashRecord {
  public:
   explicit CrashRecord(CrashOptions options) : m_options(options) {}
 
-  /// @return whether nothing is held against any request
+  /// @return whether no terminations are recorded
   bool empty() const { return m_cases.empty(); }
-  /// @return false when a request of this sketch is clear, without its print
-  /// @complexity logarithmic, as all but the beats
+  /// @return false if no request with this hash is recorded; avoids computing
+  /// the full fingerprint
+  /// @complexity logarithmic, like all members but those for heartbeats
   bool MayKnow(uint64_t sketch) const;
   Standing StandingOf(const RequestPrint& request) const;
-  /// @return time until a quarantined request may be tried again
+  /// @return time until a quarantined request may be tried again; 0 if it is
+  /// not quarantined
   core::Duration RefusedFor(const RequestPrint& request,
                             core::TimePoint now) const;
 
-  /// @brief Takes the place of the one that may be tried at a time.
-  /// @return false when it is taken; else EndTrial() must follow
+  /// @brief Begins the only trial of a request that may run at a time.
+  /// @return false if one is running; otherwise EndTrial() must follow
   bool BeginTrial(const RequestPrint& request);
   void EndTrial(const RequestPrint& request) { m_trials.erase(request); }
 
-  /// @brief An answer broke off, or nothing came of it in time.
+  /// @brief A response broke off or timed out.
   void OnBroken(const RequestPrint& request,
                 UpstreamStart start,
                 core::TimePoint now);
-  /// @brief A start of an upstream is known to have ended.
-  /// @return the requests that this is held against
+  /// @brief A start of an upstream is known to have terminated.
+  /// @return the requests that this counts against
   std::vector<RequestPrint> OnEnded(UpstreamStart start, core::TimePoint now);
-  /// @brief An upstream ran it and lived: the ends had other causes.
-  /// @return whether other routers should hear of it soon
+  /// @brief An upstream completed the request, so the terminations had other
+  /// causes.
+  /// @return whether other routers should be told soon
   bool OnSurvived(const RequestPrint& request, core::TimePoint now);
 
-  /// @brief Adds what others should hear from this router.
+  /// @brief Adds the reports for other routers to a heartbeat.
   void WriteTo(v1::RouterBeat& beat, core::TimePoint now) const;
-  /// @brief Another router's beat. Lists beyond the bounds are cut.
-  /// @return requests that are quarantined since
+  /// @brief Merges the heartbeat of another router. Lists beyond the maximum
+  /// sizes are truncated.
+  /// @return requests that this quarantined
   std::vector<RequestPrint> OnBeat(const v1::RouterBeat& beat,
                                    core::TimePoint now);
-  /// @brief The last beat of this router's start before: its own word still.
+  /// @brief Restores this router's own reports from the last heartbeat before
+  /// its restart.
   void OnOwnPast(const v1::RouterBeat& beat, core::TimePoint now);
-  /// @brief Forgets what is old. Call it now and then.
+  /// @brief Drops expired records. To be called periodically.
   void Advance(core::TimePoint now);
 
   size_t quarantined() const;
@@ -104,21 +113,21 @@
  private:
   enum class EndState : uint8_t {
     kCounts,
-    kSurvived,  ///< an upstream lived through the request since
-    kExpired,   ///< the request was refused for it long enough
+    kSurvived,  ///< an upstream completed the request since
+    kExpired,   ///< the quarantine it led to is over
   };
   struct End {
-    core::TimePoint since;  ///< that it is in this state
+    core::TimePoint since;  ///< when it entered this state
     EndState state = EndState::kCounts;
-    bool own = false;  ///< this router saw what brought it there
+    bool own = false;  ///< this router observed the cause of the state
   };
   struct Case {
     std::map<UpstreamStart, End> ends;
     core::TimePoint changed;
-    bool apart = false;  ///< its ends are of more than one event
+    bool apart = false;  ///< the terminations are of more than one event
     bool probation = false;
     bool quarantined = false;
-    uint32_t times = 0;  ///< that it was quarantined
+    uint32_t times = 0;  ///< number of quarantines so far
     core::TimePoint quarantined_at;
   };
   struct Broken {
@@ -127,7 +136,8 @@
     RequestPrint request;
   };
 
-  /// What is kept and told first: quarantined, with more ends, changed last.
+  /// Order in which cases are kept and reported: quarantined first, then by
+  /// number of terminations, then by last change.
   using Weight = std::tuple<bool, size_t, core::TimePoint>;
   static Weight WeightOf(const Case& one);
   static size_t Counting(const Case& one);
--- a/include/coppervalve/entry/evacuations.h
+++ b/include/coppervalve/entry/evacuations.h
@@ -11,25 +11,26 @@
 
 namespace coppervalve::entry {
 
-/// @brief A failure domain whose evacuation began or ended.
+/// @brief The begin or the end of a failure domain's evacuation.
 struct EvacuationChange {
   core::FailureDomainId domain;
-  bool evacuated = false;  ///< false: it was taken back
+  bool evacuated = false;  ///< false if the evacuation ended
 
   friend bool operator==(const EvacuationChange&,
                          const EvacuationChange&) = default;
 };
 
-/// @brief The failure domains that operators want emptied: their upstreams get
-/// no request. They do not leave, so their entries, what is known of their
-/// caches and open connections stay for the time after.
+/// @brief The failure domains that operators evacuate: their upstreams get no
+/// requests. The upstreams stay in the directory, so that their entries, cached
+/// prefixes and open connections can be used after the evacuation.
 class Evacuations {
  public:
-  /// @brief A record of a domain was read, or its end.
-  /// @return the change; none when that was known
+  /// @brief A record of a domain was read or deleted.
+  /// @return the change, if there was any
   std::optional<EvacuationChange> OnRecord(const core::FailureDomainId& domain,
                                            bool evacuated);
-  /// @brief All records were read: a domain that has none is taken back.
+  /// @brief All records were read: the evacuation of a domain without one has
+  /// ended.
   std::vector<EvacuationChange> ReplaceAll(
       const std::set<core::FailureDomainId>& evacuated);
 
@@ -42,10 +43,10 @@
   std::set<core::FailureDomainId> m_domains;
 };
 
-/// @brief The domain that a record of the operators is about.
+/// @brief Parses the failure domain from the key of an operator record.
 /// @param prefix of the keys of evacuations
-/// @return none: the record is no evacuation; kLogRecordInvalid: it names no
-/// domain
+/// @return none if the record is no evacuation; kLogRecordInvalid if it names
+/// no domain
 std::optional<core::Result<core::FailureDomainId>> EvacuatedDomain(
     std::string_view prefix,
     std::string_view key);
--- a/include/coppervalve/entry/in_force.h
+++ b/include/coppervalve/entry/in_force.h
@@ -13,8 +13,8 @@
 
 namespace coppervalve::entry {
 
-/// @brief A configuration with its look-ups. It never changes: requests keep
-/// the one they began with.
+/// @brief A configuration with lookup tables. Immutable; a request uses the
+/// same one from start to end.
 class InForce {
  public:
   explicit InForce(Configuration configuration);
@@ -25,17 +25,17 @@
   core::ConfigVersion version() const { return m_configuration.version; }
   bool has_accounts() const { return !m_configuration.accounts.empty(); }
 
-  /// @brief The rule with the longest prefix that begins the path.
-  /// @param host as the caller sent it, with or without a port
+  /// @brief Finds the rule of the host with the longest matching path prefix.
+  /// @param host Host header of the request, with or without a port
   /// @param target path with or without a query
-  /// @return null when no rule matches
+  /// @return null if no rule matches
   /// @complexity linear in the rules of that host
   const Route* FindRoute(std::string_view host, std::string_view target) const;
-  /// @return the account that holds the key; null for an unknown key
+  /// @return the account that owns the key; null for an unknown key
   const Account* FindAccount(const std::string& key) const;
   const Service* FindService(const core::ServiceId& service) const;
-  /// @return the shortest objective of the service's routes that are as urgent
-  /// as a priority or more; 0 when none of them states one
+  /// @return the shortest latency objective among the service's routes of this
+  /// or a more urgent priority; 0 if none has one
   /// @complexity linear in the priorities in use
   core::Duration ObjectiveOf(const core::ServiceId& service,
                              uint8_t priority) const;
@@ -44,18 +44,18 @@
   void NoteObjective(const core::ServiceId& service, const Route& route);
 
   Configuration m_configuration;
-  /// Routes of each host, longest prefix first.
+  /// Routes by host, longest prefix first.
   std::unordered_map<std::string, std::vector<const Route*>> m_routes;
   std::unordered_map<std::string, const Account*> m_accounts;
   std::unordered_map<core::ServiceId, const Service*> m_services;
-  /// Shortest objective of the routes to a service, by their priority.
+  /// Shortest latency objective by service and route priority.
   std::unordered_map<core::ServiceId, std::map<uint8_t, core::Duration>>
       m_objectives;
 };
 
-/// @brief Chooses a service of a route by weight.
-/// @param draw uniform bits
-/// @return empty when the route has none
+/// @brief Chooses a service of a route at random by weight.
+/// @param draw uniformly distributed random bits
+/// @return empty if the route has none
 core::ServiceId ChooseService(const Route& route, uint64_t draw);
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/limit_words.h
+++ b/include/coppervalve/entry/limit_words.h
@@ -7,15 +7,15 @@
 
 namespace coppervalve::entry {
 
-/// @brief Puts into a report what upstreams lately told this router itself of
-/// their limits. What others told is left out: a word that goes round would
-/// never become old.
-/// @complexity linear in the upstreams, once any of them named a limit
+/// @brief Adds the rate limits that upstreams recently sent to this router
+/// itself to a report. Limits learned from other routers are left out:
+/// forwarded on and on, they would never expire.
+/// @complexity linear in the upstreams, once any of them sent a limit
 void TellLimits(const UpstreamDirectory& directory,
                 core::TimePoint now,
                 v1::LoadReport& report);
 
-/// @brief Takes over what another router told of limits.
+/// @brief Applies the limits in another router's report.
 /// @complexity linear in the limits of the report
 void HearLimits(const v1::LoadReport& report,
                 core::TimePoint now,
--- a/include/coppervalve/entry/peer_loads.h
+++ b/include/coppervalve/entry/peer_loads.h
@@ -16,24 +16,24 @@
   double in_prefill = 0;  ///< prompt tokens
 };
 
-/// @brief Short name of an upstream in load reports.
+/// @brief Compact id of an upstream in load reports.
 uint32_t LoadKey(const core::UpstreamId& upstream);
 
-/// @brief What other routers reported of their work a moment ago.
+/// @brief The requests in progress that other routers reported recently.
 class PeerLoads {
  public:
-  /// @param lifetime of a report: older ones count as silence
+  /// @param lifetime after which a report is ignored
   explicit PeerLoads(core::Duration lifetime) : m_lifetime(lifetime) {}
 
-  /// @brief Takes a report over, unless a newer one is known.
+  /// @brief Stores a report unless a newer one of the same router is known.
   /// @complexity linear in the report
   void OnReport(const v1::LoadReport& report, core::TimePoint now);
-  /// @brief Forgets old reports. Call it now and then.
+  /// @brief Drops expired reports. To be called periodically.
   void Advance(core::TimePoint now);
 
-  /// @return the work of all routers that reported lately
+  /// @return the sum over all routers with a current report
   Load At(uint32_t key) const;
-  /// @return routers that reported lately
+  /// @return number of routers with a current report
   uint32_t Reporting() const { return static_cast<uint32_t>(m_peers.size()); }
 
  private:
--- a/include/coppervalve/entry/placement.h
+++ b/include/coppervalve/entry/placement.h
@@ -17,86 +17,88 @@
 
 /// @brief Why an upstream was chosen, or why none was.
 enum class PlacedBy : uint8_t {
-  kLeastCost,    ///< least expected wait
-  kPrefixOwner,  ///< as above, and first by hashing of the shared prefix
-  kPrefixSent,   ///< as above, and this router sent the prefix there lately
-  kTold,         ///< a router that follows the table said so
-  kLastResort,   ///< none that is trusted is left
-  kNoneLeft,     ///< none chosen: all were tried or are at their bound
-  kWarmingUp,    ///< none chosen: cold ones are left, and got what they bear
-  kLimited,      ///< none chosen: those that are left named limits
-  kEvacuated,    ///< none chosen: all are in evacuated failure domains
-  kNoneKnown,    ///< none chosen: the service has no upstream
+  kLeastCost,    ///< lowest expected wait
+  kPrefixOwner,  ///< as above, and owns the shared prefix by hashing
+  kPrefixSent,   ///< as above, and was recently sent the prefix by this router
+  kTold,         ///< chosen by a router that follows the upstream table
+  kLastResort,   ///< no trusted upstream is left
+  kNoneLeft,     ///< none: all were tried or are at their connection limit
+  kWarmingUp,    ///< none: those left are cold and at their rate limit
+  kLimited,      ///< none: those left are at the rate limits they sent
+  kEvacuated,    ///< none: all are in evacuated failure domains
+  kNoneKnown,    ///< none: the service has no upstream
 };
 
 /// @brief Stable lower_snake_case name for log lines.
 std::string_view ToString(PlacedBy why);
 
-/// @brief What is to be placed.
+/// @brief A request to place on an upstream.
 struct PlacementQuery {
   core::ServiceId service;
   bool engine = false;           ///< the service's upstreams are engines
-  std::string shared_prefix;     ///< empty = nothing to find again
-  core::Tokens shared_tokens{};  ///< of the prefix
-  core::Tokens prompt{};         ///< all of it
+  std::string shared_prefix;     ///< empty if the prompt shares no prefix
+  core::Tokens shared_tokens{};  ///< length of the prefix
+  core::Tokens prompt{};         ///< length of the whole prompt
   std::vector<core::UpstreamId> exclude;
-  uint32_t connection_bound = 0;  ///< of this router per upstream; 0 = none
-  uint32_t routers = 1;           ///< that send to the service, this included
+  uint32_t connection_bound = 0;  ///< of this router per upstream; 0 = unlimited
+  uint32_t routers = 1;           ///< that send to the service, including this one
 };
 
-/// @brief Where it goes, and the facts that decided.
+/// @brief The chosen upstream and the facts behind the choice.
 struct Placement {
   UpstreamRef upstream;  ///< null: see `why`
   PlacedBy why = PlacedBy::kNoneKnown;
   uint32_t candidates = 0;
-  uint32_t reporting = 0;  ///< routers whose work was known
+  uint32_t reporting = 0;  ///< routers with a current load report
   double cost = 0;
-  /// What must be read before the request's own part where that is least: work
-  /// that waits, and what the engine doesn't keep of the shared part; in tokens
-  /// of an engine of usual pace.
+  /// Prefill cost ahead of the request's own prompt part at the upstream where
+  /// it is lowest: queued work, plus shared tokens that are not cached there.
+  /// In tokens of an engine of median speed.
   double waiting = 0;
-  /// What waits at the chosen engine, with all of the request's own.
+  /// Queued prefill at the chosen engine plus that of the request.
   double to_read = 0;
-  /// The request's own part of it.
+  /// The request's part of `to_read`.
   double own_reading = 0;
 };
 
-/// @brief Constants of the policy. Costs of engines are in prompt tokens that
-/// must be read first, those of plain services in requests.
+/// @brief Constants of the placement policy. Costs at engines are in prompt
+/// tokens that must be processed first, at plain services in requests.
 struct PlacementOptions {
-  /// A shared token that must be read again counts this often: it delays this
-  /// request and takes time and memory from others.
+  /// Weight of a shared token that is not cached: processing it again delays
+  /// this request and takes time and memory from others.
   double missed_prefix = 16;
-  /// A running generation slows others a little.
+  /// Cost of a running generation, which slows others a little.
   double running = 40;
-  /// Beyond its slots an engine makes requests wait for a whole one to end.
+  /// Cost of each request beyond the slots of an engine, as it waits for
+  /// another one to complete.
   double beyond_slots = 6'000;
-  /// Reading grows faster than the prompt: twice the cost a token at this
-  /// length.
+  /// Prompt length at which the prefill cost per token has doubled: prefill
+  /// time grows faster than the prompt.
   double double_at = 40'000;
-  /// Saved by staying in the own failure domain, in requests.
+  /// Bonus for an upstream in the router's own failure domain, in requests.
   double own_domain = 0.4;
-  /// Requests of a plain service beyond its slots count this often.
+  /// Weight of requests beyond the slots of a plain service's upstream.
   double beyond_plain_slots = 3;
-  /// A cold engine costs so much more, a cold upstream of a plain service so
-  /// many requests.
+  /// Additional cost of a cold engine, and of a cold upstream of a plain
+  /// service in requests.
   double cold = 6'000;
   double cold_plain = 2;
-  /// Send a shared prefix to the upstream that all routers agree on.
+  /// Prefer the upstream that all routers agree on for a shared prefix.
   bool prefix_owner = true;
-  /// Send it where this router sent it lately.
+  /// Prefer upstreams to which this router recently sent the prefix.
   bool prefix_sent = true;
-  /// Expect slow upstreams to be slow again.
+  /// Expect slow upstreams to stay slow.
   bool slowness = true;
-  /// Prefer upstreams that did not fail lately.
+  /// Prefer upstreams without recent failures.
   bool suspicion = true;
-  /// Take the work of routers that don't report to be like ours.
+  /// Assume that routers without a report have as much work in progress as this
+  /// one.
   bool guess_silent = true;
 };
 
-/// @brief Places requests on the upstreams of a service by the wait that they
-/// are expected to meet there: what this router and those that reported have
-/// in progress; for routers that did not report, as much as this one has.
+/// @brief Places requests on the upstreams of a service by their expected wait.
+/// The load of an upstream is the work in progress of this router and of those
+/// that report, and for each other router an estimate equal to this one's.
 class Placer {
  public:
   Placer(PlacementOptions options,
@@ -109,7 +111,7 @@
   Placement Choose(const UpstreamDirectory& directory,
                    const PlacementQuery& query,
                    core::TimePoint now) const;
-  /// @return what reading a prompt costs, in tokens of a short one
+  /// @return the prefill cost of a prompt, in tokens of a short one
   double ReadingCost(core::Tokens prompt) const;
 
  private:
@@ -119,7 +121,7 @@
     bool owner = false;
     bool sent = false;
     double in_prefill = 0;
-    double own_reading = 0;  ///< of what it doesn't keep
+    double own_reading = 0;  ///< prefill of tokens that it has not cached
     double slowness = 1;
   };
   std::vector<UpstreamRef> Usable(const std::vector<UpstreamRef>& upstreams,
--- a/include/coppervalve/entry/policy.h
+++ b/include/coppervalve/entry/policy.h
@@ -12,28 +12,28 @@
 
 namespace coppervalve::entry {
 
-/// @brief Every mechanism of the decisions, with its constants. The defaults
-/// ship. Not a setting of operators: experiments switch one part off by name,
-/// so that its worth is measured without an edit of code.
+/// @brief The constants of all routing decisions. Production uses the defaults.
+/// This is no operator setting: experiments change or disable single mechanisms
+/// by name, to measure their effect without a code change.
 struct Policy {
   BookOptions book;
   PlacementOptions placement;
   SheddingOptions shedding;
   WarmUpOptions warm_up;
   LimitOptions limit;
-  bool gifts = true;  ///< ask other routers for tokens
-  /// Lead callers to so many routers at least, the most capable; more where
-  /// the load needs it.
+  bool gifts = true;  ///< request tokens from other routers
+  /// Minimum number of routers that callers are directed to, by capacity; more
+  /// are used if the load requires it.
   double least_active = 3;
-  bool load_reports = true;  ///< count the work that other routers report
+  bool load_reports = true;  ///< take the load reports of other routers into account
 };
 
-/// @brief Changes the defaults by "name=number" parts, divided by commas;
-/// switches take 0 and 1, durations milliseconds.
-/// @return kSettingBadValue with the part that was not understood
+/// @brief Parses changes to the defaults: comma-separated "name=number" parts.
+/// Switches take 0 and 1, durations milliseconds.
+/// @return kSettingBadValue with the part that is not valid
 core::Result<Policy> ReadPolicy(std::string_view changes);
 
-/// @return all names that ReadPolicy() takes
+/// @return all names that ReadPolicy() accepts
 std::vector<std::string_view> PolicyNames();
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/prefix_memory.h
+++ b/include/coppervalve/entry/prefix_memory.h
@@ -11,11 +11,11 @@
 
 namespace coppervalve::entry {
 
-/// @brief Which shared prompt parts this router sent to one upstream lately,
-/// and which the upstream therefore probably still keeps.
+/// @brief The shared prompt prefixes that this router recently sent to one
+/// upstream and that are therefore probably still in its cache.
 class PrefixMemory {
  public:
-  /// @complexity amortized constant, as all of this class
+  /// @complexity amortized constant, like all members
   void Remember(uint64_t prefix, core::TimePoint now);
   bool Holds(uint64_t prefix, core::TimePoint now) const;
 
--- a/include/coppervalve/entry/reading_pace.h
+++ b/include/coppervalve/entry/reading_pace.h
@@ -8,23 +8,24 @@
 
 namespace coppervalve::entry {
 
-/// @brief How long the engines of a service take to read prompts, learned from
-/// their answers: what grows with the tokens that must be read first, and not
-/// what is the same for all.
+/// @brief Estimates the prefill time of a service's engines by linear
+/// regression over their responses. Only the time that grows with the tokens to
+/// process counts, not the constant part.
 class ReadingPace {
  public:
-  /// @param to_read tokens read before the first piece: those that were waiting
-  /// already and the request's own
-  /// @complexity constant, as all of this class
+  /// @param to_read tokens processed before the first byte of the response:
+  /// those queued ahead and the request's own
+  /// @complexity constant, like all members
   void OnFirstPiece(const core::ServiceId& service,
                     double to_read,
                     core::Duration time);
 
-  /// @return time until so many tokens are read; 0 while nothing is known
+  /// @return time to process so many tokens; 0 while there are too few samples
   core::Duration ToRead(const core::ServiceId& service, double tokens) const;
 
  private:
-  /// A line through the answers of late: older ones count less and less.
+  /// Sums of a least-squares fit with exponential decay: older samples count
+  /// less and less.
   struct Line {
     double weight = 0;
     double tokens = 0;
--- a/include/coppervalve/entry/request_print.h
+++ b/include/coppervalve/entry/request_print.h
@@ -10,8 +10,8 @@
 
 namespace coppervalve::entry {
 
-/// @brief What makes two requests the same one, whatever their ids, deadlines
-/// and the events after which they resume.
+/// @brief The parts of a request that identify it. Ids, deadlines and the event
+/// after which a stream resumes are not among them.
 struct RequestContent {
   std::string_view method;
   std::string_view target;
@@ -19,19 +19,19 @@
   std::string_view body;
 };
 
-/// @brief A name of a request by its content. Nobody can make a request whose
-/// print is that of another account's request.
+/// @brief Identifies a request by a hash of its content. An account can't craft
+/// a request with the fingerprint of another account's request.
 struct RequestPrint {
-  /// Cheap to compute: requests whose sketches differ are not the same.
+  /// A hash that is cheap to compute: requests with different ones differ.
   uint64_t sketch = 0;
-  std::string digest;  ///< 16 bytes of a strong hash
+  std::string digest;  ///< first 16 bytes of a SHA-256 hash
 
   friend auto operator<=>(const RequestPrint&, const RequestPrint&) = default;
-  /// @return 24 bytes, as other routers read them
+  /// @return 24 bytes, the format in messages to other routers
   std::string ToBytes() const;
-  /// @return an empty digest when the size is another
+  /// @return an empty digest if the size is not 24
   static RequestPrint FromBytes(std::string_view bytes);
-  /// @return hex of the digest's first bytes, for log lines
+  /// @return hex of the first bytes of the digest, for log lines
   std::string Short() const;
 };
 
--- a/include/coppervalve/entry/retry_allowance.h
+++ b/include/coppervalve/entry/retry_allowance.h
@@ -10,27 +10,28 @@
 
 namespace coppervalve::entry {
 
-/// @brief The fleet's shared bound on repeated sends to one service.
+/// @brief The bound on retries to one service, shared by all routers.
 struct RetryBounds {
-  double ratio = 0.2;  ///< of the requests for the service
-  double slack = 10;   ///< beyond that, from all routers together
+  double ratio = 0.2;  ///< retries per request for the service
+  double slack = 10;   ///< additional retries, of all routers together
   core::Duration window{10'000'000};
 };
 
-/// @brief This router's share of the bound.
+/// @brief This router's share of the retry bound.
 ///
-/// The share needs no talk: the ratio holds on this router's own requests, and
-/// the slack is divided by the routers. So the sum over all routers keeps the
-/// bound in every window, also while they cannot reach each other.
+/// The share needs no communication: the ratio applies to this router's own
+/// requests, and the slack is divided by the number of routers. The sum over
+/// all routers therefore keeps the bound in every window, also while they can't
+/// reach each other.
 class RetryAllowance {
  public:
   explicit RetryAllowance(RetryBounds bounds) : m_bounds(bounds) {}
 
-  /// @brief A request for the service came. @complexity amortized O(1)
+  /// @brief Counts a request for the service. @complexity amortized O(1)
   void OnRequest(const core::ServiceId& service, core::TimePoint now);
-  /// @brief Takes the right to send once more.
-  /// @param routers that may send to the service, this one included
-  /// @return false when the share is used up
+  /// @brief Takes one retry from the share.
+  /// @param routers that may send to the service, including this one
+  /// @return false if the share is used up
   bool Take(const core::ServiceId& service,
             uint32_t routers,
             core::TimePoint now);
--- a/include/coppervalve/entry/shedding.h
+++ b/include/coppervalve/entry/shedding.h
@@ -8,36 +8,38 @@
 
 namespace coppervalve::entry {
 
-/// @brief What a new request would meet.
+/// @brief The conditions that a new request would meet.
 struct Backlog {
-  core::Duration wait{};       ///< at the best upstream, before it is read
-  core::Duration objective{};  ///< first piece; the shortest of the service's
+  core::Duration wait{};       ///< at the best upstream, until its prompt is processed
+  core::Duration objective{};  ///< for the first byte; shortest of the service's
                                ///< routes that are as urgent or more
   uint8_t rank = 0;            ///< 0 is the most urgent
 };
 
-/// @brief Constants of what is refused when upstreams can't keep up.
+/// @brief Constants of load shedding.
 struct SheddingOptions {
   bool on = true;
-  /// Up to this part of the objective may be spent waiting without any refusal.
-  /// Waits of a tenth are met with upstreams at half of what they can do.
+  /// Share of the objective up to which no request is rejected. Waits of a
+  /// tenth occur with upstreams at half of their capacity.
   double free_part = 0.2;
-  /// From this part on everything is refused: reading a large prompt, and what
-  /// comes between the report of a wait and the request, need the rest.
+  /// Share from which every request is rejected: the rest is needed to process
+  /// a large prompt, and for what arrives between the report of a wait and the
+  /// request.
   double full_part = 0.6;
-  /// Less urgent requests are refused a little earlier, for each rank.
+  /// Factor on both shares for each rank: less urgent requests are rejected a
+  /// little earlier.
   double rank_part = 0.9;
 };
 
-/// @brief Decides whether a request is refused because of the work that waits.
+/// @brief Decides whether a request is rejected because of the queued work.
 ///
-/// Work beyond what upstreams can do does not get done by being sent: all of
-/// it waits, all of it is late, and callers leave after tokens were spent on
-/// them. A part is refused at once instead, the more the longer the wait.
-/// Neither the size of the request nor its account matters, so large ones and
-/// small ones are refused alike.
+/// With more requests than the upstreams can handle, all of them wait and are
+/// late, and callers leave after tokens were spent on them. Instead a part is
+/// rejected at once, the larger the longer the wait. The decision is
+/// independent of the size of the request and its account, so that large and
+/// small requests are rejected alike.
 /// @param draw uniform in [0, 1)
-/// @return when to come back; none: take it
+/// @return the time after which to retry; none if the request is accepted
 std::optional<core::Duration> Shed(const SheddingOptions& options,
                                    const Backlog& backlog,
                                    double draw);
--- a/include/coppervalve/entry/stated_limit.h
+++ b/include/coppervalve/entry/stated_limit.h
@@ -8,70 +8,71 @@
 
 namespace coppervalve::entry {
 
-/// @brief Constants of how a stated limit is shared and forgotten.
+/// @brief Constants of how the rate limit of an upstream is shared and expires.
 struct LimitOptions {
-  bool enforce = true;  ///< false: what upstreams state changes nothing
-  /// What is given out of a limit. The rest covers routers that believe others
-  /// to be the senders.
+  bool enforce = true;  ///< false: limits are ignored
+  /// Part of a limit that is allocated to the senders. The rest is a margin for
+  /// routers that take others to be the senders.
   double given_out = 0.8;
-  /// Few senders would leave most routers without a part of a large limit.
+  /// Maximum number of senders. With few of them, most routers would have no
+  /// share of a large limit.
   double most_senders = 1'000;
-  /// Senders beyond one for each request a second.
+  /// Senders in addition to one for each request per second.
   double spare_senders = 2;
-  /// A word counts as recent for so long.
+  /// How long a limit counts as recent.
   core::Duration word_lasts{10'000'000};
-  /// Without a recent word the routers ask in turn, one in so long.
+  /// Without recent information the routers probe in turn, one per interval.
   core::Duration probe_every{4'000'000};
 };
 
-/// @brief A router's part of a limit.
+/// @brief The share of a limit that each sender has.
 struct LimitShare {
-  uint32_t senders = 0;   ///< routers that have this part
-  double per_second = 0;  ///< of each of them
+  uint32_t senders = 0;   ///< routers that have this share
+  double per_second = 0;  ///< rate of each of them
 };
 
-/// @brief Divides the requests a second that one upstream takes.
+/// @brief Divides the requests per second that one upstream accepts.
 LimitShare DivideLimit(double per_second,
                        uint32_t routers,
                        const LimitOptions& options);
 
-/// @brief Where this router stands among those that may send to an upstream.
+/// @brief This router's position among those that may send to an upstream.
 struct SenderPlace {
   uint32_t routers = 1;
-  uint32_t rank = 0;  ///< routers that come before this one
-  bool sends = true;  ///< false: it may not be one of the senders
+  uint32_t rank = 0;  ///< number of routers ahead of this one
+  bool sends = true;  ///< whether this router may be a sender
 };
 
-/// @brief What an upstream last said of the requests a second that it takes
-/// from all routers together, and what this router sent there.
+/// @brief The rate limit that an upstream last sent, which applies to all
+/// routers together, and when this router last sent a request there.
 ///
-/// A limit holds until the upstream answers without one. Routers that send
-/// nothing learn that from others, or find it out by a request in their turn.
+/// A limit holds until the upstream responds without one. Routers that send
+/// nothing learn of it from other routers, or by a probe in their turn.
 class StatedLimit {
  public:
-  /// @brief The upstream answered this router.
-  /// @param per_second none: it named no limit
+  /// @brief The upstream responded to this router.
+  /// @param per_second none if it sent no limit
   /// @param asked when the request was sent
   /// @return whether a limit began, changed or ended
   bool OnAnswer(std::optional<double> per_second,
                 core::TimePoint asked,
                 core::TimePoint now);
-  /// @brief Another router told what the upstream answered it.
-  /// @param said when it did
+  /// @brief Another router reported the upstream's response.
+  /// @param said when the upstream responded
   /// @return whether a limit began, changed or ended
   bool OnPeerWord(std::optional<double> per_second, core::TimePoint said);
-  /// @brief The upstream named a limit that can't be read; what was known
-  /// holds.
-  /// @return whether that is new since it named one that could be read
+  /// @brief The upstream sent a limit that can't be parsed; the last known one
+  /// stays in force.
+  /// @return whether it is the first one since a valid limit
   bool OnUnreadable();
   void OnSend(core::TimePoint now) { m_last_send = now; }
 
-  /// @return requests a second from all routers; none while there is no limit
+  /// @return requests per second from all routers; none without a limit
   std::optional<double> per_second() const { return m_per_second; }
-  /// @return when the next request of this router may go there
+  /// @return the earliest time of this router's next request
   core::TimePoint NextSend(const SenderPlace& place,
                            const LimitOptions& options) const;
-  /// @return when the upstream said what is known, if it said that to this
+  /// @return when the upstream sent the current limit, if it sent it to this
   /// router itself
   std::optional<core::TimePoint> told() const {
     return m_own ? std::optional(m_said) : std::nullopt;
@@ -81,8 +82,8 @@
   bool Set(std::optional<double> per_second);
 
   std::optional<double> m_per_second;
-  core::TimePoint m_said{};  ///< when the upstream said that, to any router
-  bool m_own = false;        ///< it said that to this router
+  core::TimePoint m_said{};  ///< when the upstream sent that to any router
+  bool m_own = false;        ///< it was sent to this router itself
   bool m_unreadable = false;
   core::TimePoint m_last_send{};
 };
--- a/include/coppervalve/entry/table_readers.h
+++ b/include/coppervalve/entry/table_readers.h
@@ -8,42 +8,43 @@
 
 namespace coppervalve::entry {
 
-/// @brief What following the table of upstreams costs the durable store.
+/// @brief The load that following the upstream table puts on the durable store.
 struct TableCost {
-  bool known = true;  ///< how many upstreams and routers there are
+  bool known = true;  ///< whether the numbers of upstreams and routers are known
   size_t upstreams = 0;
   size_t routers = 1;
-  core::Duration heartbeat{};  ///< between records of one upstream
-  /// That all readers share; 0 = not said.
+  core::Duration heartbeat{};  ///< interval between records of one upstream
+  /// Shared by all readers; 0 = unknown.
   double store_bytes_per_second = 0;
 };
 
-/// @brief Constants of who follows the table.
+/// @brief Constants of the decision to follow the table.
 struct TableReadersOptions {
   double record_bytes = 260;
-  /// Up to this part of what the store can send, everybody follows.
+  /// All routers follow if they need at most this part of the store's
+  /// bandwidth.
   double most_of_store = 0.5;
-  /// A router that was led callers gets some of them for so long, as they keep
+  /// How long a router that was active keeps following, as callers cache
   /// addresses.
   core::Duration keep{8'000'000};
 };
 
-/// @return whether the store can surely send the table to every router
+/// @return whether the store can reliably send the table to every router
 bool AllMayFollow(const TableCost& cost, const TableReadersOptions& options);
 
-/// @brief Whether this router follows the table of upstreams.
+/// @brief Decides whether this router follows the table of upstreams.
 ///
-/// Almost all records say only that an upstream lives, and there are as many as
-/// upstreams, for every reader. In a large fleet that is more than the store
-/// can send: what matters then comes seconds late to all. So only those follow
-/// that callers are led to, or would be if as many more were needed; the others
-/// read the table when their turn comes.
+/// Almost all records are heartbeats, one per upstream and interval, sent to
+/// every reader. In a large fleet that exceeds the bandwidth of the store, and
+/// relevant changes reach all routers seconds late. Then only those routers
+/// follow that callers are directed to, or would be if twice as many were
+/// needed; the others read the table when they become active.
 class TableReaders {
  public:
   explicit TableReaders(TableReadersOptions options = {})
       : m_options(options) {}
 
-  /// @param in_turn this router is active, or next to be
+  /// @param in_turn whether this router is active, or among the next to be
   /// @return whether it follows now
   bool Advance(const TableCost& cost, bool in_turn, core::TimePoint now);
   bool follows() const { return m_follows; }
--- a/include/coppervalve/entry/upstream_gate.h
+++ b/include/coppervalve/entry/upstream_gate.h
@@ -16,17 +16,17 @@
 enum class Passage : uint8_t {
   kOpen,
   kEvacuated,  ///< its failure domain is evacuated
-  kPaused,     ///< it asked for no work from this router for a while
-  kWarmingUp,  ///< it is cold, and got this router's part of what it bears
-  kLimited,    ///< it named a limit, and got this router's part of it
+  kPaused,     ///< it asked this router to pause
+  kWarmingUp,  ///< it is cold, and this router's share is used up
+  kLimited,    ///< it sent a limit, and this router's share is used up
 };
 
-/// @brief What forbids requests to upstreams that are well and not leaving, or
-/// delays them. Asked when a request is placed and again before its first byte
-/// goes out, as opening a connection takes time.
+/// @brief Decides whether a healthy upstream that is not leaving may be sent a
+/// request. Checked when a request is placed and again before its first byte is
+/// sent, as opening a connection takes time.
 class UpstreamGate {
  public:
-  /// @brief A gate that takes all upstreams to be warm.
+  /// @brief A gate that considers all upstreams warm.
   UpstreamGate() = default;
   /// @param senders must outlive the gate
   UpstreamGate(const UpstreamSenders& senders,
@@ -35,19 +35,18 @@
       : m_senders(&senders), m_bounds(bounds), m_limits(limits) {}
 
   void OnConfiguration(const Configuration& configuration);
-  /// @complexity linear in the requests that the upstream got in a second
+  /// @complexity linear in the requests sent to the upstream in the last second
   Passage Of(const Upstream& upstream, core::TimePoint now) const;
-  /// @return when an upstream's limit leaves room for this router's next
-  /// request
+  /// @return when the upstream's limit allows this router's next request
   core::TimePoint NextWithinLimit(const Upstream& upstream,
                                   core::TimePoint now) const;
-  /// @return the first such time of those that name a limit;
-  /// `core::TimePoint::max()` if none does
+  /// @return the earliest such time among the upstreams with a limit;
+  /// `core::TimePoint::max()` if none has one
   core::TimePoint NextOfService(const std::vector<UpstreamRef>& upstreams,
                                 core::TimePoint now) const;
-  /// @brief Whether an upstream counts as cold.
+  /// @brief Whether an upstream is treated as cold.
   bool Cold(const Upstream& upstream, core::TimePoint now) const;
-  /// @brief A request goes out to the upstream now.
+  /// @brief A request is being sent to the upstream.
   void OnSend(Upstream& upstream, core::TimePoint now) const;
   /// @brief An attempt at the upstream ended.
   void OnOutcome(Upstream& upstream,
--- a/include/coppervalve/entry/upstream_senders.h
+++ b/include/coppervalve/entry/upstream_senders.h
@@ -11,71 +11,72 @@
 
 namespace coppervalve::entry {
 
-/// @brief What a cold upstream bears beyond the rate that it states.
+/// @brief What a cold upstream can handle beyond the rate that it states.
 struct WarmUpBounds {
-  double overage = 1;  ///< times the rate
-  double slack = 0;    ///< requests on top, in any second
+  double overage = 1;  ///< factor on the rate
+  double slack = 0;    ///< additional requests in any second
 };
 
 /// @brief Constants of how the bound is divided.
 struct WarmUpOptions {
-  bool limit = true;  ///< false: cold upstreams are used like warm ones
-  /// Every live router has an equal part, not only those that callers are led
-  /// to.
+  bool limit = true;  ///< false: cold upstreams are treated like warm ones
+  /// Every live router has an equal share, not only those that callers are
+  /// directed to.
   bool all_live = false;
-  /// What is given out of the bound. The rest is for routers that believe
-  /// others to be the senders.
+  /// Part of the bound that is allocated. The rest is a margin for routers that
+  /// take others to be the senders.
   double given_out = 0.5;
   double most_senders = 6;
-  /// A router that became a sender waits until the others know.
+  /// How long a new sender waits until the other routers know of it.
   core::Duration settle{2'000'000};
-  /// The largest number of routers counts for so long, as some still believe
-  /// in it.
+  /// How long the largest number of routers counts, as some routers still
+  /// assume it.
   core::Duration remember{15'000'000};
 };
 
-/// @brief A router's part of what one cold upstream may get.
+/// @brief The share of a cold upstream's bound that each sender has.
 struct WarmUpShare {
-  uint32_t senders = 0;  ///< routers that have this part
-  uint32_t sends = 0;    ///< in any second, of each of them
+  uint32_t senders = 0;  ///< routers that have this share
+  uint32_t sends = 0;    ///< requests of each of them in any second
 };
 
-/// @brief Divides what one cold upstream bears in a second.
+/// @brief Divides the bound of one cold upstream.
 /// @param bound requests in any second, from all routers together
 WarmUpShare DivideWarmUp(double bound,
                          uint32_t routers,
                          const WarmUpOptions& options);
 
-/// @brief How many routers come before this one as senders of an upstream, in
-/// the set of routers with a version.
+/// @brief Number of routers ahead of this one as senders of an upstream, in a
+/// given version of the set of routers.
 struct SenderRank {
   uint64_t version = 0;
   uint32_t above = 0;
 };
 
-/// @brief Which routers may send to an upstream that bears little, as far as
-/// this one knows.
+/// @brief Determines which routers may send to an upstream of limited capacity,
+/// as far as this router knows.
 ///
 /// No message tells a router what others send. So a part of the bound is
-/// divided between few routers, which all choose alike as far as their lists of
-/// members agree. Lists differ for seconds around a change, and for as long as
-/// a router is cut off: a sender that is new waits, a number of routers that
-/// shrinks counts for longer, and the part of the bound that is not given out
-/// covers what is left.
+/// divided among few routers, which all routers determine alike as far as their
+/// member lists agree. The lists differ for seconds around a change, and for as
+/// long as a router is disconnected: therefore a new sender waits, a decreased
+/// number of routers takes effect later, and the unallocated part of the bound
+/// covers the remaining differences.
 class UpstreamSenders {
  public:
   UpstreamSenders(const MemberList& members, WarmUpOptions options)
       : m_members(members), m_options(options) {}
 
-  /// @brief Looks at the members again. Call it every few hundred ms.
+  /// @brief Updates from the member list. To be called every few hundred
+  /// milliseconds.
   void Advance(core::TimePoint now);
-  /// @return how many requests this router may send to a cold upstream in any
-  /// second; 0 where it is none of its senders
+  /// @return number of requests that this router may send to a cold upstream in
+  /// any second; 0 if it is not one of its senders
   uint32_t PartOf(const core::UpstreamId& upstream,
                   SenderRank& rank,
                   double bound,
                   core::TimePoint now) const;
-  /// @return where this router stands among the senders of an upstream
+  /// @return this router's position among the senders of an upstream
   SenderPlace PlaceAt(const core::UpstreamId& upstream,
                       SenderRank& rank,
                       core::TimePoint now) const;
@@ -89,8 +90,8 @@
   const MemberList& m_members;
   WarmUpOptions m_options;
   std::optional<core::TimePoint> m_sender_since;
-  /// Largest numbers of routers in this half of the remembered time and in the
-  /// one before.
+  /// Largest numbers of routers in the current and the previous half of the
+  /// remembered time.
   uint32_t m_most_now = 1;
   uint32_t m_most_before = 1;
   core::TimePoint m_half_began{};
--- a/include/coppervalve/entry/warm_up.h
+++ b/include/coppervalve/entry/warm_up.h
@@ -10,32 +10,33 @@
 
 namespace coppervalve::entry {
 
-/// @brief The requests that this router sent to one upstream a moment ago.
+/// @brief Times of the requests that this router recently sent to one upstream.
 class RecentSends {
  public:
   /// @complexity amortized constant
   void Add(core::TimePoint now);
-  /// @return how many fall into the span that bounds on a second are kept over
-  /// @complexity linear in the sends of the last second
+  /// @return number of requests in the last second, measured by the slowest
+  /// clock
+  /// @complexity linear in the requests of the last second
   size_t InLastSecond(core::TimePoint now) const;
 
  private:
   std::deque<core::TimePoint> m_times;
 };
 
-/// @brief What is known of how warm an upstream is. It is cold after a start,
-/// and may become cold again at any moment.
+/// @brief What is known of an upstream's warm-up. It is cold after a start, and
+/// may become cold again at any time.
 struct WarmUpState {
-  core::TimePoint said_until{};  ///< by its records, their age added
-  /// It started, or its failure domain was taken back, while callers were
-  /// served.
+  core::TimePoint said_until{};  ///< from its records, plus their age
+  /// When it started, or its failure domain's evacuation ended, while callers
+  /// were served.
   std::optional<core::TimePoint> began;
-  /// When it could not be reached last, if it has answered nothing since.
+  /// When it was last unreachable, if it has not responded since.
   std::optional<core::TimePoint> unreachable_at;
   RecentSends sends;
 };
 
-/// @brief Whether an upstream must be taken to be cold.
+/// @brief Whether an upstream must be treated as cold.
 bool IsCold(const WarmUpState& state,
             const WarmUp& warm_up,
             core::TimePoint now);
--- a/src/entry/admission.cc
+++ b/src/entry/admission.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-// A router that was cut off may lack routes and keys that are in force by now.
-// A final "no" from it would be false, so it says "not now": the caller comes
-// back, or goes to a router that knows.
-core::Error Unknown(core::ErrorId id, const char* what, bool fresh) {
+// A router that was disconnected may lack routes and keys that are in force by
+// now. Instead of a final rejection it returns a retryable error, so that the
+// caller retries or uses an up-to-date router.
+core::Error NotFoundOrStale(core::ErrorId id, const char* what, bool fresh) {
   if (fresh) {
     return {id, "request", what};
   }
@@ -29,17 +29,17 @@
   admitted.in_force = view.in_force;
   admitted.route = view.in_force->FindRoute(facts.host, facts.target);
   if (admitted.route == nullptr) {
-    return Unknown(core::ErrorId::kNotFound, "no rule matches", view.fresh);
+    return NotFoundOrStale(core::ErrorId::kNotFound, "no rule matches", view.fresh);
   }
   const Route& route = *admitted.route;
   if (!route.is_public && view.in_force->has_accounts()) {
     admitted.account = view.in_force->FindAccount(facts.key);
     if (admitted.account == nullptr) {
-      return Unknown(core::ErrorId::kUnauthorized, "unknown key", view.fresh);
+      return NotFoundOrStale(core::ErrorId::kUnauthorized, "unknown key", view.fresh);
     }
     if (view.keys_expired) {
       return core::Error{core::ErrorId::kConfigurationStale, "request",
-                         "keys may have been taken away"};
+                         "the key may have been revoked"};
     }
   }
   admitted.service = ChooseService(route, draw);
--- a/src/entry/crash_record.cc
+++ b/src/entry/crash_record.cc
@@ -10,11 +10,12 @@
 
 namespace {
 
-// More than any honest router tells of one request.
+// More than any well-behaved router reports for one request.
 constexpr int kMostEndsRead = 16;
 constexpr size_t kMostEndsKept = 32;
 constexpr size_t kMostBroken = 1'024;
-// A release may mend it, and then nobody lifts the quarantine by hand.
+// Bounds the quarantine: a release may fix the fault, and nobody lifts
+// quarantines by hand.
 constexpr uint32_t kMostDoublings = 6;
 
 }  // namespace
@@ -30,8 +31,8 @@
       [](const auto& end) { return end.second.state == EndState::kCounts; }));
 }
 
-// Where there is room for some only: most of those that ran when an upstream
-// ended are never heard of again, the one that ended it is.
+// Decides which cases stay if there is room for some only. Most requests that
+// ran when an upstream terminated never recur; the one that caused it does.
 CrashRecord::Weight CrashRecord::WeightOf(const Case& one) {
   return {one.quarantined, Counting(one), one.changed};
 }
@@ -72,8 +73,8 @@
   return std::max(until - now, core::Duration::zero());
 }
 
-// Copies that come at once would end an upstream each before the first end is
-// known; one at a time they end one.
+// Concurrent copies would each terminate an upstream before the first
+// termination is known. One at a time, they terminate only one.
 bool CrashRecord::BeginTrial(const RequestPrint& request) {
   return m_trials.insert(request).second;
 }
@@ -81,7 +82,7 @@
 CrashRecord::Case& CrashRecord::CaseOf(const RequestPrint& request,
                                        core::TimePoint now) {
   if (m_cases.size() >= m_options.most_requests && !m_cases.contains(request)) {
-    // A caller with many such requests must not fill the memory.
+    // A caller with many such requests must not exhaust the memory.
     const auto goes = std::min_element(
         m_cases.begin(), m_cases.end(), [](const auto& a, const auto& b) {
           return WeightOf(a.second) < WeightOf(b.second);
@@ -156,9 +157,9 @@
   return held_against;
 }
 
-// What ends each upstream that begins it can't have been run by one that
-// lives. Without this, callers of one popular subject would be refused after a
-// spell of crashes.
+// A request that crashes every upstream can't have been completed by one.
+// Without this, requests with a popular content would be rejected after a
+// series of unrelated crashes.
 bool CrashRecord::OnSurvived(const RequestPrint& request, core::TimePoint now) {
   std::erase_if(m_broken, [&](const Broken& broken) {
     return broken.request == request;
@@ -310,7 +311,8 @@
   }
   for (auto& [request, one] : m_cases) {
     if (one.quarantined && now - one.quarantined_at >= QuarantineTime(one)) {
-      // The ends are not forgotten: one more is enough.
+      // The terminations stay on record: one more is enough for the next
+      // quarantine.
       MoveEnds(one, EndState::kExpired, true, now);
     }
   }
--- a/src/entry/evacuations.cc
+++ b/src/entry/evacuations.cc
@@ -16,8 +16,8 @@
   return EvacuationChange{domain, evacuated};
 }
 
-// Single records may be deleted before a router reads them; the list lacks a
-// domain only where its record ended.
+// A record may be deleted before this router has read its deletion. A domain
+// that the full list lacks is no longer evacuated.
 std::vector<EvacuationChange> Evacuations::ReplaceAll(
     const std::set<core::FailureDomainId>& evacuated) {
   const std::set<core::FailureDomainId> before =
@@ -45,7 +45,7 @@
   key.remove_prefix(prefix.size());
   if (key.empty()) {
     return core::Error{core::ErrorId::kLogRecordInvalid, std::string(prefix),
-                       "an evacuation that names no failure domain"};
+                       "evacuation key names no failure domain"};
   }
   return core::FailureDomainId(std::string(key));
 }
--- a/src/entry/limit_words.cc
+++ b/src/entry/limit_words.cc
@@ -12,9 +12,9 @@
 
 using std::chrono::milliseconds;
 
-// A word is told for as long as routers take it to be recent.
+// A limit is reported for as long as routers consider it recent.
 constexpr core::Duration kTellFor = LimitOptions{}.word_lasts;
-// A report stays within one packet.
+// Keeps a report within one packet.
 constexpr size_t kMostTold = 50;
 
 }  // namespace
@@ -33,7 +33,7 @@
     }
   }
   if (told.size() > kMostTold) {
-    // The newest: what is older was in earlier reports.
+    // Keep the newest; older ones were in earlier reports.
     std::sort(told.begin(), told.end(),
               [](const UpstreamRef& a, const UpstreamRef& b) {
                 return *a->limit.told() > *b->limit.told();
--- a/src/entry/placement.cc
+++ b/src/entry/placement.cc
@@ -17,7 +17,7 @@
          query.exclude.end();
 }
 
-// Median pace: what is usual for the present work.
+// Median, as the typical value for the current workload.
 double UsualPace(const std::vector<UpstreamRef>& upstreams) {
   std::vector<double> known;
   for (const UpstreamRef& upstream : upstreams) {
@@ -42,7 +42,8 @@
   return std::clamp(pace / usual, 1.0, kMostSlowness);
 }
 
-// All routers agree on the owner of a prefix without talking.
+// Rendezvous hashing: all routers choose the same owner of a prefix without
+// communication.
 const Upstream* OwnerOf(const std::vector<UpstreamRef>& upstreams,
                         uint64_t prefix) {
   const Upstream* owner = nullptr;
@@ -152,14 +153,16 @@
     core::TimePoint now) const {
   std::vector<UpstreamRef> usable;
   for (const UpstreamRef& upstream : upstreams) {
-    // What may have left is used only where nothing else is.
+    // An upstream whose entry expired may be gone; it is used only if nothing
+    // else is left.
     const Trust trust = upstream->lapsed ? std::max(upstream->health.trust(now),
                                                     Trust::kSuspect)
                                          : upstream->health.trust(now);
     if (trust > least || Excluded(query, upstream->entry.id)) {
       continue;
     }
-    // Not even as the last resort: it would spend its time on refusing.
+    // Also excluded as the last resort: a closed upstream would spend its time
+    // on rejecting requests.
     if (m_gate.Of(*upstream, now) != Passage::kOpen) {
       continue;
     }
@@ -172,8 +175,8 @@
   return usable;
 }
 
-// A router that reports nothing is cut off or lost its datagrams. It gets the
-// same callers as this one, so its work is taken to be like ours.
+// A router without a report is disconnected or lost its datagrams. It serves
+// the same callers as this one, so its load is assumed to be the same.
 Load Placer::LoadOf(const Upstream& upstream,
                     const PlacementQuery& query) const {
   const Load peers = m_peers.At(upstream.load_key);
@@ -234,7 +237,7 @@
   return candidate;
 }
 
-// What is read there before the part of the request that nobody can spare it.
+// Prefill ahead of the part of the prompt that no upstream can have cached.
 double Placer::WaitingAt(const Candidate& candidate,
                          const PlacementQuery& query) const {
   const double alone = ReadingCost(query.prompt - query.shared_tokens);
@@ -251,7 +254,7 @@
   const Upstream* owner = has_owner ? OwnerOf(usable, prefix) : nullptr;
   Candidate best;
   double least_waiting = std::numeric_limits<double>::max();
-  // Starting at a random one spreads ties over all.
+  // A random start distributes ties evenly.
   const size_t start = routing::UniformBelow(m_random, usable.size());
   for (size_t i = 0; i < usable.size(); ++i) {
     const UpstreamRef& upstream = usable[(start + i) % usable.size()];
--- a/src/entry/policy.cc
+++ b/src/entry/policy.cc
@@ -14,7 +14,7 @@
 
 using Field = std::variant<double*, bool*, core::Duration*>;
 
-/// @brief A part of the policy that can be changed by name.
+/// @brief A member of the policy that can be changed by name.
 struct NamedField {
   std::string_view name;
   Field (*of)(Policy&);
--- a/src/entry/prefix_memory.cc
+++ b/src/entry/prefix_memory.cc
@@ -4,7 +4,8 @@
 
 namespace {
 
-// Engines drop what was used least lately; beyond this nobody can tell.
+// Engines evict the least recently used prefix; after this time caching can't
+// be assumed.
 constexpr core::Duration kKeptFor{60'000'000};
 constexpr size_t kMostUses = 4'096;
 
--- a/src/entry/reading_pace.cc
+++ b/src/entry/reading_pace.cc
@@ -6,16 +6,16 @@
 
 namespace {
 
-// Part of what is known that one more answer replaces: some fifty answers are
-// the memory, which is a second of a busy router.
+// Decay per sample: the fit covers about fifty responses, one second at a busy
+// router.
 constexpr double kFading = 0.98;
-// Fewer answers are no line.
+// Below this weight there are too few samples for a fit.
 constexpr double kLeastWeight = 8;
 
 }  // namespace
 
-// Least squares. Where all answers had the same to read there is no slope to
-// be seen: then all of the time counts for the tokens.
+// Least squares. If all samples had the same number of tokens, the slope is
+// undetermined and all of the time is attributed to the tokens.
 double ReadingPace::Line::Slope() const {
   const double spread = weight * tokens_squared - tokens * tokens;
   if (spread <= 1e-9 * tokens_squared * weight) {
--- a/src/entry/request_print.cc
+++ b/src/entry/request_print.cc
@@ -11,7 +11,7 @@
 constexpr size_t kShortBytes = 6;
 constexpr unsigned kBitsOfByte = 8;
 
-// The lengths keep parts from running into each other.
+// Length prefixes keep adjacent parts distinguishable.
 std::string Framed(std::string_view part) {
   return std::to_string(part.size()) + ":" + std::string(part);
 }
@@ -52,7 +52,7 @@
   return core::Hash64(HeadOf(content), content.body.size());
 }
 
-// The body enters by its own hash, so that a long one is not copied.
+// The body is hashed on its own, so that a long one is not copied.
 RequestPrint PrintOf(const RequestContent& content) {
   RequestPrint print;
   print.sketch = SketchOf(content);
--- a/src/entry/retry_allowance.cc
+++ b/src/entry/retry_allowance.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// What is used of the bound: clocks of routers and of who counts differ, and
-// the number of routers is known late.
+// Safety margin: the clocks of the routers and of the observer differ, and
+// changes in the number of routers are noticed late.
 constexpr double kUsedShare = 0.8;
 
 void DropBefore(std::deque<core::TimePoint>& times, core::TimePoint start) {
--- a/src/entry/shedding.cc
+++ b/src/entry/shedding.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Sooner than this nothing has changed.
+// Shortest retry delay; sooner than this nothing has changed.
 constexpr core::Duration kSoonest{200'000};
 
 }  // namespace
@@ -27,7 +27,7 @@
   if (draw >= refused) {
     return std::nullopt;
   }
-  // By then the work that waits now is done.
+  // By then the queued work is done.
   return std::max(backlog.wait, kSoonest);
 }
 
--- a/src/entry/stated_limit.cc
+++ b/src/entry/stated_limit.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Rates so low that a request would be due after more than a day are none.
+// Lower rates, at which a request would be due after more than a day, count as
+// zero.
 constexpr double kLeastPerSecond = 1e-5;
 
 core::Duration IntervalOf(double per_second) {
@@ -32,8 +33,8 @@
   return share;
 }
 
-// An answer to an earlier request may come late and without a limit: it says
-// nothing of what the upstream wants now.
+// A late response to an earlier request may lack the limit; it says nothing
+// about the current one.
 bool StatedLimit::OnAnswer(std::optional<double> per_second,
                            core::TimePoint asked,
                            core::TimePoint now) {
@@ -64,17 +65,18 @@
   return std::exchange(m_per_second, per_second) != per_second;
 }
 
-// Each sender keeps a distance between its requests and saves nothing up: with
-// limits under one a second even one request in reserve at each router would
-// exceed them.
+// Senders space their requests and accumulate no credit: with limits below one
+// request per second, even one saved request at each router would exceed the
+// limit.
 core::TimePoint StatedLimit::NextSend(const SenderPlace& place,
                                       const LimitOptions& options) const {
   if (!m_per_second || !options.enforce) {
     return m_last_send;
   }
   const LimitShare share = DivideLimit(*m_per_second, place.routers, options);
-  // Nobody may have heard the upstream since, as no sender has callers or the
-  // senders can't be reached. The turns keep routers from asking all at once.
+  // There may be no recent response because no sender has callers or the
+  // senders are unreachable. Probing in turn keeps routers from probing at
+  // once.
   core::TimePoint next = std::max(
       m_last_send + options.probe_every * place.routers,
       m_said + options.word_lasts + options.probe_every * (place.rank + 1));
--- a/src/entry/upstream_directory.cc
+++ b/src/entry/upstream_directory.cc
@@ -16,7 +16,7 @@
          a.leaving == b.leaving;
 }
 
-// Load reports of a start must not count for the next one.
+// Load reports of one start must not count for the next one.
 uint32_t LoadKeyOf(const UpstreamEntry& entry) {
   if (!entry.born) {
     return LoadKey(entry.id);
@@ -25,11 +25,11 @@
       core::UpstreamId(entry.id.value() + "#" + std::to_string(*entry.born)));
 }
 
-// Ids that went are not used again for long; this many are many days of them.
+// Ids of removed upstreams are not reused for long; this covers many days.
 constexpr size_t kMostBornKept = 20'000;
 
-// The record may be old when it is read, by as much as it is read late: its age
-// is added to what it says, not taken off.
+// The age of the record at the time it is read is unknown. It is added to the
+// remaining warm-up time, not subtracted.
 void NoteWarmUp(const UpstreamEntry& entry,
                 core::TimePoint read_at,
                 WarmUpState& state) {
@@ -72,8 +72,8 @@
   return Drop(record.id);
 }
 
-// A record of an earlier start that is read late would bring back the address
-// of a start that ended: work would be sent to nobody, or to another upstream.
+// A late record of an earlier start would restore the address of a start that
+// ended: requests would go to a closed port or another upstream.
 bool UpstreamDirectory::OfEarlierStart(const UpstreamEntry& entry) const {
   const auto latest = m_born.find(entry.id);
   return entry.born && latest != m_born.end() && *entry.born < latest->second;
@@ -92,8 +92,8 @@
   m_said_leaving[entry.id] = entry.born;
 }
 
-// While the store is away, the record goes on saying that the upstream is
-// ready, and after that records of before the word may still be read.
+// While the store is unavailable, the record still says that the upstream is
+// ready, and records older than the announcement may be read afterwards.
 bool UpstreamDirectory::SaidItLeaves(const UpstreamEntry& entry) {
   const auto said = m_said_leaving.find(entry.id);
   if (said == m_said_leaving.end()) {
@@ -124,8 +124,8 @@
   if (known && known != upstream) {
     return false;  // another start has the id now
   }
-  // Remembered also where the record said so already, or went: another record
-  // of this start may follow that says it is ready.
+  // Also remembered if the record already said so or was removed: an older
+  // record of this start that says it is ready may follow.
   RememberWord(upstream->entry);
   if (!known || upstream->entry.leaving) {
     return false;
@@ -150,8 +150,8 @@
   return changed;
 }
 
-// An upstream that the store loses sight of comes back as the same start, and
-// is in need as before.
+// An upstream whose entry expires in the store returns as the same start, and
+// its limit still applies.
 void UpstreamDirectory::RememberLimit(const Upstream& upstream) {
   if (!upstream.limit.per_second()) {
     m_kept_limits.erase(upstream.entry.id);
@@ -202,9 +202,9 @@
   return first;
 }
 
-// Kept over a restart, what was seen of the earlier start misleads: prefixes
-// that the new one doesn't hold, suspicion that it didn't earn, work in
-// progress that ended with the earlier one. So each start is an object anew.
+// The state of an earlier start would mislead after a restart: cached prefixes
+// that are gone, failures of the earlier start, and requests in progress that
+// ended with it. So each start is a new object.
 DirectoryChange UpstreamDirectory::Put(const UpstreamEntry& entry,
                                        core::TimePoint read_at) {
   if (OfEarlierStart(entry)) {
@@ -248,8 +248,8 @@
   return restarted ? DirectoryChange::kNewStart : DirectoryChange::kChanged;
 }
 
-// Whoever wrote it, the record replaced the upstream's own: where it is now,
-// and whether it still is, nobody says.
+// Whoever wrote it, the record replaced the upstream's own, so that its address
+// and whether it still exists are unknown.
 DirectoryChange UpstreamDirectory::Drop(const core::UpstreamId& id) {
   if (!m_by_id.contains(id)) {
     return DirectoryChange::kNothing;
@@ -259,12 +259,12 @@
   return DirectoryChange::kDropped;
 }
 
-// The store drops the entries of upstreams that it has not heard of, and while
-// the store itself was away it heard of none. Dropping them all would leave
-// callers refused with every upstream idle; so an entry that goes around an
-// outage is kept until the upstreams had time to announce themselves again.
-// That is enough: what is alive is back by then, and no rule binds us to what
-// the store said while it was not well.
+// The store expires the entries of upstreams without heartbeats, and while the
+// store itself was unavailable it received none. Dropping them all would reject
+// callers with every upstream idle. So an entry that expires around an outage
+// is kept until the upstreams had time to announce themselves again. Those that
+// are alive are back by then, and nothing requires a router to follow what the
+// store said while it was disturbed.
 bool UpstreamDirectory::Remove(const core::UpstreamId& id,
                                const StoreContact& contact,
                                core::TimePoint now) {
@@ -367,7 +367,7 @@
     return;
   }
   RememberLimit(*found->second);
-  // Requests in progress keep the object: it must not look usable to them.
+  // Requests in progress keep the object, which must not look usable to them.
   found->second->entry.leaving = true;
   m_by_load_key.erase(found->second->load_key);
   m_by_id.erase(found);
@@ -386,7 +386,7 @@
       m_by_service[upstream->entry.service].push_back(upstream);
     }
   }
-  // All routers list them in the same order, whatever order they read.
+  // All routers use the same order, whatever order the records were read in.
   for (auto& [service, upstreams] : m_by_service) {
     std::sort(upstreams.begin(), upstreams.end(),
               [](const UpstreamRef& a, const UpstreamRef& b) {
--- a/src/entry/upstream_gate.cc
+++ b/src/entry/upstream_gate.cc
@@ -24,9 +24,9 @@
   return warm_up != nullptr && IsCold(upstream.warm_up, *warm_up, now);
 }
 
-// Least load finds a cold upstream attractive, just as all its places are free,
-// and a hot prefix whose owner ended goes to one new owner at once. An upstream
-// that gets more than it bears while it is cold falls over again.
+// A cold upstream attracts requests by least load, as all its slots are free,
+// and a hot prefix whose owner ended moves to one new owner at once. An
+// upstream that gets more than it can handle while it is cold fails again.
 Passage UpstreamGate::Of(const Upstream& upstream, core::TimePoint now) const {
   if (m_evacuations.Contains(upstream.entry.failure_domain)) {
     return Passage::kEvacuated;
@@ -73,8 +73,8 @@
   return first;
 }
 
-// Noted of all: what went out just before an upstream became cold or named a
-// limit counts.
+// Recorded for all upstreams: requests sent just before an upstream became cold
+// or sent a limit count too.
 void UpstreamGate::OnSend(Upstream& upstream, core::TimePoint now) const {
   upstream.limit.OnSend(now);
   if (WarmUpOf(upstream) != nullptr) {
@@ -82,7 +82,8 @@
   }
 }
 
-// One that comes back under its old id may answer before its record is read.
+// An upstream that restarts under its old id may respond before its new record
+// is read.
 void UpstreamGate::OnOutcome(Upstream& upstream,
                              AttemptOutcome outcome,
                              core::TimePoint now) const {
--- a/src/entry/upstream_health.cc
+++ b/src/entry/upstream_health.cc
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr double kWeightOfOne = 0.12;
-// Suspicion fades, so that an upstream that is well again gets traffic without
-// any probe: probes cost the upstream and tell less than real work.
+// The failure rate decays, so that a recovered upstream gets traffic without
+// probes: probes cost the upstream and reveal less than real requests.
 constexpr core::Duration kHalfLife{3'000'000};
-// Some services answer one request in seven with a failure of their own; an
-// upstream is suspect well above that.
+// Some services fail one request in seven by themselves; an upstream is suspect
+// well above that.
 constexpr double kSuspectAbove = 0.3;
 constexpr core::Duration kFirstAvoidance{400'000};
 constexpr core::Duration kLongestAvoidance{4'000'000};
@@ -34,7 +34,7 @@
       m_in_a_row = 0;
       return;
     case AttemptOutcome::kDeclined:
-      // Full for the moment, which says nothing about its health.
+      // Temporarily at capacity, which says nothing about its health.
       m_failures = failures;
       AvoidFor(kDeclinedPause, now);
       return;
--- a/src/entry/upstream_senders.cc
+++ b/src/entry/upstream_senders.cc
@@ -39,8 +39,8 @@
   }
 }
 
-// What an earlier start of this router sent in the last second is not known
-// either: it is over by then.
+// This also covers the unknown requests that an earlier start of this router
+// sent in the last second.
 bool UpstreamSenders::Settled(core::TimePoint now) const {
   return m_sender_since && now - *m_sender_since >= m_options.settle;
 }
@@ -64,8 +64,8 @@
           Settled(now)};
 }
 
-// The rank is looked up for each upstream and request, and changes only with
-// the set of routers.
+// Cached, because the rank is needed for each upstream and request but changes
+// only with the set of routers.
 uint32_t UpstreamSenders::RankOf(const core::UpstreamId& upstream,
                                  SenderRank& rank) const {
   if (rank.version != m_members.ActiveVersion()) {
--- a/src/entry/warm_up.cc
+++ b/src/entry/warm_up.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A second by the slowest of the clocks that are compared.
+// One second as measured by the slowest of the clocks involved.
 constexpr core::Duration kSecond{1'050'000};
 
 }  // namespace
@@ -24,11 +24,11 @@
   return static_cast<size_t>(m_times.end() - first);
 }
 
-// A record of a start may come late, or not at all while the store is away. So
-// every start that this router sees itself counts, whatever the record says.
-// One that can't be reached counts for as long as a start: routers that are not
-// its senders would else never send to it again, and never learn that it is
-// well.
+// The record of a start may be late, or missing while the store is unavailable.
+// So every start that this router observes counts, whatever the record says. An
+// unreachable upstream counts as cold for as long as after a start only:
+// otherwise routers that are not its senders would never send to it again and
+// never learn that it recovered.
 bool IsCold(const WarmUpState& state,
             const WarmUp& warm_up,
             core::TimePoint now) {
