--- a/bench/cold/main.cc
+++ b/bench/cold/main.cc
@@ -1,5 +1,6 @@
-// Ways to share what cold and limited upstreams bear, on the same plays: how
-// much the hottest of them gets, how many fall over, who is served.
+// Compares ways to share the capacity of cold and limited upstreams in the same
+// scenarios: the load of the hottest one, how many are overloaded, and the
+// share of served requests.
 #include <cstdint>  // uint32_t, uint64_t
 #include <cstdio>   // printf
 #include <cstdlib>  // strtoull
@@ -13,15 +14,15 @@
 using namespace coppervalve;
 using entry::WarmUpOptions;
 using entry::testing::FleetOutcome;
-using entry::testing::NamedPlay;
+using entry::testing::NamedScenario;
 
-struct Way {
+struct WarmUpVariant {
   const char* name;
   WarmUpOptions options;
   double cold = entry::PlacementOptions().cold;
 };
 
-std::vector<Way> Ways() {
+std::vector<WarmUpVariant> WarmUpVariants() {
   WarmUpOptions none;
   none.limit = false;
   WarmUpOptions equal;
@@ -51,12 +52,12 @@
           {"twelve senders", twelve}};
 }
 
-struct LimitWay {
+struct LimitVariant {
   const char* name;
   entry::LimitOptions options;
 };
 
-std::vector<LimitWay> LimitWays() {
+std::vector<LimitVariant> LimitVariants() {
   constexpr double kRouters = 24;
   entry::LimitOptions none;
   none.enforce = false;
@@ -90,21 +91,22 @@
           {"six senders at most", six}};
 }
 
-bool PlayLimits(uint64_t seeds) {
+bool RunLimitScenarios(uint64_t seeds) {
   bool kept = true;
-  for (const LimitWay& way : LimitWays()) {
-    std::printf("limits: %s\n", way.name);
-    for (NamedPlay one : entry::testing::LimitPlays()) {
-      one.play.limits = way.options;
-      const FleetOutcome outcome = entry::testing::PlayFleet(one.play, seeds);
+  for (const LimitVariant& variant : LimitVariants()) {
+    std::printf("limits: %s\n", variant.name);
+    for (NamedScenario one : entry::testing::LimitScenarios()) {
+      one.scenario.limits = variant.options;
+      const FleetOutcome outcome =
+          entry::testing::SimulateFleet(one.scenario, seeds);
       std::printf(
           "  %-34s used %.2f  filled %.2f  end known after %4.1f s  "
           "served %.3f\n",
-          one.name, outcome.limit_used, outcome.limit_filled,
+          one.name, outcome.limit_used, outcome.limit_utilisation,
           outcome.end_known_after,
           static_cast<double>(outcome.served) / outcome.asked);
-      const bool ships = std::strcmp(way.name, "few senders") == 0;
-      kept = kept && (!ships || outcome.limit_used <= 1);
+      const bool is_default = std::strcmp(variant.name, "few senders") == 0;
+      kept = kept && (!is_default || outcome.limit_used <= 1);
     }
   }
   return kept;
@@ -120,19 +122,20 @@
     }
   }
   constexpr uint32_t kBound = 26;
-  bool kept = PlayLimits(seeds);
-  for (const Way& way : Ways()) {
-    std::printf("%s\n", way.name);
-    for (NamedPlay one : entry::testing::ColdPlays()) {
-      one.play.warm_up = way.options;
-      one.play.placement.cold = way.cold;
-      const FleetOutcome outcome = entry::testing::PlayFleet(one.play, seeds);
-      const uint32_t most = outcome.most_in_a_second;
+  bool kept = RunLimitScenarios(seeds);
+  for (const WarmUpVariant& variant : WarmUpVariants()) {
+    std::printf("%s\n", variant.name);
+    for (NamedScenario one : entry::testing::ColdScenarios()) {
+      one.scenario.warm_up = variant.options;
+      one.scenario.placement.cold = variant.cold;
+      const FleetOutcome outcome =
+          entry::testing::SimulateFleet(one.scenario, seeds);
+      const uint32_t most = outcome.max_in_a_second;
       std::printf("  %-26s most %3u  fell over %4u  served %.3f\n", one.name,
-                  most, outcome.fell_over,
+                  most, outcome.overloaded,
                   static_cast<double>(outcome.served) / outcome.asked);
-      const bool ships = std::strcmp(way.name, "six senders") == 0;
-      kept = kept && (!ships || most <= kBound);
+      const bool is_default = std::strcmp(variant.name, "six senders") == 0;
+      kept = kept && (!is_default || most <= kBound);
     }
   }
   return kept ? 0 : 1;
--- a/tests/entry/crash_fleet.cc
+++ b/tests/entry/crash_fleet.cc
@@ -10,23 +10,23 @@
 namespace {
 
 constexpr double kStep = 0.01;
-// From an end to the beat that tells of it, read by all.
-constexpr double kLeastWord = 0.05;
-constexpr double kMostWord = 0.9;
-// An address that refuses tells of an end at once; where nothing answers, the
-// entry lapses.
-constexpr double kRefusing = 0.9;
-constexpr double kLapse = 3.4;
-constexpr double kDown = 4.5;
+// Delay from a termination until the heartbeat that reports it is read by all.
+constexpr double kMinReportDelay = 0.05;
+constexpr double kMaxReportDelay = 0.9;
+// A refused connection reveals a termination at once; if nothing responds, the
+// entry expires later.
+constexpr double kRefusedShare = 0.9;
+constexpr double kExpiryDelay = 3.4;
+constexpr double kDownTime = 4.5;
 
 }  // namespace
 
 CrashFleet::CrashFleet(uint64_t seed, size_t routers, size_t upstreams)
     : m_random(seed),
       m_records(routers, CrashRecord({})),
-      m_machines(upstreams) {
-  for (Machine& machine : m_machines) {
-    machine.start = ++m_starts;
+      m_upstreams(upstreams) {
+  for (Upstream& upstream : m_upstreams) {
+    upstream.start = ++m_starts;
   }
 }
 
@@ -46,9 +46,9 @@
   return true;
 }
 
-bool CrashFleet::Ask(size_t router,
-                     const std::string& body,
-                     bool ends_upstreams) {
+bool CrashFleet::Send(size_t router,
+                      const std::string& body,
+                      bool ends_upstreams) {
   CrashRecord& record = m_records[router];
   const RequestPrint print =
       PrintOf({"POST", "/x", core::AccountId("gate"), body});
@@ -58,57 +58,59 @@
       (alone && !(Owns(router, print) && record.BeginTrial(print)))) {
     return false;
   }
-  const size_t first = m_random() % m_machines.size();
-  for (size_t i = 0; i < m_machines.size(); ++i) {
-    const size_t upstream = (first + i) % m_machines.size();
-    if (m_machines[upstream].down_until > m_now) {
+  const size_t first = m_random() % m_upstreams.size();
+  for (size_t i = 0; i < m_upstreams.size(); ++i) {
+    const size_t upstream = (first + i) % m_upstreams.size();
+    if (m_upstreams[upstream].down_until > m_now) {
       continue;
     }
     const double lasts = ends_upstreams ? 0.1 : Uniform(0.3, 3);
-    m_runs.push_back({router, upstream, m_machines[upstream].start, body, print,
-                      m_now + lasts, ends_upstreams, alone});
+    m_runs.push_back({router, upstream, m_upstreams[upstream].start, body,
+                      print, m_now + lasts, ends_upstreams, alone});
     return true;
   }
   return false;
 }
 
-void CrashFleet::EndSome(size_t count) {
+void CrashFleet::TerminateRandom(size_t count) {
   for (size_t i = 0; i < count; ++i) {
-    End(m_random() % m_machines.size());
+    Terminate(m_random() % m_upstreams.size());
   }
 }
 
-void CrashFleet::End(size_t upstream) {
-  const uint64_t start = m_machines[upstream].start;
-  const bool refuses = Uniform(0, 1) < kRefusing;
+void CrashFleet::Terminate(size_t upstream) {
+  const uint64_t start = m_upstreams[upstream].start;
+  const bool refuses = Uniform(0, 1) < kRefusedShare;
   std::erase_if(m_runs, [&](const Run& run) {
     if (run.start != start) {
       return false;
     }
     m_records[run.router].OnBroken(run.print, UpstreamStart(start), At(m_now));
-    m_proofs.push_back({m_now + (refuses ? kStep : kLapse), run.router, start});
+    m_end_notices.push_back(
+        {m_now + (refuses ? kStep : kExpiryDelay), run.router, start});
     if (run.tried_alone) {
       m_records[run.router].EndTrial(run.print);
     }
-    m_cut.push_back(run.body);
+    m_interrupted.push_back(run.body);
     return true;
   });
-  m_machines[upstream] = {++m_starts, m_now + kDown};
+  m_upstreams[upstream] = {++m_starts, m_now + kDownTime};
 }
 
-void CrashFleet::Tell(size_t router) {
+void CrashFleet::SendHeartbeat(size_t router) {
   v1::RouterBeat beat;
   m_records[router].WriteTo(beat, At(m_now));
-  m_words.push_back(
-      {m_now + Uniform(kLeastWord, kMostWord), std::move(beat), router});
+  m_sent_heartbeats.push_back(
+      {m_now + Uniform(kMinReportDelay, kMaxReportDelay), std::move(beat),
+       router});
 }
 
 void CrashFleet::FinishRuns() {
   const std::vector<Run> runs = m_runs;
   for (const Run& run : runs) {
     if (run.ends_at <= m_now && run.ends_upstream &&
-        m_machines[run.upstream].start == run.start) {
-      End(run.upstream);
+        m_upstreams[run.upstream].start == run.start) {
+      Terminate(run.upstream);
     }
   }
   std::erase_if(m_runs, [&](const Run& run) {
@@ -120,38 +122,38 @@
       record.EndTrial(run.print);
     }
     if (record.OnSurvived(run.print, At(m_now))) {
-      Tell(run.router);
+      SendHeartbeat(run.router);
     }
     return true;
   });
 }
 
 void CrashFleet::Deliver() {
-  std::erase_if(m_proofs, [&](const Proof& proof) {
-    if (proof.at > m_now) {
+  std::erase_if(m_end_notices, [&](const EndNotice& notice) {
+    if (notice.at > m_now) {
       return false;
     }
-    if (!m_records[proof.router]
-             .OnEnded(UpstreamStart(proof.start), At(m_now))
+    if (!m_records[notice.router]
+             .OnEnded(UpstreamStart(notice.start), At(m_now))
              .empty()) {
-      Tell(proof.router);
+      SendHeartbeat(notice.router);
     }
     return true;
   });
-  std::erase_if(m_words, [&](const Word& word) {
-    if (word.at > m_now) {
+  std::erase_if(m_sent_heartbeats, [&](const SentHeartbeat& sent) {
+    if (sent.at > m_now) {
       return false;
     }
     for (size_t router = 0; router < m_records.size(); ++router) {
-      if (router != word.from) {
-        m_records[router].OnBeat(word.beat, At(m_now));
+      if (router != sent.from) {
+        m_records[router].OnBeat(sent.beat, At(m_now));
       }
     }
     return true;
   });
 }
 
-void CrashFleet::Pass(double seconds) {
+void CrashFleet::Advance(double seconds) {
   const double until = m_now + seconds;
   while (m_now < until) {
     m_now += kStep;
@@ -163,8 +165,8 @@
   }
 }
 
-std::vector<std::string> CrashFleet::TakeCut() {
-  return std::exchange(m_cut, {});
+std::vector<std::string> CrashFleet::TakeInterrupted() {
+  return std::exchange(m_interrupted, {});
 }
 
 }  // namespace coppervalve::entry::testing
--- a/tests/entry/crash_fleet.h
+++ b/tests/entry/crash_fleet.h
@@ -10,23 +10,24 @@
 
 namespace coppervalve::entry::testing {
 
-/// @brief Upstreams that end, routers that read each other's beats late, and
-/// callers that come back: all in virtual time, from one seed.
+/// @brief Simulates upstreams that terminate, routers that read each other's
+/// heartbeats late, and callers that retry, in virtual time and from one seed.
 class CrashFleet {
  public:
   CrashFleet(uint64_t seed, size_t routers, size_t upstreams);
 
-  /// @brief A caller's request comes to a router. @return whether it was sent
-  bool Ask(size_t router, const std::string& body, bool ends_upstreams);
-  /// @brief Upstreams end, for reasons of their own.
-  void EndSome(size_t count);
-  /// @brief Lets time pass.
-  void Pass(double seconds);
+  /// @brief Sends a caller's request to a router. @return whether the router
+  /// forwarded it
+  bool Send(size_t router, const std::string& body, bool ends_upstreams);
+  /// @brief Terminates random upstreams, independent of any request.
+  void TerminateRandom(size_t count);
+  /// @brief Advances the virtual time.
+  void Advance(double seconds);
 
   size_t RandomRouter() { return m_random() % m_records.size(); }
   double now() const { return m_now; }
-  /// Bodies whose run an upstream's end cut since the last call.
-  std::vector<std::string> TakeCut();
+  /// Bodies of the requests that a termination interrupted since the last call.
+  std::vector<std::string> TakeInterrupted();
 
  private:
   struct Run {
@@ -39,34 +40,34 @@
     bool ends_upstream;
     bool tried_alone;
   };
-  struct Word {
+  struct SentHeartbeat {
     double at;
     v1::RouterBeat beat;
     size_t from;
   };
-  struct Proof {
+  struct EndNotice {
     double at;
     size_t router;
     uint64_t start;
   };
-  struct Machine {
+  struct Upstream {
     uint64_t start = 0;
     double down_until = 0;
   };
   bool Owns(size_t router, const RequestPrint& print) const;
-  void End(size_t upstream);
-  void Tell(size_t router);
+  void Terminate(size_t upstream);
+  void SendHeartbeat(size_t router);
   void FinishRuns();
   void Deliver();
   double Uniform(double from, double to);
 
   std::mt19937_64 m_random;
   std::vector<CrashRecord> m_records;
-  std::vector<Machine> m_machines;
+  std::vector<Upstream> m_upstreams;
   std::vector<Run> m_runs;
-  std::vector<Word> m_words;
-  std::vector<Proof> m_proofs;
-  std::vector<std::string> m_cut;
+  std::vector<SentHeartbeat> m_sent_heartbeats;
+  std::vector<EndNotice> m_end_notices;
+  std::vector<std::string> m_interrupted;
   uint64_t m_starts = 0;
   double m_now = 0;
 };
--- a/tests/entry/entry_fixture.h
+++ b/tests/entry/entry_fixture.h
@@ -29,7 +29,7 @@
   return {entry.id, entry};
 }
 
-/// @brief A configuration of the account "gate" alone.
+/// @brief A configuration with only the prepaid account "gate".
 inline Configuration Prepaid(int64_t tokens) {
   Configuration configuration;
   Account account;
@@ -39,8 +39,8 @@
   return configuration;
 }
 
-/// @brief A configuration of one service whose upstreams warm up for 3 s and
-/// bear 14 requests a second meanwhile.
+/// @brief A configuration with one service whose upstreams warm up for 3 s and
+/// can handle 14 requests per second meanwhile.
 inline Configuration WarmingUp(const std::string& name) {
   Service service;
   service.name = core::ServiceId(name);
@@ -50,7 +50,7 @@
   return configuration;
 }
 
-/// @brief A record that names no upstream, whatever was written into it.
+/// @brief A record that contains no readable entry.
 inline UpstreamRecord Unreadable(const std::string& id) {
   return {core::UpstreamId(id), std::nullopt};
 }
--- a/tests/entry/unit-admission.cc
+++ b/tests/entry/unit-admission.cc
@@ -60,22 +60,22 @@
   STRCMP_EQUAL("short", core::Value(other).route->name.value().c_str());
 }
 
-TEST(Admission, a_port_in_the_host_does_not_matter) {
+TEST(Admission, a_port_in_the_host_is_ignored) {
   RequestFacts facts = FactsFor("/a/", "key-1");
   facts.host = "desk.example:8080";
   CHECK(core::IsOk(Admit(view, facts, 0)));
 }
 
-TEST(Admission, unknown_routes_and_keys_are_denied) {
+TEST(Admission, unknown_routes_and_keys_are_rejected) {
   CHECK(Refusal(view, FactsFor("/z/", "key-1")) == core::ErrorId::kNotFound);
   CHECK(Refusal(view, FactsFor("/a/", "key-2")) ==
         core::ErrorId::kUnauthorized);
 }
 
-TEST(Admission, a_router_that_was_cut_off_does_not_deny) {
-  // A caller with a good key is told for good that it has none. The key was
-  // added while the router could not reach the store; it has an older
-  // configuration and no way to know.
+TEST(Admission, a_disconnected_router_gives_no_final_rejection) {
+  // A caller with a valid key must not get a final rejection. The key was added
+  // while the router could not reach the store; it has an older configuration
+  // and can't know.
   view.fresh = false;
   CHECK(Refusal(view, FactsFor("/a/", "key-2")) ==
         core::ErrorId::kConfigurationStale);
@@ -83,18 +83,18 @@
         core::ErrorId::kConfigurationStale);
 }
 
-TEST(Admission, without_a_configuration_nothing_is_denied) {
+TEST(Admission, without_a_configuration_there_is_no_final_rejection) {
   view.in_force = nullptr;
   CHECK(Refusal(view, FactsFor("/a/", "key-1")) == core::ErrorId::kNotReady);
 }
 
-TEST(Admission, expired_keys_are_not_honoured) {
+TEST(Admission, expired_keys_are_not_accepted) {
   view.keys_expired = true;
   CHECK(Refusal(view, FactsFor("/a/", "key-1")) ==
         core::ErrorId::kConfigurationStale);
 }
 
-TEST(Admission, the_limit_is_the_shorter_of_route_and_caller) {
+TEST(Admission, the_limit_is_the_shorter_of_route_and_caller_timeout) {
   RequestFacts facts = FactsFor("/a/", "key-1");
   facts.patience = std::chrono::seconds(1);
   CHECK(core::Value(Admit(view, facts, 0)).limit == std::chrono::seconds(1));
--- a/tests/entry/unit-evacuations.cc
+++ b/tests/entry/unit-evacuations.cc
@@ -13,7 +13,7 @@
 };
 // clang-format on
 
-TEST(Evacuations, a_domain_is_evacuated_until_it_is_taken_back) {
+TEST(Evacuations, a_domain_is_evacuated_until_the_evacuation_ends) {
   const auto began = evacuations.OnRecord(a, true);
   CHECK(began && *began == (EvacuationChange{a, true}));
   CHECK(evacuations.Contains(a));
@@ -23,13 +23,13 @@
   CHECK_FALSE(evacuations.Contains(a));
 }
 
-TEST(Evacuations, what_is_known_is_no_change) {
+TEST(Evacuations, a_known_state_is_no_change) {
   evacuations.OnRecord(a, true);
   CHECK_FALSE(evacuations.OnRecord(a, true).has_value());
   CHECK_FALSE(evacuations.OnRecord(b, false).has_value());
 }
 
-TEST(Evacuations, domains_are_evacuated_each_for_itself) {
+TEST(Evacuations, domains_are_evacuated_independently) {
   evacuations.OnRecord(a, true);
   evacuations.OnRecord(b, true);
   evacuations.OnRecord(a, false);
@@ -38,8 +38,9 @@
   CHECK_EQUAL(1, evacuations.size());
 }
 
-TEST(Evacuations, a_list_tells_what_was_missed) {
-  // A router that was cut off missed one record's end and another's start.
+TEST(Evacuations, the_full_list_includes_missed_changes) {
+  // A disconnected router missed the end of one record and the begin of
+  // another.
   evacuations.OnRecord(a, true);
   const auto changes = evacuations.ReplaceAll({b});
   CHECK_EQUAL(2, changes.size());
@@ -48,7 +49,7 @@
   CHECK(evacuations.ReplaceAll({b}).empty());
 }
 
-TEST(Evacuations, keys_are_told_apart_by_their_prefix) {
+TEST(Evacuations, keys_are_recognised_by_their_prefix) {
   CHECK_FALSE(EvacuatedDomain("evacuate/", "config").has_value());
   CHECK_FALSE(EvacuatedDomain("", "config").has_value());
   const auto domain = EvacuatedDomain("evacuate/", "evacuate/fd-a");
--- a/tests/entry/unit-placement.cc
+++ b/tests/entry/unit-placement.cc
@@ -40,9 +40,9 @@
 };
 // clang-format on
 
-TEST(Placement, short_prompts_keep_away_from_long_ones) {
-  // A gate chat waits behind a group's itinerary of 50,000 tokens. Requests
-  // are counted, not what they make the engine read first.
+TEST(Placement, short_prompts_avoid_engines_with_long_ones) {
+  // A short request would wait behind a prompt of 50,000 tokens if requests
+  // were counted instead of the prefill that they cause.
   Engine(0)->in_flight = 1;
   Engine(0)->in_prefill = placer.ReadingCost(core::Tokens(50'000));
   for (int i = 1; i < 4; ++i) {
@@ -67,7 +67,7 @@
   CHECK(placement.why == PlacedBy::kPrefixOwner);
 }
 
-TEST(Placement, a_busy_owner_is_passed_over) {
+TEST(Placement, a_busy_owner_is_not_chosen) {
   query.shared_prefix = "castle-tour";
   query.shared_tokens = core::Tokens(500);
   const std::string owner = Chosen();
@@ -75,9 +75,9 @@
   CHECK(Chosen() != owner);
 }
 
-TEST(Placement, what_other_routers_reported_counts) {
-  // Six routers send to the same idle engine at once. Each sees its own work
-  // only, which is a sixth.
+TEST(Placement, load_reports_of_other_routers_count) {
+  // Guards against six routers sending to the same idle engine at once, when
+  // each sees only its own work, a sixth of the total.
   v1::LoadReport report;
   report.set_router("router-2");
   report.set_sequence(1);
@@ -105,7 +105,7 @@
   DOUBLES_EQUAL(0, peers.At(Engine(0)->load_key).in_flight, 0.001);
 }
 
-TEST(Placement, silent_reports_are_forgotten) {
+TEST(Placement, reports_expire) {
   v1::LoadReport report;
   report.set_router("router-2");
   report.set_sequence(1);
@@ -118,7 +118,7 @@
   DOUBLES_EQUAL(0, peers.At(Engine(0)->load_key).in_flight, 0.001);
 }
 
-TEST(Placement, an_upstream_that_cannot_be_reached_is_the_last_resort) {
+TEST(Placement, an_unreachable_upstream_is_the_last_resort) {
   for (int i = 0; i < 4; ++i) {
     Engine(i)->health.On(AttemptOutcome::kUnreachable, At(1));
   }
@@ -127,7 +127,7 @@
   CHECK(placement.why == PlacedBy::kLastResort);
 }
 
-TEST(Placement, an_upstream_that_fails_often_gets_less_until_it_is_forgotten) {
+TEST(Placement, an_upstream_that_fails_often_is_avoided_until_failures_decay) {
   for (int i = 0; i < 10; ++i) {
     Engine(1)->health.On(AttemptOutcome::kBroken, At(1));
   }
@@ -155,7 +155,8 @@
   CHECK(placement.why == PlacedBy::kNoneLeft);
 }
 
-TEST(Placement, an_upstream_whose_entry_lapsed_is_used_when_nothing_else_is) {
+TEST(Placement,
+     an_upstream_whose_entry_expired_is_used_if_nothing_else_is_left) {
   const StoreContact contact;
   directory.Remove(core::UpstreamId("e1"), contact, At(1));
   for (int i = 0; i < 20; ++i) {
@@ -167,9 +168,9 @@
   CHECK_FALSE(Chosen().empty());
 }
 
-TEST(Placement, an_upstream_that_wants_a_pause_gets_nothing_not_even_at_last) {
-  // An engine that is too busy spends its time on refusing what comes all the
-  // same: the others were tried, so it was asked as the last resort.
+TEST(Placement, a_paused_upstream_gets_nothing_even_as_the_last_resort) {
+  // Guards against using an overloaded engine as the last resort after all
+  // others were tried: it would spend its time on rejecting requests.
   Engine(0)->hold_until = At(5);
   for (int i = 1; i < 4; ++i) {
     query.exclude.push_back(core::UpstreamId("e" + std::to_string(i)));
--- a/tests/entry/unit-policy.cc
+++ b/tests/entry/unit-policy.cc
@@ -11,13 +11,13 @@
 TEST_GROUP(Policy){};
 // clang-format on
 
-TEST(Policy, without_changes_it_is_what_ships) {
+TEST(Policy, without_changes_it_has_the_defaults) {
   const Policy policy = core::Value(ReadPolicy(""));
   CHECK(policy.gifts);
   CHECK_EQUAL(BookOptions{}.most_held, policy.book.most_held);
 }
 
-TEST(Policy, parts_are_changed_by_name) {
+TEST(Policy, members_are_changed_by_name) {
   const Policy policy =
       core::Value(ReadPolicy("gifts=0,book.ahead=4500,placement.running=7.5"));
   CHECK_FALSE(policy.gifts);
@@ -26,13 +26,13 @@
   CHECK_EQUAL(3, policy.least_active);
 }
 
-TEST(Policy, every_name_is_taken) {
+TEST(Policy, every_name_is_accepted) {
   for (const std::string_view name : PolicyNames()) {
     CHECK(core::IsOk(ReadPolicy(std::string(name) + "=1")));
   }
 }
 
-TEST(Policy, what_is_not_understood_is_named) {
+TEST(Policy, the_invalid_part_is_reported) {
   for (const char* changes : {"gift=0", "gifts", "gifts=", "gifts=no",
                               "gifts=1x", "=1", "gifts=0,,book.ahead=1"}) {
     CHECK_FALSE(core::IsOk(ReadPolicy(changes)));
--- a/tests/entry/unit-retry-allowance.cc
+++ b/tests/entry/unit-retry-allowance.cc
@@ -19,9 +19,11 @@
 TEST_GROUP(RetryAllowance){};
 // clang-format on
 
-TEST(RetryAllowance, all_routers_together_keep_the_bound_without_talking) {
-  // Upstreams that come back are buried under repeats. All of a service fail;
-  // each of seven routers repeats all it may, and none hears of the others.
+TEST(RetryAllowance,
+     all_routers_together_keep_the_bound_without_communication) {
+  // Guards against retries that overload recovering upstreams. All upstreams of
+  // a service fail; each of seven routers retries as often as it may, without
+  // communication.
   constexpr uint32_t kRouters = 7;
   int requests = 0;
   int repeats = 0;
@@ -40,7 +42,7 @@
   CHECK(repeats >= (kBounds.ratio * requests + kBounds.slack) / 2);
 }
 
-TEST(RetryAllowance, the_right_comes_back_with_time) {
+TEST(RetryAllowance, retries_are_allowed_again_after_the_window) {
   RetryAllowance allowance(kBounds);
   while (allowance.Take(kService, 4, At(0))) {
   }
@@ -48,7 +50,7 @@
   CHECK(allowance.Take(kService, 4, At(10.1)));
 }
 
-TEST(RetryAllowance, services_do_not_share) {
+TEST(RetryAllowance, services_have_separate_shares) {
   RetryAllowance allowance(kBounds);
   while (allowance.Take(kService, 4, At(0))) {
   }
--- a/tests/entry/unit-shedding.cc
+++ b/tests/entry/unit-shedding.cc
@@ -40,14 +40,14 @@
   CHECK(Shed(options, backlog, 0.999).has_value());
 }
 
-TEST(Shedding, the_less_urgent_are_refused_a_little_earlier) {
+TEST(Shedding, less_urgent_requests_are_refused_a_little_earlier) {
   backlog.wait = 115ms;
   CHECK_FALSE(Shed(options, backlog, 0).has_value());
   backlog.rank = 1;
   CHECK(Shed(options, backlog, 0).has_value());
 }
 
-TEST(Shedding, the_caller_is_told_when_the_waiting_work_is_done) {
+TEST(Shedding, the_retry_delay_covers_the_queued_work) {
   backlog.wait = 900ms;
   CHECK(*Shed(options, backlog, 0) == 900ms);
   backlog.wait = 130ms;
@@ -60,13 +60,13 @@
   CHECK_FALSE(Shed(options, backlog, 0).has_value());
 }
 
-TEST(ReadingPace, a_few_answers_say_nothing) {
+TEST(ReadingPace, a_few_samples_give_no_estimate) {
   pace.OnFirstPiece(chat, 1'000, 100ms);
   CHECK(pace.ToRead(chat, 5'000) == 0ms);
 }
 
-TEST(ReadingPace, what_is_the_same_for_all_does_not_count) {
-  // 40 ms for any request and 20 microseconds a token.
+TEST(ReadingPace, the_constant_part_does_not_count) {
+  // 40 ms for any request and 20 microseconds per token.
   for (int i = 0; i < 50; ++i) {
     const double tokens = 1'000 + 500 * (i % 9);
     pace.OnFirstPiece(chat, tokens,
@@ -79,8 +79,8 @@
 
 namespace {
 
-/// @brief What callers of one kind got.
-struct Got {
+/// @brief Outcomes of the requests of one kind.
+struct Outcomes {
   int asked = 0;
   int in_time = 0;
   int late = 0;
@@ -89,12 +89,13 @@
   double InTime() const { return static_cast<double>(in_time) / asked; }
 };
 
-/// @brief Four engines that read prompts one after the other, and callers who
-/// ask for more than they can read, placed and refused by the shipped
-/// decisions; in virtual time.
-class OverloadPlay {
+/// @brief Simulates four engines that process prompts sequentially, and callers
+/// who exceed their capacity, with the production placement and shedding, in
+/// virtual time.
+class OverloadSimulation {
  public:
-  OverloadPlay(bool shed, double times_capacity) : m_times(times_capacity) {
+  OverloadSimulation(bool shed, double times_capacity)
+      : m_times(times_capacity) {
     m_options.on = shed;
     for (int i = 0; i < kEngines; ++i) {
       UpstreamEntry entry = EntryOf("e" + std::to_string(i), "chat");
@@ -110,28 +111,28 @@
     }
   }
 
-  Got small;
-  Got large;
+  Outcomes small;
+  Outcomes large;
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     double to_read;
     double reading;
     double expected;
-    double came;
+    double arrived;
     double sent;
     bool is_large;
   };
   static constexpr int kEngines = 4;
-  static constexpr double kStep = 0.001;      // seconds
-  static constexpr double kTokensAStep = 50;  // an engine
-  static constexpr double kSmall = 1'500;     // tokens
-  static constexpr double kLarge = 9'000;     // tokens
-  static constexpr double kLargeShare = 0.2;  // of the requests
-  static constexpr double kObjective = 0.6;   // seconds
-  static constexpr double kPatience = 2.4;    // seconds
-
-  Got& Of(bool is_large) { return is_large ? large : small; }
+  static constexpr double kStep = 0.001;        // seconds
+  static constexpr double kTokensPerStep = 50;  // per engine
+  static constexpr double kSmall = 1'500;       // tokens
+  static constexpr double kLarge = 9'000;       // tokens
+  static constexpr double kLargeShare = 0.2;    // of all requests
+  static constexpr double kObjective = 0.6;     // seconds
+  static constexpr double kPatience = 2.4;      // seconds
+
+  Outcomes& Of(bool is_large) { return is_large ? large : small; }
   double Uniform() {
     return static_cast<double>(m_random() >> 11) / 9007199254740992.0;
   }
@@ -139,15 +140,15 @@
     return m_directory.Find(core::UpstreamId("e" + std::to_string(i)));
   }
 
-  void Leave(int engine, const Waiting& one) {
+  void Leave(int engine, const QueuedRequest& one) {
     Engine(engine)->in_prefill -= one.reading;
     --Engine(engine)->in_flight;
   }
 
   void Read() {
     for (int i = 0; i < kEngines; ++i) {
-      std::deque<Waiting>& queue = m_queues[static_cast<size_t>(i)];
-      while (!queue.empty() && m_now - queue.front().came > kPatience) {
+      std::deque<QueuedRequest>& queue = m_queues[static_cast<size_t>(i)];
+      while (!queue.empty() && m_now - queue.front().arrived > kPatience) {
         ++Of(queue.front().is_large).left;
         Leave(i, queue.front());
         queue.pop_front();
@@ -155,24 +156,24 @@
       if (queue.empty()) {
         continue;
       }
-      queue.front().to_read -= kTokensAStep;
+      queue.front().to_read -= kTokensPerStep;
       if (queue.front().to_read > 0) {
         continue;
       }
-      const Waiting done = queue.front();
+      const QueuedRequest done = queue.front();
       queue.pop_front();
       Leave(i, done);
       m_pace.OnFirstPiece(
           core::ServiceId("chat"), done.expected,
           core::Duration(static_cast<int64_t>((m_now - done.sent) * 1e6)));
-      Got& got = Of(done.is_large);
-      ++(m_now - done.came <= kObjective ? got.in_time : got.late);
+      Outcomes& got = Of(done.is_large);
+      ++(m_now - done.arrived <= kObjective ? got.in_time : got.late);
     }
   }
 
   void Arrivals() {
     const double mean = kLargeShare * kLarge + (1 - kLargeShare) * kSmall;
-    const double rate = m_times * kEngines * kTokensAStep / mean;  // a step
+    const double rate = m_times * kEngines * kTokensPerStep / mean;  // per step
     if (Uniform() < rate) {
       Ask(Uniform() < kLargeShare);
     }
@@ -213,19 +214,19 @@
                     return m_random();
                   }};
   ReadingPace m_pace;
-  std::vector<std::deque<Waiting>> m_queues{kEngines};
+  std::vector<std::deque<QueuedRequest>> m_queues{kEngines};
 };
 
 }  // namespace
 
 TEST(Shedding, at_twice_the_load_half_of_the_callers_are_served_in_time) {
-  // Callers of a busy hour: every one is taken, waits for over a second, and
-  // is late or leaves; half of the work would have been done in time. With
-  // refusals it is, and nobody waits in vain.
-  OverloadPlay before(false, 2.0);
+  // Without shedding every request is accepted and waits for more than a
+  // second, and is late or its caller leaves, although half of the work could
+  // have been done in time. With shedding it is, and no caller waits in vain.
+  OverloadSimulation before(false, 2.0);
   before.Run(20);
   CHECK(before.small.InTime() < 0.1);
-  OverloadPlay after(true, 2.0);
+  OverloadSimulation after(true, 2.0);
   after.Run(20);
   CHECK(after.small.InTime() > 0.4);
   CHECK_EQUAL(0, after.small.left + after.large.left);
@@ -233,21 +234,21 @@
 }
 
 TEST(Shedding, large_requests_are_refused_no_more_often_than_small_ones) {
-  OverloadPlay play(true, 2.0);
-  play.Run(20);
+  OverloadSimulation simulation(true, 2.0);
+  simulation.Run(20);
   const double small =
-      static_cast<double>(play.small.refused) / play.small.asked;
+      static_cast<double>(simulation.small.refused) / simulation.small.asked;
   const double large =
-      static_cast<double>(play.large.refused) / play.large.asked;
+      static_cast<double>(simulation.large.refused) / simulation.large.asked;
   CHECK(large < small * 1.25);
-  CHECK(play.large.InTime() > play.small.InTime() / 2);
+  CHECK(simulation.large.InTime() > simulation.small.InTime() / 2);
 }
 
-TEST(Shedding, at_half_the_load_hardly_anybody_is_refused) {
-  // Large prompts come in clusters by chance: a few callers meet one.
-  OverloadPlay play(true, 0.5);
-  play.Run(20);
-  CHECK(play.small.refused + play.large.refused <
-        (play.small.asked + play.large.asked) / 50);
-  CHECK(play.small.InTime() > 0.95);
+TEST(Shedding, at_half_the_load_hardly_any_request_is_refused) {
+  // Large prompts cluster by chance, so a few callers are rejected.
+  OverloadSimulation simulation(true, 0.5);
+  simulation.Run(20);
+  CHECK(simulation.small.refused + simulation.large.refused <
+        (simulation.small.asked + simulation.large.asked) / 50);
+  CHECK(simulation.small.InTime() > 0.95);
 }
--- a/tests/entry/unit-stated-limit.cc
+++ b/tests/entry/unit-stated-limit.cc
@@ -22,7 +22,7 @@
   UpstreamDirectory one{DirectoryOptions{}};
   UpstreamDirectory other{DirectoryOptions{}};
 
-  // How many requests go there in a span, sent as soon as they may.
+  // Counts the requests sent in a time span, each as early as allowed.
   int Sends(const SenderPlace& place, double from, double to) {
     int sent = 0;
     for (double t = from; t < to; t += 0.01) {
@@ -36,7 +36,7 @@
   void Announce(UpstreamDirectory& directory, const UpstreamEntry& entry) {
     directory.OnRecord(RecordOf(entry));
   }
-  void Tell(UpstreamDirectory& from, UpstreamDirectory& to, double at) {
+  void SendReport(UpstreamDirectory& from, UpstreamDirectory& to, double at) {
     v1::LoadReport report;
     TellLimits(from, At(at), report);
     HearLimits(report, At(at), to);
@@ -53,23 +53,24 @@
       const LimitShare share = DivideLimit(per_second, routers, options);
       CHECK(share.senders >= 1 && share.senders <= routers);
       CHECK(share.senders * share.per_second <= per_second);
-      // In any four seconds, each counted with the request that began them.
+      // In any four seconds, counting the request at the begin of the span.
       const double each = std::floor(4 * share.per_second) + 1;
       CHECK(share.senders * each <= 1.5 * 4 * per_second + 5);
     }
   }
 }
 
-TEST(StatedLimit, a_sender_saves_nothing_up) {
+TEST(StatedLimit, a_sender_accumulates_no_credit) {
   limit.OnAnswer(2, At(1), At(1));
   Sends({1, 0, true}, 1, 2);
-  // Idle for 20 s, it sends no burst.
+  // After being idle for 20 s, it sends no burst.
   limit.OnAnswer(2, At(20), At(20));
   const int sent = Sends({1, 0, true}, 22, 23);
   CHECK_EQUAL(2, sent);
 }
 
-TEST(StatedLimit, a_router_that_is_no_sender_sends_nothing_while_others_tell) {
+TEST(StatedLimit,
+     a_router_that_is_no_sender_sends_nothing_while_others_report) {
   limit.OnAnswer(2, At(1), At(1));
   for (int second = 2; second < 60; ++second) {
     limit.OnPeerWord(2, At(second));
@@ -78,7 +79,7 @@
   }
 }
 
-TEST(StatedLimit, routers_that_hear_nothing_ask_in_turn) {
+TEST(StatedLimit, routers_without_reports_probe_in_turn) {
   int all = 0;
   for (uint32_t rank = 0; rank < 7; ++rank) {
     limit = {};
@@ -88,15 +89,16 @@
   CHECK_EQUAL(7, all);
 }
 
-TEST(StatedLimit, an_answer_without_a_limit_ends_it) {
+TEST(StatedLimit, a_response_without_a_limit_ends_it) {
   limit.OnAnswer(0.2, At(1), At(2));
-  CHECK_FALSE(limit.OnAnswer(std::nullopt, At(1.5), At(3)));  // asked before
+  CHECK_FALSE(limit.OnAnswer(std::nullopt, At(1.5),
+                             At(3)));  // request sent before the limit
   CHECK(limit.per_second().has_value());
   CHECK(limit.OnAnswer(std::nullopt, At(2.5), At(4)));
   CHECK_FALSE(limit.per_second().has_value());
 }
 
-TEST(StatedLimit, one_that_can_not_be_read_changes_nothing_and_is_told_once) {
+TEST(StatedLimit, an_unreadable_limit_changes_nothing_and_is_reported_once) {
   limit.OnAnswer(2, At(1), At(2));
   CHECK(limit.OnUnreadable());
   CHECK_FALSE(limit.OnUnreadable());
@@ -105,7 +107,7 @@
   CHECK(limit.OnUnreadable());
 }
 
-TEST(StatedLimit, the_newest_word_of_any_router_holds) {
+TEST(StatedLimit, the_newest_report_of_any_router_applies) {
   limit.OnAnswer(2, At(1), At(5));
   CHECK_FALSE(limit.OnPeerWord(std::nullopt, At(4)));
   CHECK(limit.OnPeerWord(3, At(6)));
@@ -114,23 +116,23 @@
   CHECK_FALSE(limit.per_second().has_value());
 }
 
-TEST(StatedLimit, routers_tell_each_other_of_a_limit_and_of_its_end) {
+TEST(StatedLimit, routers_report_limits_and_their_end_to_each_other) {
   Announce(one, EntryOf("engine"));
   Announce(other, EntryOf("engine"));
   one.OnLimitWord(Engine(one), 2.5, At(1), At(1));
-  Tell(one, other, 1.2);
+  SendReport(one, other, 1.2);
   DOUBLES_EQUAL(2.5, *Engine(other)->limit.per_second(), 1e-9);
   one.OnLimitWord(Engine(one), std::nullopt, At(3), At(4));
-  Tell(one, other, 4.1);
+  SendReport(one, other, 4.1);
   CHECK_FALSE(Engine(other)->limit.per_second().has_value());
 }
 
-TEST(StatedLimit, what_a_router_only_heard_of_is_not_told_on) {
-  // A word that goes round between routers never becomes old.
+TEST(StatedLimit, reported_limits_are_not_forwarded) {
+  // A limit that routers forward to each other would never expire.
   Announce(one, EntryOf("engine"));
   Announce(other, EntryOf("engine"));
   one.OnLimitWord(Engine(one), 2.5, At(1), At(1));
-  Tell(one, other, 1.2);
+  SendReport(one, other, 1.2);
   v1::LoadReport report;
   TellLimits(other, At(1.3), report);
   CHECK_EQUAL(0, report.limits_size());
@@ -139,8 +141,9 @@
   CHECK_EQUAL(0, report.limits_size());
 }
 
-TEST(StatedLimit, a_limit_outlives_the_entry_of_its_start) {
-  // The store loses sight of the upstream, which is in need as before.
+TEST(StatedLimit, a_limit_outlives_the_entry_until_the_next_start) {
+  // The entry of the upstream expires in the store, but its limit still
+  // applies.
   store.OnAnswer(At(0));
   UpstreamEntry entry = EntryOf("engine");
   entry.born = 7;
@@ -155,14 +158,14 @@
   CHECK_FALSE(Engine(one)->limit.per_second().has_value());
 }
 
-TEST(StatedLimit, rates_of_peers_that_are_none_are_left_out) {
+TEST(StatedLimit, invalid_rates_of_peers_are_ignored) {
   Announce(one, EntryOf("engine"));
   for (const double rate :
        {-1.0, std::nan(""), std::numeric_limits<double>::infinity()}) {
     v1::LoadReport report;
-    v1::UpstreamLimit* word = report.add_limits();
-    word->set_upstream(LoadKey(core::UpstreamId("engine")));
-    word->set_per_second(rate);
+    v1::UpstreamLimit* reported = report.add_limits();
+    reported->set_upstream(LoadKey(core::UpstreamId("engine")));
+    reported->set_per_second(rate);
     HearLimits(report, At(1), one);
     CHECK_FALSE(Engine(one)->limit.per_second().has_value());
   }
--- a/tests/entry/unit-table-readers.cc
+++ b/tests/entry/unit-table-readers.cc
@@ -22,9 +22,10 @@
   return cost;
 }
 
-// Followers of a table before a store that they share, each behind a link of
-// its own: how late the slowest of them is after some seconds of steady work.
-double LatenessAfter(double seconds, const TableCost& cost, size_t followers) {
+// Simulates followers of a table that share a store, each behind a link of its
+// own. Returns how many seconds the slowest one is behind after so many seconds
+// of steady load.
+double DelayAfter(double seconds, const TableCost& cost, size_t followers) {
   constexpr double kStep = 0.1;
   constexpr double kLinkBytesPerSecond = 1.25e6;
   const double written = static_cast<double>(cost.upstreams) *
@@ -51,13 +52,13 @@
 };
 // clang-format on
 
-TEST(TableReaders, fleets_whose_table_is_cheap_all_follow_it) {
+TEST(TableReaders, all_follow_a_table_that_is_cheap) {
   CHECK(AllMayFollow(CostOf(64, 86), {}));
   CHECK(AllMayFollow(CostOf(129, 195), {}));
   CHECK(readers.Advance(CostOf(64, 86), false, At(1)));
 }
 
-TEST(TableReaders, where_the_store_does_not_say_its_rate_all_follow) {
+TEST(TableReaders, all_follow_if_the_bandwidth_of_the_store_is_unknown) {
   TableCost cost = CostOf(3'000, 300);
   cost.store_bytes_per_second = 0;
   CHECK(AllMayFollow(cost, {}));
@@ -66,18 +67,19 @@
   CHECK(AllMayFollow(cost, {}));
 }
 
-TEST(TableReaders, of_a_large_fleet_those_in_turn_follow) {
+TEST(TableReaders, in_a_large_fleet_active_routers_follow) {
   const TableCost cost = CostOf(3'000, 300);
   CHECK_FALSE(readers.Advance(cost, false, At(1)));
   CHECK(readers.Advance(cost, true, At(2)));
-  // Callers that keep its address still come.
+  // Callers that cached its address still connect.
   CHECK(readers.Advance(cost, false, At(9)));
   CHECK_FALSE(readers.Advance(cost, false, At(11)));
 }
 
-TEST(TableReaders, all_following_a_large_table_are_seconds_late) {
-  // Work goes to upstreams that left, as all routers learn of it too late.
+TEST(TableReaders, a_large_table_followed_by_all_is_seconds_late) {
+  // Requests would go to upstreams that left, as all routers learn of it too
+  // late.
   const TableCost cost = CostOf(3'000, 300);
-  CHECK(LatenessAfter(20, cost, cost.routers) > 3);
-  DOUBLES_EQUAL(0, LatenessAfter(20, cost, 40), 0.1);
+  CHECK(DelayAfter(20, cost, cost.routers) > 3);
+  DOUBLES_EQUAL(0, DelayAfter(20, cost, 40), 0.1);
 }
--- a/tests/entry/unit-upstream-directory.cc
+++ b/tests/entry/unit-upstream-directory.cc
@@ -21,17 +21,17 @@
 };
 // clang-format on
 
-TEST(UpstreamDirectory, an_entry_that_goes_from_a_store_in_order_is_gone) {
+TEST(UpstreamDirectory, an_entry_removed_by_a_healthy_store_is_gone) {
   CHECK(directory.Remove(one, contact, At(10)));
   CHECK(directory.Of(tickets).empty());
 }
 
 TEST(UpstreamDirectory,
-     entries_that_lapsed_in_an_outage_serve_until_they_return) {
-  // Callers are refused with every upstream idle. The store is away for longer
-  // than an upstream's silence lasts; when it is back the first thing read is
-  // that all entries lapsed; the upstreams announce themselves again only a
-  // second later.
+     entries_that_expired_in_an_outage_are_used_until_they_return) {
+  // Guards against rejecting callers with every upstream idle. The store is
+  // unavailable for longer than entries live without heartbeats; when it is
+  // back, the expiry of all entries is read first, and the upstreams announce
+  // themselves again only a second later.
   contact.OnFailure(At(1));
   contact.OnAnswer(At(20));
   CHECK_FALSE(directory.Remove(one, contact, At(20)));
@@ -42,8 +42,7 @@
   CHECK_EQUAL(1, directory.Of(tickets).size());
 }
 
-TEST(UpstreamDirectory,
-     what_has_not_returned_two_seconds_after_the_store_is_gone) {
+TEST(UpstreamDirectory, entries_missing_two_seconds_after_the_outage_are_gone) {
   contact.OnFailure(At(1));
   contact.OnAnswer(At(20));
   directory.Remove(one, contact, At(20));
@@ -52,11 +51,11 @@
 }
 
 TEST(UpstreamDirectory,
-     an_entry_that_goes_well_after_the_return_is_gone_at_once) {
-  // A caller's seat hold reaches an upstream that left. The store was away and
-  // came back; two and a half seconds later an upstream leaves in order; the
-  // router took that for a lapse of the outage and sent to it for two seconds
-  // more (acuerdo-mx, fresh-994b).
+     an_entry_removed_well_after_the_outage_is_gone_at_once) {
+  // Guards against sending to an upstream that left. The store was unavailable
+  // and returned; an upstream that leaves normally two and a half seconds later
+  // must not be taken for an entry that expired in the outage, which would be
+  // used for two more seconds.
   contact.OnFailure(At(1));
   contact.OnAnswer(At(20));
   CHECK(directory.Remove(one, contact, At(22.6)));
@@ -72,23 +71,21 @@
 }
 
 TEST(UpstreamDirectory,
-     a_restarted_upstream_is_another_one_at_the_same_address) {
+     an_upstream_with_a_new_id_at_the_same_address_is_another_one) {
   directory.OnRecord(RecordOf(EntryOf("two")));
   CHECK_EQUAL(2, directory.Of(tickets).size());
 }
 
-TEST(UpstreamDirectory, a_list_read_anew_takes_away_what_it_lacks) {
+TEST(UpstreamDirectory, entries_missing_from_a_new_list_are_removed) {
   directory.ReplaceAll({RecordOf(EntryOf("two"))}, contact, At(10));
   CHECK_EQUAL(1, directory.Of(tickets).size());
   STRCMP_EQUAL("two", directory.Of(tickets).front()->entry.id.value().c_str());
 }
 
-TEST(UpstreamDirectory,
-     a_call_that_hung_through_the_outage_does_not_prolong_it) {
-  // A caller's work reaches an upstream that left three seconds ago. The store
-  // is back and its entry is read as lapsed; then a call that was made in the
-  // outage times out, and the time to return began anew (acuerdo-mx, scale-1
-  // --seed 1046941036923).
+TEST(UpstreamDirectory, a_late_timeout_of_a_call_does_not_prolong_the_outage) {
+  // Guards against sending to an upstream that left three seconds ago. The
+  // store is back and the entry is read as expired; then a call made during the
+  // outage times out, which must not restart the time to return.
   contact.OnFailure(At(10));
   contact.OnAnswer(At(20));
   directory.Remove(one, contact, At(20));
@@ -106,10 +103,10 @@
 
 }  // namespace
 
-TEST(UpstreamDirectory, a_start_under_the_same_id_is_known_nothing_of) {
-  // Work is placed by what an earlier start held, and it is avoided for
-  // failures that the new one didn't make. The upstream crashed and started
-  // again under its id; only `born` tells.
+TEST(UpstreamDirectory, a_restart_under_the_same_id_has_no_earlier_state) {
+  // Guards against placement by the state of an earlier start: its cached
+  // prefixes and its failures. The upstream crashed and restarted under its id;
+  // only `born` differs.
   directory.OnRecord(RecordOf(BornAt(100)));
   const UpstreamRef before = directory.Find(one);
   before->in_flight = 7;
@@ -133,8 +130,8 @@
 }
 
 TEST(UpstreamDirectory, a_late_record_of_an_earlier_start_changes_nothing) {
-  // Work goes to an address where nobody is any more: the record of a start
-  // that ended was read after that of the start that followed.
+  // Guards against sending to an unused address: the record of a start that
+  // ended was read after that of its successor.
   directory.OnRecord(RecordOf(BornAt(200)));
   UpstreamEntry late = BornAt(100);
   late.address = "10.0.0.9:80";
@@ -142,15 +139,15 @@
   CHECK(directory.OnRecord(RecordOf(late)) == DirectoryChange::kNothing);
   CHECK_EQUAL(1, directory.Of(tickets).size());
   CHECK(directory.Find(one)->entry.address == "10.0.0.1:80");
-  // Also after the later start went for good.
+  // Also after the later start is gone for good.
   CHECK(directory.Remove(one, contact, At(10)));
   CHECK(directory.OnRecord(RecordOf(late)) == DirectoryChange::kNothing);
   CHECK(directory.Of(tickets).empty());
 }
 
-TEST(UpstreamDirectory, a_record_that_names_no_upstream_takes_the_entry_away) {
-  // Work goes on to an upstream whose entry somebody else wrote over: its
-  // address may be another's by now.
+TEST(UpstreamDirectory, a_record_without_an_upstream_removes_the_entry) {
+  // Guards against sending to an upstream whose entry was overwritten by
+  // someone else: its address may have been reassigned.
   CHECK(directory.OnRecord(Unreadable("one")) == DirectoryChange::kDropped);
   CHECK(directory.Of(tickets).empty());
   CHECK(directory.OnRecord(Unreadable("never-seen")) ==
@@ -159,8 +156,8 @@
   CHECK_EQUAL(1, directory.Of(tickets).size());
 }
 
-TEST(UpstreamDirectory, a_list_drops_what_it_can_not_name_and_keeps_the_rest) {
-  // Right after an outage, when entries that merely lapsed are kept.
+TEST(UpstreamDirectory, a_list_drops_unreadable_entries_and_keeps_the_rest) {
+  // Right after an outage, when expired entries are kept.
   directory.OnRecord(RecordOf(EntryOf("two")));
   contact.OnFailure(At(1));
   contact.OnAnswer(At(20));
@@ -171,14 +168,16 @@
   STRCMP_EQUAL("two", directory.Of(tickets).front()->entry.id.value().c_str());
 }
 
-TEST(UpstreamDirectory, an_entry_of_an_unknown_service_serves_no_other_one) {
+TEST(UpstreamDirectory,
+     an_entry_of_an_unknown_service_serves_no_other_service) {
   directory.OnRecord(RecordOf(EntryOf("one", "nobody-knows")));
   CHECK(directory.Of(tickets).empty());
 }
 
-TEST(UpstreamDirectory, what_an_upstream_says_of_leaving_outlives_its_records) {
-  // Work is sent to an upstream that ends under it. It said in an answer that
-  // it leaves; the store, away until now, still hands out records of before.
+TEST(UpstreamDirectory, an_announced_leave_overrides_later_records) {
+  // Guards against sending to an upstream that is terminating. It announced in
+  // a response that it is leaving; the store, unavailable until now, still
+  // returns older records.
   CHECK(directory.OnLeavingWord(directory.Find(one)));
   CHECK(directory.Of(tickets).empty());
   UpstreamEntry ready = EntryOf("one");
@@ -190,16 +189,17 @@
   CHECK_FALSE(directory.OnLeavingWord(directory.Find(one)));
 }
 
-TEST(UpstreamDirectory, the_word_holds_when_the_entry_went_and_came_back) {
+TEST(UpstreamDirectory, an_announced_leave_applies_when_the_entry_returns) {
   directory.OnLeavingWord(directory.Find(one));
   directory.Remove(one, contact, At(10));
   directory.OnRecord(RecordOf(EntryOf("one")));
   CHECK(directory.Of(tickets).empty());
 }
 
-TEST(UpstreamDirectory, the_word_is_kept_where_the_record_said_so_before) {
-  // The record says that it leaves; the store is away, and what is read first
-  // afterwards is an earlier record, in which it is ready.
+TEST(UpstreamDirectory,
+     an_announced_leave_is_kept_if_the_record_said_so_before) {
+  // The record says that it is leaving; the store is unavailable, and the first
+  // record read afterwards is an older one, in which it is ready.
   UpstreamEntry leaving = EntryOf("one");
   leaving.leaving = true;
   directory.OnRecord(RecordOf(leaving));
@@ -208,30 +208,31 @@
   CHECK(directory.Of(tickets).empty());
 }
 
-TEST(UpstreamDirectory, the_word_of_one_whose_entry_went_is_kept) {
-  const UpstreamRef speaker = directory.Find(one);
+TEST(UpstreamDirectory, an_announced_leave_is_kept_if_the_entry_is_gone) {
+  const UpstreamRef sender = directory.Find(one);
   directory.Remove(one, contact, At(10));
-  CHECK_FALSE(directory.OnLeavingWord(speaker));
+  CHECK_FALSE(directory.OnLeavingWord(sender));
   directory.OnRecord(RecordOf(EntryOf("one")));
   CHECK(directory.Of(tickets).empty());
 }
 
-TEST(UpstreamDirectory, the_word_ends_with_the_start_that_gave_it) {
+TEST(UpstreamDirectory, an_announced_leave_ends_with_its_start) {
   UpstreamEntry first = EntryOf("one");
   first.born = 1;
   directory.OnRecord(RecordOf(first));
-  const UpstreamRef speaker = directory.Find(one);
-  directory.OnLeavingWord(speaker);
+  const UpstreamRef sender = directory.Find(one);
+  directory.OnLeavingWord(sender);
   UpstreamEntry second = first;
   second.born = 2;
   directory.OnRecord(RecordOf(second));
   CHECK_EQUAL(1, directory.Of(tickets).size());
-  // An answer of the earlier start that comes late says nothing of this one.
-  CHECK_FALSE(directory.OnLeavingWord(speaker));
+  // A late response of the earlier start says nothing about this one.
+  CHECK_FALSE(directory.OnLeavingWord(sender));
   CHECK_EQUAL(1, directory.Of(tickets).size());
 }
 
-TEST(UpstreamDirectory, a_word_from_an_address_belongs_to_who_has_it_now) {
+TEST(UpstreamDirectory,
+     a_response_belongs_to_the_current_owner_of_the_address) {
   directory.OnRecord(RecordOf(EntryOf("two")));
   const UpstreamRef asked = directory.Find(one);
   CHECK(directory.OtherAtAddress(*asked)->entry.id == core::UpstreamId("two"));
@@ -239,7 +240,7 @@
   CHECK(directory.OtherAtAddress(*asked) == nullptr);
 }
 
-TEST(UpstreamDirectory, the_first_pause_to_end_says_when_to_come_back) {
+TEST(UpstreamDirectory, the_pause_that_ends_first_determines_the_retry_delay) {
   directory.OnRecord(RecordOf(EntryOf("two")));
   directory.Find(one)->hold_until = At(9);
   CHECK_FALSE(directory.AllHoldUntil(tickets, At(5)).has_value());
--- a/tests/entry/unit-upstream-fleet.cc
+++ b/tests/entry/unit-upstream-fleet.cc
@@ -18,45 +18,48 @@
 // clang-format on
 
 TEST(UpstreamFleet, no_cold_upstream_gets_more_than_it_bears) {
-  // Engines fall over again as they come back, as all routers send to them.
-  for (const NamedPlay& one : ColdPlays()) {
-    const FleetOutcome outcome = PlayFleet(one.play, kSeeds);
-    CHECK_TEXT(outcome.most_in_a_second <= kBound, one.name);
-    CHECK_EQUAL_TEXT(0, outcome.fell_over, one.name);
+  // Guards against restarted engines failing again because all routers send to
+  // them.
+  for (const NamedScenario& one : ColdScenarios()) {
+    const FleetOutcome outcome = SimulateFleet(one.scenario, kSeeds);
+    CHECK_TEXT(outcome.max_in_a_second <= kBound, one.name);
+    CHECK_EQUAL_TEXT(0, outcome.overloaded, one.name);
   }
 }
 
 TEST(UpstreamFleet, without_a_limit_cold_upstreams_fall_over) {
-  FleetPlay play;
-  play.warm_up.limit = false;
-  play.placement.cold = 0;
-  CHECK(PlayFleet(play, kSeeds).fell_over > 0);
+  FleetScenario scenario;
+  scenario.warm_up.limit = false;
+  scenario.placement.cold = 0;
+  CHECK(SimulateFleet(scenario, kSeeds).overloaded > 0);
 }
 
 TEST(UpstreamFleet, no_limited_upstream_gets_more_than_its_limit_allows) {
-  // Each router goes on sending what it did to an upstream that named a limit.
-  for (const NamedPlay& one : LimitPlays()) {
-    const FleetOutcome outcome = PlayFleet(one.play, kSeeds);
+  // Guards against each router sending an unchanged rate to an upstream that
+  // sent a limit.
+  for (const NamedScenario& one : LimitScenarios()) {
+    const FleetOutcome outcome = SimulateFleet(one.scenario, kSeeds);
     CHECK_TEXT(outcome.limit_used <= 1, one.name);
   }
 }
 
 TEST(UpstreamFleet, limits_are_used_and_their_end_is_found) {
-  // Where the work needs them: others have no room.
-  for (const NamedPlay& one : LimitPlays()) {
-    if (one.play.limited < 60) {
+  // Only where the load requires it: in the others, other engines have free
+  // capacity.
+  for (const NamedScenario& one : LimitScenarios()) {
+    if (one.scenario.limited < 60) {
       continue;
     }
-    const FleetOutcome outcome = PlayFleet(one.play, kSeeds);
-    CHECK_TEXT(outcome.limit_filled >= 0.6, one.name);
+    const FleetOutcome outcome = SimulateFleet(one.scenario, kSeeds);
+    CHECK_TEXT(outcome.limit_utilisation >= 0.6, one.name);
     CHECK_TEXT(outcome.end_known_after < 8, one.name);
   }
 }
 
 TEST(UpstreamFleet, without_a_share_limited_upstreams_get_too_much) {
-  FleetPlay play;
-  play.back_cold = 0;
-  play.limited = 10;
-  play.limits.enforce = false;
-  CHECK(PlayFleet(play, kSeeds).limit_used > 1);
+  FleetScenario scenario;
+  scenario.back_cold = 0;
+  scenario.limited = 10;
+  scenario.limits.enforce = false;
+  CHECK(SimulateFleet(scenario, kSeeds).limit_used > 1);
 }
--- a/tests/entry/unit-upstream-gate.cc
+++ b/tests/entry/unit-upstream-gate.cc
@@ -25,11 +25,11 @@
     gate.OnConfiguration(WarmingUp("tickets"));
     directory.ReplaceAll({RecordOf(EntryOf("old"))}, store, At(0));
     for (int i = 0; i < 3; ++i) {
-      Hear(i, 1);
+      ReadBeat(i, 1);
     }
-    Settle(0, 4);
+    AdvanceTime(0, 4);
   }
-  void Hear(int router, uint64_t sequence) {
+  void ReadBeat(int router, uint64_t sequence) {
     v1::RouterBeat beat;
     beat.set_epoch(1);
     beat.set_sequence(sequence);
@@ -40,7 +40,7 @@
     members.OnBeat(core::RouterId("router-" + std::to_string(router)), beat,
                    At(0));
   }
-  void Settle(double from, double to) {
+  void AdvanceTime(double from, double to) {
     for (double t = from; t <= to; t += 0.2) {
       members.Advance(store, At(t));
       senders.Advance(At(t));
@@ -55,7 +55,7 @@
     directory.OnRecord(record);
     return directory.Find(core::UpstreamId(id));
   }
-  // Sends as many as the gate lets pass.
+  // Sends requests as long as the gate is open.
   int SendAll(Upstream& upstream, double at) {
     int sent = 0;
     for (; sent < 100 && gate.Of(upstream, At(at)) == Passage::kOpen; ++sent) {
@@ -70,21 +70,21 @@
   CHECK_FALSE(gate.Cold(*directory.Find(core::UpstreamId("old")), At(4)));
 }
 
-TEST(UpstreamGate, a_start_in_traffic_is_cold_whatever_its_record_says) {
+TEST(UpstreamGate, a_start_during_traffic_is_cold_whatever_its_record_says) {
   const UpstreamRef fresh = Put("new", 4);
   CHECK(gate.Cold(*fresh, At(6.9)));
   CHECK_FALSE(gate.Cold(*fresh, At(7)));
 }
 
-TEST(UpstreamGate, the_age_of_a_record_is_added_to_what_it_says) {
-  // Read 0.8 s late, what was left when it was written is still counted whole.
+TEST(UpstreamGate, the_age_of_a_record_is_added_to_its_warm_up_time) {
+  // Read 0.8 s late, the remaining time as of the write still counts in full.
   Put("old", 4, 2.5);
   const Upstream& upstream = *directory.Find(core::UpstreamId("old"));
   CHECK(gate.Cold(upstream, At(6.4)));
   CHECK_FALSE(gate.Cold(upstream, At(6.6)));
 }
 
-TEST(UpstreamGate, a_domain_that_is_taken_back_may_be_cold) {
+TEST(UpstreamGate, a_domain_may_be_cold_after_its_evacuation) {
   const Upstream& upstream = *directory.Find(core::UpstreamId("old"));
   directory.OnTakenBack(core::FailureDomainId("fd-other"), At(5));
   CHECK_FALSE(gate.Cold(upstream, At(5)));
@@ -92,8 +92,8 @@
   CHECK(gate.Cold(upstream, At(7.9)));
 }
 
-TEST(UpstreamGate, one_that_could_not_be_reached_may_have_started_again) {
-  // It comes back under its old id, and its new record is not read yet.
+TEST(UpstreamGate, an_unreachable_upstream_may_have_restarted) {
+  // It restarts under its old id, and its new record is not read yet.
   Upstream& upstream = *directory.Find(core::UpstreamId("old"));
   gate.OnOutcome(upstream, AttemptOutcome::kUnreachable, At(5));
   CHECK(gate.Cold(upstream, At(7.9)));
@@ -102,8 +102,9 @@
   CHECK_FALSE(gate.Cold(upstream, At(23)));
 }
 
-TEST(UpstreamGate, one_that_could_not_be_reached_is_tried_again_by_all) {
-  // A router that is none of its senders never uses the upstream again.
+TEST(UpstreamGate, an_unreachable_upstream_is_tried_again_by_all) {
+  // Otherwise a router that is not one of its senders would never use the
+  // upstream again.
   MemberList nobody(core::RouterId("router-9"), core::Duration(3'500'000),
                     contact);
   UpstreamSenders none(nobody, {});
@@ -115,15 +116,16 @@
   CHECK(other.Of(upstream, At(8)) == Passage::kOpen);
 }
 
-TEST(UpstreamGate, all_senders_together_stay_below_what_a_cold_one_bears) {
+TEST(UpstreamGate,
+     all_senders_together_stay_below_the_bound_of_a_cold_upstream) {
   const UpstreamRef fresh = Put("new", 4);
   const int sent = SendAll(*fresh, 5);
-  CHECK_EQUAL(4, sent);  // 13 of 26, between three
+  CHECK_EQUAL(4, sent);  // 13 of 26, divided by three
   CHECK(gate.Of(*fresh, At(5.9)) == Passage::kWarmingUp);
   CHECK_EQUAL(4, SendAll(*fresh, 6.1));
 }
 
-TEST(UpstreamGate, what_was_sent_before_it_turned_cold_counts) {
+TEST(UpstreamGate, requests_sent_before_it_became_cold_count) {
   Upstream& upstream = *directory.Find(core::UpstreamId("old"));
   for (int i = 0; i < 3; ++i) {
     gate.OnSend(upstream, At(4.5));
@@ -132,8 +134,9 @@
   CHECK_EQUAL(1, SendAll(upstream, 5));
 }
 
-TEST(UpstreamGate, a_router_that_just_became_a_sender_waits) {
-  // Its own start before may have sent, and the others don't know of it yet.
+TEST(UpstreamGate, a_new_sender_waits) {
+  // Its previous start may have sent requests, and the other routers don't know
+  // of it yet.
   UpstreamSenders later(members, {});
   later.Advance(At(4));
   const UpstreamRef fresh = Put("new", 4);
@@ -143,7 +146,7 @@
 }
 
 TEST(UpstreamGate, a_fleet_that_shrinks_keeps_its_shares_for_a_while) {
-  // Cut off from all, a router must not take the others' parts at once.
+  // A router disconnected from all others must not take their shares at once.
   const UpstreamRef fresh = Put("new", 4);
   for (int router : {1, 2}) {
     v1::RouterBeat beat;
@@ -153,16 +156,16 @@
     members.OnBeat(core::RouterId("router-" + std::to_string(router)), beat,
                    At(4));
   }
-  Settle(4, 8);
+  AdvanceTime(4, 8);
   CHECK_EQUAL(1, members.Active());
   CHECK_EQUAL(4,
               senders.PartOf(fresh->entry.id, fresh->sender_rank, 26, At(8)));
-  Settle(8, 24);
+  AdvanceTime(8, 24);
   CHECK_EQUAL(13,
               senders.PartOf(fresh->entry.id, fresh->sender_rank, 26, At(24)));
 }
 
-TEST(UpstreamGate, the_bound_is_divided_so_that_the_sum_keeps_below_it) {
+TEST(UpstreamGate, the_sum_of_all_shares_stays_below_the_bound) {
   for (double bound : {0.0, 0.5, 1.0, 2.0, 7.0, 26.0, 400.0}) {
     for (uint32_t routers : {1U, 2U, 3U, 5U, 6U, 7U, 20U, 400U}) {
       const WarmUpShare share = DivideWarmUp(bound, routers, {});
--- a/tests/entry/upstream_fleet.cc
+++ b/tests/entry/upstream_fleet.cc
@@ -13,7 +13,7 @@
 constexpr size_t kEngines = 60;
 constexpr double kRequestsPerSecond = 407;
 constexpr double kStep = 0.01;
-constexpr double kBegin = -6;  // routers start, callers come from -3 s on
+constexpr double kBegin = -6;  // routers start; callers send from -3 s on
 constexpr double kEnd = 12;
 constexpr double kWarmUpSeconds = 3;
 constexpr double kBound = 26;  // 14 x 1.5 + 5
@@ -21,15 +21,17 @@
 constexpr double kBeatPeriod = 0.6;
 constexpr double kReportPeriod = 0.3;
 constexpr double kRestart = 0.7;
-constexpr double kFallOver = 3;
+constexpr double kOverloadDownTime = 3;
 constexpr double kLimitEnds = 12;
-constexpr double kContact = 3;       // from so long after it was named it binds
-constexpr double kWindow = 4;        // over which it binds
-constexpr double kToldBefore = 0.5;  // a router counts from so long after
-constexpr double kEndOfLimitPlay = 20;
-constexpr int kMostTries = 6;
-
-/// @brief One engine as it is, whatever routers believe.
+constexpr double kContact =
+    3;  // the limit is checked from so long after it began
+constexpr double kWindow = 4;  // span that it is checked over
+constexpr double kKnownBefore =
+    0.5;  // a router is checked from so long after it knew
+constexpr double kEndOfLimitScenario = 20;
+constexpr int kMaxAttempts = 6;
+
+/// @brief The actual state of an engine, whatever routers believe.
 struct Engine {
   std::string id;
   uint32_t starts = 0;
@@ -37,9 +39,11 @@
   double back_at = 0;
   double cold_until = -100;
   uint32_t running = 0;
-  std::deque<double> arrivals;  ///< while cold, in the last second
-  std::map<std::pair<size_t, uint64_t>, double> told;  ///< starts of routers
-  std::vector<double> from_told;  ///< arrivals while limited
+  std::deque<double> arrivals;  ///< in the last second while cold
+  std::map<std::pair<size_t, uint64_t>, double>
+      limit_known_at;  ///< when each router start learned the limit
+  std::vector<double>
+      from_informed;  ///< arrivals from routers that know the limit
   uint32_t while_limited = 0;
 };
 
@@ -54,17 +58,17 @@
   v1::RouterBeat beat;
 };
 
-/// @brief What one start of a router knows.
-struct Knowledge {
-  Knowledge(const core::RouterId& name,
-            const FleetPlay& play,
-            routing::RandomHook random)
+/// @brief The state of one start of a router.
+struct RouterState {
+  RouterState(const core::RouterId& name,
+              const FleetScenario& scenario,
+              routing::RandomHook random)
       : contact(core::Duration(1'200'000), core::Duration(5'000'000)),
         members(name, core::Duration(3'500'000), contact, 3),
-        senders(members, play.warm_up),
-        gate(senders, {1.5, 5}, play.limits),
+        senders(members, scenario.warm_up),
+        gate(senders, {1.5, 5}, scenario.limits),
         loads(core::Duration(800'000)),
-        placer(play.placement,
+        placer(scenario.placement,
                core::FailureDomainId("none"),
                loads,
                gate,
@@ -85,9 +89,9 @@
 
 struct RouterVm {
   core::RouterId name;
-  std::unique_ptr<Knowledge> knows;
+  std::unique_ptr<RouterState> state;
   double back_at = 0;
-  double cut_until = -100;
+  double disconnected_until = -100;
   double read_delay = 0;
   double next_beat = 0;
   double next_report = 0;
@@ -95,7 +99,7 @@
   uint64_t epoch = 0;
   uint64_t sequence = 0;
   std::deque<double> arrivals;
-  bool up() const { return knows != nullptr; }
+  bool up() const { return state != nullptr; }
 };
 
 struct Caller {
@@ -116,7 +120,8 @@
 
 class Fleet {
  public:
-  explicit Fleet(const FleetPlay& play) : m_play(play), m_random(play.seed) {
+  explicit Fleet(const FleetScenario& scenario)
+      : m_scenario(scenario), m_random(scenario.seed) {
     for (size_t i = 0; i < kEngines; ++i) {
       Engine engine;
       engine.id = "e" + std::to_string(i);
@@ -127,19 +132,19 @@
       RouterVm vm;
       vm.name = core::RouterId("router-" + std::to_string(i));
       vm.read_delay = Between(0.05, 0.9);
-      vm.capacity = i % 4 == 0 && !play.many_active ? 250 : 25;
+      vm.capacity = i % 4 == 0 && !scenario.many_active ? 250 : 25;
       m_routers.push_back(std::move(vm));
     }
     m_callers.resize(180);
   }
 
-  FleetOutcome Play() {
-    const double end = m_play.limited > 0 ? kEndOfLimitPlay : kEnd;
+  FleetOutcome Simulate() {
+    const double end = m_scenario.limited > 0 ? kEndOfLimitScenario : kEnd;
     for (m_now = kBegin; m_now < end; m_now += kStep) {
       StartRouters();
-      Disturb();
+      InjectFaults();
       for (size_t i = 0; i < kRouters; ++i) {
-        Work(i);
+        AdvanceRouter(i);
       }
       EndRuns();
       if (m_now >= -3) {
@@ -157,7 +162,9 @@
   }
   bool Chance(double part) { return Between(0, 1) < part; }
   core::TimePoint Now() const { return At(100 + m_now); }
-  bool Cut(const RouterVm& vm) const { return m_now < vm.cut_until; }
+  bool Disconnected(const RouterVm& vm) const {
+    return m_now < vm.disconnected_until;
+  }
 
   UpstreamEntry EntryNow(size_t i) const {
     const Engine& engine = m_engines[i];
@@ -171,18 +178,19 @@
   void Write(size_t i, double at) { m_records.push_back({at, EntryNow(i)}); }
 
   bool Limited(size_t engine) const {
-    return engine < m_play.limited && m_now >= 0 && m_now < kLimitEnds;
+    return engine < m_scenario.limited && m_now >= 0 && m_now < kLimitEnds;
   }
 
-  // The answer to a run, as far as it is about limits.
+  // Handles the limit in a response, or its absence.
   void Answer(const Run& run, RouterVm& vm) {
     const bool limited = Limited(run.engine);
     if (limited) {
-      m_engines[run.engine].told.emplace(std::pair(run.router, run.epoch),
-                                         m_now);
+      m_engines[run.engine].limit_known_at.emplace(
+          std::pair(run.router, run.epoch), m_now);
     }
-    vm.knows->directory.OnLimitWord(
-        run.upstream, limited ? std::optional(m_play.per_second) : std::nullopt,
+    vm.state->directory.OnLimitWord(
+        run.upstream,
+        limited ? std::optional(m_scenario.per_second) : std::nullopt,
         At(100 + run.began), Now());
   }
 
@@ -192,16 +200,18 @@
       return;
     }
     ++engine.while_limited;
-    const auto told = engine.told.find({router, m_routers[router].epoch});
-    if (told != engine.told.end() && m_now - told->second >= kToldBefore) {
-      engine.from_told.push_back(m_now);
+    const auto limit_known_at =
+        engine.limit_known_at.find({router, m_routers[router].epoch});
+    if (limit_known_at != engine.limit_known_at.end() &&
+        m_now - limit_known_at->second >= kKnownBefore) {
+      engine.from_informed.push_back(m_now);
     }
   }
 
   void CountLimits() {
-    const double allowed = 1.5 * m_play.per_second * kWindow + 5;
-    for (size_t i = 0; i < m_play.limited; ++i) {
-      const std::vector<double>& times = m_engines[i].from_told;
+    const double allowed = 1.5 * m_scenario.per_second * kWindow + 5;
+    for (size_t i = 0; i < m_scenario.limited; ++i) {
+      const std::vector<double>& times = m_engines[i].from_informed;
       size_t first = 0;
       for (size_t last = 0; last < times.size(); ++last) {
         while (times[last] - times[first] > kWindow) {
@@ -210,19 +220,19 @@
         const auto most = static_cast<double>(last - first + 1);
         m_outcome.limit_used = std::max(m_outcome.limit_used, most / allowed);
       }
-      m_outcome.limit_filled += m_engines[i].while_limited /
-                                (kLimitEnds - kContact) / m_play.per_second /
-                                m_play.limited;
+      m_outcome.limit_utilisation += m_engines[i].while_limited /
+                                     (kLimitEnds - kContact) /
+                                     m_scenario.per_second / m_scenario.limited;
     }
   }
 
   void WatchEnd() {
-    if (m_play.limited == 0 || m_now < kLimitEnds) {
+    if (m_scenario.limited == 0 || m_now < kLimitEnds) {
       return;
     }
     for (const RouterVm& vm : m_routers) {
-      if (vm.up() && vm.knows->members.SelfActive() &&
-          vm.knows->directory.Limited() > 0) {
+      if (vm.up() && vm.state->members.SelfActive() &&
+          vm.state->directory.Limited() > 0) {
         m_outcome.end_known_after = m_now - kLimitEnds;
       }
     }
@@ -235,17 +245,17 @@
       }
       ++vm.epoch;
       vm.sequence = 0;
-      vm.knows = std::make_unique<Knowledge>(vm.name, m_play,
-                                             [this] { return m_random(); });
+      vm.state = std::make_unique<RouterState>(vm.name, m_scenario,
+                                               [this] { return m_random(); });
       vm.next_beat = m_now + Between(0.1, 0.4);
     }
   }
 
-  void Disturb() {
+  void InjectFaults() {
     if (!m_ended && m_now >= 3) {
       m_ended = true;
-      for (size_t i = 0; i < m_play.back_cold; ++i) {
-        if (m_play.in_place) {
+      for (size_t i = 0; i < m_scenario.back_cold; ++i) {
+        if (m_scenario.in_place) {
           m_engines[i].cold_until = m_now + kWarmUpSeconds;
           m_pending.push_back({m_now + Between(0, kHeartbeat), i});
         } else {
@@ -271,19 +281,19 @@
         m_pending.push_back({m_now + Between(0, 0.3), i});
       }
     }
-    if (!m_cut_done && m_now >= m_play.cut_at) {
-      m_cut_done = true;
+    if (!m_disconnect_done && m_now >= m_scenario.disconnect_at) {
+      m_disconnect_done = true;
       for (RouterVm& vm : m_routers) {
-        if (Chance(m_play.cut_part)) {
-          vm.cut_until = m_now + 6;
+        if (Chance(m_scenario.disconnected_share)) {
+          vm.disconnected_until = m_now + 6;
         }
       }
     }
     if (!m_kill_done && m_now >= m_kill_at) {
       m_kill_done = true;
       for (RouterVm& vm : m_routers) {
-        if (Chance(m_play.killed_part)) {
-          vm.knows.reset();
+        if (Chance(m_scenario.killed_share)) {
+          vm.state.reset();
           vm.back_at = m_now + kRestart;
         }
       }
@@ -298,59 +308,59 @@
     engine.arrivals.clear();
   }
 
-  void Work(size_t i) {
+  void AdvanceRouter(size_t i) {
     RouterVm& vm = m_routers[i];
     if (!vm.up()) {
       return;
     }
-    Knowledge& knows = *vm.knows;
-    if (Cut(vm)) {
-      knows.store.OnFailure(Now());
+    RouterState& state = *vm.state;
+    if (Disconnected(vm)) {
+      state.store.OnFailure(Now());
     } else {
       Read(vm);
-      knows.store.OnAnswer(Now());
+      state.store.OnAnswer(Now());
       if (m_now >= vm.next_beat) {
         vm.next_beat = m_now + kBeatPeriod;
         Beat(vm);
       }
-      if (m_now >= vm.next_report && knows.members.SelfActive()) {
+      if (m_now >= vm.next_report && state.members.SelfActive()) {
         vm.next_report = m_now + kReportPeriod;
         Report(vm);
       }
     }
     if (m_now >= m_next_tick[i]) {
       m_next_tick[i] = m_now + 0.2;
-      knows.members.Advance(knows.store, Now());
-      knows.senders.Advance(Now());
-      knows.loads.Advance(Now());
+      state.members.Advance(state.store, Now());
+      state.senders.Advance(Now());
+      state.loads.Advance(Now());
     }
   }
 
   void Read(RouterVm& vm) {
-    Knowledge& knows = *vm.knows;
+    RouterState& state = *vm.state;
     const double until = m_now - vm.read_delay;
-    // The first reading is of the list: what came before it is no news.
-    const bool listing = knows.records_read == 0;
+    // The first read returns the full list; earlier records are not changes.
+    const bool listing = state.records_read == 0;
     std::vector<UpstreamRecord> listed;
-    for (; knows.records_read < m_records.size() &&
-           m_records[knows.records_read].at <= until;
-         ++knows.records_read) {
-      const UpstreamEntry& entry = m_records[knows.records_read].entry;
+    for (; state.records_read < m_records.size() &&
+           m_records[state.records_read].at <= until;
+         ++state.records_read) {
+      const UpstreamEntry& entry = m_records[state.records_read].entry;
       const UpstreamRecord record{entry.id, entry, Now()};
       if (listing) {
         listed.push_back(record);
       } else {
-        knows.directory.OnRecord(record);
+        state.directory.OnRecord(record);
       }
     }
     if (!listed.empty()) {
-      knows.directory.ReplaceAll(listed, knows.store, Now());
+      state.directory.ReplaceAll(listed, state.store, Now());
     }
-    for (; knows.beats_read < m_beats.size() &&
-           m_beats[knows.beats_read].at <= until;
-         ++knows.beats_read) {
-      const WrittenBeat& read = m_beats[knows.beats_read];
-      knows.members.OnBeat(read.router, read.beat, Now());
+    for (; state.beats_read < m_beats.size() &&
+           m_beats[state.beats_read].at <= until;
+         ++state.beats_read) {
+      const WrittenBeat& read = m_beats[state.beats_read];
+      state.members.OnBeat(read.router, read.beat, Now());
     }
   }
 
@@ -375,20 +385,20 @@
     report.set_router(from.name.value());
     report.set_epoch(from.epoch);
     report.set_sequence(++from.sequence);
-    for (const auto& [id, upstream] : from.knows->directory.all()) {
+    for (const auto& [id, upstream] : from.state->directory.all()) {
       if (upstream->in_flight != 0) {
         v1::UpstreamLoad* load = report.add_loads();
         load->set_upstream(upstream->load_key);
         load->set_in_flight(upstream->in_flight);
       }
     }
-    TellLimits(from.knows->directory, Now(), report);
-    for (const std::string& address : from.knows->members.LoadAddresses()) {
+    TellLimits(from.state->directory, Now(), report);
+    for (const std::string& address : from.state->members.LoadAddresses()) {
       RouterVm& to = *Named(address);
-      if (to.up() && !Cut(to) && !Chance(0.02)) {
-        to.knows->contact.OnReport(from.name, true, Now());
-        to.knows->loads.OnReport(report, Now());
-        HearLimits(report, Now(), to.knows->directory);
+      if (to.up() && !Disconnected(to) && !Chance(0.02)) {
+        to.state->contact.OnReport(from.name, true, Now());
+        to.state->loads.OnReport(report, Now());
+        HearLimits(report, Now(), to.state->directory);
       }
     }
   }
@@ -417,8 +427,9 @@
       }
       if (vm.up() && vm.epoch == run.epoch) {
         --run.upstream->in_flight;
-        Tell(vm, run.upstream,
-             same_start ? AttemptOutcome::kAnswered : AttemptOutcome::kBroken);
+        RecordOutcome(
+            vm, run.upstream,
+            same_start ? AttemptOutcome::kAnswered : AttemptOutcome::kBroken);
         if (same_start) {
           Answer(run, vm);
         }
@@ -426,13 +437,16 @@
     }
   }
 
-  void Tell(RouterVm& vm, const UpstreamRef& upstream, AttemptOutcome outcome) {
+  void RecordOutcome(RouterVm& vm,
+                     const UpstreamRef& upstream,
+                     AttemptOutcome outcome) {
     upstream->health.On(outcome, Now());
-    vm.knows->gate.OnOutcome(*upstream, outcome, Now());
+    vm.state->gate.OnOutcome(*upstream, outcome, Now());
   }
 
   void Arrive() {
-    const double rate = kRequestsPerSecond * (m_now >= 5 ? m_play.surge : 1.0);
+    const double rate =
+        kRequestsPerSecond * (m_now >= 5 ? m_scenario.load_factor : 1.0);
     m_due += rate * kStep;
     for (; m_due >= 1; m_due -= 1) {
       if (m_now >= 3 && m_now < kEnd) {
@@ -449,8 +463,8 @@
   RouterVm* Reach(Caller& caller) {
     if (m_now >= caller.ask_again || caller.addresses.empty()) {
       const RouterVm& asked = m_routers[m_random() % kRouters];
-      if (asked.up() && !asked.knows->members.Addresses().empty()) {
-        caller.addresses = asked.knows->members.Addresses();
+      if (asked.up() && !asked.state->members.Addresses().empty()) {
+        caller.addresses = asked.state->members.Addresses();
         caller.ask_again = m_now + Between(2, 6);
       }
     }
@@ -470,13 +484,13 @@
     query.engine = true;
     query.prompt = core::Tokens(3'000);
     query.shared_tokens = core::Tokens(1'000);
-    query.shared_prefix = Chance(m_play.hot_part)
+    query.shared_prefix = Chance(m_scenario.hot_share)
                               ? "hot"
                               : "p" + std::to_string(m_random() % 600);
-    query.routers = vm.knows->members.Active();
-    for (int i = 0; i < kMostTries; ++i) {
+    query.routers = vm.state->members.Active();
+    for (int i = 0; i < kMaxAttempts; ++i) {
       const Placement placement =
-          vm.knows->placer.Choose(vm.knows->directory, query, Now());
+          vm.state->placer.Choose(vm.state->directory, query, Now());
       if (!placement.upstream) {
         return;
       }
@@ -492,14 +506,14 @@
     const size_t index = std::stoul(id.substr(1));
     Engine& engine = m_engines[index];
     if (!engine.up) {
-      Tell(vm, upstream, AttemptOutcome::kUnreachable);
+      RecordOutcome(vm, upstream, AttemptOutcome::kUnreachable);
       return false;
     }
     if (engine.id != id) {
-      Tell(vm, upstream, AttemptOutcome::kMisaddressed);
+      RecordOutcome(vm, upstream, AttemptOutcome::kMisaddressed);
       return false;
     }
-    vm.knows->gate.OnSend(*upstream, Now());
+    vm.state->gate.OnSend(*upstream, Now());
     ++upstream->in_flight;
     ++engine.running;
     const bool cold = m_now < engine.cold_until;
@@ -522,14 +536,14 @@
     }
     engine.arrivals.push_back(m_now);
     const auto count = static_cast<uint32_t>(engine.arrivals.size());
-    m_outcome.most_in_a_second = std::max(m_outcome.most_in_a_second, count);
+    m_outcome.max_in_a_second = std::max(m_outcome.max_in_a_second, count);
     if (count > kBound) {
-      ++m_outcome.fell_over;
-      EndEngine(index, m_now + kFallOver);
+      ++m_outcome.overloaded;
+      EndEngine(index, m_now + kOverloadDownTime);
     }
   }
 
-  const FleetPlay m_play;
+  const FleetScenario m_scenario;
   std::mt19937_64 m_random;
   double m_now = kBegin;
   std::vector<Engine> m_engines;
@@ -542,7 +556,7 @@
   std::priority_queue<Run> m_runs;
   double m_due = 0;
   bool m_ended = false;
-  bool m_cut_done = false;
+  bool m_disconnect_done = false;
   bool m_kill_done = false;
   double m_kill_at = Between(5.5, 7.5);
   FleetOutcome m_outcome;
@@ -550,118 +564,119 @@
 
 }  // namespace
 
-FleetOutcome PlayFleet(FleetPlay play, uint64_t seeds) {
+FleetOutcome SimulateFleet(FleetScenario scenario, uint64_t seeds) {
   FleetOutcome all;
-  for (play.seed = 1; play.seed <= seeds; ++play.seed) {
-    const FleetOutcome one = Fleet(play).Play();
-    all.most_in_a_second = std::max(all.most_in_a_second, one.most_in_a_second);
-    all.fell_over += one.fell_over;
+  for (scenario.seed = 1; scenario.seed <= seeds; ++scenario.seed) {
+    const FleetOutcome one = Fleet(scenario).Simulate();
+    all.max_in_a_second = std::max(all.max_in_a_second, one.max_in_a_second);
+    all.overloaded += one.overloaded;
     all.asked += one.asked;
     all.served += one.served;
     all.limit_used = std::max(all.limit_used, one.limit_used);
-    all.limit_filled += one.limit_filled / static_cast<double>(seeds);
+    all.limit_utilisation += one.limit_utilisation / static_cast<double>(seeds);
     all.end_known_after = std::max(all.end_known_after, one.end_known_after);
   }
   return all;
 }
 
-std::vector<NamedPlay> ColdPlays() {
-  std::vector<NamedPlay> plays;
-  const auto add = [&plays](const char* name, auto change) {
-    plays.push_back({name, {}});
-    change(plays.back().play);
+std::vector<NamedScenario> ColdScenarios() {
+  std::vector<NamedScenario> scenarios;
+  const auto add = [&scenarios](const char* name, auto change) {
+    scenarios.push_back({name, {}});
+    change(scenarios.back().scenario);
   };
-  add("20 of 60", [](FleetPlay& p) { p.back_cold = 20; });
-  add("48 of 60", [](FleetPlay&) {});
-  add("60 of 60", [](FleetPlay& p) { p.back_cold = 60; });
-  add("60, load x2", [](FleetPlay& p) {
+  add("20 of 60", [](FleetScenario& p) { p.back_cold = 20; });
+  add("48 of 60", [](FleetScenario&) {});
+  add("60 of 60", [](FleetScenario& p) { p.back_cold = 60; });
+  add("60, load x2", [](FleetScenario& p) {
     p.back_cold = 60;
-    p.surge = 2;
+    p.load_factor = 2;
   });
-  add("48, cut before the return", [](FleetPlay& p) { p.cut_part = 1; });
-  add("48, cut of all", [](FleetPlay& p) {
-    p.cut_part = 1;
-    p.cut_at = 6.6;
+  add("48, cut before the return",
+      [](FleetScenario& p) { p.disconnected_share = 1; });
+  add("48, cut of all", [](FleetScenario& p) {
+    p.disconnected_share = 1;
+    p.disconnect_at = 6.6;
   });
-  add("48, 40 % cut, load x2", [](FleetPlay& p) {
-    p.cut_part = 0.4;
-    p.surge = 2;
+  add("48, 40 % cut, load x2", [](FleetScenario& p) {
+    p.disconnected_share = 0.4;
+    p.load_factor = 2;
   });
-  add("48, 40 % killed", [](FleetPlay& p) { p.killed_part = 0.4; });
-  add("48, all killed", [](FleetPlay& p) { p.killed_part = 1; });
-  add("20 in place", [](FleetPlay& p) {
+  add("48, 40 % killed", [](FleetScenario& p) { p.killed_share = 0.4; });
+  add("48, all killed", [](FleetScenario& p) { p.killed_share = 1; });
+  add("20 in place", [](FleetScenario& p) {
     p.back_cold = 20;
     p.in_place = true;
   });
-  add("20 in place, hot", [](FleetPlay& p) {
+  add("20 in place, hot", [](FleetScenario& p) {
     p.back_cold = 20;
     p.in_place = true;
-    p.hot_part = 0.5;
+    p.hot_share = 0.5;
   });
-  return plays;
+  return scenarios;
 }
 
-std::vector<NamedPlay> LimitPlays() {
-  std::vector<NamedPlay> plays;
-  const auto add = [&plays](const char* name, auto change) {
-    plays.push_back({name, {}});
-    plays.back().play.back_cold = 0;
-    plays.back().play.limited = 10;
-    change(plays.back().play);
+std::vector<NamedScenario> LimitScenarios() {
+  std::vector<NamedScenario> scenarios;
+  const auto add = [&scenarios](const char* name, auto change) {
+    scenarios.push_back({name, {}});
+    scenarios.back().scenario.back_cold = 0;
+    scenarios.back().scenario.limited = 10;
+    change(scenarios.back().scenario);
   };
-  add("10 of 60, 2 a second", [](FleetPlay&) {});
-  add("10, 0.3 a second", [](FleetPlay& p) { p.per_second = 0.3; });
-  add("10, 0.02 a second", [](FleetPlay& p) { p.per_second = 0.02; });
-  add("10, none", [](FleetPlay& p) { p.per_second = 0; });
+  add("10 of 60, 2 a second", [](FleetScenario&) {});
+  add("10, 0.3 a second", [](FleetScenario& p) { p.per_second = 0.3; });
+  add("10, 0.02 a second", [](FleetScenario& p) { p.per_second = 0.02; });
+  add("10, none", [](FleetScenario& p) { p.per_second = 0; });
   add("10, 2 a second, many routers",
-      [](FleetPlay& p) { p.many_active = true; });
-  add("10, 0.3 a second, many routers", [](FleetPlay& p) {
+      [](FleetScenario& p) { p.many_active = true; });
+  add("10, 0.3 a second, many routers", [](FleetScenario& p) {
     p.per_second = 0.3;
     p.many_active = true;
   });
-  add("60, 2 a second", [](FleetPlay& p) { p.limited = 60; });
-  add("60, 2 a second, many routers", [](FleetPlay& p) {
+  add("60, 2 a second", [](FleetScenario& p) { p.limited = 60; });
+  add("60, 2 a second, many routers", [](FleetScenario& p) {
     p.limited = 60;
     p.many_active = true;
   });
-  add("60, 5 a second, load x2", [](FleetPlay& p) {
+  add("60, 5 a second, load x2", [](FleetScenario& p) {
     p.limited = 60;
     p.per_second = 5;
-    p.surge = 2;
+    p.load_factor = 2;
   });
-  add("60, 10 a second, many, load x2", [](FleetPlay& p) {
+  add("60, 10 a second, many, load x2", [](FleetScenario& p) {
     p.limited = 60;
     p.per_second = 10;
-    p.surge = 2;
+    p.load_factor = 2;
     p.many_active = true;
   });
-  add("60, 2 a second, 40 % killed", [](FleetPlay& p) {
+  add("60, 2 a second, 40 % killed", [](FleetScenario& p) {
     p.limited = 60;
-    p.killed_part = 0.4;
+    p.killed_share = 0.4;
     p.many_active = true;
   });
-  add("60, 2 a second, all killed", [](FleetPlay& p) {
+  add("60, 2 a second, all killed", [](FleetScenario& p) {
     p.limited = 60;
-    p.killed_part = 1;
+    p.killed_share = 1;
   });
-  add("60, 2 a second, 40 % cut", [](FleetPlay& p) {
+  add("60, 2 a second, 40 % cut", [](FleetScenario& p) {
     p.limited = 60;
-    p.cut_part = 0.4;
+    p.disconnected_share = 0.4;
     p.many_active = true;
   });
-  add("60, 10 a second, 40 % cut, load x2", [](FleetPlay& p) {
+  add("60, 10 a second, 40 % cut, load x2", [](FleetScenario& p) {
     p.limited = 60;
     p.per_second = 10;
-    p.surge = 2;
-    p.cut_part = 0.4;
+    p.load_factor = 2;
+    p.disconnected_share = 0.4;
     p.many_active = true;
   });
-  add("60, 2 a second, all cut", [](FleetPlay& p) {
+  add("60, 2 a second, all cut", [](FleetScenario& p) {
     p.limited = 60;
-    p.cut_part = 1;
+    p.disconnected_share = 1;
     p.many_active = true;
   });
-  return plays;
+  return scenarios;
 }
 
 }  // namespace coppervalve::entry::testing
--- a/tests/entry/upstream_fleet.h
+++ b/tests/entry/upstream_fleet.h
@@ -15,52 +15,55 @@
 
 namespace coppervalve::entry::testing {
 
-/// @brief One play: engines that bear little under load while routers disagree.
-struct FleetPlay {
+/// @brief Parameters of a simulation: engines with little capacity under load
+/// while routers disagree.
+struct FleetScenario {
   uint64_t seed = 1;
   WarmUpOptions warm_up;
   LimitOptions limits;
   PlacementOptions placement;
-  uint32_t limited = 0;      ///< of 60 engines name a limit from 0 s to 12 s
+  uint32_t limited = 0;      ///< of 60 engines send a limit from 0 s to 12 s
   double per_second = 2;     ///< that limit
-  bool many_active = false;  ///< callers are led to most routers, not to a few
-  uint32_t back_cold = 48;   ///< of 60; they end at 3 s and are back at 6 s
-  /// They turn cold where they are, without a new start.
+  bool many_active = false;  ///< callers use most routers, not a few
+  uint32_t back_cold = 48;  ///< of 60; they terminate at 3 s and restart at 6 s
+  /// The engines become cold without a restart.
   bool in_place = false;
-  double hot_part = 0.3;  ///< of the requests are about one prefix
-  double surge = 1;       ///< times the load from 5 s on
-  double cut_part = 0;    ///< of the routers, from the store and each other
-  double cut_at = 4;
-  double killed_part = 0;  ///< of the routers, at a random time, for 0.7 s
+  double hot_share = 0.3;  ///< share of requests with one common prefix
+  double load_factor = 1;  ///< factor on the load from 5 s on
+  double disconnected_share =
+      0;  ///< share of routers disconnected from the store and each other
+  double disconnect_at = 4;
+  double killed_share =
+      0;  ///< share of routers down at a random time, for 0.7 s
 };
 
-/// @brief What callers and upstreams saw from 3 s to 12 s, and until 20 s of
-/// the end of limits.
+/// @brief Results for callers and upstreams from 3 s to 12 s, and until 20 s
+/// for the end of limits.
 struct FleetOutcome {
-  uint32_t most_in_a_second = 0;  ///< at one cold upstream, all routers' sends
-  uint32_t fell_over = 0;         ///< upstreams that got too much while cold
+  uint32_t max_in_a_second = 0;  ///< at one cold upstream, from all routers
+  uint32_t overloaded = 0;       ///< upstreams that were overloaded while cold
   uint32_t asked = 0;
   uint32_t served = 0;
-  /// Most requests at one limited upstream in 4 s, of routers that it told, as
-  /// a part of what the limit allows; from 3 s on.
+  /// Maximum over all limited upstreams of the requests in 4 s from routers
+  /// that know the limit, relative to what the limit allows; from 3 s on.
   double limit_used = 0;
-  /// Mean requests a second at a limited upstream, as a part of its limit.
-  double limit_filled = 0;
-  /// Seconds after the end of limits until all routers knew; 8: never.
+  /// Mean requests per second at a limited upstream, relative to its limit.
+  double limit_utilisation = 0;
+  /// Seconds after the end of limits until all routers knew; 8 if never.
   double end_known_after = 0;
 };
 
-/// @brief Plays it with the seeds 1, 2, 3...: the worst second of all, the sums
-/// of the rest.
-FleetOutcome PlayFleet(FleetPlay play, uint64_t seeds);
+/// @brief Runs the scenario with the seeds 1, 2, 3...; returns the maximum for
+/// the busiest second and the limits, and sums of the rest.
+FleetOutcome SimulateFleet(FleetScenario scenario, uint64_t seeds);
 
-/// @brief A play by what makes it hard.
-struct NamedPlay {
+/// @brief A scenario and its distinguishing difficulty.
+struct NamedScenario {
   const char* name;
-  FleetPlay play;
+  FleetScenario scenario;
 };
-std::vector<NamedPlay> ColdPlays();
-std::vector<NamedPlay> LimitPlays();
+std::vector<NamedScenario> ColdScenarios();
+std::vector<NamedScenario> LimitScenarios();
 
 }  // namespace coppervalve::entry::testing
 
