--- a/apps/coppervalved/main.cc
+++ b/apps/coppervalved/main.cc
@@ -33,7 +33,7 @@
     return Fail({core::ErrorId::kSettingBadValue, argv[2],
                  "allowed: --policy name=number,..."});
   }
-  const core::Result<entry::Policy> policy = entry::ReadPolicy(changes);
+  const core::Result<entry::Policy> policy = entry::ParsePolicy(changes);
   if (!core::IsOk(policy)) {
     return Fail(core::Failure(policy));
   }
--- a/bench/cold/main.cc
+++ b/bench/cold/main.cc
@@ -19,25 +19,25 @@
 struct WarmUpVariant {
   const char* name;
   WarmUpOptions options;
-  double cold = entry::PlacementOptions().cold;
+  double cold = entry::PlacementOptions().cold_cost;
 };
 
 std::vector<WarmUpVariant> WarmUpVariants() {
   WarmUpOptions none;
-  none.limit = false;
+  none.enforce = false;
   WarmUpOptions equal;
   equal.all_live = true;
   WarmUpOptions few;
   WarmUpOptions one;
-  one.most_senders = 1;
+  one.max_senders = 1;
   WarmUpOptions more = few;
-  more.given_out = 0.75;
+  more.allocated_share = 0.75;
   WarmUpOptions all = few;
-  all.given_out = 1;
+  all.allocated_share = 1;
   WarmUpOptions sooner = few;
-  sooner.settle = core::Duration(1'100'000);
+  sooner.settle_time = core::Duration(1'100'000);
   WarmUpOptions twelve = few;
-  twelve.most_senders = 12;
+  twelve.max_senders = 12;
   constexpr double kLast = 1e12;
   return {{"no limit", none, 0},
           {"no limit, cold last", none, kLast},
@@ -62,24 +62,24 @@
   entry::LimitOptions none;
   none.enforce = false;
   entry::LimitOptions each_alone;
-  each_alone.given_out = kRouters;
-  each_alone.most_senders = kRouters;
+  each_alone.allocated_share = kRouters;
+  each_alone.max_senders = kRouters;
   each_alone.spare_senders = kRouters;
   entry::LimitOptions equal;
-  equal.given_out = 1;
-  equal.most_senders = kRouters;
+  equal.allocated_share = 1;
+  equal.max_senders = kRouters;
   equal.spare_senders = kRouters;
   entry::LimitOptions few;
   entry::LimitOptions one;
-  one.most_senders = 1;
+  one.max_senders = 1;
   entry::LimitOptions fewer = few;
   fewer.spare_senders = 0;
   entry::LimitOptions more = few;
-  more.given_out = 0.9;
+  more.allocated_share = 0.9;
   entry::LimitOptions all = few;
-  all.given_out = 1;
+  all.allocated_share = 1;
   entry::LimitOptions six = few;
-  six.most_senders = 6;
+  six.max_senders = 6;
   return {{"no limit", none},
           {"each router for itself", each_alone},
           {"equal share", equal},
@@ -127,7 +127,7 @@
     std::printf("%s\n", variant.name);
     for (NamedScenario one : entry::testing::ColdScenarios()) {
       one.scenario.warm_up = variant.options;
-      one.scenario.placement.cold = variant.cold;
+      one.scenario.placement.cold_cost = variant.cold;
       const FleetOutcome outcome =
           entry::testing::SimulateFleet(one.scenario, seeds);
       const uint32_t most = outcome.max_in_a_second;
--- a/include/coppervalve/entry/admission.h
+++ b/include/coppervalve/entry/admission.h
@@ -8,7 +8,7 @@
 
 #include "coppervalve/core/result.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/entry/in_force.h"
+#include "coppervalve/entry/configuration_index.h"
 
 namespace coppervalve::entry {
 
@@ -28,7 +28,8 @@
 
 /// @brief A request that passed admission and may be sent.
 struct Admitted {
-  std::shared_ptr<const InForce> in_force;  ///< owns `route` and `account`
+  std::shared_ptr<const ConfigurationIndex>
+      configuration_index;  ///< owns `route` and `account`
   const Route* route = nullptr;
   const Account* account = nullptr;  ///< null on a public route
   core::ServiceId service;
@@ -38,7 +39,8 @@
 
 /// @brief The router's configuration and how current it is.
 struct ConfigurationView {
-  std::shared_ptr<const InForce> in_force;  ///< null if none was read yet
+  std::shared_ptr<const ConfigurationIndex>
+      configuration_index;  ///< null if none was read yet
   /// True if a newer configuration can't have been in force for long.
   bool fresh = false;
   /// True if the configuration is too old to accept keys that may have been
--- a/include/coppervalve/entry/stated_limit.h
+++ b/include/coppervalve/entry/advertised_limit.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_STATED_LIMIT_H_
-#define COPPERVALVE_ENTRY_STATED_LIMIT_H_
+#ifndef COPPERVALVE_ENTRY_ADVERTISED_LIMIT_H_
+#define COPPERVALVE_ENTRY_ADVERTISED_LIMIT_H_
 
 #include <cstdint>   // uint32_t
 #include <optional>  // optional
@@ -13,16 +13,16 @@
   bool enforce = true;  ///< false: limits are ignored
   /// Part of a limit that is allocated to the senders. The rest is a margin for
   /// routers that take others to be the senders.
-  double given_out = 0.8;
+  double allocated_share = 0.8;
   /// Maximum number of senders. With few of them, most routers would have no
   /// share of a large limit.
-  double most_senders = 1'000;
+  double max_senders = 1'000;
   /// Senders in addition to one for each request per second.
   double spare_senders = 2;
   /// How long a limit counts as recent.
-  core::Duration word_lasts{10'000'000};
+  core::Duration fresh_for{10'000'000};
   /// Without recent information the routers probe in turn, one per interval.
-  core::Duration probe_every{4'000'000};
+  core::Duration probe_interval{4'000'000};
 };
 
 /// @brief The share of a limit that each sender has.
@@ -37,7 +37,7 @@
                        const LimitOptions& options);
 
 /// @brief This router's position among those that may send to an upstream.
-struct SenderPlace {
+struct SenderPosition {
   uint32_t routers = 1;
   uint32_t rank = 0;  ///< number of routers ahead of this one
   bool sends = true;  ///< whether this router may be a sender
@@ -48,7 +48,7 @@
 ///
 /// A limit holds until the upstream responds without one. Routers that send
 /// nothing learn of it from other routers, or by a probe in their turn.
-class StatedLimit {
+class AdvertisedLimit {
  public:
   /// @brief The upstream responded to this router.
   /// @param per_second none if it sent no limit
@@ -58,9 +58,10 @@
                 core::TimePoint asked,
                 core::TimePoint now);
   /// @brief Another router reported the upstream's response.
-  /// @param said when the upstream responded
+  /// @param received_at when the upstream responded
   /// @return whether a limit began, changed or ended
-  bool OnPeerWord(std::optional<double> per_second, core::TimePoint said);
+  bool OnPeerReport(std::optional<double> per_second,
+                    core::TimePoint received_at);
   /// @brief The upstream sent a limit that can't be parsed; the last known one
   /// stays in force.
   /// @return whether it is the first one since a valid limit
@@ -70,24 +71,25 @@
   /// @return requests per second from all routers; none without a limit
   std::optional<double> per_second() const { return m_per_second; }
   /// @return the earliest time of this router's next request
-  core::TimePoint NextSend(const SenderPlace& place,
+  core::TimePoint NextSend(const SenderPosition& place,
                            const LimitOptions& options) const;
   /// @return when the upstream sent the current limit, if it sent it to this
   /// router itself
-  std::optional<core::TimePoint> told() const {
-    return m_own ? std::optional(m_said) : std::nullopt;
+  std::optional<core::TimePoint> directly_received_at() const {
+    return m_received_directly ? std::optional(m_received_at) : std::nullopt;
   }
 
  private:
   bool Set(std::optional<double> per_second);
 
   std::optional<double> m_per_second;
-  core::TimePoint m_said{};  ///< when the upstream sent that to any router
-  bool m_own = false;        ///< it was sent to this router itself
+  core::TimePoint
+      m_received_at{};  ///< when the upstream sent that to any router
+  bool m_received_directly = false;  ///< it was sent to this router itself
   bool m_unreadable = false;
   core::TimePoint m_last_send{};
 };
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_STATED_LIMIT_H_
+#endif  // COPPERVALVE_ENTRY_ADVERTISED_LIMIT_H_
--- a/include/coppervalve/entry/configuration.h
+++ b/include/coppervalve/entry/configuration.h
@@ -51,8 +51,8 @@
 /// @brief How long upstreams of a service are cold after a start, and the
 /// request rate they can handle meanwhile.
 struct WarmUp {
-  core::Duration lasts{};  ///< after a start
-  double per_second = 0;   ///< requests that a cold upstream can handle
+  core::Duration duration{};  ///< after a start
+  double per_second = 0;      ///< requests that a cold upstream can handle
 };
 
 /// @brief A group of upstreams.
--- a/include/coppervalve/entry/in_force.h
+++ b/include/coppervalve/entry/configuration_index.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_IN_FORCE_H_
-#define COPPERVALVE_ENTRY_IN_FORCE_H_
+#ifndef COPPERVALVE_ENTRY_CONFIGURATION_INDEX_H_
+#define COPPERVALVE_ENTRY_CONFIGURATION_INDEX_H_
 
 #include <cstddef>        // size_t
 #include <cstdint>        // uint64_t
@@ -15,11 +15,11 @@
 
 /// @brief A configuration with lookup tables. Immutable; a request uses the
 /// same one from start to end.
-class InForce {
+class ConfigurationIndex {
  public:
-  explicit InForce(Configuration configuration);
-  InForce(const InForce&) = delete;
-  InForce& operator=(const InForce&) = delete;
+  explicit ConfigurationIndex(Configuration configuration);
+  ConfigurationIndex(const ConfigurationIndex&) = delete;
+  ConfigurationIndex& operator=(const ConfigurationIndex&) = delete;
 
   const Configuration& configuration() const { return m_configuration; }
   core::ConfigVersion version() const { return m_configuration.version; }
@@ -60,4 +60,4 @@
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_IN_FORCE_H_
+#endif  // COPPERVALVE_ENTRY_CONFIGURATION_INDEX_H_
--- a/include/coppervalve/entry/crash_record.h
+++ b/include/coppervalve/entry/crash_record.h
@@ -12,7 +12,7 @@
 #include "coppervalve/beat.pb.h"
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/entry/request_print.h"
+#include "coppervalve/entry/request_fingerprint.h"
 #include "coppervalve/entry/upstream_directory.h"
 
 namespace coppervalve::entry {
@@ -23,9 +23,10 @@
 
 /// @brief How a request is treated, given the upstreams that terminated while
 /// running it.
-enum class Standing : uint8_t {
+enum class QuarantineState : uint8_t {
   kClear,        ///< no terminations, or too few
-  kSuspect,      ///< one more termination quarantines it: tried alone, never repeated
+  kSuspect,      ///< one more termination quarantines it: tried alone, never
+                 ///< repeated
   kQuarantined,  ///< not sent to any upstream
 };
 
@@ -33,26 +34,26 @@
 struct CrashOptions {
   /// Terminations until a request is quarantined, and until it is suspect. One
   /// proves nothing, and two in a row happen by coincidence.
-  size_t ends_to_quarantine = 3;
-  size_t ends_to_suspect = 2;
+  size_t quarantine_threshold = 3;
+  size_t suspect_threshold = 2;
   /// Terminations within this time of each other may have one cause, such as a
   /// rack failure, and do not quarantine a request on their own.
-  core::Duration one_event{1'000'000};
+  core::Duration event_window{1'000'000};
   /// How long a termination is remembered that led to no quarantine.
-  core::Duration doubt{60'000'000};
+  core::Duration suspicion_time{60'000'000};
   /// Duration of the first quarantine; doubled each time that a trial
   /// afterwards terminates an upstream again. A release may have fixed the
   /// fault meanwhile.
-  core::Duration refused_for{600'000'000};
+  core::Duration first_quarantine{600'000'000};
   /// A broken response counts if its upstream is known to have terminated
   /// within this time: entries expire after some seconds of silence.
-  core::Duration known_within{8'000'000};
+  core::Duration detection_time{8'000'000};
   /// How long a termination is reported to other routers: longer than
   /// disconnections from the store last. The terminations that quarantined a
   /// request are reported for as long as the quarantine lasts.
-  core::Duration told_for{15'000'000};
-  size_t most_requests = 2'048;
-  size_t most_told = 64;
+  core::Duration report_time{15'000'000};
+  size_t max_requests = 2'048;
+  size_t max_reported = 64;
 };
 
 /// @brief Records the requests that were running when upstreams terminated, as
@@ -71,101 +72,105 @@
   /// @return false if no request with this hash is recorded; avoids computing
   /// the full fingerprint
   /// @complexity logarithmic, like all members but those for heartbeats
-  bool MayKnow(uint64_t sketch) const;
-  Standing StandingOf(const RequestPrint& request) const;
+  bool MayContain(uint64_t quick_hash) const;
+  QuarantineState QuarantineStateOf(const RequestFingerprint& request) const;
   /// @return time until a quarantined request may be tried again; 0 if it is
   /// not quarantined
-  core::Duration RefusedFor(const RequestPrint& request,
-                            core::TimePoint now) const;
+  core::Duration RemainingQuarantine(const RequestFingerprint& request,
+                                     core::TimePoint now) const;
 
   /// @brief Begins the only trial of a request that may run at a time.
   /// @return false if one is running; otherwise EndTrial() must follow
-  bool BeginTrial(const RequestPrint& request);
-  void EndTrial(const RequestPrint& request) { m_trials.erase(request); }
+  bool BeginTrial(const RequestFingerprint& request);
+  void EndTrial(const RequestFingerprint& request) { m_trials.erase(request); }
 
   /// @brief A response broke off or timed out.
-  void OnBroken(const RequestPrint& request,
+  void OnBroken(const RequestFingerprint& request,
                 UpstreamStart start,
                 core::TimePoint now);
   /// @brief A start of an upstream is known to have terminated.
   /// @return the requests that this counts against
-  std::vector<RequestPrint> OnEnded(UpstreamStart start, core::TimePoint now);
+  std::vector<RequestFingerprint> OnEnded(UpstreamStart start,
+                                          core::TimePoint now);
   /// @brief An upstream completed the request, so the terminations had other
   /// causes.
-  /// @return whether other routers should be told soon
-  bool OnSurvived(const RequestPrint& request, core::TimePoint now);
+  /// @return whether other routers should be report soon
+  bool OnSurvived(const RequestFingerprint& request, core::TimePoint now);
 
   /// @brief Adds the reports for other routers to a heartbeat.
-  void WriteTo(v1::RouterBeat& beat, core::TimePoint now) const;
+  void AddReportsTo(v1::RouterBeat& beat, core::TimePoint now) const;
   /// @brief Merges the heartbeat of another router. Lists beyond the maximum
   /// sizes are truncated.
   /// @return requests that this quarantined
-  std::vector<RequestPrint> OnBeat(const v1::RouterBeat& beat,
-                                   core::TimePoint now);
+  std::vector<RequestFingerprint> OnBeat(const v1::RouterBeat& beat,
+                                         core::TimePoint now);
   /// @brief Restores this router's own reports from the last heartbeat before
   /// its restart.
-  void OnOwnPast(const v1::RouterBeat& beat, core::TimePoint now);
+  void RestoreOwnReports(const v1::RouterBeat& beat, core::TimePoint now);
   /// @brief Drops expired records. To be called periodically.
   void Advance(core::TimePoint now);
 
   size_t quarantined() const;
 
  private:
-  enum class EndState : uint8_t {
+  enum class TerminationState : uint8_t {
     kCounts,
     kSurvived,  ///< an upstream completed the request since
     kExpired,   ///< the quarantine it led to is over
   };
-  struct End {
+  struct Termination {
     core::TimePoint since;  ///< when it entered this state
-    EndState state = EndState::kCounts;
+    TerminationState state = TerminationState::kCounts;
     bool own = false;  ///< this router observed the cause of the state
   };
   struct Case {
-    std::map<UpstreamStart, End> ends;
+    std::map<UpstreamStart, Termination> terminations;
     core::TimePoint changed;
-    bool apart = false;  ///< the terminations are of more than one event
+    bool separate_events =
+        false;  ///< the terminations are of more than one event
     bool probation = false;
     bool quarantined = false;
-    uint32_t times = 0;  ///< number of quarantines so far
+    uint32_t quarantine_count = 0;  ///< number of quarantines so far
     core::TimePoint quarantined_at;
   };
-  struct Broken {
+  struct BrokenRun {
     core::TimePoint at;
     UpstreamStart start;
-    RequestPrint request;
+    RequestFingerprint request;
   };
 
   /// Order in which cases are kept and reported: quarantined first, then by
   /// number of terminations, then by last change.
-  using Weight = std::tuple<bool, size_t, core::TimePoint>;
-  static Weight WeightOf(const Case& one);
-  static size_t Counting(const Case& one);
-  Case& CaseOf(const RequestPrint& request, core::TimePoint now);
-  void Add(const RequestPrint& request,
+  using Priority = std::tuple<bool, size_t, core::TimePoint>;
+  static Priority PriorityOf(const Case& crash_case);
+  static size_t CountedTerminations(const Case& crash_case);
+  Case& CaseOf(const RequestFingerprint& request, core::TimePoint now);
+  void Add(const RequestFingerprint& request,
            UpstreamStart start,
            bool own,
            core::TimePoint now);
-  void Judge(Case& one, core::TimePoint now) const;
-  core::Duration QuarantineTime(const Case& one) const;
-  static void MoveEnds(Case& one,
-                       EndState state,
-                       bool own,
-                       core::TimePoint now);
-  bool Told(const Case& one, const End& end, core::TimePoint now) const;
-  v1::CrashCase ToldOf(const RequestPrint& request,
-                       const Case& one,
-                       core::TimePoint now) const;
-  void Take(const v1::CrashCase& told, bool own, core::TimePoint now);
-  void TakeSurvived(Case& one,
-                    const v1::CrashCase& told,
-                    bool own,
-                    core::TimePoint now);
+  void Evaluate(Case& crash_case, core::TimePoint now) const;
+  core::Duration QuarantineTime(const Case& crash_case) const;
+  static void SetTerminationState(Case& crash_case,
+                                  TerminationState state,
+                                  bool own,
+                                  core::TimePoint now);
+  bool IsReported(const Case& crash_case,
+                  const Termination& end,
+                  core::TimePoint now) const;
+  v1::CrashCase ReportOf(const RequestFingerprint& request,
+                         const Case& crash_case,
+                         core::TimePoint now) const;
+  void Merge(const v1::CrashCase& report, bool own, core::TimePoint now);
+  void MergeSurvived(Case& crash_case,
+                     const v1::CrashCase& report,
+                     bool own,
+                     core::TimePoint now);
 
   CrashOptions m_options;
-  std::map<RequestPrint, Case> m_cases;
-  std::set<RequestPrint> m_trials;
-  std::deque<Broken> m_broken;
+  std::map<RequestFingerprint, Case> m_cases;
+  std::set<RequestFingerprint> m_trials;
+  std::deque<BrokenRun> m_broken_runs;
 };
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/placement.h
+++ b/include/coppervalve/entry/placement.h
@@ -16,21 +16,22 @@
 namespace coppervalve::entry {
 
 /// @brief Why an upstream was chosen, or why none was.
-enum class PlacedBy : uint8_t {
+enum class PlacementReason : uint8_t {
   kLeastCost,    ///< lowest expected wait
   kPrefixOwner,  ///< as above, and owns the shared prefix by hashing
-  kPrefixSent,   ///< as above, and was recently sent the prefix by this router
-  kTold,         ///< chosen by a router that follows the upstream table
-  kLastResort,   ///< no trusted upstream is left
-  kNoneLeft,     ///< none: all were tried or are at their connection limit
-  kWarmingUp,    ///< none: those left are cold and at their rate limit
-  kLimited,      ///< none: those left are at the rate limits they sent
-  kEvacuated,    ///< none: all are in evacuated failure domains
-  kNoneKnown,    ///< none: the service has no upstream
+  kPrefixSent,  ///< as above, and was recently recently_sent the prefix by this
+                ///< router
+  kChosenByPeer,  ///< chosen by a router that follows the upstream table
+  kLastResort,    ///< no trusted upstream is left
+  kNoneLeft,      ///< none: all were tried or are at their connection limit
+  kWarmingUp,     ///< none: those left are cold and at their rate limit
+  kLimited,    ///< none: those left are at the rate limits they recently_sent
+  kEvacuated,  ///< none: all are in evacuated failure domains
+  kNoneKnown,  ///< none: the service has no upstream
 };
 
 /// @brief Stable lower_snake_case name for log lines.
-std::string_view ToString(PlacedBy why);
+std::string_view ToString(PlacementReason why);
 
 /// @brief A request to place on an upstream.
 struct PlacementQuery {
@@ -40,25 +41,26 @@
   core::Tokens shared_tokens{};  ///< length of the prefix
   core::Tokens prompt{};         ///< length of the whole prompt
   std::vector<core::UpstreamId> exclude;
-  uint32_t connection_bound = 0;  ///< of this router per upstream; 0 = unlimited
-  uint32_t routers = 1;           ///< that send to the service, including this one
+  uint32_t connection_bound =
+      0;                 ///< of this router per upstream; 0 = unlimited
+  uint32_t routers = 1;  ///< that send to the service, including this one
 };
 
 /// @brief The chosen upstream and the facts behind the choice.
 struct Placement {
   UpstreamRef upstream;  ///< null: see `why`
-  PlacedBy why = PlacedBy::kNoneKnown;
+  PlacementReason why = PlacementReason::kNoneKnown;
   uint32_t candidates = 0;
   uint32_t reporting = 0;  ///< routers with a current load report
   double cost = 0;
   /// Prefill cost ahead of the request's own prompt part at the upstream where
   /// it is lowest: queued work, plus shared tokens that are not cached there.
   /// In tokens of an engine of median speed.
-  double waiting = 0;
+  double queued_prefill = 0;
   /// Queued prefill at the chosen engine plus that of the request.
-  double to_read = 0;
-  /// The request's part of `to_read`.
-  double own_reading = 0;
+  double total_prefill = 0;
+  /// The request's part of `total_prefill`.
+  double own_prefill = 0;
 };
 
 /// @brief Constants of the placement policy. Costs at engines are in prompt
@@ -66,34 +68,34 @@
 struct PlacementOptions {
   /// Weight of a shared token that is not cached: processing it again delays
   /// this request and takes time and memory from others.
-  double missed_prefix = 16;
+  double missed_token_weight = 16;
   /// Cost of a running generation, which slows others a little.
-  double running = 40;
+  double running_cost = 40;
   /// Cost of each request beyond the slots of an engine, as it waits for
   /// another one to complete.
-  double beyond_slots = 6'000;
+  double over_slots_cost = 6'000;
   /// Prompt length at which the prefill cost per token has doubled: prefill
   /// time grows faster than the prompt.
-  double double_at = 40'000;
+  double double_cost_at = 40'000;
   /// Bonus for an upstream in the router's own failure domain, in requests.
-  double own_domain = 0.4;
+  double own_domain_bonus = 0.4;
   /// Weight of requests beyond the slots of a plain service's upstream.
-  double beyond_plain_slots = 3;
+  double over_slots_weight_plain = 3;
   /// Additional cost of a cold engine, and of a cold upstream of a plain
   /// service in requests.
-  double cold = 6'000;
-  double cold_plain = 2;
+  double cold_cost = 6'000;
+  double cold_cost_plain = 2;
   /// Prefer the upstream that all routers agree on for a shared prefix.
-  bool prefix_owner = true;
-  /// Prefer upstreams to which this router recently sent the prefix.
-  bool prefix_sent = true;
+  bool use_prefix_owner = true;
+  /// Prefer upstreams to which this router recently recently_sent the prefix.
+  bool use_prefix_sent = true;
   /// Expect slow upstreams to stay slow.
-  bool slowness = true;
+  bool use_slowness = true;
   /// Prefer upstreams without recent failures.
-  bool suspicion = true;
+  bool use_suspicion = true;
   /// Assume that routers without a report have as much work in progress as this
   /// one.
-  bool guess_silent = true;
+  bool estimate_silent = true;
 };
 
 /// @brief Places requests on the upstreams of a service by their expected wait.
@@ -112,37 +114,37 @@
                    const PlacementQuery& query,
                    core::TimePoint now) const;
   /// @return the prefill cost of a prompt, in tokens of a short one
-  double ReadingCost(core::Tokens prompt) const;
+  double PrefillCost(core::Tokens prompt) const;
 
  private:
   struct Candidate {
     UpstreamRef upstream;
     double cost = 0;
-    bool owner = false;
-    bool sent = false;
+    bool is_owner = false;
+    bool recently_sent = false;
     double in_prefill = 0;
-    double own_reading = 0;  ///< prefill of tokens that it has not cached
+    double own_prefill = 0;  ///< prefill of tokens that it has not cached
     double slowness = 1;
   };
   std::vector<UpstreamRef> Usable(const std::vector<UpstreamRef>& upstreams,
                                   const PlacementQuery& query,
                                   Trust least,
                                   core::TimePoint now) const;
-  PlacedBy WhyNone(const std::vector<UpstreamRef>& upstreams,
-                   core::TimePoint now) const;
+  PlacementReason ReasonForNone(const std::vector<UpstreamRef>& upstreams,
+                                core::TimePoint now) const;
   Load LoadOf(const Upstream& upstream, const PlacementQuery& query) const;
   Candidate CostAtEngine(const UpstreamRef& upstream,
                          const PlacementQuery& query,
                          uint64_t prefix,
-                         bool owner,
-                         double usual_pace,
+                         bool is_owner,
+                         double median_latency,
                          core::TimePoint now) const;
   Candidate CostAtPlain(const UpstreamRef& upstream,
                         const PlacementQuery& query,
-                        double usual_pace,
+                        double median_latency,
                         core::TimePoint now) const;
-  double WaitingAt(const Candidate& candidate,
-                   const PlacementQuery& query) const;
+  double QueuedPrefillAt(const Candidate& candidate,
+                         const PlacementQuery& query) const;
   Placement Cheapest(const std::vector<UpstreamRef>& usable,
                      const PlacementQuery& query,
                      core::TimePoint now) const;
--- a/include/coppervalve/entry/policy.h
+++ b/include/coppervalve/entry/policy.h
@@ -25,15 +25,16 @@
   /// Minimum number of routers that callers are directed to, by capacity; more
   /// are used if the load requires it.
   double least_active = 3;
-  bool load_reports = true;  ///< take the load reports of other routers into account
+  bool load_reports =
+      true;  ///< take the load reports of other routers into account
 };
 
 /// @brief Parses changes to the defaults: comma-separated "name=number" parts.
 /// Switches take 0 and 1, durations milliseconds.
 /// @return kSettingBadValue with the part that is not valid
-core::Result<Policy> ReadPolicy(std::string_view changes);
+core::Result<Policy> ParsePolicy(std::string_view changes);
 
-/// @return all names that ReadPolicy() accepts
+/// @return all names that ParsePolicy() accepts
 std::vector<std::string_view> PolicyNames();
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/prefix_memory.h
+++ b/include/coppervalve/entry/recent_prefixes.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_PREFIX_MEMORY_H_
-#define COPPERVALVE_ENTRY_PREFIX_MEMORY_H_
+#ifndef COPPERVALVE_ENTRY_RECENT_PREFIXES_H_
+#define COPPERVALVE_ENTRY_RECENT_PREFIXES_H_
 
 #include <cstddef>        // size_t
 #include <cstdint>        // uint64_t
@@ -13,11 +13,11 @@
 
 /// @brief The shared prompt prefixes that this router recently sent to one
 /// upstream and that are therefore probably still in its cache.
-class PrefixMemory {
+class RecentPrefixes {
  public:
   /// @complexity amortized constant, like all members
-  void Remember(uint64_t prefix, core::TimePoint now);
-  bool Holds(uint64_t prefix, core::TimePoint now) const;
+  void Insert(uint64_t prefix, core::TimePoint now);
+  bool Contains(uint64_t prefix, core::TimePoint now) const;
 
  private:
   std::unordered_map<uint64_t, core::TimePoint> m_last_use;
@@ -26,4 +26,4 @@
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_PREFIX_MEMORY_H_
+#endif  // COPPERVALVE_ENTRY_RECENT_PREFIXES_H_
--- a/include/coppervalve/entry/request_print.h
+++ b/include/coppervalve/entry/request_fingerprint.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_REQUEST_PRINT_H_
-#define COPPERVALVE_ENTRY_REQUEST_PRINT_H_
+#ifndef COPPERVALVE_ENTRY_REQUEST_FINGERPRINT_H_
+#define COPPERVALVE_ENTRY_REQUEST_FINGERPRINT_H_
 
 #include <compare>      // operator<=>
 #include <cstdint>      // uint64_t
@@ -21,25 +21,26 @@
 
 /// @brief Identifies a request by a hash of its content. An account can't craft
 /// a request with the fingerprint of another account's request.
-struct RequestPrint {
+struct RequestFingerprint {
   /// A hash that is cheap to compute: requests with different ones differ.
-  uint64_t sketch = 0;
+  uint64_t quick_hash = 0;
   std::string digest;  ///< first 16 bytes of a SHA-256 hash
 
-  friend auto operator<=>(const RequestPrint&, const RequestPrint&) = default;
+  friend auto operator<=>(const RequestFingerprint&,
+                          const RequestFingerprint&) = default;
   /// @return 24 bytes, the format in messages to other routers
   std::string ToBytes() const;
   /// @return an empty digest if the size is not 24
-  static RequestPrint FromBytes(std::string_view bytes);
+  static RequestFingerprint FromBytes(std::string_view bytes);
   /// @return hex of the first bytes of the digest, for log lines
-  std::string Short() const;
+  std::string ShortHex() const;
 };
 
 /// @complexity linear in the target
-uint64_t SketchOf(const RequestContent& content);
+uint64_t QuickHashOf(const RequestContent& content);
 /// @complexity linear in the body
-RequestPrint PrintOf(const RequestContent& content);
+RequestFingerprint FingerprintOf(const RequestContent& content);
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_REQUEST_PRINT_H_
+#endif  // COPPERVALVE_ENTRY_REQUEST_FINGERPRINT_H_
--- a/include/coppervalve/entry/retry_allowance.h
+++ b/include/coppervalve/entry/retry_budget_share.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_RETRY_ALLOWANCE_H_
-#define COPPERVALVE_ENTRY_RETRY_ALLOWANCE_H_
+#ifndef COPPERVALVE_ENTRY_RETRY_BUDGET_SHARE_H_
+#define COPPERVALVE_ENTRY_RETRY_BUDGET_SHARE_H_
 
 #include <cstdint>        // uint32_t
 #include <deque>          // deque
@@ -23,9 +23,9 @@
 /// requests, and the slack is divided by the number of routers. The sum over
 /// all routers therefore keeps the bound in every window, also while they can't
 /// reach each other.
-class RetryAllowance {
+class RetryBudgetShare {
  public:
-  explicit RetryAllowance(RetryBounds bounds) : m_bounds(bounds) {}
+  explicit RetryBudgetShare(RetryBounds bounds) : m_bounds(bounds) {}
 
   /// @brief Counts a request for the service. @complexity amortized O(1)
   void OnRequest(const core::ServiceId& service, core::TimePoint now);
@@ -39,7 +39,7 @@
  private:
   struct Window {
     std::deque<core::TimePoint> requests;
-    std::deque<core::TimePoint> repeats;
+    std::deque<core::TimePoint> retries;
   };
   Window& Current(const core::ServiceId& service, core::TimePoint now);
 
@@ -49,4 +49,4 @@
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_RETRY_ALLOWANCE_H_
+#endif  // COPPERVALVE_ENTRY_RETRY_BUDGET_SHARE_H_
--- a/include/coppervalve/entry/shedding.h
+++ b/include/coppervalve/entry/shedding.h
@@ -10,25 +10,26 @@
 
 /// @brief The conditions that a new request would meet.
 struct Backlog {
-  core::Duration wait{};       ///< at the best upstream, until its prompt is processed
-  core::Duration objective{};  ///< for the first byte; shortest of the service's
-                               ///< routes that are as urgent or more
-  uint8_t rank = 0;            ///< 0 is the most urgent
+  core::Duration
+      wait{};  ///< at the best upstream, until its prompt is processed
+  core::Duration objective{};  ///< for the first byte; shortest of the
+                               ///< service's routes that are as urgent or more
+  uint8_t rank = 0;  ///< 0 is the most urgent
 };
 
 /// @brief Constants of load shedding.
 struct SheddingOptions {
-  bool on = true;
+  bool enabled = true;
   /// Share of the objective up to which no request is rejected. Waits of a
   /// tenth occur with upstreams at half of their capacity.
-  double free_part = 0.2;
+  double free_share = 0.2;
   /// Share from which every request is rejected: the rest is needed to process
   /// a large prompt, and for what arrives between the report of a wait and the
   /// request.
-  double full_part = 0.6;
+  double full_share = 0.6;
   /// Factor on both shares for each rank: less urgent requests are rejected a
   /// little earlier.
-  double rank_part = 0.9;
+  double rank_factor = 0.9;
 };
 
 /// @brief Decides whether a request is rejected because of the queued work.
--- a/include/coppervalve/entry/table_readers.h
+++ b/include/coppervalve/entry/table_subscription.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ENTRY_TABLE_READERS_H_
-#define COPPERVALVE_ENTRY_TABLE_READERS_H_
+#ifndef COPPERVALVE_ENTRY_TABLE_SUBSCRIPTION_H_
+#define COPPERVALVE_ENTRY_TABLE_SUBSCRIPTION_H_
 
 #include <cstddef>   // size_t
 #include <optional>  // optional
@@ -10,7 +10,8 @@
 
 /// @brief The load that following the upstream table puts on the durable store.
 struct TableCost {
-  bool known = true;  ///< whether the numbers of upstreams and routers are known
+  bool known =
+      true;  ///< whether the numbers of upstreams and routers are known
   size_t upstreams = 0;
   size_t routers = 1;
   core::Duration heartbeat{};  ///< interval between records of one upstream
@@ -19,18 +20,19 @@
 };
 
 /// @brief Constants of the decision to follow the table.
-struct TableReadersOptions {
+struct TableSubscriptionOptions {
   double record_bytes = 260;
   /// All routers follow if they need at most this part of the store's
   /// bandwidth.
-  double most_of_store = 0.5;
+  double max_store_share = 0.5;
   /// How long a router that was active keeps following, as callers cache
   /// addresses.
-  core::Duration keep{8'000'000};
+  core::Duration keep_following{8'000'000};
 };
 
 /// @return whether the store can reliably send the table to every router
-bool AllMayFollow(const TableCost& cost, const TableReadersOptions& options);
+bool StoreCanServeAll(const TableCost& cost,
+                      const TableSubscriptionOptions& options);
 
 /// @brief Decides whether this router follows the table of upstreams.
 ///
@@ -39,22 +41,23 @@
 /// relevant changes reach all routers seconds late. Then only those routers
 /// follow that callers are directed to, or would be if twice as many were
 /// needed; the others read the table when they become active.
-class TableReaders {
+class TableSubscription {
  public:
-  explicit TableReaders(TableReadersOptions options = {})
+  explicit TableSubscription(TableSubscriptionOptions options = {})
       : m_options(options) {}
 
-  /// @param in_turn whether this router is active, or among the next to be
+  /// @param active_or_next whether this router is active, or among the next to
+  /// be
   /// @return whether it follows now
-  bool Advance(const TableCost& cost, bool in_turn, core::TimePoint now);
+  bool Advance(const TableCost& cost, bool active_or_next, core::TimePoint now);
   bool follows() const { return m_follows; }
 
  private:
-  TableReadersOptions m_options;
-  std::optional<core::TimePoint> m_last_turn;
+  TableSubscriptionOptions m_options;
+  std::optional<core::TimePoint> m_last_active;
   bool m_follows = true;
 };
 
 }  // namespace coppervalve::entry
 
-#endif  // COPPERVALVE_ENTRY_TABLE_READERS_H_
+#endif  // COPPERVALVE_ENTRY_TABLE_SUBSCRIPTION_H_
--- a/include/coppervalve/entry/upstream_directory.h
+++ b/include/coppervalve/entry/upstream_directory.h
@@ -12,8 +12,8 @@
 
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/entry/prefix_memory.h"
-#include "coppervalve/entry/stated_limit.h"
+#include "coppervalve/entry/advertised_limit.h"
+#include "coppervalve/entry/recent_prefixes.h"
 #include "coppervalve/entry/store_contact.h"
 #include "coppervalve/entry/upstream_health.h"
 #include "coppervalve/entry/upstream_senders.h"
@@ -35,7 +35,7 @@
 };
 
 /// @brief How a router treats a record of the table.
-enum class RecordWorth : uint8_t {
+enum class RecordKind : uint8_t {
   kUsable,   ///< of an upstream that accepts work
   kLeaving,  ///< of an upstream that accepts no new work
   kNone,     ///< no upstream: unreadable, or of an unknown form
@@ -48,7 +48,7 @@
   core::TimePoint read_at{};
 };
 
-RecordWorth WorthOf(const UpstreamRecord& record);
+RecordKind KindOf(const UpstreamRecord& record);
 
 /// @brief The change that a record caused.
 enum class DirectoryChange : uint8_t {
@@ -66,13 +66,13 @@
   uint32_t load_key = 0;   ///< its id in load reports
   uint32_t in_flight = 0;  ///< requests of this router
   double in_prefill = 0;   ///< prefill cost of requests without a response yet
-  PrefixMemory prefixes;
+  RecentPrefixes prefixes;
   WarmUpState warm_up;
-  StatedLimit limit;
+  AdvertisedLimit limit;
   mutable SenderRank sender_rank;
   /// When the entry expired while the store was disturbed; it may return soon.
   std::optional<core::TimePoint> lapsed;
-  core::TimePoint hold_until{};  ///< it asked for no requests until then
+  core::TimePoint paused_until{};  ///< it asked for no requests until then
 };
 
 using UpstreamRef = std::shared_ptr<Upstream>;
@@ -116,29 +116,30 @@
 
   /// @brief The evacuation of a failure domain ended: its upstreams may all be
   /// cold.
-  void OnTakenBack(const core::FailureDomainId& domain, core::TimePoint now);
+  void OnEvacuationEnded(const core::FailureDomainId& domain,
+                         core::TimePoint now);
 
   /// @brief An upstream announced in a response that it is leaving. Applies to
   /// this start, whatever its record says later.
   /// @return whether that is new
-  bool OnLeavingWord(const UpstreamRef& upstream);
+  bool OnLeavingAnnounced(const UpstreamRef& upstream);
   /// @brief An upstream sent a limit in a response, or none. Applies to this
   /// start, also while its entry is gone.
   /// @return whether the known limit changed
-  bool OnLimitWord(const UpstreamRef& upstream,
-                   std::optional<double> per_second,
-                   core::TimePoint asked,
-                   core::TimePoint now);
+  bool OnLimitReceived(const UpstreamRef& upstream,
+                       std::optional<double> per_second,
+                       core::TimePoint asked,
+                       core::TimePoint now);
   /// @return whether any upstream has sent a limit to this router so far
-  bool limits_named() const { return m_limits_named; }
+  bool limits_received() const { return m_limits_received; }
   /// @brief A response came from another upstream than the request was sent to.
   /// @return the upstream with the same address; null unless there is exactly
   /// one
   UpstreamRef OtherAtAddress(const Upstream& asked) const;
   /// @return when the first of a service's upstreams accepts work again; none
   /// if one accepts it now, or if there is no upstream
-  std::optional<core::TimePoint> AllHoldUntil(const core::ServiceId& service,
-                                              core::TimePoint now) const;
+  std::optional<core::TimePoint> AllPausedUntil(const core::ServiceId& service,
+                                                core::TimePoint now) const;
 
   /// @return the upstreams of a service that are not leaving; the reference is
   /// valid until the next change
@@ -155,35 +156,36 @@
   size_t Limited() const;
 
  private:
-  bool ReturnsAreOver(const StoreContact& contact, core::TimePoint now) const;
-  bool OfEarlierStart(const UpstreamEntry& entry) const;
-  void RememberBorn(const UpstreamEntry& entry);
-  void RememberWord(const UpstreamEntry& entry);
+  bool ReturnTimeIsOver(const StoreContact& contact, core::TimePoint now) const;
+  bool IsOfEarlierStart(const UpstreamEntry& entry) const;
+  void RememberStart(const UpstreamEntry& entry);
+  void RememberLeaving(const UpstreamEntry& entry);
   void RememberLimit(const Upstream& upstream);
   void RestoreLimit(const UpstreamEntry& entry, Upstream& upstream);
-  bool SaidItLeaves(const UpstreamEntry& entry);
+  bool HasAnnouncedLeaving(const UpstreamEntry& entry);
   DirectoryChange Put(const UpstreamEntry& entry, core::TimePoint read_at);
   DirectoryChange Drop(const core::UpstreamId& id);
   void Forget(const core::UpstreamId& id);
-  void TellGone(const UpstreamEntry& entry) const;
+  void NotifyGone(const UpstreamEntry& entry) const;
   void Rebuild();
 
   DirectoryOptions m_options;
   OnGone m_on_gone;
-  bool m_listed = false;  ///< upstreams that appear later have just started
+  bool m_list_read = false;  ///< upstreams that appear later have just started
   std::unordered_map<core::UpstreamId, UpstreamRef> m_by_id;
   std::unordered_map<core::ServiceId, std::vector<UpstreamRef>> m_by_service;
   std::unordered_map<uint32_t, UpstreamRef> m_by_load_key;
-  bool m_limits_named = false;
+  bool m_limits_received = false;
   /// Latest start seen under each id, including removed ones.
-  std::unordered_map<core::UpstreamId, int64_t> m_born;
+  std::unordered_map<core::UpstreamId, int64_t> m_latest_starts;
   /// Starts that announced in a response that they are leaving, including
   /// removed ones.
-  std::unordered_map<core::UpstreamId, std::optional<int64_t>> m_said_leaving;
+  std::unordered_map<core::UpstreamId, std::optional<int64_t>>
+      m_announced_leaving;
   /// Limits of starts whose entries were removed: they may be announced again.
   struct KeptLimit {
     std::optional<int64_t> born;
-    StatedLimit limit;
+    AdvertisedLimit limit;
   };
   std::unordered_map<core::UpstreamId, KeptLimit> m_kept_limits;
 };
--- a/include/coppervalve/entry/upstream_gate.h
+++ b/include/coppervalve/entry/upstream_gate.h
@@ -13,7 +13,7 @@
 namespace coppervalve::entry {
 
 /// @brief Whether an upstream may be sent a request now.
-enum class Passage : uint8_t {
+enum class GateState : uint8_t {
   kOpen,
   kEvacuated,  ///< its failure domain is evacuated
   kPaused,     ///< it asked this router to pause
@@ -36,7 +36,7 @@
 
   void OnConfiguration(const Configuration& configuration);
   /// @complexity linear in the requests sent to the upstream in the last second
-  Passage Of(const Upstream& upstream, core::TimePoint now) const;
+  GateState StateOf(const Upstream& upstream, core::TimePoint now) const;
   /// @return when the upstream's limit allows this router's next request
   core::TimePoint NextWithinLimit(const Upstream& upstream,
                                   core::TimePoint now) const;
@@ -45,7 +45,7 @@
   core::TimePoint NextOfService(const std::vector<UpstreamRef>& upstreams,
                                 core::TimePoint now) const;
   /// @brief Whether an upstream is treated as cold.
-  bool Cold(const Upstream& upstream, core::TimePoint now) const;
+  bool CountsAsCold(const Upstream& upstream, core::TimePoint now) const;
   /// @brief A request is being sent to the upstream.
   void OnSend(Upstream& upstream, core::TimePoint now) const;
   /// @brief An attempt at the upstream ended.
@@ -58,7 +58,7 @@
 
  private:
   const WarmUp* WarmUpOf(const Upstream& upstream) const;
-  bool BearsOneMore(const Upstream& upstream, core::TimePoint now) const;
+  bool AllowsOneMore(const Upstream& upstream, core::TimePoint now) const;
 
   Evacuations m_evacuations;
   const UpstreamSenders* m_senders = nullptr;
--- a/include/coppervalve/entry/upstream_health.h
+++ b/include/coppervalve/entry/upstream_health.h
@@ -34,7 +34,7 @@
 
   Trust trust(core::TimePoint now) const;
   /// @return smoothed microseconds per unit of cost; 0 before any response
-  double pace() const { return m_pace; }
+  double latency_per_cost() const { return m_latency_per_cost; }
 
  private:
   double FailuresAt(core::TimePoint now) const;
@@ -43,8 +43,8 @@
   double m_failures = 0;  ///< smoothed failure rate as of m_failures_at
   core::TimePoint m_failures_at{};
   core::TimePoint m_avoid_until{};
-  uint32_t m_in_a_row = 0;
-  double m_pace = 0;
+  uint32_t m_consecutive_failures = 0;
+  double m_latency_per_cost = 0;
 };
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/upstream_senders.h
+++ b/include/coppervalve/entry/upstream_senders.h
@@ -5,9 +5,9 @@
 #include <optional>  // optional
 
 #include "coppervalve/core/units.h"
+#include "coppervalve/entry/advertised_limit.h"
 #include "coppervalve/entry/configuration.h"
 #include "coppervalve/entry/member_list.h"
-#include "coppervalve/entry/stated_limit.h"
 
 namespace coppervalve::entry {
 
@@ -19,19 +19,19 @@
 
 /// @brief Constants of how the bound is divided.
 struct WarmUpOptions {
-  bool limit = true;  ///< false: cold upstreams are treated like warm ones
+  bool enforce = true;  ///< false: cold upstreams are treated like warm ones
   /// Every live router has an equal share, not only those that callers are
   /// directed to.
   bool all_live = false;
   /// Part of the bound that is allocated. The rest is a margin for routers that
   /// take others to be the senders.
-  double given_out = 0.5;
-  double most_senders = 6;
+  double allocated_share = 0.5;
+  double max_senders = 6;
   /// How long a new sender waits until the other routers know of it.
-  core::Duration settle{2'000'000};
+  core::Duration settle_time{2'000'000};
   /// How long the largest number of routers counts, as some routers still
   /// assume it.
-  core::Duration remember{15'000'000};
+  core::Duration peak_lifetime{15'000'000};
 };
 
 /// @brief The share of a cold upstream's bound that each sender has.
@@ -72,14 +72,14 @@
   void Advance(core::TimePoint now);
   /// @return number of requests that this router may send to a cold upstream in
   /// any second; 0 if it is not one of its senders
-  uint32_t PartOf(const core::UpstreamId& upstream,
-                  SenderRank& rank,
-                  double bound,
-                  core::TimePoint now) const;
+  uint32_t ShareOf(const core::UpstreamId& upstream,
+                   SenderRank& rank,
+                   double bound,
+                   core::TimePoint now) const;
   /// @return this router's position among the senders of an upstream
-  SenderPlace PlaceAt(const core::UpstreamId& upstream,
-                      SenderRank& rank,
-                      core::TimePoint now) const;
+  SenderPosition PositionOf(const core::UpstreamId& upstream,
+                            SenderRank& rank,
+                            core::TimePoint now) const;
   const WarmUpOptions& options() const { return m_options; }
 
  private:
@@ -92,9 +92,9 @@
   std::optional<core::TimePoint> m_sender_since;
   /// Largest numbers of routers in the current and the previous half of the
   /// remembered time.
-  uint32_t m_most_now = 1;
-  uint32_t m_most_before = 1;
-  core::TimePoint m_half_began{};
+  uint32_t m_peak_now = 1;
+  uint32_t m_peak_before = 1;
+  core::TimePoint m_half_started_at{};
 };
 
 }  // namespace coppervalve::entry
--- a/include/coppervalve/entry/warm_up.h
+++ b/include/coppervalve/entry/warm_up.h
@@ -27,10 +27,10 @@
 /// @brief What is known of an upstream's warm-up. It is cold after a start, and
 /// may become cold again at any time.
 struct WarmUpState {
-  core::TimePoint said_until{};  ///< from its records, plus their age
+  core::TimePoint announced_until{};  ///< from its records, plus their age
   /// When it started, or its failure domain's evacuation ended, while callers
   /// were served.
-  std::optional<core::TimePoint> began;
+  std::optional<core::TimePoint> cold_since;
   /// When it was last unreachable, if it has not responded since.
   std::optional<core::TimePoint> unreachable_at;
   RecentSends sends;
--- a/include/coppervalve/gateway/crash_watch.h
+++ b/include/coppervalve/gateway/crash_watch.h
@@ -25,19 +25,20 @@
 
   /// @brief An answer broke off, or nothing came in time.
   void OnBroken(const entry::UpstreamRef& upstream,
-                const entry::RequestPrint& request);
+                const entry::RequestFingerprint& request);
   /// @brief A start of an upstream is known to have ended.
   /// @param by what showed it
   void OnEnded(const entry::UpstreamEntry& entry, std::string_view by);
   /// @brief An upstream ran a request to its end.
-  void OnSurvived(const entry::RequestPrint& request);
+  void OnSurvived(const entry::RequestFingerprint& request);
   /// @brief Another router's beat was read.
   void OnBeat(const v1::RouterBeat& beat);
 
   entry::CrashRecord& record() { return m_record; }
 
  private:
-  void TellQuarantined(const entry::RequestPrint& request, std::string_view by);
+  void TellQuarantined(const entry::RequestFingerprint& request,
+                       std::string_view by);
 
   EventLog& m_log;
   Hooks m_hooks;
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -17,9 +17,9 @@
 #include "coppervalve/entry/peer_contact.h"
 #include "coppervalve/entry/placement.h"
 #include "coppervalve/entry/policy.h"
-#include "coppervalve/entry/reading_pace.h"
-#include "coppervalve/entry/request_print.h"
-#include "coppervalve/entry/retry_allowance.h"
+#include "coppervalve/entry/prefill_time_estimator.h"
+#include "coppervalve/entry/request_fingerprint.h"
+#include "coppervalve/entry/retry_budget_share.h"
 #include "coppervalve/entry/upstream_directory.h"
 #include "coppervalve/entry/upstream_gate.h"
 #include "coppervalve/gateway/caller_connection.h"
@@ -41,8 +41,8 @@
   const entry::Policy& policy;
   const entry::UpstreamGate& gate;
   const entry::Placer& placer;
-  entry::ReadingPace& pace;
-  entry::RetryAllowance& retries;
+  entry::PrefillTimeEstimator& pace;
+  entry::RetryBudgetShare& retries;
   entry::AllotmentBook& book;
   const entry::MemberList& members;
   const entry::PeerContact& peers;
@@ -89,10 +89,10 @@
     UpstreamConnectionRef connection;
     core::TimePoint began;
     AnswerFacts answer;
-    double reading = 0;       ///< its part of the upstream's in_prefill
-    double to_read = 0;       ///< that and what waited, at usual pace
-    double cost = 0;          ///< expected when it was placed
-    bool passing_on = false;  ///< its bytes go to the caller
+    double reading = 0;        ///< its part of the upstream's in_prefill
+    double total_prefill = 0;  ///< that and what waited, at usual pace
+    double cost = 0;           ///< expected when it was placed
+    bool passing_on = false;   ///< its bytes go to the caller
     bool resumed = false;
   };
 
@@ -137,9 +137,9 @@
   void LeaveUpstream(entry::AttemptOutcome outcome);
 
   entry::RequestContent Content() const;
-  const entry::RequestPrint& Print();
+  const entry::RequestFingerprint& Print();
   bool MayHaveEndedUpstreams() const;
-  entry::Standing StandingNow();
+  entry::QuarantineState StandingNow();
   /// @brief Refuses what upstreams ended under. @return whether
   bool RefuseIfItEndsUpstreams();
   void TellSurvived();
@@ -189,8 +189,8 @@
   bool m_on_trial = false;  ///< holds the place of the one that is tried
   bool m_done = false;
   std::string m_last_failure;
-  std::optional<entry::RequestPrint> m_print;  ///< once it was needed
-  entry::Placement m_placed;                   ///< the last one
+  std::optional<entry::RequestFingerprint> m_print;  ///< once it was needed
+  entry::Placement m_placed;                         ///< the last one
   /// Chosen before tokens were set aside, and good until anything was waited
   /// for.
   std::optional<entry::Placement> m_planned;
--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -13,14 +13,14 @@
 
 #include "coppervalve/entry/allotment_book.h"
 #include "coppervalve/entry/beat_rate.h"
+#include "coppervalve/entry/configuration_index.h"
 #include "coppervalve/entry/gift_memory.h"
-#include "coppervalve/entry/in_force.h"
 #include "coppervalve/entry/member_list.h"
 #include "coppervalve/entry/placement.h"
 #include "coppervalve/entry/policy.h"
-#include "coppervalve/entry/retry_allowance.h"
+#include "coppervalve/entry/retry_budget_share.h"
 #include "coppervalve/entry/store_contact.h"
-#include "coppervalve/entry/table_readers.h"
+#include "coppervalve/entry/table_subscription.h"
 #include "coppervalve/entry/upstream_directory.h"
 #include "coppervalve/gateway/beat_writer.h"
 #include "coppervalve/gateway/borrower.h"
@@ -164,7 +164,7 @@
   EventLog m_log;
   GatewayMetrics m_metrics;
 
-  std::shared_ptr<const entry::InForce> m_in_force;
+  std::shared_ptr<const entry::ConfigurationIndex> m_in_force;
   entry::StoreContact m_contact;  ///< of all topics
   /// Of each topic alone. What a topic doesn't say proves something only while
   /// that topic itself is read: another one's answers don't.
@@ -174,8 +174,8 @@
   entry::UpstreamDirectory m_directory;
   entry::PeerLoads m_peer_loads;
   entry::PeerContact m_peers;
-  entry::ReadingPace m_pace;
-  entry::RetryAllowance m_retries;
+  entry::PrefillTimeEstimator m_pace;
+  entry::RetryBudgetShare m_retries;
   entry::AllotmentBook m_book;
   entry::MemberList m_members;
   entry::UpstreamSenders m_senders;
@@ -186,7 +186,7 @@
   CrashWatch m_crashes;
   std::optional<ExchangeContext> m_context;
 
-  entry::TableReaders m_table_readers;
+  entry::TableSubscription m_table_readers;
   std::unordered_map<std::string, std::string> m_upstream_documents;
   std::shared_ptr<TopicFollower> m_configuration;
   std::shared_ptr<TopicFollower> m_upstreams;
--- a/src/entry/admission.cc
+++ b/src/entry/admission.cc
@@ -21,21 +21,24 @@
 core::Result<Admitted> Admit(const ConfigurationView& view,
                              const RequestFacts& facts,
                              uint64_t draw) {
-  if (!view.in_force) {
+  if (!view.configuration_index) {
     return core::Error{core::ErrorId::kNotReady, "router",
                        "no configuration yet"};
   }
   Admitted admitted;
-  admitted.in_force = view.in_force;
-  admitted.route = view.in_force->FindRoute(facts.host, facts.target);
+  admitted.configuration_index = view.configuration_index;
+  admitted.route =
+      view.configuration_index->FindRoute(facts.host, facts.target);
   if (admitted.route == nullptr) {
-    return NotFoundOrStale(core::ErrorId::kNotFound, "no rule matches", view.fresh);
+    return NotFoundOrStale(core::ErrorId::kNotFound, "no rule matches",
+                           view.fresh);
   }
   const Route& route = *admitted.route;
-  if (!route.is_public && view.in_force->has_accounts()) {
-    admitted.account = view.in_force->FindAccount(facts.key);
+  if (!route.is_public && view.configuration_index->has_accounts()) {
+    admitted.account = view.configuration_index->FindAccount(facts.key);
     if (admitted.account == nullptr) {
-      return NotFoundOrStale(core::ErrorId::kUnauthorized, "unknown key", view.fresh);
+      return NotFoundOrStale(core::ErrorId::kUnauthorized, "unknown key",
+                             view.fresh);
     }
     if (view.keys_expired) {
       return core::Error{core::ErrorId::kConfigurationStale, "request",
--- a/src/entry/stated_limit.cc
+++ b/src/entry/advertised_limit.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/stated_limit.h"
+#include "coppervalve/entry/advertised_limit.h"
 
 #include <algorithm>  // clamp, max, min
 #include <chrono>     // duration
@@ -11,7 +11,7 @@
 
 // Lower rates, at which a request would be due after more than a day, count as
 // zero.
-constexpr double kLeastPerSecond = 1e-5;
+constexpr double kMinPerSecond = 1e-5;
 
 core::Duration IntervalOf(double per_second) {
   return std::chrono::duration_cast<core::Duration>(
@@ -25,51 +25,51 @@
                        const LimitOptions& options) {
   const double wanted = std::floor(per_second) + options.spare_senders;
   const double most =
-      std::min(static_cast<double>(routers), options.most_senders);
+      std::min(static_cast<double>(routers), options.max_senders);
   LimitShare share;
   share.senders =
       static_cast<uint32_t>(std::clamp(wanted, 1.0, std::max(most, 1.0)));
-  share.per_second = per_second * options.given_out / share.senders;
+  share.per_second = per_second * options.allocated_share / share.senders;
   return share;
 }
 
 // A late response to an earlier request may lack the limit; it says nothing
 // about the current one.
-bool StatedLimit::OnAnswer(std::optional<double> per_second,
-                           core::TimePoint asked,
-                           core::TimePoint now) {
-  if (!per_second && (!m_per_second || asked <= m_said)) {
+bool AdvertisedLimit::OnAnswer(std::optional<double> per_second,
+                               core::TimePoint asked,
+                               core::TimePoint now) {
+  if (!per_second && (!m_per_second || asked <= m_received_at)) {
     return false;
   }
-  m_said = now;
-  m_own = true;
+  m_received_at = now;
+  m_received_directly = true;
   m_unreadable = false;
   return Set(per_second);
 }
 
-bool StatedLimit::OnPeerWord(std::optional<double> per_second,
-                             core::TimePoint said) {
-  if (said <= m_said) {
+bool AdvertisedLimit::OnPeerReport(std::optional<double> per_second,
+                                   core::TimePoint received_at) {
+  if (received_at <= m_received_at) {
     return false;
   }
-  m_said = said;
-  m_own = false;
+  m_received_at = received_at;
+  m_received_directly = false;
   return Set(per_second);
 }
 
-bool StatedLimit::OnUnreadable() {
+bool AdvertisedLimit::OnUnreadable() {
   return !std::exchange(m_unreadable, true);
 }
 
-bool StatedLimit::Set(std::optional<double> per_second) {
+bool AdvertisedLimit::Set(std::optional<double> per_second) {
   return std::exchange(m_per_second, per_second) != per_second;
 }
 
 // Senders space their requests and accumulate no credit: with limits below one
 // request per second, even one saved request at each router would exceed the
 // limit.
-core::TimePoint StatedLimit::NextSend(const SenderPlace& place,
-                                      const LimitOptions& options) const {
+core::TimePoint AdvertisedLimit::NextSend(const SenderPosition& place,
+                                          const LimitOptions& options) const {
   if (!m_per_second || !options.enforce) {
     return m_last_send;
   }
@@ -77,11 +77,12 @@
   // There may be no recent response because no sender has callers or the
   // senders are unreachable. Probing in turn keeps routers from probing at
   // once.
-  core::TimePoint next = std::max(
-      m_last_send + options.probe_every * place.routers,
-      m_said + options.word_lasts + options.probe_every * (place.rank + 1));
+  core::TimePoint next =
+      std::max(m_last_send + options.probe_interval * place.routers,
+               m_received_at + options.fresh_for +
+                   options.probe_interval * (place.rank + 1));
   const bool sender = place.sends && place.rank < share.senders;
-  if (sender && share.per_second > kLeastPerSecond) {
+  if (sender && share.per_second > kMinPerSecond) {
     next = std::min(next, m_last_send + IntervalOf(share.per_second));
   }
   return next;
--- a/src/entry/in_force.cc
+++ b/src/entry/configuration_index.cc
@@ -1,11 +1,11 @@
-#include "coppervalve/entry/in_force.h"
+#include "coppervalve/entry/configuration_index.h"
 
 #include <algorithm>  // min, stable_sort
 #include <utility>    // move
 
 namespace coppervalve::entry {
 
-InForce::InForce(Configuration configuration)
+ConfigurationIndex::ConfigurationIndex(Configuration configuration)
     : m_configuration(std::move(configuration)) {
   for (const Route& route : m_configuration.routes) {
     m_routes[route.host].push_back(&route);
@@ -31,8 +31,8 @@
   }
 }
 
-void InForce::NoteObjective(const core::ServiceId& service,
-                            const Route& route) {
+void ConfigurationIndex::NoteObjective(const core::ServiceId& service,
+                                       const Route& route) {
   if (route.target_latency <= core::Duration::zero()) {
     return;
   }
@@ -42,8 +42,8 @@
   shortest = std::min(shortest, route.target_latency);
 }
 
-core::Duration InForce::ObjectiveOf(const core::ServiceId& service,
-                                    uint8_t priority) const {
+core::Duration ConfigurationIndex::ObjectiveOf(const core::ServiceId& service,
+                                               uint8_t priority) const {
   const auto found = m_objectives.find(service);
   if (found == m_objectives.end()) {
     return core::Duration::zero();
@@ -57,8 +57,8 @@
   return shortest == core::Duration::max() ? core::Duration::zero() : shortest;
 }
 
-const Route* InForce::FindRoute(std::string_view host,
-                                std::string_view target) const {
+const Route* ConfigurationIndex::FindRoute(std::string_view host,
+                                           std::string_view target) const {
   auto found = m_routes.find(std::string(host));
   if (found == m_routes.end()) {
     found = m_routes.find(std::string(host.substr(0, host.find(':'))));
@@ -75,12 +75,13 @@
   return nullptr;
 }
 
-const Account* InForce::FindAccount(const std::string& key) const {
+const Account* ConfigurationIndex::FindAccount(const std::string& key) const {
   const auto found = m_accounts.find(key);
   return found == m_accounts.end() ? nullptr : found->second;
 }
 
-const Service* InForce::FindService(const core::ServiceId& service) const {
+const Service* ConfigurationIndex::FindService(
+    const core::ServiceId& service) const {
   const auto found = m_services.find(service);
   return found == m_services.end() ? nullptr : found->second;
 }
--- a/src/entry/crash_record.cc
+++ b/src/entry/crash_record.cc
@@ -11,12 +11,12 @@
 namespace {
 
 // More than any well-behaved router reports for one request.
-constexpr int kMostEndsRead = 16;
-constexpr size_t kMostEndsKept = 32;
-constexpr size_t kMostBroken = 1'024;
+constexpr int kMaxTerminationsRead = 16;
+constexpr size_t kMaxTerminationsKept = 32;
+constexpr size_t kMaxBrokenRuns = 1'024;
 // Bounds the quarantine: a release may fix the fault, and nobody lifts
 // quarantines by hand.
-constexpr uint32_t kMostDoublings = 6;
+constexpr uint32_t kMaxDoublings = 6;
 
 }  // namespace
 
@@ -25,45 +25,51 @@
   return UpstreamStart(core::Hash64(entry.id.value() + "#" + born));
 }
 
-size_t CrashRecord::Counting(const Case& one) {
-  return static_cast<size_t>(std::count_if(
-      one.ends.begin(), one.ends.end(),
-      [](const auto& end) { return end.second.state == EndState::kCounts; }));
+size_t CrashRecord::CountedTerminations(const Case& crash_case) {
+  return static_cast<size_t>(
+      std::count_if(crash_case.terminations.begin(),
+                    crash_case.terminations.end(), [](const auto& end) {
+                      return end.second.state == TerminationState::kCounts;
+                    }));
 }
 
 // Decides which cases stay if there is room for some only. Most requests that
 // ran when an upstream terminated never recur; the one that caused it does.
-CrashRecord::Weight CrashRecord::WeightOf(const Case& one) {
-  return {one.quarantined, Counting(one), one.changed};
+CrashRecord::Priority CrashRecord::PriorityOf(const Case& crash_case) {
+  return {crash_case.quarantined, CountedTerminations(crash_case),
+          crash_case.changed};
 }
 
-bool CrashRecord::MayKnow(uint64_t sketch) const {
-  const auto first = m_cases.lower_bound(RequestPrint{sketch, {}});
-  return first != m_cases.end() && first->first.sketch == sketch;
+bool CrashRecord::MayContain(uint64_t quick_hash) const {
+  const auto first = m_cases.lower_bound(RequestFingerprint{quick_hash, {}});
+  return first != m_cases.end() && first->first.quick_hash == quick_hash;
 }
 
-Standing CrashRecord::StandingOf(const RequestPrint& request) const {
+QuarantineState CrashRecord::QuarantineStateOf(
+    const RequestFingerprint& request) const {
   const auto found = m_cases.find(request);
   if (found == m_cases.end()) {
-    return Standing::kClear;
+    return QuarantineState::kClear;
   }
-  const Case& one = found->second;
-  if (one.quarantined) {
-    return Standing::kQuarantined;
+  const Case& crash_case = found->second;
+  if (crash_case.quarantined) {
+    return QuarantineState::kQuarantined;
   }
-  return one.probation || Counting(one) >= m_options.ends_to_suspect
-             ? Standing::kSuspect
-             : Standing::kClear;
+  return crash_case.probation ||
+                 CountedTerminations(crash_case) >= m_options.suspect_threshold
+             ? QuarantineState::kSuspect
+             : QuarantineState::kClear;
 }
 
-core::Duration CrashRecord::QuarantineTime(const Case& one) const {
+core::Duration CrashRecord::QuarantineTime(const Case& crash_case) const {
   const uint32_t doublings =
-      std::min(std::max(one.times, 1U) - 1, kMostDoublings);
-  return m_options.refused_for * (1U << doublings);
+      std::min(std::max(crash_case.quarantine_count, 1U) - 1, kMaxDoublings);
+  return m_options.first_quarantine * (1U << doublings);
 }
 
-core::Duration CrashRecord::RefusedFor(const RequestPrint& request,
-                                       core::TimePoint now) const {
+core::Duration CrashRecord::RemainingQuarantine(
+    const RequestFingerprint& request,
+    core::TimePoint now) const {
   const auto found = m_cases.find(request);
   if (found == m_cases.end() || !found->second.quarantined) {
     return core::Duration::zero();
@@ -75,93 +81,98 @@
 
 // Concurrent copies would each terminate an upstream before the first
 // termination is known. One at a time, they terminate only one.
-bool CrashRecord::BeginTrial(const RequestPrint& request) {
+bool CrashRecord::BeginTrial(const RequestFingerprint& request) {
   return m_trials.insert(request).second;
 }
 
-CrashRecord::Case& CrashRecord::CaseOf(const RequestPrint& request,
+CrashRecord::Case& CrashRecord::CaseOf(const RequestFingerprint& request,
                                        core::TimePoint now) {
-  if (m_cases.size() >= m_options.most_requests && !m_cases.contains(request)) {
+  if (m_cases.size() >= m_options.max_requests && !m_cases.contains(request)) {
     // A caller with many such requests must not exhaust the memory.
-    const auto goes = std::min_element(
+    const auto evicted = std::min_element(
         m_cases.begin(), m_cases.end(), [](const auto& a, const auto& b) {
-          return WeightOf(a.second) < WeightOf(b.second);
+          return PriorityOf(a.second) < PriorityOf(b.second);
         });
-    m_cases.erase(goes);
+    m_cases.erase(evicted);
   }
-  Case& one = m_cases[request];
-  one.changed = now;
-  return one;
+  Case& crash_case = m_cases[request];
+  crash_case.changed = now;
+  return crash_case;
 }
 
-void CrashRecord::Add(const RequestPrint& request,
+void CrashRecord::Add(const RequestFingerprint& request,
                       UpstreamStart start,
                       bool own,
                       core::TimePoint now) {
-  Case& one = CaseOf(request, now);
-  if (one.ends.size() >= kMostEndsKept && !one.ends.contains(start)) {
+  Case& crash_case = CaseOf(request, now);
+  if (crash_case.terminations.size() >= kMaxTerminationsKept &&
+      !crash_case.terminations.contains(start)) {
     return;
   }
-  const auto [end, added] =
-      one.ends.try_emplace(start, End{now, EndState::kCounts, own});
+  const auto [end, added] = crash_case.terminations.try_emplace(
+      start, Termination{now, TerminationState::kCounts, own});
   if (added) {
-    Judge(one, now);
+    Evaluate(crash_case, now);
   }
 }
 
-void CrashRecord::Judge(Case& one, core::TimePoint now) const {
-  if (one.quarantined) {
+void CrashRecord::Evaluate(Case& crash_case, core::TimePoint now) const {
+  if (crash_case.quarantined) {
     return;
   }
   core::TimePoint first = now;
   size_t counting = 0;
-  for (const auto& [start, end] : one.ends) {
-    if (end.state == EndState::kCounts) {
+  for (const auto& [start, end] : crash_case.terminations) {
+    if (end.state == TerminationState::kCounts) {
       first = std::min(first, end.since);
       ++counting;
     }
   }
-  one.apart = one.apart || now - first > m_options.one_event;
-  const size_t needed = one.probation ? 1 : m_options.ends_to_quarantine;
-  if (counting < needed || (!one.apart && !one.probation)) {
+  crash_case.separate_events =
+      crash_case.separate_events || now - first > m_options.event_window;
+  const size_t needed =
+      crash_case.probation ? 1 : m_options.quarantine_threshold;
+  if (counting < needed ||
+      (!crash_case.separate_events && !crash_case.probation)) {
     return;
   }
-  one.quarantined = true;
-  one.quarantined_at = now;
-  ++one.times;
+  crash_case.quarantined = true;
+  crash_case.quarantined_at = now;
+  ++crash_case.quarantine_count;
 }
 
-void CrashRecord::OnBroken(const RequestPrint& request,
+void CrashRecord::OnBroken(const RequestFingerprint& request,
                            UpstreamStart start,
                            core::TimePoint now) {
-  if (m_broken.size() >= kMostBroken) {
-    m_broken.pop_front();
+  if (m_broken_runs.size() >= kMaxBrokenRuns) {
+    m_broken_runs.pop_front();
   }
-  m_broken.push_back({now, start, request});
+  m_broken_runs.push_back({now, start, request});
 }
 
-std::vector<RequestPrint> CrashRecord::OnEnded(UpstreamStart start,
-                                               core::TimePoint now) {
-  std::vector<RequestPrint> held_against;
-  for (const Broken& broken : m_broken) {
-    const bool in_time = now - broken.at <= m_options.known_within;
+std::vector<RequestFingerprint> CrashRecord::OnEnded(UpstreamStart start,
+                                                     core::TimePoint now) {
+  std::vector<RequestFingerprint> affected;
+  for (const BrokenRun& broken : m_broken_runs) {
+    const bool in_time = now - broken.at <= m_options.detection_time;
     if (broken.start == start && in_time) {
-      held_against.push_back(broken.request);
+      affected.push_back(broken.request);
     }
   }
-  std::erase_if(m_broken,
-                [&](const Broken& broken) { return broken.start == start; });
-  for (const RequestPrint& request : held_against) {
+  std::erase_if(m_broken_runs,
+                [&](const BrokenRun& broken) { return broken.start == start; });
+  for (const RequestFingerprint& request : affected) {
     Add(request, start, true, now);
   }
-  return held_against;
+  return affected;
 }
 
 // A request that crashes every upstream can't have been completed by one.
 // Without this, requests with a popular content would be rejected after a
 // series of unrelated crashes.
-bool CrashRecord::OnSurvived(const RequestPrint& request, core::TimePoint now) {
-  std::erase_if(m_broken, [&](const Broken& broken) {
+bool CrashRecord::OnSurvived(const RequestFingerprint& request,
+                             core::TimePoint now) {
+  std::erase_if(m_broken_runs, [&](const BrokenRun& broken) {
     return broken.request == request;
   });
   const auto found = m_cases.find(request);
@@ -169,165 +180,175 @@
     return false;
   }
   const bool counted =
-      Counting(found->second) != 0 || found->second.quarantined;
-  MoveEnds(found->second, EndState::kSurvived, true, now);
+      CountedTerminations(found->second) != 0 || found->second.quarantined;
+  SetTerminationState(found->second, TerminationState::kSurvived, true, now);
   return counted;
 }
 
-void CrashRecord::MoveEnds(Case& one,
-                           EndState state,
-                           bool own,
-                           core::TimePoint now) {
-  for (auto& [start, end] : one.ends) {
+void CrashRecord::SetTerminationState(Case& crash_case,
+                                      TerminationState state,
+                                      bool own,
+                                      core::TimePoint now) {
+  for (auto& [start, end] : crash_case.terminations) {
     if (end.state != state) {
       end = {now, state, own};
     }
   }
-  one.quarantined = false;
-  one.probation = state == EndState::kExpired;
-  one.apart = false;
-  one.changed = now;
+  crash_case.quarantined = false;
+  crash_case.probation = state == TerminationState::kExpired;
+  crash_case.separate_events = false;
+  crash_case.changed = now;
 }
 
-bool CrashRecord::Told(const Case& one,
-                       const End& end,
-                       core::TimePoint now) const {
-  const bool lately = now - end.since <= m_options.told_for;
+bool CrashRecord::IsReported(const Case& crash_case,
+                             const Termination& end,
+                             core::TimePoint now) const {
+  const bool lately = now - end.since <= m_options.report_time;
   switch (end.state) {
-    case EndState::kCounts:
-      return end.own && (one.quarantined || lately);
-    case EndState::kSurvived:
+    case TerminationState::kCounts:
+      return end.own && (crash_case.quarantined || lately);
+    case TerminationState::kSurvived:
       return end.own && lately;
-    case EndState::kExpired:
+    case TerminationState::kExpired:
       break;
   }
   return false;
 }
 
-v1::CrashCase CrashRecord::ToldOf(const RequestPrint& request,
-                                  const Case& one,
-                                  core::TimePoint now) const {
-  v1::CrashCase told;
-  for (const auto& [start, end] : one.ends) {
-    if (!Told(one, end, now)) {
+v1::CrashCase CrashRecord::ReportOf(const RequestFingerprint& request,
+                                    const Case& crash_case,
+                                    core::TimePoint now) const {
+  v1::CrashCase report;
+  for (const auto& [start, end] : crash_case.terminations) {
+    if (!IsReported(crash_case, end, now)) {
       continue;
     }
-    if (end.state == EndState::kSurvived) {
-      told.add_survived(start.value());
+    if (end.state == TerminationState::kSurvived) {
+      report.add_survived(start.value());
     } else {
-      told.add_ended(start.value());
+      report.add_ended(start.value());
     }
   }
-  told.set_request(request.ToBytes());
-  told.set_apart(one.apart);
-  return told;
+  report.set_request(request.ToBytes());
+  report.set_apart(crash_case.separate_events);
+  return report;
 }
 
-void CrashRecord::WriteTo(v1::RouterBeat& beat, core::TimePoint now) const {
-  std::vector<std::pair<Weight, v1::CrashCase>> all;
-  for (const auto& [request, one] : m_cases) {
-    v1::CrashCase told = ToldOf(request, one, now);
-    if (told.ended_size() != 0 || told.survived_size() != 0) {
-      all.emplace_back(WeightOf(one), std::move(told));
+void CrashRecord::AddReportsTo(v1::RouterBeat& beat,
+                               core::TimePoint now) const {
+  std::vector<std::pair<Priority, v1::CrashCase>> all;
+  for (const auto& [request, crash_case] : m_cases) {
+    v1::CrashCase report = ReportOf(request, crash_case, now);
+    if (report.ended_size() != 0 || report.survived_size() != 0) {
+      all.emplace_back(PriorityOf(crash_case), std::move(report));
     }
   }
   std::sort(all.begin(), all.end(),
             [](const auto& a, const auto& b) { return a.first > b.first; });
-  all.resize(std::min(all.size(), m_options.most_told));
-  for (auto& [weight, told] : all) {
-    *beat.add_crashes() = std::move(told);
+  all.resize(std::min(all.size(), m_options.max_reported));
+  for (auto& [weight, report] : all) {
+    *beat.add_crashes() = std::move(report);
   }
 }
 
-void CrashRecord::Take(const v1::CrashCase& told,
-                       bool own,
-                       core::TimePoint now) {
-  const RequestPrint request = RequestPrint::FromBytes(told.request());
+void CrashRecord::Merge(const v1::CrashCase& report,
+                        bool own,
+                        core::TimePoint now) {
+  const RequestFingerprint request =
+      RequestFingerprint::FromBytes(report.request());
   if (request.digest.empty()) {
     return;
   }
-  const int ends = std::min(told.ended_size(), kMostEndsRead);
-  for (int i = 0; i < ends; ++i) {
-    Add(request, UpstreamStart(told.ended(i)), own, now);
+  const int terminations = std::min(report.ended_size(), kMaxTerminationsRead);
+  for (int i = 0; i < terminations; ++i) {
+    Add(request, UpstreamStart(report.ended(i)), own, now);
   }
   const auto found = m_cases.find(request);
   if (found == m_cases.end()) {
     return;
   }
-  TakeSurvived(found->second, told, own, now);
-  if (ends != 0 && Counting(found->second) != 0) {
-    found->second.apart = found->second.apart || told.apart();
-    Judge(found->second, now);
+  MergeSurvived(found->second, report, own, now);
+  if (terminations != 0 && CountedTerminations(found->second) != 0) {
+    found->second.separate_events =
+        found->second.separate_events || report.apart();
+    Evaluate(found->second, now);
   }
 }
 
-void CrashRecord::TakeSurvived(Case& one,
-                               const v1::CrashCase& told,
-                               bool own,
-                               core::TimePoint now) {
-  const int survived = std::min(told.survived_size(), kMostEndsRead);
+void CrashRecord::MergeSurvived(Case& crash_case,
+                                const v1::CrashCase& report,
+                                bool own,
+                                core::TimePoint now) {
+  const int survived = std::min(report.survived_size(), kMaxTerminationsRead);
   for (int i = 0; i < survived; ++i) {
-    const auto end = one.ends.find(UpstreamStart(told.survived(i)));
-    if (end != one.ends.end() && end->second.state != EndState::kSurvived) {
-      end->second = {now, EndState::kSurvived, own};
+    const auto end =
+        crash_case.terminations.find(UpstreamStart(report.survived(i)));
+    if (end != crash_case.terminations.end() &&
+        end->second.state != TerminationState::kSurvived) {
+      end->second = {now, TerminationState::kSurvived, own};
     }
   }
-  if (survived != 0 && Counting(one) == 0) {
-    one.quarantined = false;
-    one.probation = false;
-    one.apart = false;
+  if (survived != 0 && CountedTerminations(crash_case) == 0) {
+    crash_case.quarantined = false;
+    crash_case.probation = false;
+    crash_case.separate_events = false;
   }
 }
 
-std::vector<RequestPrint> CrashRecord::OnBeat(const v1::RouterBeat& beat,
-                                              core::TimePoint now) {
-  std::vector<RequestPrint> quarantined;
+std::vector<RequestFingerprint> CrashRecord::OnBeat(const v1::RouterBeat& beat,
+                                                    core::TimePoint now) {
+  std::vector<RequestFingerprint> quarantined;
   const int most =
-      std::min(beat.crashes_size(), static_cast<int>(m_options.most_told));
+      std::min(beat.crashes_size(), static_cast<int>(m_options.max_reported));
   for (int i = 0; i < most; ++i) {
-    const RequestPrint request =
-        RequestPrint::FromBytes(beat.crashes(i).request());
-    const bool before = StandingOf(request) == Standing::kQuarantined;
-    Take(beat.crashes(i), false, now);
-    if (!before && StandingOf(request) == Standing::kQuarantined) {
+    const RequestFingerprint request =
+        RequestFingerprint::FromBytes(beat.crashes(i).request());
+    const bool before =
+        QuarantineStateOf(request) == QuarantineState::kQuarantined;
+    Merge(beat.crashes(i), false, now);
+    if (!before &&
+        QuarantineStateOf(request) == QuarantineState::kQuarantined) {
       quarantined.push_back(request);
     }
   }
   return quarantined;
 }
 
-void CrashRecord::OnOwnPast(const v1::RouterBeat& beat, core::TimePoint now) {
+void CrashRecord::RestoreOwnReports(const v1::RouterBeat& beat,
+                                    core::TimePoint now) {
   const int most =
-      std::min(beat.crashes_size(), static_cast<int>(m_options.most_told));
+      std::min(beat.crashes_size(), static_cast<int>(m_options.max_reported));
   for (int i = 0; i < most; ++i) {
-    Take(beat.crashes(i), true, now);
+    Merge(beat.crashes(i), true, now);
   }
 }
 
 void CrashRecord::Advance(core::TimePoint now) {
-  while (!m_broken.empty() &&
-         now - m_broken.front().at > m_options.known_within) {
-    m_broken.pop_front();
+  while (!m_broken_runs.empty() &&
+         now - m_broken_runs.front().at > m_options.detection_time) {
+    m_broken_runs.pop_front();
   }
-  for (auto& [request, one] : m_cases) {
-    if (one.quarantined && now - one.quarantined_at >= QuarantineTime(one)) {
+  for (auto& [request, crash_case] : m_cases) {
+    if (crash_case.quarantined &&
+        now - crash_case.quarantined_at >= QuarantineTime(crash_case)) {
       // The terminations stay on record: one more is enough for the next
       // quarantine.
-      MoveEnds(one, EndState::kExpired, true, now);
+      SetTerminationState(crash_case, TerminationState::kExpired, true, now);
     }
   }
   std::erase_if(m_cases, [&](const auto& entry) {
-    const Case& one = entry.second;
-    const core::Duration kept =
-        one.probation ? QuarantineTime(one) : m_options.doubt;
-    return !one.quarantined && now - one.changed > kept;
+    const Case& crash_case = entry.second;
+    const core::Duration kept = crash_case.probation
+                                    ? QuarantineTime(crash_case)
+                                    : m_options.suspicion_time;
+    return !crash_case.quarantined && now - crash_case.changed > kept;
   });
 }
 
 size_t CrashRecord::quarantined() const {
-  return static_cast<size_t>(
-      std::count_if(m_cases.begin(), m_cases.end(),
-                    [](const auto& one) { return one.second.quarantined; }));
+  return static_cast<size_t>(std::count_if(
+      m_cases.begin(), m_cases.end(),
+      [](const auto& crash_case) { return crash_case.second.quarantined; }));
 }
 
 }  // namespace coppervalve::entry
--- a/src/entry/placement.cc
+++ b/src/entry/placement.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double kMostSlowness = 5;
+constexpr double kMaxSlowness = 5;
 
 bool Excluded(const PlacementQuery& query, const core::UpstreamId& id) {
   return std::find(query.exclude.begin(), query.exclude.end(), id) !=
@@ -18,11 +18,11 @@
 }
 
 // Median, as the typical value for the current workload.
-double UsualPace(const std::vector<UpstreamRef>& upstreams) {
+double MedianLatency(const std::vector<UpstreamRef>& upstreams) {
   std::vector<double> known;
   for (const UpstreamRef& upstream : upstreams) {
-    if (upstream->health.pace() > 0) {
-      known.push_back(upstream->health.pace());
+    if (upstream->health.latency_per_cost() > 0) {
+      known.push_back(upstream->health.latency_per_cost());
     }
   }
   if (known.empty()) {
@@ -34,12 +34,12 @@
   return *middle;
 }
 
-double Slowness(const Upstream& upstream, double usual) {
-  const double pace = upstream.health.pace();
-  if (usual <= 0 || pace <= 0) {
+double Slowness(const Upstream& upstream, double median) {
+  const double latency_per_cost = upstream.health.latency_per_cost();
+  if (median <= 0 || latency_per_cost <= 0) {
     return 1;
   }
-  return std::clamp(pace / usual, 1.0, kMostSlowness);
+  return std::clamp(latency_per_cost / median, 1.0, kMaxSlowness);
 }
 
 // Rendezvous hashing: all routers choose the same owner of a prefix without
@@ -61,27 +61,27 @@
 
 }  // namespace
 
-std::string_view ToString(PlacedBy why) {
+std::string_view ToString(PlacementReason why) {
   switch (why) {
-    case PlacedBy::kLeastCost:
+    case PlacementReason::kLeastCost:
       return "least_cost";
-    case PlacedBy::kPrefixOwner:
+    case PlacementReason::kPrefixOwner:
       return "prefix_owner";
-    case PlacedBy::kPrefixSent:
+    case PlacementReason::kPrefixSent:
       return "prefix_sent";
-    case PlacedBy::kTold:
+    case PlacementReason::kChosenByPeer:
       return "told";
-    case PlacedBy::kLastResort:
+    case PlacementReason::kLastResort:
       return "last_resort";
-    case PlacedBy::kNoneLeft:
+    case PlacementReason::kNoneLeft:
       return "none_left";
-    case PlacedBy::kWarmingUp:
+    case PlacementReason::kWarmingUp:
       return "warming_up";
-    case PlacedBy::kLimited:
+    case PlacementReason::kLimited:
       return "limited";
-    case PlacedBy::kEvacuated:
+    case PlacementReason::kEvacuated:
       return "evacuated";
-    case PlacedBy::kNoneKnown:
+    case PlacementReason::kNoneKnown:
       break;
   }
   return "none_known";
@@ -98,9 +98,9 @@
       m_gate(gate),
       m_random(std::move(random)) {}
 
-double Placer::ReadingCost(core::Tokens prompt) const {
+double Placer::PrefillCost(core::Tokens prompt) const {
   const auto tokens = static_cast<double>(prompt.value());
-  return tokens * (1 + tokens / m_options.double_at);
+  return tokens * (1 + tokens / m_options.double_cost_at);
 }
 
 Placement Placer::Choose(const UpstreamDirectory& directory,
@@ -110,7 +110,7 @@
   if (upstreams.empty()) {
     return {};
   }
-  const Trust first = m_options.suspicion ? Trust::kFull : Trust::kSuspect;
+  const Trust first = m_options.use_suspicion ? Trust::kFull : Trust::kSuspect;
   for (const Trust least : {first, Trust::kSuspect, Trust::kNone}) {
     const std::vector<UpstreamRef> usable =
         Usable(upstreams, query, least, now);
@@ -119,31 +119,31 @@
     }
     Placement placement = Cheapest(usable, query, now);
     if (least == Trust::kNone) {
-      placement.why = PlacedBy::kLastResort;
+      placement.why = PlacementReason::kLastResort;
     }
     return placement;
   }
   Placement none;
-  none.why = WhyNone(upstreams, now);
+  none.why = ReasonForNone(upstreams, now);
   return none;
 }
 
-PlacedBy Placer::WhyNone(const std::vector<UpstreamRef>& upstreams,
-                         core::TimePoint now) const {
+PlacementReason Placer::ReasonForNone(const std::vector<UpstreamRef>& upstreams,
+                                      core::TimePoint now) const {
   bool evacuated = true;
   bool limited = false;
   for (const UpstreamRef& upstream : upstreams) {
-    const Passage passage = m_gate.Of(*upstream, now);
-    if (passage == Passage::kWarmingUp) {
-      return PlacedBy::kWarmingUp;
+    const GateState passage = m_gate.Of(*upstream, now);
+    if (passage == GateState::kWarmingUp) {
+      return PlacementReason::kWarmingUp;
     }
-    limited = limited || passage == Passage::kLimited;
-    evacuated = evacuated && passage == Passage::kEvacuated;
+    limited = limited || passage == GateState::kLimited;
+    evacuated = evacuated && passage == GateState::kEvacuated;
   }
   if (limited) {
-    return PlacedBy::kLimited;
+    return PlacementReason::kLimited;
   }
-  return evacuated ? PlacedBy::kEvacuated : PlacedBy::kNoneLeft;
+  return evacuated ? PlacementReason::kEvacuated : PlacementReason::kNoneLeft;
 }
 
 std::vector<UpstreamRef> Placer::Usable(
@@ -163,7 +163,7 @@
     }
     // Also excluded as the last resort: a closed upstream would spend its time
     // on rejecting requests.
-    if (m_gate.Of(*upstream, now) != Passage::kOpen) {
+    if (m_gate.Of(*upstream, now) != GateState::kOpen) {
       continue;
     }
     if (query.connection_bound != 0 &&
@@ -181,7 +181,7 @@
                     const PlacementQuery& query) const {
   const Load peers = m_peers.At(upstream.load_key);
   const uint32_t known = m_peers.Reporting() + 1;
-  const bool guess = m_options.guess_silent && query.routers > known;
+  const bool guess = m_options.estimate_silent && query.routers > known;
   const double silent = guess ? query.routers - known : 0;
   return {upstream.in_flight * (1 + silent) + peers.in_flight,
           upstream.in_prefill * (1 + silent) + peers.in_prefill};
@@ -191,46 +191,48 @@
                                        const PlacementQuery& query,
                                        uint64_t prefix,
                                        bool owner,
-                                       double usual_pace,
+                                       double median_latency,
                                        core::TimePoint now) const {
   Candidate candidate{upstream, 0, owner, false};
-  candidate.sent = m_options.prefix_sent && !query.shared_prefix.empty() &&
-                   upstream->prefixes.Holds(prefix, now);
-  const bool kept = owner || candidate.sent;
+  candidate.recently_sent = m_options.use_prefix_sent &&
+                            !query.shared_prefix.empty() &&
+                            upstream->prefixes.Contains(prefix, now);
+  const bool cached = owner || candidate.recently_sent;
   const core::Tokens own = query.prompt - query.shared_tokens;
   const double missed =
-      kept ? 0
-           : m_options.missed_prefix *
-                 static_cast<double>(query.shared_tokens.value());
+      cached ? 0
+             : m_options.missed_token_weight *
+                   static_cast<double>(query.shared_tokens.value());
   const Load load = LoadOf(*upstream, query);
   const double beyond =
       std::max(0.0, load.in_flight + 1 - upstream->entry.slots);
-  const double wait = load.in_prefill + m_options.running * load.in_flight +
-                      m_options.beyond_slots * beyond + ReadingCost(own);
-  candidate.slowness = Slowness(*upstream, usual_pace);
+  const double wait = load.in_prefill +
+                      m_options.running_cost * load.in_flight +
+                      m_options.over_slots_cost * beyond + PrefillCost(own);
+  candidate.slowness = Slowness(*upstream, median_latency);
   candidate.cost = wait * candidate.slowness + missed;
-  if (m_gate.Cold(*upstream, now)) {
-    candidate.cost += m_options.cold;
+  if (m_gate.CountsAsCold(*upstream, now)) {
+    candidate.cost += m_options.cold_cost;
   }
   candidate.in_prefill = load.in_prefill;
-  candidate.own_reading = ReadingCost(kept ? own : query.prompt);
+  candidate.own_prefill = PrefillCost(cached ? own : query.prompt);
   return candidate;
 }
 
 Placer::Candidate Placer::CostAtPlain(const UpstreamRef& upstream,
                                       const PlacementQuery& query,
-                                      double usual_pace,
+                                      double median_latency,
                                       core::TimePoint now) const {
   const Load load = LoadOf(*upstream, query);
   const double beyond =
       std::max(0.0, load.in_flight + 1 - upstream->entry.slots);
-  double cost = 1 + load.in_flight + m_options.beyond_plain_slots * beyond;
-  cost *= Slowness(*upstream, usual_pace);
+  double cost = 1 + load.in_flight + m_options.over_slots_weight_plain * beyond;
+  cost *= Slowness(*upstream, median_latency);
   if (upstream->entry.failure_domain == m_own_domain) {
-    cost -= m_options.own_domain;
+    cost -= m_options.own_domain_bonus;
   }
-  if (m_gate.Cold(*upstream, now)) {
-    cost += m_options.cold_plain;
+  if (m_gate.CountsAsCold(*upstream, now)) {
+    cost += m_options.cold_cost_plain;
   }
   Candidate candidate{upstream};
   candidate.cost = cost;
@@ -238,41 +240,44 @@
 }
 
 // Prefill ahead of the part of the prompt that no upstream can have cached.
-double Placer::WaitingAt(const Candidate& candidate,
-                         const PlacementQuery& query) const {
-  const double alone = ReadingCost(query.prompt - query.shared_tokens);
-  return (candidate.in_prefill + candidate.own_reading - alone) *
+double Placer::QueuedPrefillAt(const Candidate& candidate,
+                               const PlacementQuery& query) const {
+  const double alone = PrefillCost(query.prompt - query.shared_tokens);
+  return (candidate.in_prefill + candidate.own_prefill - alone) *
          candidate.slowness;
 }
 
 Placement Placer::Cheapest(const std::vector<UpstreamRef>& usable,
                            const PlacementQuery& query,
                            core::TimePoint now) const {
-  const double usual_pace = m_options.slowness ? UsualPace(usable) : 0;
-  const bool has_owner = m_options.prefix_owner && !query.shared_prefix.empty();
+  const double median_latency =
+      m_options.use_slowness ? MedianLatency(usable) : 0;
+  const bool has_owner =
+      m_options.use_prefix_owner && !query.shared_prefix.empty();
   const uint64_t prefix = core::Hash64(query.shared_prefix);
   const Upstream* owner = has_owner ? OwnerOf(usable, prefix) : nullptr;
   Candidate best;
-  double least_waiting = std::numeric_limits<double>::max();
+  double least_queued = std::numeric_limits<double>::max();
   // A random start distributes ties evenly.
   const size_t start = routing::UniformBelow(m_random, usable.size());
   for (size_t i = 0; i < usable.size(); ++i) {
     const UpstreamRef& upstream = usable[(start + i) % usable.size()];
     const Candidate candidate =
-        query.engine ? CostAtEngine(upstream, query, prefix,
-                                    upstream.get() == owner, usual_pace, now)
-                     : CostAtPlain(upstream, query, usual_pace, now);
-    least_waiting = std::min(least_waiting, WaitingAt(candidate, query));
+        query.engine
+            ? CostAtEngine(upstream, query, prefix, upstream.get() == owner,
+                           median_latency, now)
+            : CostAtPlain(upstream, query, median_latency, now);
+    least_queued = std::min(least_queued, QueuedPrefillAt(candidate, query));
     if (best.upstream == nullptr || candidate.cost < best.cost) {
       best = candidate;
     }
   }
-  PlacedBy why = PlacedBy::kLeastCost;
-  if (best.sent) {
-    why = PlacedBy::kPrefixSent;
+  PlacementReason why = PlacementReason::kLeastCost;
+  if (best.recently_sent) {
+    why = PlacementReason::kPrefixSent;
   }
-  if (best.owner) {
-    why = PlacedBy::kPrefixOwner;
+  if (best.is_owner) {
+    why = PlacementReason::kPrefixOwner;
   }
   Placement placement;
   placement.upstream = best.upstream;
@@ -280,9 +285,10 @@
   placement.candidates = static_cast<uint32_t>(usable.size());
   placement.reporting = m_peers.Reporting();
   placement.cost = best.cost;
-  placement.waiting = least_waiting;
-  placement.own_reading = best.own_reading;
-  placement.to_read = (best.in_prefill + best.own_reading) * best.slowness;
+  placement.queued_prefill = least_queued;
+  placement.own_prefill = best.own_prefill;
+  placement.total_prefill =
+      (best.in_prefill + best.own_prefill) * best.slowness;
   return placement;
 }
 
--- a/src/entry/prefix_memory.cc
+++ b/src/entry/recent_prefixes.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/prefix_memory.h"
+#include "coppervalve/entry/recent_prefixes.h"
 
 namespace coppervalve::entry {
 
@@ -6,15 +6,15 @@
 
 // Engines evict the least recently used prefix; after this time caching can't
 // be assumed.
-constexpr core::Duration kKeptFor{60'000'000};
-constexpr size_t kMostUses = 4'096;
+constexpr core::Duration kCachedFor{60'000'000};
+constexpr size_t kMaxUses = 4'096;
 
 }  // namespace
 
-void PrefixMemory::Remember(uint64_t prefix, core::TimePoint now) {
+void RecentPrefixes::Insert(uint64_t prefix, core::TimePoint now) {
   m_last_use[prefix] = now;
   m_uses.emplace_back(now, prefix);
-  while (m_uses.size() > kMostUses || now - m_uses.front().first > kKeptFor) {
+  while (m_uses.size() > kMaxUses || now - m_uses.front().first > kCachedFor) {
     const auto [when, old] = m_uses.front();
     m_uses.pop_front();
     const auto found = m_last_use.find(old);
@@ -24,9 +24,9 @@
   }
 }
 
-bool PrefixMemory::Holds(uint64_t prefix, core::TimePoint now) const {
+bool RecentPrefixes::Contains(uint64_t prefix, core::TimePoint now) const {
   const auto found = m_last_use.find(prefix);
-  return found != m_last_use.end() && now - found->second <= kKeptFor;
+  return found != m_last_use.end() && now - found->second <= kCachedFor;
 }
 
 }  // namespace coppervalve::entry
--- /dev/null
+++ b/src/entry/request_fingerprint.cc
@@ -0,0 +1,65 @@
+#include "coppervalve/entry/request_fingerprint.h"
+
+#include "coppervalve/core/hash.h"
+
+namespace coppervalve::entry {
+
+namespace {
+
+constexpr size_t kDigestBytes = 16;
+constexpr size_t kSketchBytes = 8;
+constexpr size_t kShortBytes = 6;
+constexpr unsigned kBitsOfByte = 8;
+
+// Length prefixes keep adjacent parts distinguishable.
+std::string LengthPrefixed(std::string_view part) {
+  return std::to_string(part.size()) + ":" + std::string(part);
+}
+
+std::string HeadDigestInput(const RequestContent& content) {
+  return LengthPrefixed(content.account.value()) +
+         LengthPrefixed(content.method) + LengthPrefixed(content.target);
+}
+
+}  // namespace
+
+std::string RequestFingerprint::ToBytes() const {
+  std::string bytes;
+  for (size_t i = 0; i < kSketchBytes; ++i) {
+    bytes.push_back(static_cast<char>(quick_hash >> (i * kBitsOfByte)));
+  }
+  return bytes + digest;
+}
+
+RequestFingerprint RequestFingerprint::FromBytes(std::string_view bytes) {
+  if (bytes.size() != kSketchBytes + kDigestBytes) {
+    return {};
+  }
+  RequestFingerprint print;
+  for (size_t i = 0; i < kSketchBytes; ++i) {
+    const auto byte = static_cast<unsigned char>(bytes[i]);
+    print.quick_hash |= static_cast<uint64_t>(byte) << (i * kBitsOfByte);
+  }
+  print.digest = bytes.substr(kSketchBytes);
+  return print;
+}
+
+std::string RequestFingerprint::ShortHex() const {
+  return core::HexOf(std::string_view(digest).substr(0, kShortBytes));
+}
+
+uint64_t QuickHashOf(const RequestContent& content) {
+  return core::Hash64(HeadDigestInput(content), content.body.size());
+}
+
+// The body is hashed on its own, so that a long one is not copied.
+RequestFingerprint FingerprintOf(const RequestContent& content) {
+  RequestFingerprint print;
+  print.quick_hash = QuickHashOf(content);
+  print.digest =
+      core::Sha256(HeadDigestInput(content) + core::Sha256(content.body))
+          .substr(0, kDigestBytes);
+  return print;
+}
+
+}  // namespace coppervalve::entry
--- a/src/entry/retry_allowance.cc
+++ b/src/entry/retry_budget_share.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/retry_allowance.h"
+#include "coppervalve/entry/retry_budget_share.h"
 
 #include <algorithm>  // max
 
@@ -8,7 +8,7 @@
 
 // Safety margin: the clocks of the routers and of the observer differ, and
 // changes in the number of routers are noticed late.
-constexpr double kUsedShare = 0.8;
+constexpr double kSafetyFactor = 0.8;
 
 void DropBefore(std::deque<core::TimePoint>& times, core::TimePoint start) {
   while (!times.empty() && times.front() < start) {
@@ -18,31 +18,32 @@
 
 }  // namespace
 
-RetryAllowance::Window& RetryAllowance::Current(const core::ServiceId& service,
-                                                core::TimePoint now) {
+RetryBudgetShare::Window& RetryBudgetShare::Current(
+    const core::ServiceId& service,
+    core::TimePoint now) {
   Window& window = m_windows[service];
   DropBefore(window.requests, now - m_bounds.window);
-  DropBefore(window.repeats, now - m_bounds.window);
+  DropBefore(window.retries, now - m_bounds.window);
   return window;
 }
 
-void RetryAllowance::OnRequest(const core::ServiceId& service,
-                               core::TimePoint now) {
+void RetryBudgetShare::OnRequest(const core::ServiceId& service,
+                                 core::TimePoint now) {
   Current(service, now).requests.push_back(now);
 }
 
-bool RetryAllowance::Take(const core::ServiceId& service,
-                          uint32_t routers,
-                          core::TimePoint now) {
+bool RetryBudgetShare::Take(const core::ServiceId& service,
+                            uint32_t routers,
+                            core::TimePoint now) {
   Window& window = Current(service, now);
   const double earned =
       m_bounds.ratio * static_cast<double>(window.requests.size());
   const double slack = m_bounds.slack / std::max(routers, 1U);
-  const auto used = static_cast<double>(window.repeats.size());
-  if (used + 1 > kUsedShare * (earned + slack)) {
+  const auto used = static_cast<double>(window.retries.size());
+  if (used + 1 > kSafetyFactor * (earned + slack)) {
     return false;
   }
-  window.repeats.push_back(now);
+  window.retries.push_back(now);
   return true;
 }
 
--- a/src/entry/shedding.cc
+++ b/src/entry/shedding.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Shortest retry delay; sooner than this nothing has changed.
-constexpr core::Duration kSoonest{200'000};
+constexpr core::Duration kMinRetryDelay{200'000};
 
 }  // namespace
 
@@ -17,10 +17,10 @@
                                    double draw) {
   const auto wait = static_cast<double>(backlog.wait.count());
   const double base = static_cast<double>(backlog.objective.count()) *
-                      std::pow(options.rank_part, backlog.rank);
-  const double free = base * options.free_part;
-  const double full = base * options.full_part;
-  if (!options.on || base <= 0 || wait <= free) {
+                      std::pow(options.rank_factor, backlog.rank);
+  const double free = base * options.free_share;
+  const double full = base * options.full_share;
+  if (!options.enabled || base <= 0 || wait <= free) {
     return std::nullopt;
   }
   const double refused = full > free ? (wait - free) / (full - free) : 1;
@@ -28,7 +28,7 @@
     return std::nullopt;
   }
   // By then the queued work is done.
-  return std::max(backlog.wait, kSoonest);
+  return std::max(backlog.wait, kMinRetryDelay);
 }
 
 }  // namespace coppervalve::entry
--- a/src/entry/table_readers.cc
+++ b/src/entry/table_subscription.cc
@@ -1,8 +1,9 @@
-#include "coppervalve/entry/table_readers.h"
+#include "coppervalve/entry/table_subscription.h"
 
 namespace coppervalve::entry {
 
-bool AllMayFollow(const TableCost& cost, const TableReadersOptions& options) {
+bool StoreCanServeAll(const TableCost& cost,
+                      const TableSubscriptionOptions& options) {
   if (cost.heartbeat <= core::Duration::zero() ||
       cost.store_bytes_per_second <= 0) {
     return true;
@@ -17,17 +18,18 @@
                                   static_cast<double>(cost.routers) *
                                   options.record_bytes / seconds;
   return bytes_per_second <=
-         cost.store_bytes_per_second * options.most_of_store;
+         cost.store_bytes_per_second * options.max_store_share;
 }
 
-bool TableReaders::Advance(const TableCost& cost,
-                           bool in_turn,
-                           core::TimePoint now) {
-  if (in_turn) {
-    m_last_turn = now;
+bool TableSubscription::Advance(const TableCost& cost,
+                                bool active_or_next,
+                                core::TimePoint now) {
+  if (active_or_next) {
+    m_last_active = now;
   }
-  const bool lately = m_last_turn && now - *m_last_turn < m_options.keep;
-  m_follows = lately || AllMayFollow(cost, m_options);
+  const bool recently_active =
+      m_last_active && now - *m_last_active < m_options.keep_following;
+  m_follows = recently_active || StoreCanServeAll(cost, m_options);
   return m_follows;
 }
 
--- a/src/entry/upstream_directory.cc
+++ b/src/entry/upstream_directory.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool SameForUs(const UpstreamEntry& a, const UpstreamEntry& b) {
+bool SameForRouting(const UpstreamEntry& a, const UpstreamEntry& b) {
   return a.service == b.service && a.address == b.address &&
          a.failure_domain == b.failure_domain && a.slots == b.slots &&
          a.leaving == b.leaving;
@@ -26,21 +26,22 @@
 }
 
 // Ids of removed upstreams are not reused for long; this covers many days.
-constexpr size_t kMostBornKept = 20'000;
+constexpr size_t kMaxRememberedIds = 20'000;
 
 // The age of the record at the time it is read is unknown. It is added to the
 // remaining warm-up time, not subtracted.
-void NoteWarmUp(const UpstreamEntry& entry,
-                core::TimePoint read_at,
-                WarmUpState& state) {
+void UpdateWarmUp(const UpstreamEntry& entry,
+                  core::TimePoint read_at,
+                  WarmUpState& state) {
   if (entry.warm_up_left > core::Duration::zero()) {
-    state.said_until = std::max(state.said_until, read_at + entry.warm_up_left);
+    state.announced_until =
+        std::max(state.announced_until, read_at + entry.warm_up_left);
   }
 }
 
 template <typename Map, typename Known>
-void MakeRoom(Map& kept, const Known& known) {
-  if (kept.size() >= kMostBornKept) {
+void PruneUnknown(Map& kept, const Known& known) {
+  if (kept.size() >= kMaxRememberedIds) {
     std::erase_if(kept,
                   [&](const auto& one) { return !known.contains(one.first); });
   }
@@ -48,25 +49,25 @@
 
 }  // namespace
 
-RecordWorth WorthOf(const UpstreamRecord& record) {
+RecordKind KindOf(const UpstreamRecord& record) {
   if (!record.entry) {
-    return RecordWorth::kNone;
+    return RecordKind::kNone;
   }
-  return record.entry->leaving ? RecordWorth::kLeaving : RecordWorth::kUsable;
+  return record.entry->leaving ? RecordKind::kLeaving : RecordKind::kUsable;
 }
 
-bool UpstreamDirectory::ReturnsAreOver(const StoreContact& contact,
-                                       core::TimePoint now) const {
+bool UpstreamDirectory::ReturnTimeIsOver(const StoreContact& contact,
+                                         core::TimePoint now) const {
   const auto regained = contact.regained();
   return regained && now - *regained >= m_options.return_time;
 }
 
 DirectoryChange UpstreamDirectory::OnRecord(const UpstreamRecord& record) {
-  switch (WorthOf(record)) {
-    case RecordWorth::kUsable:
-    case RecordWorth::kLeaving:
+  switch (KindOf(record)) {
+    case RecordKind::kUsable:
+    case RecordKind::kLeaving:
       return Put(*record.entry, record.read_at);
-    case RecordWorth::kNone:
+    case RecordKind::kNone:
       break;
   }
   return Drop(record.id);
@@ -74,34 +75,35 @@
 
 // A late record of an earlier start would restore the address of a start that
 // ended: requests would go to a closed port or another upstream.
-bool UpstreamDirectory::OfEarlierStart(const UpstreamEntry& entry) const {
-  const auto latest = m_born.find(entry.id);
-  return entry.born && latest != m_born.end() && *entry.born < latest->second;
+bool UpstreamDirectory::IsOfEarlierStart(const UpstreamEntry& entry) const {
+  const auto latest = m_latest_starts.find(entry.id);
+  return entry.born && latest != m_latest_starts.end() &&
+         *entry.born < latest->second;
 }
 
-void UpstreamDirectory::RememberBorn(const UpstreamEntry& entry) {
+void UpstreamDirectory::RememberStart(const UpstreamEntry& entry) {
   if (!entry.born) {
     return;
   }
-  MakeRoom(m_born, m_by_id);
-  m_born[entry.id] = *entry.born;
+  PruneUnknown(m_latest_starts, m_by_id);
+  m_latest_starts[entry.id] = *entry.born;
 }
 
-void UpstreamDirectory::RememberWord(const UpstreamEntry& entry) {
-  MakeRoom(m_said_leaving, m_by_id);
-  m_said_leaving[entry.id] = entry.born;
+void UpstreamDirectory::RememberLeaving(const UpstreamEntry& entry) {
+  PruneUnknown(m_announced_leaving, m_by_id);
+  m_announced_leaving[entry.id] = entry.born;
 }
 
 // While the store is unavailable, the record still says that the upstream is
 // ready, and records older than the announcement may be read afterwards.
-bool UpstreamDirectory::SaidItLeaves(const UpstreamEntry& entry) {
-  const auto said = m_said_leaving.find(entry.id);
-  if (said == m_said_leaving.end()) {
+bool UpstreamDirectory::HasAnnouncedLeaving(const UpstreamEntry& entry) {
+  const auto said = m_announced_leaving.find(entry.id);
+  if (said == m_announced_leaving.end()) {
     return false;
   }
   const std::optional<int64_t>& born = said->second;
   if (entry.born && born && *entry.born != *born) {
-    m_said_leaving.erase(said);
+    m_announced_leaving.erase(said);
     return false;
   }
   if (!born) {
@@ -110,23 +112,23 @@
   return true;
 }
 
-void UpstreamDirectory::OnTakenBack(const core::FailureDomainId& domain,
-                                    core::TimePoint now) {
+void UpstreamDirectory::OnEvacuationEnded(const core::FailureDomainId& domain,
+                                          core::TimePoint now) {
   for (const auto& [id, upstream] : m_by_id) {
     if (upstream->entry.failure_domain == domain) {
-      upstream->warm_up.began = now;
+      upstream->warm_up.cold_since = now;
     }
   }
 }
 
-bool UpstreamDirectory::OnLeavingWord(const UpstreamRef& upstream) {
+bool UpstreamDirectory::OnLeavingAnnounced(const UpstreamRef& upstream) {
   const UpstreamRef known = Find(upstream->entry.id);
   if (known && known != upstream) {
     return false;  // another start has the id now
   }
   // Also remembered if the record already said so or was removed: an older
   // record of this start that says it is ready may follow.
-  RememberWord(upstream->entry);
+  RememberLeaving(upstream->entry);
   if (!known || upstream->entry.leaving) {
     return false;
   }
@@ -135,17 +137,17 @@
   return true;
 }
 
-bool UpstreamDirectory::OnLimitWord(const UpstreamRef& upstream,
-                                    std::optional<double> per_second,
-                                    core::TimePoint asked,
-                                    core::TimePoint now) {
+bool UpstreamDirectory::OnLimitReceived(const UpstreamRef& upstream,
+                                        std::optional<double> per_second,
+                                        core::TimePoint asked,
+                                        core::TimePoint now) {
   const UpstreamRef known = Find(upstream->entry.id);
   const bool same_start = !known || known->entry.born == upstream->entry.born;
-  Upstream& speaker = known && same_start ? *known : *upstream;
-  const bool changed = speaker.limit.OnAnswer(per_second, asked, now);
-  m_limits_named = m_limits_named || changed;
+  Upstream& sender = known && same_start ? *known : *upstream;
+  const bool changed = sender.limit.OnAnswer(per_second, asked, now);
+  m_limits_received = m_limits_received || changed;
   if (changed && !known) {
-    RememberLimit(speaker);
+    RememberLimit(sender);
   }
   return changed;
 }
@@ -157,7 +159,7 @@
     m_kept_limits.erase(upstream.entry.id);
     return;
   }
-  MakeRoom(m_kept_limits, m_by_id);
+  PruneUnknown(m_kept_limits, m_by_id);
   m_kept_limits[upstream.entry.id] = {upstream.entry.born, upstream.limit};
 }
 
@@ -188,16 +190,16 @@
   return found;
 }
 
-std::optional<core::TimePoint> UpstreamDirectory::AllHoldUntil(
+std::optional<core::TimePoint> UpstreamDirectory::AllPausedUntil(
     const core::ServiceId& service,
     core::TimePoint now) const {
   std::optional<core::TimePoint> first;
   for (const UpstreamRef& upstream : Of(service)) {
-    if (upstream->hold_until <= now) {
+    if (upstream->paused_until <= now) {
       return std::nullopt;
     }
-    first =
-        std::min(first.value_or(upstream->hold_until), upstream->hold_until);
+    first = std::min(first.value_or(upstream->paused_until),
+                     upstream->paused_until);
   }
   return first;
 }
@@ -207,39 +209,39 @@
 // ended with it. So each start is a new object.
 DirectoryChange UpstreamDirectory::Put(const UpstreamEntry& entry,
                                        core::TimePoint read_at) {
-  if (OfEarlierStart(entry)) {
+  if (IsOfEarlierStart(entry)) {
     return DirectoryChange::kNothing;
   }
-  RememberBorn(entry);
+  RememberStart(entry);
   UpstreamEntry put = entry;
-  put.leaving = put.leaving || SaidItLeaves(entry);
+  put.leaving = put.leaving || HasAnnouncedLeaving(entry);
   UpstreamRef& known = m_by_id[entry.id];
   const bool restarted = known && entry.born && known->entry.born &&
                          *entry.born != *known->entry.born;
   if (known) {
-    NoteWarmUp(entry, read_at, known->warm_up);
+    UpdateWarmUp(entry, read_at, known->warm_up);
   }
   if (known && !restarted) {
     put.born = entry.born ? entry.born : known->entry.born;
-    const bool tells_nothing = !known->lapsed && SameForUs(known->entry, put);
+    const bool unchanged = !known->lapsed && SameForRouting(known->entry, put);
     known->entry.born = put.born;
-    if (tells_nothing) {
+    if (unchanged) {
       return DirectoryChange::kNothing;
     }
   }
   if (restarted) {
     m_by_load_key.erase(known->load_key);
     known->entry.leaving = true;
-    TellGone(known->entry);
+    NotifyGone(known->entry);
   }
   if (!known || restarted) {
     known = std::make_shared<Upstream>();
     known->load_key = LoadKeyOf(put);
     m_by_load_key[known->load_key] = known;
-    if (m_listed || restarted) {
-      known->warm_up.began = read_at;
+    if (m_list_read || restarted) {
+      known->warm_up.cold_since = read_at;
     }
-    NoteWarmUp(entry, read_at, known->warm_up);
+    UpdateWarmUp(entry, read_at, known->warm_up);
     RestoreLimit(put, *known);
   }
   known->entry = put;
@@ -274,8 +276,8 @@
   }
   const UpstreamRef& upstream = found->second;
   const bool known_to_leave = upstream->entry.leaving;
-  if (known_to_leave || ReturnsAreOver(contact, now)) {
-    TellGone(upstream->entry);
+  if (known_to_leave || ReturnTimeIsOver(contact, now)) {
+    NotifyGone(upstream->entry);
     Forget(id);
     Rebuild();
     return true;
@@ -300,7 +302,7 @@
       ended.push_back(record.id);
     }
   }
-  m_listed = true;
+  m_list_read = true;
   std::vector<core::UpstreamId> missing;
   for (const auto& [id, upstream] : m_by_id) {
     if (!listed.contains(id)) {
@@ -319,7 +321,7 @@
     const StoreContact& contact,
     core::TimePoint now) {
   std::vector<core::UpstreamId> gone;
-  if (!ReturnsAreOver(contact, now)) {
+  if (!ReturnTimeIsOver(contact, now)) {
     return gone;
   }
   for (const auto& [id, upstream] : m_by_id) {
@@ -328,7 +330,7 @@
     }
   }
   for (const core::UpstreamId& id : gone) {
-    TellGone(m_by_id.at(id)->entry);
+    NotifyGone(m_by_id.at(id)->entry);
     Forget(id);
   }
   if (!gone.empty()) {
@@ -373,7 +375,7 @@
   m_by_id.erase(found);
 }
 
-void UpstreamDirectory::TellGone(const UpstreamEntry& entry) const {
+void UpstreamDirectory::NotifyGone(const UpstreamEntry& entry) const {
   if (m_on_gone) {
     m_on_gone(entry);
   }
--- a/src/entry/upstream_gate.cc
+++ b/src/entry/upstream_gate.cc
@@ -19,7 +19,8 @@
                                                            : &found->second;
 }
 
-bool UpstreamGate::Cold(const Upstream& upstream, core::TimePoint now) const {
+bool UpstreamGate::CountsAsCold(const Upstream& upstream,
+                                core::TimePoint now) const {
   const WarmUp* warm_up = WarmUpOf(upstream);
   return warm_up != nullptr && IsCold(upstream.warm_up, *warm_up, now);
 }
@@ -27,36 +28,38 @@
 // A cold upstream attracts requests by least load, as all its slots are free,
 // and a hot prefix whose owner ended moves to one new owner at once. An
 // upstream that gets more than it can handle while it is cold fails again.
-Passage UpstreamGate::Of(const Upstream& upstream, core::TimePoint now) const {
+GateState UpstreamGate::StateOf(const Upstream& upstream,
+                                core::TimePoint now) const {
   if (m_evacuations.Contains(upstream.entry.failure_domain)) {
-    return Passage::kEvacuated;
+    return GateState::kEvacuated;
   }
-  if (now < upstream.hold_until) {
-    return Passage::kPaused;
+  if (now < upstream.paused_until) {
+    return GateState::kPaused;
   }
   if (upstream.limit.per_second() && now < NextWithinLimit(upstream, now)) {
-    return Passage::kLimited;
+    return GateState::kLimited;
   }
-  return BearsOneMore(upstream, now) ? Passage::kOpen : Passage::kWarmingUp;
+  return AllowsOneMore(upstream, now) ? GateState::kOpen
+                                      : GateState::kWarmingUp;
 }
 
-bool UpstreamGate::BearsOneMore(const Upstream& upstream,
-                                core::TimePoint now) const {
-  if (!Cold(upstream, now) || !m_senders->options().limit) {
+bool UpstreamGate::AllowsOneMore(const Upstream& upstream,
+                                 core::TimePoint now) const {
+  if (!CountsAsCold(upstream, now) || !m_senders->options().enforce) {
     return true;
   }
   const double bound =
       WarmUpOf(upstream)->per_second * m_bounds.overage + m_bounds.slack;
   const uint32_t part =
-      m_senders->PartOf(upstream.entry.id, upstream.sender_rank, bound, now);
+      m_senders->ShareOf(upstream.entry.id, upstream.sender_rank, bound, now);
   return upstream.warm_up.sends.InLastSecond(now) < part;
 }
 
 core::TimePoint UpstreamGate::NextWithinLimit(const Upstream& upstream,
                                               core::TimePoint now) const {
-  SenderPlace place;
+  SenderPosition place;
   if (m_senders != nullptr) {
-    place = m_senders->PlaceAt(upstream.entry.id, upstream.sender_rank, now);
+    place = m_senders->PositionOf(upstream.entry.id, upstream.sender_rank, now);
   }
   return upstream.limit.NextSend(place, m_limits);
 }
@@ -97,7 +100,7 @@
     case AttemptOutcome::kDeclined:
       if (state.unreachable_at) {
         state.unreachable_at.reset();
-        state.began = now;
+        state.cold_since = now;
       }
       return;
     case AttemptOutcome::kBroken:
--- a/src/entry/upstream_health.cc
+++ b/src/entry/upstream_health.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kWeightOfOne = 0.12;
+constexpr double kOutcomeWeight = 0.12;
 // The failure rate decays, so that a recovered upstream gets traffic without
 // probes: probes cost the upstream and reveal less than real requests.
 constexpr core::Duration kHalfLife{3'000'000};
@@ -17,8 +17,8 @@
 constexpr core::Duration kFirstAvoidance{400'000};
 constexpr core::Duration kLongestAvoidance{4'000'000};
 constexpr core::Duration kDeclinedPause{60'000};
-constexpr uint32_t kMostDoublings = 4;
-constexpr double kPaceWeight = 0.15;
+constexpr uint32_t kMaxDoublings = 4;
+constexpr double kLatencyWeight = 0.15;
 
 }  // namespace
 
@@ -30,8 +30,8 @@
   m_failures_at = now;
   switch (outcome) {
     case AttemptOutcome::kAnswered:
-      m_failures = failures * (1 - kWeightOfOne);
-      m_in_a_row = 0;
+      m_failures = failures * (1 - kOutcomeWeight);
+      m_consecutive_failures = 0;
       return;
     case AttemptOutcome::kDeclined:
       // Temporarily at capacity, which says nothing about its health.
@@ -40,14 +40,15 @@
       return;
     case AttemptOutcome::kOwnFailure:
     case AttemptOutcome::kBroken:
-      m_failures = failures + kWeightOfOne * (1 - failures);
+      m_failures = failures + kOutcomeWeight * (1 - failures);
       return;
     case AttemptOutcome::kUnreachable:
     case AttemptOutcome::kSilent:
     case AttemptOutcome::kMisaddressed:
-      m_failures = failures + kWeightOfOne * (1 - failures);
-      m_in_a_row = std::min(m_in_a_row + 1, kMostDoublings);
-      AvoidFor(std::min(kFirstAvoidance * (1U << (m_in_a_row - 1)),
+      m_failures = failures + kOutcomeWeight * (1 - failures);
+      m_consecutive_failures =
+          std::min(m_consecutive_failures + 1, kMaxDoublings);
+      AvoidFor(std::min(kFirstAvoidance * (1U << (m_consecutive_failures - 1)),
                         kLongestAvoidance),
                now);
       return;
@@ -57,8 +58,13 @@
 }
 
 void UpstreamHealth::OnFirstByte(core::Duration time, double cost) {
-  const double pace = static_cast<double>(time.count()) / std::max(cost, 1.0);
-  m_pace = m_pace == 0 ? pace : m_pace + (pace - m_pace) * kPaceWeight;
+  const double latency_per_cost =
+      static_cast<double>(time.count()) / std::max(cost, 1.0);
+  m_latency_per_cost =
+      m_latency_per_cost == 0
+          ? latency_per_cost
+          : m_latency_per_cost +
+                (latency_per_cost - m_latency_per_cost) * kLatencyWeight;
 }
 
 Trust UpstreamHealth::trust(core::TimePoint now) const {
--- a/src/entry/upstream_senders.cc
+++ b/src/entry/upstream_senders.cc
@@ -13,9 +13,9 @@
   if (bound < 1 || routers == 0) {
     return share;
   }
-  const double given = std::clamp(bound * options.given_out, 1.0, bound);
+  const double given = std::clamp(bound * options.allocated_share, 1.0, bound);
   const auto most = static_cast<uint32_t>(
-      std::min(std::max(options.most_senders, 1.0), std::floor(given)));
+      std::min(std::max(options.max_senders, 1.0), std::floor(given)));
   share.senders = std::min(routers, most);
   share.sends = static_cast<uint32_t>(given / share.senders);
   return share;
@@ -26,11 +26,11 @@
 }
 
 void UpstreamSenders::Advance(core::TimePoint now) {
-  if (now - m_half_began >= m_options.remember / 2) {
-    m_half_began = now;
-    m_most_before = std::exchange(m_most_now, 1);
+  if (now - m_half_started_at >= m_options.peak_lifetime / 2) {
+    m_half_started_at = now;
+    m_peak_before = std::exchange(m_peak_now, 1);
   }
-  m_most_now = std::max(m_most_now, Routers());
+  m_peak_now = std::max(m_peak_now, Routers());
   const bool sender = m_options.all_live || m_members.SelfActive();
   if (!sender) {
     m_sender_since.reset();
@@ -42,25 +42,25 @@
 // This also covers the unknown requests that an earlier start of this router
 // sent in the last second.
 bool UpstreamSenders::Settled(core::TimePoint now) const {
-  return m_sender_since && now - *m_sender_since >= m_options.settle;
+  return m_sender_since && now - *m_sender_since >= m_options.settle_time;
 }
 
-uint32_t UpstreamSenders::PartOf(const core::UpstreamId& upstream,
-                                 SenderRank& rank,
-                                 double bound,
-                                 core::TimePoint now) const {
+uint32_t UpstreamSenders::ShareOf(const core::UpstreamId& upstream,
+                                  SenderRank& rank,
+                                  double bound,
+                                  core::TimePoint now) const {
   if (!Settled(now)) {
     return 0;
   }
   const WarmUpShare share =
-      DivideWarmUp(bound, std::max(m_most_now, m_most_before), m_options);
+      DivideWarmUp(bound, std::max(m_peak_now, m_peak_before), m_options);
   return RankOf(upstream, rank) < share.senders ? share.sends : 0;
 }
 
-SenderPlace UpstreamSenders::PlaceAt(const core::UpstreamId& upstream,
-                                     SenderRank& rank,
-                                     core::TimePoint now) const {
-  return {std::max(m_most_now, m_most_before), RankOf(upstream, rank),
+SenderPosition UpstreamSenders::PositionOf(const core::UpstreamId& upstream,
+                                           SenderRank& rank,
+                                           core::TimePoint now) const {
+  return {std::max(m_peak_now, m_peak_before), RankOf(upstream, rank),
           Settled(now)};
 }
 
--- a/src/entry/warm_up.cc
+++ b/src/entry/warm_up.cc
@@ -33,9 +33,9 @@
             const WarmUp& warm_up,
             core::TimePoint now) {
   const auto lately = [&](const std::optional<core::TimePoint>& event) {
-    return event && now < *event + warm_up.lasts;
+    return event && now < *event + warm_up.duration;
   };
-  return now < state.said_until || lately(state.began) ||
+  return now < state.announced_until || lately(state.cold_since) ||
          lately(state.unreachable_at);
 }
 
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -13,7 +13,7 @@
 // Entries lapse seconds after an end, and callers repeat at once: asking the
 // address tells at once.
 void CrashWatch::OnBroken(const entry::UpstreamRef& upstream,
-                          const entry::RequestPrint& request) {
+                          const entry::RequestFingerprint& request) {
   m_record.OnBroken(request, entry::StartOf(upstream->entry), net::BootNow());
   m_check.Ask(upstream->entry.address,
               [this, upstream] { OnEnded(upstream->entry, "refused"); });
@@ -21,7 +21,7 @@
 
 void CrashWatch::OnEnded(const entry::UpstreamEntry& entry,
                          std::string_view by) {
-  const std::vector<entry::RequestPrint> under =
+  const std::vector<entry::RequestFingerprint> under =
       m_record.OnEnded(entry::StartOf(entry), net::BootNow());
   if (under.empty()) {
     return;
@@ -32,35 +32,36 @@
                   .Text("address", entry.address)
                   .Text("by", by)
                   .Number("requests", static_cast<int64_t>(under.size())));
-  for (const entry::RequestPrint& request : under) {
-    if (m_record.StandingOf(request) == entry::Standing::kQuarantined) {
+  for (const entry::RequestFingerprint& request : under) {
+    if (m_record.QuarantineStateOf(request) ==
+        entry::QuarantineState::kQuarantined) {
       TellQuarantined(request, "this_router");
     }
   }
   m_hooks.tell();
 }
 
-void CrashWatch::OnSurvived(const entry::RequestPrint& request) {
+void CrashWatch::OnSurvived(const entry::RequestFingerprint& request) {
   if (m_record.OnSurvived(request, net::BootNow())) {
     m_hooks.tell();
   }
 }
 
 void CrashWatch::OnBeat(const v1::RouterBeat& beat) {
-  for (const entry::RequestPrint& request :
+  for (const entry::RequestFingerprint& request :
        m_record.OnBeat(beat, net::BootNow())) {
     TellQuarantined(request, "another_router");
   }
 }
 
-void CrashWatch::TellQuarantined(const entry::RequestPrint& request,
+void CrashWatch::TellQuarantined(const entry::RequestFingerprint& request,
                                  std::string_view by) {
-  m_log.Write(
-      LineKind::kLifecycle,
-      LogLine("request_quarantined")
-          .Text("content", request.Short())
-          .Text("by", by)
-          .Millis("refused_ms", m_record.RefusedFor(request, net::BootNow())));
+  m_log.Write(LineKind::kLifecycle,
+              LogLine("request_quarantined")
+                  .Text("content", request.ShortHex())
+                  .Text("by", by)
+                  .Millis("refused_ms", m_record.RemainingQuarantine(
+                                            request, net::BootNow())));
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -108,14 +108,15 @@
 
 bool Exchange::ShedIfOverloaded() {
   const entry::Service* service =
-      m_admitted.in_force->FindService(m_admitted.service);
+      m_admitted.configuration_index->FindService(m_admitted.service);
   if (service == nullptr || !service->engine || !m_context.knows_upstreams()) {
     return false;
   }
   m_planned = ChoosePlacement();
   entry::Backlog backlog;
-  backlog.wait = m_context.pace.ToRead(m_admitted.service, m_planned->waiting);
-  backlog.objective = m_admitted.in_force->ObjectiveOf(
+  backlog.wait =
+      m_context.pace.Estimate(m_admitted.service, m_planned->queued_prefill);
+  backlog.objective = m_admitted.configuration_index->ObjectiveOf(
       m_admitted.service, m_admitted.route->priority);
   backlog.rank = m_admitted.route->priority;
   const std::optional<core::Duration> come_back = entry::Shed(
@@ -317,20 +318,20 @@
     Refuse({core::ErrorId::kNoUpstream, m_admitted.service.value(), reason},
            come_back);
   };
-  if (m_placed.why == entry::PlacedBy::kEvacuated) {
+  if (m_placed.why == entry::PlacementReason::kEvacuated) {
     refuse("all its failure domains are evacuated", kAfterACut);
     return;
   }
-  if (m_placed.why == entry::PlacedBy::kWarmingUp) {
+  if (m_placed.why == entry::PlacementReason::kWarmingUp) {
     refuse("those that are left are warming up", kAfterReading);
     return;
   }
   const core::TimePoint now = net::BootNow();
-  if (m_placed.why == entry::PlacedBy::kLimited) {
+  if (m_placed.why == entry::PlacementReason::kLimited) {
     refuse("those that are left take no more for now", NextWithinLimits(now));
     return;
   }
-  const auto hold = m_context.directory.AllHoldUntil(m_admitted.service, now);
+  const auto hold = m_context.directory.AllPausedUntil(m_admitted.service, now);
   if (hold) {
     // The first pause to end says when to come.
     refuse("all upstreams asked for a pause", std::max(*hold - now, kSoon));
@@ -353,7 +354,7 @@
 
 entry::PlacementQuery Exchange::Query() const {
   const entry::Service* service =
-      m_admitted.in_force->FindService(m_admitted.service);
+      m_admitted.configuration_index->FindService(m_admitted.service);
   entry::PlacementQuery query;
   query.service = m_admitted.service;
   query.exclude = m_tried;
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -81,7 +81,7 @@
   SendFacts facts;
   facts.left = m_limit_at - now;
   facts.upstream = upstream->entry.id;
-  facts.has_accounts = m_admitted.in_force->has_accounts();
+  facts.has_accounts = m_admitted.configuration_index->has_accounts();
   if (m_admitted.account != nullptr) {
     facts.account = m_admitted.account->name;
   }
@@ -96,13 +96,13 @@
   attempt.resumed = AfterAnEvent();
   attempt.connection = m_context.pool.Take(*upstream, !Repeatable(), now);
   m_attempt = attempt;
-  m_attempt->reading = placement.own_reading;
-  m_attempt->to_read = placement.to_read;
+  m_attempt->reading = placement.own_prefill;
+  m_attempt->total_prefill = placement.total_prefill;
   m_attempt->cost = placement.cost;
   ++upstream->in_flight;
   upstream->in_prefill += m_attempt->reading;
   if (!m_facts.shared_prefix.empty()) {
-    upstream->prefixes.Remember(core::Hash64(m_facts.shared_prefix), now);
+    upstream->prefixes.Insert(core::Hash64(m_facts.shared_prefix), now);
   }
   m_watch_from = now;
   if (attempt.connection->connected()) {
@@ -134,7 +134,7 @@
 bool Exchange::PassGate(entry::Upstream& upstream) const {
   const core::TimePoint now = net::BootNow();
   if (upstream.entry.leaving ||
-      m_context.gate.Of(upstream, now) != entry::Passage::kOpen) {
+      m_context.gate.StateOf(upstream, now) != entry::GateState::kOpen) {
     return false;
   }
   m_context.gate.OnSend(upstream, now);
@@ -149,9 +149,9 @@
   EndReading();
   attempt.upstream->health.OnFirstByte(m_watch_from - attempt.began,
                                        attempt.cost + kCostOfAny);
-  if (attempt.to_read > 0 && IsSuccess(head.status)) {
-    m_context.pace.OnFirstPiece(m_admitted.service, attempt.to_read,
-                                m_watch_from - attempt.began);
+  if (attempt.total_prefill > 0 && IsSuccess(head.status)) {
+    m_context.pace.AddSample(m_admitted.service, attempt.total_prefill,
+                             m_watch_from - attempt.began);
   }
   const std::string& echoed = attempt.answer.request_id;
   const bool of_another = !echoed.empty() && echoed != m_facts.id;
@@ -375,7 +375,7 @@
     return false;
   }
   // One arrival of what ends its upstreams costs one of them, not two.
-  if (StandingNow() != entry::Standing::kClear) {
+  if (StandingNow() != entry::QuarantineState::kClear) {
     return false;
   }
   return m_context.retries.Take(m_admitted.service, m_context.members.Live(),
--- a/src/gateway/exchange_end.cc
+++ b/src/gateway/exchange_end.cc
@@ -63,7 +63,7 @@
   core::Tokens used(0);
   if (m_may_have_run) {
     const entry::Service* service =
-        m_admitted.in_force->FindService(m_admitted.service);
+        m_admitted.configuration_index->FindService(m_admitted.service);
     const uint64_t per_event = service != nullptr && service->engine
                                    ? service->engine->tokens_per_event
                                    : 1;
@@ -101,7 +101,8 @@
     line.Text("rule", m_admitted.route->name.value())
         .Text("service", m_admitted.service.value())
         .Number("config",
-                static_cast<int64_t>(m_admitted.in_force->version().value()));
+                static_cast<int64_t>(
+                    m_admitted.configuration_index->version().value()));
   }
   if (admitted && m_admitted.account != nullptr) {
     const core::AccountId& account = m_admitted.account->name;
@@ -126,7 +127,7 @@
         .Number("sends", m_sends);
   }
   if (m_print) {
-    line.Text("content", m_print->Short());
+    line.Text("content", m_print->ShortHex());
   }
   if (!m_last_failure.empty()) {
     line.Text("why", m_last_failure);
--- a/src/gateway/exchange_heed.cc
+++ b/src/gateway/exchange_heed.cc
@@ -23,12 +23,12 @@
     return;
   }
   const bool known_to_leave = speaker->entry.leaving;
-  if (answer.leaving && m_context.directory.OnLeavingWord(speaker)) {
+  if (answer.leaving && m_context.directory.OnLeavingAnnounced(speaker)) {
     m_context.pool.Forget(speaker->entry.id);
   }
   if (answer.wait) {
-    speaker->hold_until =
-        std::max(speaker->hold_until, net::BootNow() + *answer.wait);
+    speaker->paused_until =
+        std::max(speaker->paused_until, net::BootNow() + *answer.wait);
   }
   if (known_to_leave && !answer.wait) {
     return;  // told already
@@ -64,8 +64,8 @@
   if (answer.limit_unreadable) {
     news = speaker->limit.OnUnreadable();
   } else if (answer.limit || own_answer) {
-    news = m_context.directory.OnLimitWord(speaker, answer.limit,
-                                           m_attempt->began, net::BootNow());
+    news = m_context.directory.OnLimitReceived(
+        speaker, answer.limit, m_attempt->began, net::BootNow());
   }
   if (!news) {
     return;
--- a/src/gateway/exchange_quarantine.cc
+++ b/src/gateway/exchange_quarantine.cc
@@ -16,39 +16,39 @@
   return content;
 }
 
-const entry::RequestPrint& Exchange::Print() {
+const entry::RequestFingerprint& Exchange::Print() {
   if (!m_print) {
-    m_print = entry::PrintOf(Content());
+    m_print = entry::FingerprintOf(Content());
   }
   return *m_print;
 }
 
 // Hardly any request is known, and most of the others are told apart by the
-// sketch: their bodies are not hashed.
+// quick_hash: their bodies are not hashed.
 bool Exchange::MayHaveEndedUpstreams() const {
   const entry::CrashRecord& record = m_context.crashes.record();
-  return !record.empty() && record.MayKnow(entry::SketchOf(Content()));
+  return !record.empty() && record.MayContain(entry::QuickHashOf(Content()));
 }
 
-entry::Standing Exchange::StandingNow() {
+entry::QuarantineState Exchange::StandingNow() {
   return MayHaveEndedUpstreams()
-             ? m_context.crashes.record().StandingOf(Print())
-             : entry::Standing::kClear;
+             ? m_context.crashes.record().QuarantineStateOf(Print())
+             : entry::QuarantineState::kClear;
 }
 
 // Isolating upstreams alone gives a request that ends its upstreams one after
 // another, with all that they were running; so it is judged by its content,
 // before every send.
 bool Exchange::RefuseIfItEndsUpstreams() {
-  const entry::Standing standing = StandingNow();
-  if (standing == entry::Standing::kClear) {
+  const entry::QuarantineState standing = StandingNow();
+  if (standing == entry::QuarantineState::kClear) {
     return false;
   }
-  core::Error error{core::ErrorId::kEndsUpstreams, Print().Short(),
+  core::Error error{core::ErrorId::kEndsUpstreams, Print().ShortHex(),
                     "upstreams ended under it"};
   core::Duration come_back =
-      m_context.crashes.record().RefusedFor(Print(), net::BootNow());
-  if (standing == entry::Standing::kSuspect) {
+      m_context.crashes.record().RemainingQuarantine(Print(), net::BootNow());
+  if (standing == entry::QuarantineState::kSuspect) {
     // Copies that come at once, to many routers, would end an upstream each.
     m_on_trial = m_on_trial || (m_context.members.SelfOwns(Print().digest) &&
                                 m_context.crashes.record().BeginTrial(Print()));
--- a/src/gateway/gateway_beats.cc
+++ b/src/gateway/gateway_beats.cc
@@ -144,7 +144,7 @@
   const bool held_back = entry::HeldBack(m_own_record, succession);
   TellPredecessor(held_back);
   m_book.OnPredecessor(m_own_record, held_back);
-  m_crashes.record().OnOwnPast(m_own_record, net::BootNow());
+  m_crashes.record().RestoreOwnReports(m_own_record, net::BootNow());
   m_writer->BeginBeats();
 }
 
@@ -194,7 +194,7 @@
   context.closing = beat.closing();
   context.period = entry::BeatPeriod(Limits());
   VouchForReserves(beat, now);
-  m_crashes.record().WriteTo(beat, now);
+  m_crashes.record().AddReportsTo(beat, now);
   m_book.WriteClaims(beat, context, now);
   TellHold();
 }
--- a/src/gateway/gateway_operator.cc
+++ b/src/gateway/gateway_operator.cc
@@ -59,8 +59,8 @@
   if (m_in_force && version <= m_in_force->version()) {
     return;
   }
-  m_in_force =
-      std::make_shared<const entry::InForce>(core::TakeValue(std::move(read)));
+  m_in_force = std::make_shared<const entry::ConfigurationIndex>(
+      core::TakeValue(std::move(read)));
   m_book.OnConfiguration(m_in_force->configuration());
   m_gate.OnConfiguration(m_in_force->configuration());
   Lifecycle(
@@ -92,7 +92,7 @@
 // Records bear no time: it was written after the last answer before this one.
 void Gateway::TellEvacuation(const entry::EvacuationChange& change) {
   if (!change.evacuated) {
-    m_directory.OnTakenBack(change.domain, net::BootNow());
+    m_directory.OnEvacuationEnded(change.domain, net::BootNow());
   }
   const core::Duration within = m_config_contact.SilentFor(net::BootNow());
   const bool began_before_start = within == core::Duration::max();
--- a/src/gateway/gateway_serve.cc
+++ b/src/gateway/gateway_serve.cc
@@ -4,7 +4,7 @@
 #include <memory>     // make_shared
 #include <utility>    // move
 
-#include "coppervalve/entry/limit_words.h"
+#include "coppervalve/entry/limit_reports.h"
 #include "coppervalve/net/clock.h"
 
 namespace coppervalve::gateway {
@@ -53,7 +53,7 @@
       load->set_in_prefill(
           static_cast<uint32_t>(std::max(upstream->in_prefill, 0.0)));
     }
-    entry::TellLimits(m_directory, net::BootNow(), report);
+    entry::AddLimitsToReport(m_directory, net::BootNow(), report);
   };
   hooks.on_report = [this](const v1::LoadReport& report) {
     const core::TimePoint now = net::BootNow();
@@ -61,7 +61,7 @@
       m_peer_loads.OnReport(report, now);
     }
     m_peers.OnReport(core::RouterId(report.router()), report.store_up(), now);
-    entry::HearLimits(report, now, m_directory);
+    entry::ApplyReportedLimits(report, now, m_directory);
   };
   hooks.on_ask = [this](const v1::TokenAsk& ask) { OnTokenAsk(ask); };
   hooks.on_place_ask = [this](const v1::PlaceAsk& ask) { OnPlaceAsk(ask); };
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -115,12 +115,12 @@
   if (change == entry::DirectoryChange::kNothing) {
     return;
   }
-  const entry::RecordWorth worth = entry::WorthOf(read);
+  const entry::RecordKind worth = entry::KindOf(read);
   const bool new_start = change == entry::DirectoryChange::kNewStart;
-  if (new_start || worth != entry::RecordWorth::kUsable) {
+  if (new_start || worth != entry::RecordKind::kUsable) {
     m_pool.Forget(id);
   }
-  if (worth == entry::RecordWorth::kNone) {
+  if (worth == entry::RecordKind::kNone) {
     Lifecycle(LogLine("upstream_dropped").Text("upstream", record.key));
     return;
   }
--- a/src/gateway/place_asker.cc
+++ b/src/gateway/place_asker.cc
@@ -111,7 +111,7 @@
     return;
   }
   entry::Placement placement;
-  placement.why = entry::PlacedBy::kTold;
+  placement.why = entry::PlacementReason::kChosenByPeer;
   placement.upstream = std::make_shared<entry::Upstream>();
   entry::UpstreamEntry& entry = placement.upstream->entry;
   entry.id = core::UpstreamId(answer.upstream());
--- a/tests/entry/crash_fleet.cc
+++ b/tests/entry/crash_fleet.cc
@@ -34,7 +34,7 @@
   return std::uniform_real_distribution<double>(from, to)(m_random);
 }
 
-bool CrashFleet::Owns(size_t router, const RequestPrint& print) const {
+bool CrashFleet::Owns(size_t router, const RequestFingerprint& print) const {
   const auto rank = [&](size_t one) {
     return core::RendezvousRank(print.digest, std::to_string(one));
   };
@@ -50,11 +50,11 @@
                       const std::string& body,
                       bool ends_upstreams) {
   CrashRecord& record = m_records[router];
-  const RequestPrint print =
-      PrintOf({"POST", "/x", core::AccountId("gate"), body});
-  const Standing standing = record.StandingOf(print);
-  const bool alone = standing == Standing::kSuspect;
-  if (standing == Standing::kQuarantined ||
+  const RequestFingerprint print =
+      FingerprintOf({"POST", "/x", core::AccountId("gate"), body});
+  const QuarantineState standing = record.QuarantineStateOf(print);
+  const bool alone = standing == QuarantineState::kSuspect;
+  if (standing == QuarantineState::kQuarantined ||
       (alone && !(Owns(router, print) && record.BeginTrial(print)))) {
     return false;
   }
@@ -99,7 +99,7 @@
 
 void CrashFleet::SendHeartbeat(size_t router) {
   v1::RouterBeat beat;
-  m_records[router].WriteTo(beat, At(m_now));
+  m_records[router].AddReportsTo(beat, At(m_now));
   m_sent_heartbeats.push_back(
       {m_now + Uniform(kMinReportDelay, kMaxReportDelay), std::move(beat),
        router});
--- a/tests/entry/unit-admission.cc
+++ b/tests/entry/unit-admission.cc
@@ -19,7 +19,7 @@
   return route;
 }
 
-std::shared_ptr<const InForce> TwoRoutes() {
+std::shared_ptr<const ConfigurationIndex> TwoRoutes() {
   Configuration configuration;
   configuration.version = core::ConfigVersion(7);
   configuration.routes = {RouteOf("short", "/a/"), RouteOf("long", "/a/b/")};
@@ -27,7 +27,7 @@
   account.name = core::AccountId("gate");
   account.keys = {"key-1"};
   configuration.accounts = {account};
-  return std::make_shared<const InForce>(configuration);
+  return std::make_shared<const ConfigurationIndex>(configuration);
 }
 
 RequestFacts FactsFor(const char* target, const char* key) {
@@ -84,7 +84,7 @@
 }
 
 TEST(Admission, without_a_configuration_there_is_no_final_rejection) {
-  view.in_force = nullptr;
+  view.configuration_index = nullptr;
   CHECK(Refusal(view, FactsFor("/a/", "key-1")) == core::ErrorId::kNotReady);
 }
 
--- a/tests/entry/unit-stated-limit.cc
+++ b/tests/entry/unit-advertised-limit.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/stated_limit.h"
+#include "coppervalve/entry/advertised_limit.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -6,7 +6,7 @@
 #include <limits>    // numeric_limits
 #include <optional>  // nullopt
 
-#include "coppervalve/entry/limit_words.h"
+#include "coppervalve/entry/limit_reports.h"
 #include "coppervalve/entry/peer_loads.h"
 #include "entry_fixture.h"
 
@@ -15,15 +15,15 @@
 using namespace coppervalve::entry::testing;
 
 // clang-format off
-TEST_GROUP(StatedLimit) {
-  StatedLimit limit;
+TEST_GROUP(AdvertisedLimit) {
+  AdvertisedLimit limit;
   LimitOptions options;
   StoreContact store;
   UpstreamDirectory one{DirectoryOptions{}};
   UpstreamDirectory other{DirectoryOptions{}};
 
   // Counts the requests sent in a time span, each as early as allowed.
-  int Sends(const SenderPlace& place, double from, double to) {
+  int Sends(const SenderPosition& place, double from, double to) {
     int sent = 0;
     for (double t = from; t < to; t += 0.01) {
       if (At(t) >= limit.NextSend(place, options)) {
@@ -38,8 +38,8 @@
   }
   void SendReport(UpstreamDirectory& from, UpstreamDirectory& to, double at) {
     v1::LoadReport report;
-    TellLimits(from, At(at), report);
-    HearLimits(report, At(at), to);
+    AddLimitsToReport(from, At(at), report);
+    ApplyReportedLimits(report, At(at), to);
   }
   UpstreamRef Engine(UpstreamDirectory& directory) {
     return directory.Find(core::UpstreamId("engine"));
@@ -47,7 +47,7 @@
 };
 // clang-format on
 
-TEST(StatedLimit, all_senders_together_keep_within_a_limit) {
+TEST(AdvertisedLimit, all_senders_together_keep_within_a_limit) {
   for (double per_second : {0.0, 0.02, 0.4, 1.0, 2.0, 2.1, 7.5, 40.0, 1e6}) {
     for (uint32_t routers : {1U, 2U, 3U, 7U, 60U, 400U}) {
       const LimitShare share = DivideLimit(per_second, routers, options);
@@ -60,7 +60,7 @@
   }
 }
 
-TEST(StatedLimit, a_sender_accumulates_no_credit) {
+TEST(AdvertisedLimit, a_sender_accumulates_no_credit) {
   limit.OnAnswer(2, At(1), At(1));
   Sends({1, 0, true}, 1, 2);
   // After being idle for 20 s, it sends no burst.
@@ -69,17 +69,17 @@
   CHECK_EQUAL(2, sent);
 }
 
-TEST(StatedLimit,
+TEST(AdvertisedLimit,
      a_router_that_is_no_sender_sends_nothing_while_others_report) {
   limit.OnAnswer(2, At(1), At(1));
   for (int second = 2; second < 60; ++second) {
-    limit.OnPeerWord(2, At(second));
+    limit.OnPeerReport(2, At(second));
     const int sent = Sends({7, 5, true}, second, second + 1);
     CHECK_EQUAL(0, sent);
   }
 }
 
-TEST(StatedLimit, routers_without_reports_probe_in_turn) {
+TEST(AdvertisedLimit, routers_without_reports_probe_in_turn) {
   int all = 0;
   for (uint32_t rank = 0; rank < 7; ++rank) {
     limit = {};
@@ -89,7 +89,7 @@
   CHECK_EQUAL(7, all);
 }
 
-TEST(StatedLimit, a_response_without_a_limit_ends_it) {
+TEST(AdvertisedLimit, a_response_without_a_limit_ends_it) {
   limit.OnAnswer(0.2, At(1), At(2));
   CHECK_FALSE(limit.OnAnswer(std::nullopt, At(1.5),
                              At(3)));  // request sent before the limit
@@ -98,7 +98,8 @@
   CHECK_FALSE(limit.per_second().has_value());
 }
 
-TEST(StatedLimit, an_unreadable_limit_changes_nothing_and_is_reported_once) {
+TEST(AdvertisedLimit,
+     an_unreadable_limit_changes_nothing_and_is_reported_once) {
   limit.OnAnswer(2, At(1), At(2));
   CHECK(limit.OnUnreadable());
   CHECK_FALSE(limit.OnUnreadable());
@@ -107,48 +108,48 @@
   CHECK(limit.OnUnreadable());
 }
 
-TEST(StatedLimit, the_newest_report_of_any_router_applies) {
+TEST(AdvertisedLimit, the_newest_report_of_any_router_applies) {
   limit.OnAnswer(2, At(1), At(5));
-  CHECK_FALSE(limit.OnPeerWord(std::nullopt, At(4)));
-  CHECK(limit.OnPeerWord(3, At(6)));
-  CHECK(limit.OnPeerWord(std::nullopt, At(7)));
-  CHECK_FALSE(limit.OnPeerWord(2, At(6.5)));
+  CHECK_FALSE(limit.OnPeerReport(std::nullopt, At(4)));
+  CHECK(limit.OnPeerReport(3, At(6)));
+  CHECK(limit.OnPeerReport(std::nullopt, At(7)));
+  CHECK_FALSE(limit.OnPeerReport(2, At(6.5)));
   CHECK_FALSE(limit.per_second().has_value());
 }
 
-TEST(StatedLimit, routers_report_limits_and_their_end_to_each_other) {
+TEST(AdvertisedLimit, routers_report_limits_and_their_end_to_each_other) {
   Announce(one, EntryOf("engine"));
   Announce(other, EntryOf("engine"));
-  one.OnLimitWord(Engine(one), 2.5, At(1), At(1));
+  one.OnLimitReceived(Engine(one), 2.5, At(1), At(1));
   SendReport(one, other, 1.2);
   DOUBLES_EQUAL(2.5, *Engine(other)->limit.per_second(), 1e-9);
-  one.OnLimitWord(Engine(one), std::nullopt, At(3), At(4));
+  one.OnLimitReceived(Engine(one), std::nullopt, At(3), At(4));
   SendReport(one, other, 4.1);
   CHECK_FALSE(Engine(other)->limit.per_second().has_value());
 }
 
-TEST(StatedLimit, reported_limits_are_not_forwarded) {
+TEST(AdvertisedLimit, reported_limits_are_not_forwarded) {
   // A limit that routers forward to each other would never expire.
   Announce(one, EntryOf("engine"));
   Announce(other, EntryOf("engine"));
-  one.OnLimitWord(Engine(one), 2.5, At(1), At(1));
+  one.OnLimitReceived(Engine(one), 2.5, At(1), At(1));
   SendReport(one, other, 1.2);
   v1::LoadReport report;
-  TellLimits(other, At(1.3), report);
+  AddLimitsToReport(other, At(1.3), report);
   CHECK_EQUAL(0, report.limits_size());
   report.Clear();
-  TellLimits(one, At(11.5), report);
+  AddLimitsToReport(one, At(11.5), report);
   CHECK_EQUAL(0, report.limits_size());
 }
 
-TEST(StatedLimit, a_limit_outlives_the_entry_until_the_next_start) {
+TEST(AdvertisedLimit, a_limit_outlives_the_entry_until_the_next_start) {
   // The entry of the upstream expires in the store, but its limit still
   // applies.
   store.OnAnswer(At(0));
   UpstreamEntry entry = EntryOf("engine");
   entry.born = 7;
   Announce(one, entry);
-  one.OnLimitWord(Engine(one), 2, At(1), At(1));
+  one.OnLimitReceived(Engine(one), 2, At(1), At(1));
   one.OnRecord(Unreadable("engine"));
   CHECK(Engine(one) == nullptr);
   Announce(one, entry);
@@ -158,7 +159,7 @@
   CHECK_FALSE(Engine(one)->limit.per_second().has_value());
 }
 
-TEST(StatedLimit, invalid_rates_of_peers_are_ignored) {
+TEST(AdvertisedLimit, invalid_rates_of_peers_are_ignored) {
   Announce(one, EntryOf("engine"));
   for (const double rate :
        {-1.0, std::nan(""), std::numeric_limits<double>::infinity()}) {
@@ -166,7 +167,7 @@
     v1::UpstreamLimit* reported = report.add_limits();
     reported->set_upstream(LoadKey(core::UpstreamId("engine")));
     reported->set_per_second(rate);
-    HearLimits(report, At(1), one);
+    ApplyReportedLimits(report, At(1), one);
     CHECK_FALSE(Engine(one)->limit.per_second().has_value());
   }
 }
--- a/tests/entry/unit-crash-record.cc
+++ b/tests/entry/unit-crash-record.cc
@@ -17,8 +17,8 @@
   return {"POST", "/chat/x", core::AccountId(account), body};
 }
 
-RequestPrint Fingerprint(std::string_view body = "a prompt") {
-  return PrintOf(Content(body));
+RequestFingerprint Fingerprint(std::string_view body = "a prompt") {
+  return FingerprintOf(Content(body));
 }
 
 UpstreamStart Start(uint64_t number) {
@@ -27,7 +27,7 @@
 
 /// @brief Records a termination that the router learns of at once.
 void TerminateUnder(CrashRecord& record,
-                    const RequestPrint& request,
+                    const RequestFingerprint& request,
                     uint64_t start,
                     double seconds) {
   record.OnBroken(request, Start(start), At(seconds));
@@ -36,7 +36,7 @@
 
 v1::RouterBeat BeatOf(const CrashRecord& record, double seconds) {
   v1::RouterBeat beat;
-  record.WriteTo(beat, At(seconds));
+  record.AddReportsTo(beat, At(seconds));
   return beat;
 }
 
@@ -65,14 +65,17 @@
   TerminateUnder(record, Fingerprint(), 1, 1);
   TerminateUnder(other, Fingerprint(), 2, 3);
   ExchangeBeats(3.5);
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kSuspect);
+  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kSuspect);
   TerminateUnder(record, Fingerprint(), 3, 5);
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kQuarantined);
+  CHECK(record.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
   ExchangeBeats(5.5);
-  CHECK(other.StandingOf(Fingerprint()) == Standing::kQuarantined);
-  CHECK(third.StandingOf(Fingerprint()) == Standing::kQuarantined);
-  CHECK_EQUAL(599,
-              third.RefusedFor(Fingerprint(), At(6.5)).count() / 1'000'000);
+  CHECK(other.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
+  CHECK(third.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
+  CHECK_EQUAL(599, third.RemainingQuarantine(Fingerprint(), At(6.5)).count() /
+                       1'000'000);
 }
 
 TEST(CrashRecord, a_different_body_or_account_is_a_different_request) {
@@ -80,10 +83,12 @@
     TerminateUnder(record, Fingerprint(), start,
                    static_cast<double>(start) * 2);
   }
-  CHECK(record.MayKnow(SketchOf(Content("a prompt"))));
-  CHECK(record.StandingOf(Fingerprint("another one")) == Standing::kClear);
+  CHECK(record.MayContain(QuickHashOf(Content("a prompt"))));
+  CHECK(record.QuarantineStateOf(Fingerprint("another one")) ==
+        QuarantineState::kClear);
   const RequestContent of_another = Content("a prompt", "desk");
-  CHECK(record.StandingOf(PrintOf(of_another)) == Standing::kClear);
+  CHECK(record.QuarantineStateOf(FingerprintOf(of_another)) ==
+        QuarantineState::kClear);
 }
 
 TEST(CrashRecord, a_broken_connection_is_no_termination) {
@@ -91,7 +96,7 @@
     record.OnBroken(Fingerprint(), Start(start),
                     At(static_cast<double>(start)));
   }
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kClear);
+  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
 }
 
 TEST(CrashRecord, a_termination_counts_only_if_it_is_known_in_time) {
@@ -108,7 +113,7 @@
     TerminateUnder(record, Fingerprint(), start,
                    1 + 0.1 * static_cast<double>(start));
   }
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kSuspect);
+  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kSuspect);
 }
 
 TEST(CrashRecord, a_completed_run_clears_the_request_everywhere) {
@@ -119,12 +124,12 @@
   ExchangeBeats(3.5);
   CHECK(other.OnSurvived(Fingerprint(), At(4)));
   ExchangeBeats(4.5);
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kClear);
-  CHECK(third.StandingOf(Fingerprint()) == Standing::kClear);
+  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
+  CHECK(third.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
   TerminateUnder(record, Fingerprint(), 3, 6);
   ExchangeBeats(6.5);
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kClear);
-  CHECK(other.StandingOf(Fingerprint()) == Standing::kClear);
+  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
+  CHECK(other.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
 }
 
 TEST(CrashRecord, a_completed_run_clears_a_quarantined_request) {
@@ -135,8 +140,8 @@
   ExchangeBeats(6.5);
   other.OnSurvived(Fingerprint(), At(7));
   ExchangeBeats(7.5);
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kClear);
-  CHECK(third.StandingOf(Fingerprint()) == Standing::kClear);
+  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
+  CHECK(third.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
 }
 
 TEST(CrashRecord, a_report_read_again_adds_nothing) {
@@ -144,7 +149,7 @@
   for (int repeat = 0; repeat < 20; ++repeat) {
     ExchangeBeats(1.5 + repeat * 0.5);
   }
-  CHECK(other.StandingOf(Fingerprint()) == Standing::kClear);
+  CHECK(other.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
 }
 
 TEST(CrashRecord, a_quarantine_outlasts_a_restart_of_all_routers) {
@@ -157,9 +162,10 @@
   const v1::RouterBeat first = BeatOf(record, 60);
   const v1::RouterBeat second = BeatOf(other, 60);
   CrashRecord started{{}};
-  started.OnOwnPast(first, At(100));
+  started.RestoreOwnReports(first, At(100));
   started.OnBeat(second, At(100));
-  CHECK(started.StandingOf(Fingerprint()) == Standing::kQuarantined);
+  CHECK(started.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
   CHECK_EQUAL(1, BeatOf(started, 200).crashes_size());
 }
 
@@ -169,13 +175,16 @@
                    static_cast<double>(start) * 2);
   }
   record.Advance(At(605));
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kQuarantined);
+  CHECK(record.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
   record.Advance(At(607));
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kSuspect);
+  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kSuspect);
   TerminateUnder(record, Fingerprint(), 4, 610);
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kQuarantined);
-  CHECK_EQUAL(1'200,
-              record.RefusedFor(Fingerprint(), At(610)).count() / 1'000'000);
+  CHECK(record.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
+  CHECK_EQUAL(
+      1'200,
+      record.RemainingQuarantine(Fingerprint(), At(610)).count() / 1'000'000);
 }
 
 TEST(CrashRecord, a_fixed_request_is_served_again_after_quarantine) {
@@ -185,7 +194,7 @@
   }
   record.Advance(At(607));
   record.OnSurvived(Fingerprint(), At(608));
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kClear);
+  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
 }
 
 TEST(CrashRecord, only_one_trial_runs_at_a_time) {
@@ -200,8 +209,8 @@
   TerminateUnder(record, Fingerprint(), 1, 1);
   TerminateUnder(record, Fingerprint(), 2, 3);
   record.Advance(At(64));
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kClear);
-  CHECK_FALSE(record.MayKnow(Fingerprint().sketch));
+  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
+  CHECK_FALSE(record.MayContain(Fingerprint().quick_hash));
 }
 
 TEST(CrashRecord, thousands_of_such_requests_use_bounded_memory) {
@@ -214,9 +223,10 @@
     TerminateUnder(record, Fingerprint(std::string(100 + i, 'x')), 10 + i,
                    10 + static_cast<double>(i) * 0.001);
   }
-  CHECK(record.StandingOf(Fingerprint()) == Standing::kQuarantined);
-  CHECK_FALSE(record.MayKnow(Fingerprint(std::string(101, 'x')).sketch));
-  CHECK(record.MayKnow(Fingerprint(std::string(5'099, 'x')).sketch));
+  CHECK(record.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
+  CHECK_FALSE(record.MayContain(Fingerprint(std::string(101, 'x')).quick_hash));
+  CHECK(record.MayContain(Fingerprint(std::string(5'099, 'x')).quick_hash));
   CHECK(BeatOf(record, 15).crashes_size() <= 64);
   CHECK(BeatOf(record, 15).ByteSizeLong() < 4'096);
 }
@@ -237,8 +247,8 @@
   }
   other.OnBeat(BeatOf(record, 11), At(11));
   for (int i = 0; i < 5; ++i) {
-    const RequestPrint cause = Fingerprint("cause " + std::to_string(i));
-    CHECK(other.StandingOf(cause) == Standing::kSuspect);
+    const RequestFingerprint cause = Fingerprint("cause " + std::to_string(i));
+    CHECK(other.QuarantineStateOf(cause) == QuarantineState::kSuspect);
   }
 }
 
@@ -253,8 +263,10 @@
     }
   }
   record.OnBeat(beat, At(1));
-  CHECK(record.StandingOf(Fingerprint("false 63")) == Standing::kSuspect);
-  CHECK(record.StandingOf(Fingerprint("false 64")) == Standing::kClear);
+  CHECK(record.QuarantineStateOf(Fingerprint("false 63")) ==
+        QuarantineState::kSuspect);
+  CHECK(record.QuarantineStateOf(Fingerprint("false 64")) ==
+        QuarantineState::kClear);
 }
 
 TEST(CrashRecord, corrupted_reports_do_no_harm) {
--- a/tests/entry/unit-placement.cc
+++ b/tests/entry/unit-placement.cc
@@ -44,7 +44,7 @@
   // A short request would wait behind a prompt of 50,000 tokens if requests
   // were counted instead of the prefill that they cause.
   Engine(0)->in_flight = 1;
-  Engine(0)->in_prefill = placer.ReadingCost(core::Tokens(50'000));
+  Engine(0)->in_prefill = placer.PrefillCost(core::Tokens(50'000));
   for (int i = 1; i < 4; ++i) {
     Engine(i)->in_flight = 3;
   }
@@ -64,7 +64,7 @@
                      [&] { return other_draw += 13; });
   const Placement placement = other.Choose(directory, query, At(1));
   CHECK(placement.upstream->entry.id.value() == owner);
-  CHECK(placement.why == PlacedBy::kPrefixOwner);
+  CHECK(placement.why == PlacementReason::kPrefixOwner);
 }
 
 TEST(Placement, a_busy_owner_is_not_chosen) {
@@ -124,7 +124,7 @@
   }
   const Placement placement = placer.Choose(directory, query, At(1));
   CHECK(placement.upstream != nullptr);
-  CHECK(placement.why == PlacedBy::kLastResort);
+  CHECK(placement.why == PlacementReason::kLastResort);
 }
 
 TEST(Placement, an_upstream_that_fails_often_is_avoided_until_failures_decay) {
@@ -152,7 +152,7 @@
   }
   const Placement placement = placer.Choose(directory, query, At(1));
   CHECK(placement.upstream == nullptr);
-  CHECK(placement.why == PlacedBy::kNoneLeft);
+  CHECK(placement.why == PlacementReason::kNoneLeft);
 }
 
 TEST(Placement,
@@ -171,11 +171,11 @@
 TEST(Placement, a_paused_upstream_gets_nothing_even_as_the_last_resort) {
   // Guards against using an overloaded engine as the last resort after all
   // others were tried: it would spend its time on rejecting requests.
-  Engine(0)->hold_until = At(5);
+  Engine(0)->paused_until = At(5);
   for (int i = 1; i < 4; ++i) {
     query.exclude.push_back(core::UpstreamId("e" + std::to_string(i)));
   }
   CHECK(Chosen().empty());
-  Engine(0)->hold_until = At(0.5);
+  Engine(0)->paused_until = At(0.5);
   CHECK(Chosen() == "e0");
 }
--- a/tests/entry/unit-shedding.cc
+++ b/tests/entry/unit-shedding.cc
@@ -7,7 +7,7 @@
 #include <vector>  // vector
 
 #include "coppervalve/entry/placement.h"
-#include "coppervalve/entry/reading_pace.h"
+#include "coppervalve/entry/prefill_time_estimator.h"
 #include "entry_fixture.h"
 
 using namespace coppervalve;
@@ -21,8 +21,8 @@
   Backlog backlog{0ms, 600ms, 0};
 };
 
-TEST_GROUP(ReadingPace) {
-  ReadingPace pace;
+TEST_GROUP(PrefillTimeEstimator) {
+  PrefillTimeEstimator pace;
   core::ServiceId chat{"chat"};
 };
 // clang-format on
@@ -60,21 +60,21 @@
   CHECK_FALSE(Shed(options, backlog, 0).has_value());
 }
 
-TEST(ReadingPace, a_few_samples_give_no_estimate) {
-  pace.OnFirstPiece(chat, 1'000, 100ms);
-  CHECK(pace.ToRead(chat, 5'000) == 0ms);
+TEST(PrefillTimeEstimator, a_few_samples_give_no_estimate) {
+  pace.AddSample(chat, 1'000, 100ms);
+  CHECK(pace.Estimate(chat, 5'000) == 0ms);
 }
 
-TEST(ReadingPace, the_constant_part_does_not_count) {
+TEST(PrefillTimeEstimator, the_constant_part_does_not_count) {
   // 40 ms for any request and 20 microseconds per token.
   for (int i = 0; i < 50; ++i) {
     const double tokens = 1'000 + 500 * (i % 9);
-    pace.OnFirstPiece(chat, tokens,
-                      40ms + core::Duration(static_cast<int64_t>(20 * tokens)));
+    pace.AddSample(chat, tokens,
+                   40ms + core::Duration(static_cast<int64_t>(20 * tokens)));
   }
-  CHECK(pace.ToRead(chat, 10'000) > 195ms);
-  CHECK(pace.ToRead(chat, 10'000) < 205ms);
-  CHECK(pace.ToRead(core::ServiceId("other"), 10'000) == 0ms);
+  CHECK(pace.Estimate(chat, 10'000) > 195ms);
+  CHECK(pace.Estimate(chat, 10'000) < 205ms);
+  CHECK(pace.Estimate(core::ServiceId("other"), 10'000) == 0ms);
 }
 
 namespace {
@@ -96,7 +96,7 @@
  public:
   OverloadSimulation(bool shed, double times_capacity)
       : m_times(times_capacity) {
-    m_options.on = shed;
+    m_options.enabled = shed;
     for (int i = 0; i < kEngines; ++i) {
       UpstreamEntry entry = EntryOf("e" + std::to_string(i), "chat");
       entry.slots = 1'000;
@@ -116,7 +116,7 @@
 
  private:
   struct QueuedRequest {
-    double to_read;
+    double remaining;
     double reading;
     double expected;
     double arrived;
@@ -156,14 +156,14 @@
       if (queue.empty()) {
         continue;
       }
-      queue.front().to_read -= kTokensPerStep;
-      if (queue.front().to_read > 0) {
+      queue.front().remaining -= kTokensPerStep;
+      if (queue.front().remaining > 0) {
         continue;
       }
       const QueuedRequest done = queue.front();
       queue.pop_front();
       Leave(i, done);
-      m_pace.OnFirstPiece(
+      m_pace.AddSample(
           core::ServiceId("chat"), done.expected,
           core::Duration(static_cast<int64_t>((m_now - done.sent) * 1e6)));
       Outcomes& got = Of(done.is_large);
@@ -188,19 +188,19 @@
         core::Tokens(static_cast<int64_t>(is_large ? kLarge : kSmall));
     const Placement placement = m_placer.Choose(m_directory, query, At(m_now));
     Backlog backlog;
-    backlog.wait = m_pace.ToRead(query.service, placement.waiting);
+    backlog.wait = m_pace.Estimate(query.service, placement.queued_prefill);
     backlog.objective = core::Duration(static_cast<int64_t>(kObjective * 1e6));
     if (Shed(m_options, backlog, Uniform())) {
       ++Of(is_large).refused;
       return;
     }
     ++placement.upstream->in_flight;
-    placement.upstream->in_prefill += placement.own_reading;
+    placement.upstream->in_prefill += placement.own_prefill;
     const auto engine =
         static_cast<size_t>(placement.upstream->entry.id.value().back() - '0');
     m_queues[engine].push_back({static_cast<double>(query.prompt.value()),
-                                placement.own_reading, placement.to_read, m_now,
-                                m_now, is_large});
+                                placement.own_prefill, placement.total_prefill,
+                                m_now, m_now, is_large});
   }
 
   double m_times;
@@ -213,7 +213,7 @@
   Placer m_placer{{}, core::FailureDomainId("fd-a"), m_peers, m_gate, [this] {
                     return m_random();
                   }};
-  ReadingPace m_pace;
+  PrefillTimeEstimator m_pace;
   std::vector<std::deque<QueuedRequest>> m_queues{kEngines};
 };
 
--- a/tests/entry/unit-table-readers.cc
+++ b/tests/entry/unit-table-subscription.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/entry/table_readers.h"
+#include "coppervalve/entry/table_subscription.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -29,7 +29,7 @@
   constexpr double kStep = 0.1;
   constexpr double kLinkBytesPerSecond = 1.25e6;
   const double written = static_cast<double>(cost.upstreams) *
-                         TableReadersOptions().record_bytes / 1.2;
+                         TableSubscriptionOptions().record_bytes / 1.2;
   std::vector<double> behind(followers, 0);
   for (double t = 0; t < seconds; t += kStep) {
     const double share = cost.store_bytes_per_second /
@@ -47,36 +47,36 @@
 }  // namespace
 
 // clang-format off
-TEST_GROUP(TableReaders) {
-  TableReaders readers;
+TEST_GROUP(TableSubscription) {
+  TableSubscription subscription;
 };
 // clang-format on
 
-TEST(TableReaders, all_follow_a_table_that_is_cheap) {
-  CHECK(AllMayFollow(CostOf(64, 86), {}));
-  CHECK(AllMayFollow(CostOf(129, 195), {}));
-  CHECK(readers.Advance(CostOf(64, 86), false, At(1)));
+TEST(TableSubscription, all_follow_a_table_that_is_cheap) {
+  CHECK(StoreCanServeAll(CostOf(64, 86), {}));
+  CHECK(StoreCanServeAll(CostOf(129, 195), {}));
+  CHECK(subscription.Advance(CostOf(64, 86), false, At(1)));
 }
 
-TEST(TableReaders, all_follow_if_the_bandwidth_of_the_store_is_unknown) {
+TEST(TableSubscription, all_follow_if_the_bandwidth_of_the_store_is_unknown) {
   TableCost cost = CostOf(3'000, 300);
   cost.store_bytes_per_second = 0;
-  CHECK(AllMayFollow(cost, {}));
+  CHECK(StoreCanServeAll(cost, {}));
   cost = CostOf(3'000, 300);
   cost.heartbeat = {};
-  CHECK(AllMayFollow(cost, {}));
+  CHECK(StoreCanServeAll(cost, {}));
 }
 
-TEST(TableReaders, in_a_large_fleet_active_routers_follow) {
+TEST(TableSubscription, in_a_large_fleet_active_routers_follow) {
   const TableCost cost = CostOf(3'000, 300);
-  CHECK_FALSE(readers.Advance(cost, false, At(1)));
-  CHECK(readers.Advance(cost, true, At(2)));
+  CHECK_FALSE(subscription.Advance(cost, false, At(1)));
+  CHECK(subscription.Advance(cost, true, At(2)));
   // Callers that cached its address still connect.
-  CHECK(readers.Advance(cost, false, At(9)));
-  CHECK_FALSE(readers.Advance(cost, false, At(11)));
+  CHECK(subscription.Advance(cost, false, At(9)));
+  CHECK_FALSE(subscription.Advance(cost, false, At(11)));
 }
 
-TEST(TableReaders, a_large_table_followed_by_all_is_seconds_late) {
+TEST(TableSubscription, a_large_table_followed_by_all_is_seconds_late) {
   // Requests would go to upstreams that left, as all routers learn of it too
   // late.
   const TableCost cost = CostOf(3'000, 300);
--- a/tests/entry/unit-upstream-directory.cc
+++ b/tests/entry/unit-upstream-directory.cc
@@ -111,7 +111,7 @@
   const UpstreamRef before = directory.Find(one);
   before->in_flight = 7;
   before->in_prefill = 50'000;
-  before->prefixes.Remember(1, At(1));
+  before->prefixes.Insert(1, At(1));
   for (int i = 0; i < 20; ++i) {
     before->health.On(AttemptOutcome::kBroken, At(1));
   }
@@ -120,7 +120,7 @@
   const UpstreamRef after = directory.Find(one);
   CHECK_EQUAL(0, after->in_flight);
   CHECK_EQUAL(0, after->in_prefill);
-  CHECK_FALSE(after->prefixes.Holds(1, At(1)));
+  CHECK_FALSE(after->prefixes.Contains(1, At(1)));
   CHECK(after->health.trust(At(1)) == Trust::kFull);
   CHECK(after->load_key != before->load_key);
   // Requests in progress end at the start that they were sent to.
@@ -178,7 +178,7 @@
   // Guards against sending to an upstream that is terminating. It announced in
   // a response that it is leaving; the store, unavailable until now, still
   // returns older records.
-  CHECK(directory.OnLeavingWord(directory.Find(one)));
+  CHECK(directory.OnLeavingAnnounced(directory.Find(one)));
   CHECK(directory.Of(tickets).empty());
   UpstreamEntry ready = EntryOf("one");
   ready.slots = 7;
@@ -186,11 +186,11 @@
   CHECK(directory.Of(tickets).empty());
   directory.ReplaceAll({RecordOf(ready)}, contact, At(5));
   CHECK(directory.Of(tickets).empty());
-  CHECK_FALSE(directory.OnLeavingWord(directory.Find(one)));
+  CHECK_FALSE(directory.OnLeavingAnnounced(directory.Find(one)));
 }
 
 TEST(UpstreamDirectory, an_announced_leave_applies_when_the_entry_returns) {
-  directory.OnLeavingWord(directory.Find(one));
+  directory.OnLeavingAnnounced(directory.Find(one));
   directory.Remove(one, contact, At(10));
   directory.OnRecord(RecordOf(EntryOf("one")));
   CHECK(directory.Of(tickets).empty());
@@ -203,7 +203,7 @@
   UpstreamEntry leaving = EntryOf("one");
   leaving.leaving = true;
   directory.OnRecord(RecordOf(leaving));
-  CHECK_FALSE(directory.OnLeavingWord(directory.Find(one)));
+  CHECK_FALSE(directory.OnLeavingAnnounced(directory.Find(one)));
   directory.OnRecord(RecordOf(EntryOf("one")));
   CHECK(directory.Of(tickets).empty());
 }
@@ -211,7 +211,7 @@
 TEST(UpstreamDirectory, an_announced_leave_is_kept_if_the_entry_is_gone) {
   const UpstreamRef sender = directory.Find(one);
   directory.Remove(one, contact, At(10));
-  CHECK_FALSE(directory.OnLeavingWord(sender));
+  CHECK_FALSE(directory.OnLeavingAnnounced(sender));
   directory.OnRecord(RecordOf(EntryOf("one")));
   CHECK(directory.Of(tickets).empty());
 }
@@ -221,13 +221,13 @@
   first.born = 1;
   directory.OnRecord(RecordOf(first));
   const UpstreamRef sender = directory.Find(one);
-  directory.OnLeavingWord(sender);
+  directory.OnLeavingAnnounced(sender);
   UpstreamEntry second = first;
   second.born = 2;
   directory.OnRecord(RecordOf(second));
   CHECK_EQUAL(1, directory.Of(tickets).size());
   // A late response of the earlier start says nothing about this one.
-  CHECK_FALSE(directory.OnLeavingWord(sender));
+  CHECK_FALSE(directory.OnLeavingAnnounced(sender));
   CHECK_EQUAL(1, directory.Of(tickets).size());
 }
 
@@ -242,9 +242,9 @@
 
 TEST(UpstreamDirectory, the_pause_that_ends_first_determines_the_retry_delay) {
   directory.OnRecord(RecordOf(EntryOf("two")));
-  directory.Find(one)->hold_until = At(9);
-  CHECK_FALSE(directory.AllHoldUntil(tickets, At(5)).has_value());
-  directory.Find(core::UpstreamId("two"))->hold_until = At(7);
-  CHECK(directory.AllHoldUntil(tickets, At(5)) == At(7));
-  CHECK_FALSE(directory.AllHoldUntil(tickets, At(8)).has_value());
+  directory.Find(one)->paused_until = At(9);
+  CHECK_FALSE(directory.AllPausedUntil(tickets, At(5)).has_value());
+  directory.Find(core::UpstreamId("two"))->paused_until = At(7);
+  CHECK(directory.AllPausedUntil(tickets, At(5)) == At(7));
+  CHECK_FALSE(directory.AllPausedUntil(tickets, At(8)).has_value());
 }
--- a/tests/entry/unit-upstream-fleet.cc
+++ b/tests/entry/unit-upstream-fleet.cc
@@ -29,8 +29,8 @@
 
 TEST(UpstreamFleet, without_a_limit_cold_upstreams_fall_over) {
   FleetScenario scenario;
-  scenario.warm_up.limit = false;
-  scenario.placement.cold = 0;
+  scenario.warm_up.enforce = false;
+  scenario.placement.cold_cost = 0;
   CHECK(SimulateFleet(scenario, kSeeds).overloaded > 0);
 }
 
--- a/tests/entry/unit-upstream-gate.cc
+++ b/tests/entry/unit-upstream-gate.cc
@@ -58,7 +58,7 @@
   // Sends requests as long as the gate is open.
   int SendAll(Upstream& upstream, double at) {
     int sent = 0;
-    for (; sent < 100 && gate.Of(upstream, At(at)) == Passage::kOpen; ++sent) {
+    for (; sent < 100 && gate.StateOf(upstream, At(at)) == GateState::kOpen; ++sent) {
       gate.OnSend(upstream, At(at));
     }
     return sent;
@@ -67,39 +67,40 @@
 // clang-format on
 
 TEST(UpstreamGate, an_upstream_listed_at_the_start_is_warm) {
-  CHECK_FALSE(gate.Cold(*directory.Find(core::UpstreamId("old")), At(4)));
+  CHECK_FALSE(
+      gate.CountsAsCold(*directory.Find(core::UpstreamId("old")), At(4)));
 }
 
 TEST(UpstreamGate, a_start_during_traffic_is_cold_whatever_its_record_says) {
   const UpstreamRef fresh = Put("new", 4);
-  CHECK(gate.Cold(*fresh, At(6.9)));
-  CHECK_FALSE(gate.Cold(*fresh, At(7)));
+  CHECK(gate.CountsAsCold(*fresh, At(6.9)));
+  CHECK_FALSE(gate.CountsAsCold(*fresh, At(7)));
 }
 
 TEST(UpstreamGate, the_age_of_a_record_is_added_to_its_warm_up_time) {
   // Read 0.8 s late, the remaining time as of the write still counts in full.
   Put("old", 4, 2.5);
   const Upstream& upstream = *directory.Find(core::UpstreamId("old"));
-  CHECK(gate.Cold(upstream, At(6.4)));
-  CHECK_FALSE(gate.Cold(upstream, At(6.6)));
+  CHECK(gate.CountsAsCold(upstream, At(6.4)));
+  CHECK_FALSE(gate.CountsAsCold(upstream, At(6.6)));
 }
 
 TEST(UpstreamGate, a_domain_may_be_cold_after_its_evacuation) {
   const Upstream& upstream = *directory.Find(core::UpstreamId("old"));
-  directory.OnTakenBack(core::FailureDomainId("fd-other"), At(5));
-  CHECK_FALSE(gate.Cold(upstream, At(5)));
-  directory.OnTakenBack(upstream.entry.failure_domain, At(5));
-  CHECK(gate.Cold(upstream, At(7.9)));
+  directory.OnEvacuationEnded(core::FailureDomainId("fd-other"), At(5));
+  CHECK_FALSE(gate.CountsAsCold(upstream, At(5)));
+  directory.OnEvacuationEnded(upstream.entry.failure_domain, At(5));
+  CHECK(gate.CountsAsCold(upstream, At(7.9)));
 }
 
 TEST(UpstreamGate, an_unreachable_upstream_may_have_restarted) {
   // It restarts under its old id, and its new record is not read yet.
   Upstream& upstream = *directory.Find(core::UpstreamId("old"));
   gate.OnOutcome(upstream, AttemptOutcome::kUnreachable, At(5));
-  CHECK(gate.Cold(upstream, At(7.9)));
+  CHECK(gate.CountsAsCold(upstream, At(7.9)));
   gate.OnOutcome(upstream, AttemptOutcome::kAnswered, At(20));
-  CHECK(gate.Cold(upstream, At(22.9)));
-  CHECK_FALSE(gate.Cold(upstream, At(23)));
+  CHECK(gate.CountsAsCold(upstream, At(22.9)));
+  CHECK_FALSE(gate.CountsAsCold(upstream, At(23)));
 }
 
 TEST(UpstreamGate, an_unreachable_upstream_is_tried_again_by_all) {
@@ -112,8 +113,8 @@
   other.OnConfiguration(WarmingUp("tickets"));
   Upstream& upstream = *directory.Find(core::UpstreamId("old"));
   other.OnOutcome(upstream, AttemptOutcome::kUnreachable, At(5));
-  CHECK(other.Of(upstream, At(7.9)) == Passage::kWarmingUp);
-  CHECK(other.Of(upstream, At(8)) == Passage::kOpen);
+  CHECK(other.StateOf(upstream, At(7.9)) == GateState::kWarmingUp);
+  CHECK(other.StateOf(upstream, At(8)) == GateState::kOpen);
 }
 
 TEST(UpstreamGate,
@@ -121,7 +122,7 @@
   const UpstreamRef fresh = Put("new", 4);
   const int sent = SendAll(*fresh, 5);
   CHECK_EQUAL(4, sent);  // 13 of 26, divided by three
-  CHECK(gate.Of(*fresh, At(5.9)) == Passage::kWarmingUp);
+  CHECK(gate.StateOf(*fresh, At(5.9)) == GateState::kWarmingUp);
   CHECK_EQUAL(4, SendAll(*fresh, 6.1));
 }
 
@@ -141,8 +142,8 @@
   later.Advance(At(4));
   const UpstreamRef fresh = Put("new", 4);
   CHECK_EQUAL(0,
-              later.PartOf(fresh->entry.id, fresh->sender_rank, 26, At(5.9)));
-  CHECK_EQUAL(4, later.PartOf(fresh->entry.id, fresh->sender_rank, 26, At(6)));
+              later.ShareOf(fresh->entry.id, fresh->sender_rank, 26, At(5.9)));
+  CHECK_EQUAL(4, later.ShareOf(fresh->entry.id, fresh->sender_rank, 26, At(6)));
 }
 
 TEST(UpstreamGate, a_fleet_that_shrinks_keeps_its_shares_for_a_while) {
@@ -159,10 +160,10 @@
   AdvanceTime(4, 8);
   CHECK_EQUAL(1, members.Active());
   CHECK_EQUAL(4,
-              senders.PartOf(fresh->entry.id, fresh->sender_rank, 26, At(8)));
+              senders.ShareOf(fresh->entry.id, fresh->sender_rank, 26, At(8)));
   AdvanceTime(8, 24);
   CHECK_EQUAL(13,
-              senders.PartOf(fresh->entry.id, fresh->sender_rank, 26, At(24)));
+              senders.ShareOf(fresh->entry.id, fresh->sender_rank, 26, At(24)));
 }
 
 TEST(UpstreamGate, the_sum_of_all_shares_stays_below_the_bound) {
--- a/tests/entry/upstream_fleet.cc
+++ b/tests/entry/upstream_fleet.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>  // max, min
 
-#include "coppervalve/entry/limit_words.h"
+#include "coppervalve/entry/limit_reports.h"
 #include "entry_fixture.h"
 
 namespace coppervalve::entry::testing {
@@ -188,7 +188,7 @@
       m_engines[run.engine].limit_known_at.emplace(
           std::pair(run.router, run.epoch), m_now);
     }
-    vm.state->directory.OnLimitWord(
+    vm.state->directory.OnLimitReceived(
         run.upstream,
         limited ? std::optional(m_scenario.per_second) : std::nullopt,
         At(100 + run.began), Now());
@@ -392,13 +392,13 @@
         load->set_in_flight(upstream->in_flight);
       }
     }
-    TellLimits(from.state->directory, Now(), report);
+    AddLimitsToReport(from.state->directory, Now(), report);
     for (const std::string& address : from.state->members.LoadAddresses()) {
       RouterVm& to = *Named(address);
       if (to.up() && !Disconnected(to) && !Chance(0.02)) {
         to.state->contact.OnReport(from.name, true, Now());
         to.state->loads.OnReport(report, Now());
-        HearLimits(report, Now(), to.state->directory);
+        ApplyReportedLimits(report, Now(), to.state->directory);
       }
     }
   }
--- a/tests/platform/unit-documents.cc
+++ b/tests/platform/unit-documents.cc
@@ -141,7 +141,7 @@
 TEST(Documents, how_upstreams_warm_up_is_translated) {
   const auto read = ReadConfiguration(kDocument);
   const auto& services = core::Value(read).services;
-  CHECK(services[0].warm_up->lasts == std::chrono::seconds(3));
+  CHECK(services[0].warm_up->duration == std::chrono::seconds(3));
   DOUBLES_EQUAL(14, services[0].warm_up->per_second, 0);
   CHECK_FALSE(services[1].warm_up.has_value());
 }
@@ -155,7 +155,7 @@
   CHECK_FALSE(of(R"("warmupS": -3, "warmupPerS": 14)").has_value());
   CHECK_FALSE(of(R"("warmupS": null)").has_value());
   DOUBLES_EQUAL(0, of(R"("warmupS": 3, "warmupPerS": -1)")->per_second, 0);
-  CHECK(of(R"("warmupS": 1e300)")->lasts == std::chrono::seconds(600));
+  CHECK(of(R"("warmupS": 1e300)")->duration == std::chrono::seconds(600));
   CHECK(FailureOf(R"({"version": 1, "services": [
       {"name": "s", "warmupS": "soon"}]})") == core::ErrorId::kConfigWrongType);
 }
