--- a/include/coppervalve/entry/admission.h
+++ b/include/coppervalve/entry/admission.h
@@ -17,10 +17,10 @@
   std::string id;  ///< unique to this attempt of the caller
   std::string host;
   std::string target;
-  std::string key;            ///< API key; empty if none was sent
-  core::Duration patience{};  ///< caller's timeout; 0 = unknown
+  std::string key;                  ///< API key; empty if none was sent
+  core::Duration caller_timeout{};  ///< caller's timeout; 0 = unknown
   core::Tokens prompt{};
-  core::Tokens most_output{};
+  core::Tokens max_output{};
   std::string shared_prefix;  ///< prompt prefix shared with other requests
   core::Tokens shared_tokens{};
   std::string resume_after;  ///< id of the last event the caller received
@@ -28,8 +28,8 @@
 
 /// @brief A request that passed admission and may be sent.
 struct Admitted {
-  std::shared_ptr<const ConfigurationIndex>
-      configuration_index;  ///< owns `route` and `account`
+  /// Owns `route` and `account`.
+  std::shared_ptr<const ConfigurationIndex> configuration_index;
   const Route* route = nullptr;
   const Account* account = nullptr;  ///< null on a public route
   core::ServiceId service;
@@ -39,8 +39,8 @@
 
 /// @brief The router's configuration and how current it is.
 struct ConfigurationView {
-  std::shared_ptr<const ConfigurationIndex>
-      configuration_index;  ///< null if none was read yet
+  /// Null if none was read yet.
+  std::shared_ptr<const ConfigurationIndex> configuration_index;
   /// True if a newer configuration can't have been in force for long.
   bool fresh = false;
   /// True if the configuration is too old to accept keys that may have been
--- a/include/coppervalve/entry/advertised_limit.h
+++ b/include/coppervalve/entry/advertised_limit.h
@@ -14,8 +14,8 @@
   /// Part of a limit that is allocated to the senders. The rest is a margin for
   /// routers that take others to be the senders.
   double allocated_share = 0.8;
-  /// Maximum number of senders. With few of them, most routers would have no
-  /// share of a large limit.
+  /// Maximum number of senders. Large, because with few senders most routers
+  /// would have no share of a large limit.
   double max_senders = 1'000;
   /// Senders in addition to one for each request per second.
   double spare_senders = 2;
@@ -39,8 +39,8 @@
 /// @brief This router's position among those that may send to an upstream.
 struct SenderPosition {
   uint32_t routers = 1;
-  uint32_t rank = 0;  ///< number of routers ahead of this one
-  bool sends = true;  ///< whether this router may be a sender
+  uint32_t rank = 0;     ///< number of routers ahead of this one
+  bool may_send = true;  ///< whether this router may be a sender
 };
 
 /// @brief The rate limit that an upstream last sent, which applies to all
@@ -71,7 +71,7 @@
   /// @return requests per second from all routers; none without a limit
   std::optional<double> per_second() const { return m_per_second; }
   /// @return the earliest time of this router's next request
-  core::TimePoint NextSend(const SenderPosition& place,
+  core::TimePoint NextSend(const SenderPosition& position,
                            const LimitOptions& options) const;
   /// @return when the upstream sent the current limit, if it sent it to this
   /// router itself
@@ -83,8 +83,8 @@
   bool Set(std::optional<double> per_second);
 
   std::optional<double> m_per_second;
-  core::TimePoint
-      m_received_at{};  ///< when the upstream sent that to any router
+  /// When the upstream sent the limit to any router.
+  core::TimePoint m_received_at{};
   bool m_received_directly = false;  ///< it was sent to this router itself
   bool m_unreadable = false;
   core::TimePoint m_last_send{};
--- a/include/coppervalve/entry/crash_record.h
+++ b/include/coppervalve/entry/crash_record.h
@@ -42,8 +42,8 @@
   /// How long a termination is remembered that led to no quarantine.
   core::Duration suspicion_time{60'000'000};
   /// Duration of the first quarantine; doubled each time that a trial
-  /// afterwards terminates an upstream again. A release may have fixed the
-  /// fault meanwhile.
+  /// afterwards terminates an upstream again. It is limited because a release
+  /// may fix the fault.
   core::Duration first_quarantine{600'000'000};
   /// A broken response counts if its upstream is known to have terminated
   /// within this time: entries expire after some seconds of silence.
@@ -94,7 +94,7 @@
                                           core::TimePoint now);
   /// @brief An upstream completed the request, so the terminations had other
   /// causes.
-  /// @return whether other routers should be report soon
+  /// @return whether other routers should be told soon
   bool OnSurvived(const RequestFingerprint& request, core::TimePoint now);
 
   /// @brief Adds the reports for other routers to a heartbeat.
@@ -126,8 +126,8 @@
   struct Case {
     std::map<UpstreamStart, Termination> terminations;
     core::TimePoint changed;
-    bool separate_events =
-        false;  ///< the terminations are of more than one event
+    /// The terminations are of more than one event.
+    bool separate_events = false;
     bool probation = false;
     bool quarantined = false;
     uint32_t quarantine_count = 0;  ///< number of quarantines so far
@@ -156,7 +156,7 @@
                                   bool own,
                                   core::TimePoint now);
   bool IsReported(const Case& crash_case,
-                  const Termination& end,
+                  const Termination& termination,
                   core::TimePoint now) const;
   v1::CrashCase ReportOf(const RequestFingerprint& request,
                          const Case& crash_case,
--- a/include/coppervalve/entry/evacuations.h
+++ b/include/coppervalve/entry/evacuations.h
@@ -11,7 +11,7 @@
 
 namespace coppervalve::entry {
 
-/// @brief The begin or the end of a failure domain's evacuation.
+/// @brief The start or the end of a failure domain's evacuation.
 struct EvacuationChange {
   core::FailureDomainId domain;
   bool evacuated = false;  ///< false if the evacuation ended
--- a/include/coppervalve/entry/placement.h
+++ b/include/coppervalve/entry/placement.h
@@ -17,17 +17,17 @@
 
 /// @brief Why an upstream was chosen, or why none was.
 enum class PlacementReason : uint8_t {
-  kLeastCost,    ///< lowest expected wait
-  kPrefixOwner,  ///< as above, and owns the shared prefix by hashing
-  kPrefixSent,  ///< as above, and was recently recently_sent the prefix by this
-                ///< router
+  kLeastCost,     ///< lowest expected wait
+  kPrefixOwner,   ///< as above, and owns the shared prefix by hashing
+  kPrefixSent,    ///< as above, and was recently sent the prefix by this
+                  ///< router
   kChosenByPeer,  ///< chosen by a router that follows the upstream table
   kLastResort,    ///< no trusted upstream is left
   kNoneLeft,      ///< none: all were tried or are at their connection limit
   kWarmingUp,     ///< none: those left are cold and at their rate limit
-  kLimited,    ///< none: those left are at the rate limits they recently_sent
-  kEvacuated,  ///< none: all are in evacuated failure domains
-  kNoneKnown,  ///< none: the service has no upstream
+  kLimited,       ///< none: those left are at the rate limits they sent
+  kEvacuated,     ///< none: all are in evacuated failure domains
+  kNoneKnown,     ///< none: the service has no upstream
 };
 
 /// @brief Stable lower_snake_case name for log lines.
@@ -41,8 +41,8 @@
   core::Tokens shared_tokens{};  ///< length of the prefix
   core::Tokens prompt{};         ///< length of the whole prompt
   std::vector<core::UpstreamId> exclude;
-  uint32_t connection_bound =
-      0;                 ///< of this router per upstream; 0 = unlimited
+  /// Of this router per upstream; 0 = unlimited.
+  uint32_t connection_bound = 0;
   uint32_t routers = 1;  ///< that send to the service, including this one
 };
 
@@ -87,7 +87,7 @@
   double cold_cost_plain = 2;
   /// Prefer the upstream that all routers agree on for a shared prefix.
   bool use_prefix_owner = true;
-  /// Prefer upstreams to which this router recently recently_sent the prefix.
+  /// Prefer upstreams to which this router recently sent the prefix.
   bool use_prefix_sent = true;
   /// Expect slow upstreams to stay slow.
   bool use_slowness = true;
@@ -128,7 +128,7 @@
   };
   std::vector<UpstreamRef> Usable(const std::vector<UpstreamRef>& upstreams,
                                   const PlacementQuery& query,
-                                  Trust least,
+                                  Trust required_trust,
                                   core::TimePoint now) const;
   PlacementReason ReasonForNone(const std::vector<UpstreamRef>& upstreams,
                                 core::TimePoint now) const;
--- a/include/coppervalve/entry/policy.h
+++ b/include/coppervalve/entry/policy.h
@@ -25,8 +25,8 @@
   /// Minimum number of routers that callers are directed to, by capacity; more
   /// are used if the load requires it.
   double least_active = 3;
-  bool load_reports =
-      true;  ///< take the load reports of other routers into account
+  /// Take the load reports of other routers into account.
+  bool load_reports = true;
 };
 
 /// @brief Parses changes to the defaults: comma-separated "name=number" parts.
--- a/include/coppervalve/entry/prefill_time_estimator.h
+++ b/include/coppervalve/entry/prefill_time_estimator.h
@@ -13,11 +13,11 @@
 /// process counts, not the constant part.
 class PrefillTimeEstimator {
  public:
-  /// @param to_read tokens processed before the first byte of the response:
-  /// those queued ahead and the request's own
+  /// @param prefill_tokens tokens processed before the first byte of the
+  /// response: those queued ahead and the request's own
   /// @complexity constant, like all members
   void AddSample(const core::ServiceId& service,
-                 double to_read,
+                 double prefill_tokens,
                  core::Duration time);
 
   /// @return time to process so many tokens; 0 while there are too few samples
--- a/include/coppervalve/entry/shedding.h
+++ b/include/coppervalve/entry/shedding.h
@@ -10,10 +10,11 @@
 
 /// @brief The conditions that a new request would meet.
 struct Backlog {
-  core::Duration
-      wait{};  ///< at the best upstream, until its prompt is processed
-  core::Duration objective{};  ///< for the first byte; shortest of the
-                               ///< service's routes that are as urgent or more
+  /// At the best upstream, until its prompt is processed.
+  core::Duration wait{};
+  /// For the first byte; shortest of the service's routes that are as urgent
+  /// or more.
+  core::Duration objective{};
   uint8_t rank = 0;  ///< 0 is the most urgent
 };
 
@@ -23,9 +24,9 @@
   /// Share of the objective up to which no request is rejected. Waits of a
   /// tenth occur with upstreams at half of their capacity.
   double free_share = 0.2;
-  /// Share from which every request is rejected: the rest is needed to process
-  /// a large prompt, and for what arrives between the report of a wait and the
-  /// request.
+  /// Share from which every request is rejected. The rest is needed to process
+  /// a large prompt, and for requests that arrive between the report of a wait
+  /// and the placement.
   double full_share = 0.6;
   /// Factor on both shares for each rank: less urgent requests are rejected a
   /// little earlier.
--- a/include/coppervalve/entry/table_subscription.h
+++ b/include/coppervalve/entry/table_subscription.h
@@ -10,8 +10,8 @@
 
 /// @brief The load that following the upstream table puts on the durable store.
 struct TableCost {
-  bool known =
-      true;  ///< whether the numbers of upstreams and routers are known
+  /// Whether the numbers of upstreams and routers are known.
+  bool known = true;
   size_t upstreams = 0;
   size_t routers = 1;
   core::Duration heartbeat{};  ///< interval between records of one upstream
@@ -46,8 +46,7 @@
   explicit TableSubscription(TableSubscriptionOptions options = {})
       : m_options(options) {}
 
-  /// @param active_or_next whether this router is active, or among the next to
-  /// be
+  /// @param active_or_next this router is active or among the next to become so
   /// @return whether it follows now
   bool Advance(const TableCost& cost, bool active_or_next, core::TimePoint now);
   bool follows() const { return m_follows; }
--- a/include/coppervalve/entry/upstream_directory.h
+++ b/include/coppervalve/entry/upstream_directory.h
@@ -71,7 +71,7 @@
   AdvertisedLimit limit;
   mutable SenderRank sender_rank;
   /// When the entry expired while the store was disturbed; it may return soon.
-  std::optional<core::TimePoint> lapsed;
+  std::optional<core::TimePoint> expired_at;
   core::TimePoint paused_until{};  ///< it asked for no requests until then
 };
 
@@ -111,8 +111,8 @@
   /// @brief Drops entries that expired and did not return. To be called
   /// periodically.
   /// @return the ids that are gone
-  std::vector<core::UpstreamId> DropLapsed(const StoreContact& contact,
-                                           core::TimePoint now);
+  std::vector<core::UpstreamId> DropExpired(const StoreContact& contact,
+                                            core::TimePoint now);
 
   /// @brief The evacuation of a failure domain ended: its upstreams may all be
   /// cold.
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -101,7 +101,7 @@
   /// @brief Refuses the request when upstreams can't keep up. @return whether
   bool ShedIfOverloaded();
   void Reserve();
-  core::Tokens Most() const { return m_facts.prompt + m_facts.most_output; }
+  core::Tokens Most() const { return m_facts.prompt + m_facts.max_output; }
   void WaitForGrant();
   bool TryGiven();
   bool TryBorrow();
--- a/src/entry/admission.cc
+++ b/src/entry/admission.cc
@@ -47,8 +47,8 @@
   }
   admitted.service = ChooseService(route, draw);
   admitted.limit = route.timeout;
-  if (facts.patience > core::Duration::zero()) {
-    admitted.limit = std::min(admitted.limit, facts.patience);
+  if (facts.caller_timeout > core::Duration::zero()) {
+    admitted.limit = std::min(admitted.limit, facts.caller_timeout);
   }
   admitted.priority = route.priority;
   if (admitted.account != nullptr && admitted.account->priority) {
--- a/src/entry/advertised_limit.cc
+++ b/src/entry/advertised_limit.cc
@@ -68,20 +68,21 @@
 // Senders space their requests and accumulate no credit: with limits below one
 // request per second, even one saved request at each router would exceed the
 // limit.
-core::TimePoint AdvertisedLimit::NextSend(const SenderPosition& place,
+core::TimePoint AdvertisedLimit::NextSend(const SenderPosition& position,
                                           const LimitOptions& options) const {
   if (!m_per_second || !options.enforce) {
     return m_last_send;
   }
-  const LimitShare share = DivideLimit(*m_per_second, place.routers, options);
+  const LimitShare share =
+      DivideLimit(*m_per_second, position.routers, options);
   // There may be no recent response because no sender has callers or the
   // senders are unreachable. Probing in turn keeps routers from probing at
   // once.
   core::TimePoint next =
-      std::max(m_last_send + options.probe_interval * place.routers,
+      std::max(m_last_send + options.probe_interval * position.routers,
                m_received_at + options.fresh_for +
-                   options.probe_interval * (place.rank + 1));
-  const bool sender = place.sends && place.rank < share.senders;
+                   options.probe_interval * (position.rank + 1));
+  const bool sender = position.may_send && position.rank < share.senders;
   if (sender && share.per_second > kMinPerSecond) {
     next = std::min(next, m_last_send + IntervalOf(share.per_second));
   }
--- a/src/entry/crash_record.cc
+++ b/src/entry/crash_record.cc
@@ -26,11 +26,11 @@
 }
 
 size_t CrashRecord::CountedTerminations(const Case& crash_case) {
-  return static_cast<size_t>(
-      std::count_if(crash_case.terminations.begin(),
-                    crash_case.terminations.end(), [](const auto& end) {
-                      return end.second.state == TerminationState::kCounts;
-                    }));
+  return static_cast<size_t>(std::count_if(
+      crash_case.terminations.begin(), crash_case.terminations.end(),
+      [](const auto& termination) {
+        return termination.second.state == TerminationState::kCounts;
+      }));
 }
 
 // Decides which cases stay if there is room for some only. Most requests that
@@ -109,7 +109,7 @@
       !crash_case.terminations.contains(start)) {
     return;
   }
-  const auto [end, added] = crash_case.terminations.try_emplace(
+  const auto [termination, added] = crash_case.terminations.try_emplace(
       start, Termination{now, TerminationState::kCounts, own});
   if (added) {
     Evaluate(crash_case, now);
@@ -121,18 +121,18 @@
     return;
   }
   core::TimePoint first = now;
-  size_t counting = 0;
-  for (const auto& [start, end] : crash_case.terminations) {
-    if (end.state == TerminationState::kCounts) {
-      first = std::min(first, end.since);
-      ++counting;
+  size_t counted = 0;
+  for (const auto& [start, termination] : crash_case.terminations) {
+    if (termination.state == TerminationState::kCounts) {
+      first = std::min(first, termination.since);
+      ++counted;
     }
   }
   crash_case.separate_events =
       crash_case.separate_events || now - first > m_options.event_window;
   const size_t needed =
       crash_case.probation ? 1 : m_options.quarantine_threshold;
-  if (counting < needed ||
+  if (counted < needed ||
       (!crash_case.separate_events && !crash_case.probation)) {
     return;
   }
@@ -189,9 +189,9 @@
                                       TerminationState state,
                                       bool own,
                                       core::TimePoint now) {
-  for (auto& [start, end] : crash_case.terminations) {
-    if (end.state != state) {
-      end = {now, state, own};
+  for (auto& [start, termination] : crash_case.terminations) {
+    if (termination.state != state) {
+      termination = {now, state, own};
     }
   }
   crash_case.quarantined = false;
@@ -201,14 +201,14 @@
 }
 
 bool CrashRecord::IsReported(const Case& crash_case,
-                             const Termination& end,
+                             const Termination& termination,
                              core::TimePoint now) const {
-  const bool lately = now - end.since <= m_options.report_time;
-  switch (end.state) {
+  const bool recent = now - termination.since <= m_options.report_time;
+  switch (termination.state) {
     case TerminationState::kCounts:
-      return end.own && (crash_case.quarantined || lately);
+      return termination.own && (crash_case.quarantined || recent);
     case TerminationState::kSurvived:
-      return end.own && lately;
+      return termination.own && recent;
     case TerminationState::kExpired:
       break;
   }
@@ -219,11 +219,11 @@
                                     const Case& crash_case,
                                     core::TimePoint now) const {
   v1::CrashCase report;
-  for (const auto& [start, end] : crash_case.terminations) {
-    if (!IsReported(crash_case, end, now)) {
+  for (const auto& [start, termination] : crash_case.terminations) {
+    if (!IsReported(crash_case, termination, now)) {
       continue;
     }
-    if (end.state == TerminationState::kSurvived) {
+    if (termination.state == TerminationState::kSurvived) {
       report.add_survived(start.value());
     } else {
       report.add_ended(start.value());
@@ -246,7 +246,7 @@
   std::sort(all.begin(), all.end(),
             [](const auto& a, const auto& b) { return a.first > b.first; });
   all.resize(std::min(all.size(), m_options.max_reported));
-  for (auto& [weight, report] : all) {
+  for (auto& [priority, report] : all) {
     *beat.add_crashes() = std::move(report);
   }
 }
@@ -281,11 +281,11 @@
                                 core::TimePoint now) {
   const int survived = std::min(report.survived_size(), kMaxTerminationsRead);
   for (int i = 0; i < survived; ++i) {
-    const auto end =
+    const auto termination =
         crash_case.terminations.find(UpstreamStart(report.survived(i)));
-    if (end != crash_case.terminations.end() &&
-        end->second.state != TerminationState::kSurvived) {
-      end->second = {now, TerminationState::kSurvived, own};
+    if (termination != crash_case.terminations.end() &&
+        termination->second.state != TerminationState::kSurvived) {
+      termination->second = {now, TerminationState::kSurvived, own};
     }
   }
   if (survived != 0 && CountedTerminations(crash_case) == 0) {
@@ -298,9 +298,9 @@
 std::vector<RequestFingerprint> CrashRecord::OnBeat(const v1::RouterBeat& beat,
                                                     core::TimePoint now) {
   std::vector<RequestFingerprint> quarantined;
-  const int most =
+  const int count =
       std::min(beat.crashes_size(), static_cast<int>(m_options.max_reported));
-  for (int i = 0; i < most; ++i) {
+  for (int i = 0; i < count; ++i) {
     const RequestFingerprint request =
         RequestFingerprint::FromBytes(beat.crashes(i).request());
     const bool before =
@@ -316,9 +316,9 @@
 
 void CrashRecord::RestoreOwnReports(const v1::RouterBeat& beat,
                                     core::TimePoint now) {
-  const int most =
+  const int count =
       std::min(beat.crashes_size(), static_cast<int>(m_options.max_reported));
-  for (int i = 0; i < most; ++i) {
+  for (int i = 0; i < count; ++i) {
     Merge(beat.crashes(i), true, now);
   }
 }
--- a/src/entry/evacuations.cc
+++ b/src/entry/evacuations.cc
@@ -16,8 +16,8 @@
   return EvacuationChange{domain, evacuated};
 }
 
-// A record may be deleted before this router has read its deletion. A domain
-// that the full list lacks is no longer evacuated.
+// A single record may be deleted before this router reads it. The full list
+// lacks a domain only if its evacuation ended.
 std::vector<EvacuationChange> Evacuations::ReplaceAll(
     const std::set<core::FailureDomainId>& evacuated) {
   const std::set<core::FailureDomainId> before =
--- a/src/entry/placement.cc
+++ b/src/entry/placement.cc
@@ -111,14 +111,14 @@
     return {};
   }
   const Trust first = m_options.use_suspicion ? Trust::kFull : Trust::kSuspect;
-  for (const Trust least : {first, Trust::kSuspect, Trust::kNone}) {
+  for (const Trust required_trust : {first, Trust::kSuspect, Trust::kNone}) {
     const std::vector<UpstreamRef> usable =
-        Usable(upstreams, query, least, now);
+        Usable(upstreams, query, required_trust, now);
     if (usable.empty()) {
       continue;
     }
     Placement placement = Cheapest(usable, query, now);
-    if (least == Trust::kNone) {
+    if (required_trust == Trust::kNone) {
       placement.why = PlacementReason::kLastResort;
     }
     return placement;
@@ -133,7 +133,7 @@
   bool evacuated = true;
   bool limited = false;
   for (const UpstreamRef& upstream : upstreams) {
-    const GateState passage = m_gate.Of(*upstream, now);
+    const GateState passage = m_gate.StateOf(*upstream, now);
     if (passage == GateState::kWarmingUp) {
       return PlacementReason::kWarmingUp;
     }
@@ -149,21 +149,22 @@
 std::vector<UpstreamRef> Placer::Usable(
     const std::vector<UpstreamRef>& upstreams,
     const PlacementQuery& query,
-    Trust least,
+    Trust required_trust,
     core::TimePoint now) const {
   std::vector<UpstreamRef> usable;
   for (const UpstreamRef& upstream : upstreams) {
     // An upstream whose entry expired may be gone; it is used only if nothing
     // else is left.
-    const Trust trust = upstream->lapsed ? std::max(upstream->health.trust(now),
-                                                    Trust::kSuspect)
-                                         : upstream->health.trust(now);
-    if (trust > least || Excluded(query, upstream->entry.id)) {
+    const Trust trust =
+        upstream->expired_at
+            ? std::max(upstream->health.trust(now), Trust::kSuspect)
+            : upstream->health.trust(now);
+    if (trust > required_trust || Excluded(query, upstream->entry.id)) {
       continue;
     }
     // Also excluded as the last resort: a closed upstream would spend its time
     // on rejecting requests.
-    if (m_gate.Of(*upstream, now) != GateState::kOpen) {
+    if (m_gate.StateOf(*upstream, now) != GateState::kOpen) {
       continue;
     }
     if (query.connection_bound != 0 &&
@@ -181,8 +182,8 @@
                     const PlacementQuery& query) const {
   const Load peers = m_peers.At(upstream.load_key);
   const uint32_t known = m_peers.Reporting() + 1;
-  const bool guess = m_options.estimate_silent && query.routers > known;
-  const double silent = guess ? query.routers - known : 0;
+  const bool estimate = m_options.estimate_silent && query.routers > known;
+  const double silent = estimate ? query.routers - known : 0;
   return {upstream.in_flight * (1 + silent) + peers.in_flight,
           upstream.in_prefill * (1 + silent) + peers.in_prefill};
 }
@@ -199,18 +200,18 @@
                             upstream->prefixes.Contains(prefix, now);
   const bool cached = owner || candidate.recently_sent;
   const core::Tokens own = query.prompt - query.shared_tokens;
-  const double missed =
+  const double uncached_cost =
       cached ? 0
              : m_options.missed_token_weight *
                    static_cast<double>(query.shared_tokens.value());
   const Load load = LoadOf(*upstream, query);
-  const double beyond =
+  const double over_slots =
       std::max(0.0, load.in_flight + 1 - upstream->entry.slots);
   const double wait = load.in_prefill +
                       m_options.running_cost * load.in_flight +
-                      m_options.over_slots_cost * beyond + PrefillCost(own);
+                      m_options.over_slots_cost * over_slots + PrefillCost(own);
   candidate.slowness = Slowness(*upstream, median_latency);
-  candidate.cost = wait * candidate.slowness + missed;
+  candidate.cost = wait * candidate.slowness + uncached_cost;
   if (m_gate.CountsAsCold(*upstream, now)) {
     candidate.cost += m_options.cold_cost;
   }
@@ -224,9 +225,10 @@
                                       double median_latency,
                                       core::TimePoint now) const {
   const Load load = LoadOf(*upstream, query);
-  const double beyond =
+  const double over_slots =
       std::max(0.0, load.in_flight + 1 - upstream->entry.slots);
-  double cost = 1 + load.in_flight + m_options.over_slots_weight_plain * beyond;
+  double cost =
+      1 + load.in_flight + m_options.over_slots_weight_plain * over_slots;
   cost *= Slowness(*upstream, median_latency);
   if (upstream->entry.failure_domain == m_own_domain) {
     cost -= m_options.own_domain_bonus;
@@ -242,8 +244,8 @@
 // Prefill ahead of the part of the prompt that no upstream can have cached.
 double Placer::QueuedPrefillAt(const Candidate& candidate,
                                const PlacementQuery& query) const {
-  const double alone = PrefillCost(query.prompt - query.shared_tokens);
-  return (candidate.in_prefill + candidate.own_prefill - alone) *
+  const double own_cost = PrefillCost(query.prompt - query.shared_tokens);
+  return (candidate.in_prefill + candidate.own_prefill - own_cost) *
          candidate.slowness;
 }
 
--- a/src/entry/prefill_time_estimator.cc
+++ b/src/entry/prefill_time_estimator.cc
@@ -25,15 +25,16 @@
 }
 
 void PrefillTimeEstimator::AddSample(const core::ServiceId& service,
-                                     double to_read,
+                                     double prefill_tokens,
                                      core::Duration time) {
   Fit& fit = m_fits[service];
   const auto micros = static_cast<double>(time.count());
   fit.weight = fit.weight * kDecay + 1;
-  fit.tokens = fit.tokens * kDecay + to_read;
+  fit.tokens = fit.tokens * kDecay + prefill_tokens;
   fit.micros = fit.micros * kDecay + micros;
-  fit.tokens_squared = fit.tokens_squared * kDecay + to_read * to_read;
-  fit.tokens_micros = fit.tokens_micros * kDecay + to_read * micros;
+  fit.tokens_squared =
+      fit.tokens_squared * kDecay + prefill_tokens * prefill_tokens;
+  fit.tokens_micros = fit.tokens_micros * kDecay + prefill_tokens * micros;
 }
 
 const PrefillTimeEstimator::Fit* PrefillTimeEstimator::Find(
--- a/src/entry/request_fingerprint.cc
+++ b/src/entry/request_fingerprint.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr size_t kDigestBytes = 16;
-constexpr size_t kSketchBytes = 8;
+constexpr size_t kQuickHashBytes = 8;
 constexpr size_t kShortBytes = 6;
 constexpr unsigned kBitsOfByte = 8;
 
@@ -25,23 +25,23 @@
 
 std::string RequestFingerprint::ToBytes() const {
   std::string bytes;
-  for (size_t i = 0; i < kSketchBytes; ++i) {
+  for (size_t i = 0; i < kQuickHashBytes; ++i) {
     bytes.push_back(static_cast<char>(quick_hash >> (i * kBitsOfByte)));
   }
   return bytes + digest;
 }
 
 RequestFingerprint RequestFingerprint::FromBytes(std::string_view bytes) {
-  if (bytes.size() != kSketchBytes + kDigestBytes) {
+  if (bytes.size() != kQuickHashBytes + kDigestBytes) {
     return {};
   }
-  RequestFingerprint print;
-  for (size_t i = 0; i < kSketchBytes; ++i) {
+  RequestFingerprint fingerprint;
+  for (size_t i = 0; i < kQuickHashBytes; ++i) {
     const auto byte = static_cast<unsigned char>(bytes[i]);
-    print.quick_hash |= static_cast<uint64_t>(byte) << (i * kBitsOfByte);
+    fingerprint.quick_hash |= static_cast<uint64_t>(byte) << (i * kBitsOfByte);
   }
-  print.digest = bytes.substr(kSketchBytes);
-  return print;
+  fingerprint.digest = bytes.substr(kQuickHashBytes);
+  return fingerprint;
 }
 
 std::string RequestFingerprint::ShortHex() const {
@@ -54,12 +54,12 @@
 
 // The body is hashed on its own, so that a long one is not copied.
 RequestFingerprint FingerprintOf(const RequestContent& content) {
-  RequestFingerprint print;
-  print.quick_hash = QuickHashOf(content);
-  print.digest =
+  RequestFingerprint fingerprint;
+  fingerprint.quick_hash = QuickHashOf(content);
+  fingerprint.digest =
       core::Sha256(HeadDigestInput(content) + core::Sha256(content.body))
           .substr(0, kDigestBytes);
-  return print;
+  return fingerprint;
 }
 
 }  // namespace coppervalve::entry
--- a/src/entry/upstream_directory.cc
+++ b/src/entry/upstream_directory.cc
@@ -28,8 +28,8 @@
 // Ids of removed upstreams are not reused for long; this covers many days.
 constexpr size_t kMaxRememberedIds = 20'000;
 
-// The age of the record at the time it is read is unknown. It is added to the
-// remaining warm-up time, not subtracted.
+// A record may be read late and its age is unknown. The remaining warm-up time
+// counts from when it is read, so the age is added to it instead of subtracted.
 void UpdateWarmUp(const UpstreamEntry& entry,
                   core::TimePoint read_at,
                   WarmUpState& state) {
@@ -223,7 +223,8 @@
   }
   if (known && !restarted) {
     put.born = entry.born ? entry.born : known->entry.born;
-    const bool unchanged = !known->lapsed && SameForRouting(known->entry, put);
+    const bool unchanged =
+        !known->expired_at && SameForRouting(known->entry, put);
     known->entry.born = put.born;
     if (unchanged) {
       return DirectoryChange::kNothing;
@@ -245,7 +246,7 @@
     RestoreLimit(put, *known);
   }
   known->entry = put;
-  known->lapsed.reset();
+  known->expired_at.reset();
   Rebuild();
   return restarted ? DirectoryChange::kNewStart : DirectoryChange::kChanged;
 }
@@ -282,8 +283,8 @@
     Rebuild();
     return true;
   }
-  if (!upstream->lapsed) {
-    upstream->lapsed = now;
+  if (!upstream->expired_at) {
+    upstream->expired_at = now;
   }
   return false;
 }
@@ -317,7 +318,7 @@
   return ended;
 }
 
-std::vector<core::UpstreamId> UpstreamDirectory::DropLapsed(
+std::vector<core::UpstreamId> UpstreamDirectory::DropExpired(
     const StoreContact& contact,
     core::TimePoint now) {
   std::vector<core::UpstreamId> gone;
@@ -325,7 +326,7 @@
     return gone;
   }
   for (const auto& [id, upstream] : m_by_id) {
-    if (upstream->lapsed) {
+    if (upstream->expired_at) {
       gone.push_back(id);
     }
   }
--- a/src/entry/upstream_gate.cc
+++ b/src/entry/upstream_gate.cc
@@ -50,18 +50,19 @@
   }
   const double bound =
       WarmUpOf(upstream)->per_second * m_bounds.overage + m_bounds.slack;
-  const uint32_t part =
+  const uint32_t share =
       m_senders->ShareOf(upstream.entry.id, upstream.sender_rank, bound, now);
-  return upstream.warm_up.sends.InLastSecond(now) < part;
+  return upstream.warm_up.sends.InLastSecond(now) < share;
 }
 
 core::TimePoint UpstreamGate::NextWithinLimit(const Upstream& upstream,
                                               core::TimePoint now) const {
-  SenderPosition place;
+  SenderPosition position;
   if (m_senders != nullptr) {
-    place = m_senders->PositionOf(upstream.entry.id, upstream.sender_rank, now);
+    position =
+        m_senders->PositionOf(upstream.entry.id, upstream.sender_rank, now);
   }
-  return upstream.limit.NextSend(place, m_limits);
+  return upstream.limit.NextSend(position, m_limits);
 }
 
 core::TimePoint UpstreamGate::NextOfService(
--- a/src/entry/upstream_senders.cc
+++ b/src/entry/upstream_senders.cc
@@ -39,8 +39,8 @@
   }
 }
 
-// This also covers the unknown requests that an earlier start of this router
-// sent in the last second.
+// The settling time also outlasts the requests, unknown to this router, that
+// its earlier start sent in the last second.
 bool UpstreamSenders::Settled(core::TimePoint now) const {
   return m_sender_since && now - *m_sender_since >= m_options.settle_time;
 }
--- a/src/gateway/exchange_end.cc
+++ b/src/gateway/exchange_end.cc
@@ -70,7 +70,7 @@
     const core::Tokens output(
         static_cast<int64_t>(m_cutter.events() * per_event));
     used = std::min(m_reserved,
-                    m_facts.prompt + std::min(output, m_facts.most_output));
+                    m_facts.prompt + std::min(output, m_facts.max_output));
   }
   const core::AccountId& account = m_admitted.account->name;
   if (m_by_gift) {
@@ -108,7 +108,7 @@
     const core::AccountId& account = m_admitted.account->name;
     const auto figures = m_context.book.FiguresOf(account);
     line.Text("account", account.value())
-        .Number("tokens_most", (m_facts.prompt + m_facts.most_output).value())
+        .Number("tokens_most", (m_facts.prompt + m_facts.max_output).value())
         .Number("total", figures.total.value_or(core::Tokens(0)).value())
         .Number("elsewhere", figures.others.value())
         .Number("lost", figures.lost.value())
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -153,7 +153,7 @@
 void Gateway::Tick() {
   const core::TimePoint now = net::BootNow();
   for (const core::UpstreamId& id :
-       m_directory.DropLapsed(m_upstream_contact, now)) {
+       m_directory.DropExpired(m_upstream_contact, now)) {
     m_pool.Forget(id);
     Lifecycle(LogLine("upstream_gone").Text("upstream", id.value()));
   }
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -86,7 +86,7 @@
   std::string& last = m_upstream_documents[record.key];
   const entry::UpstreamRef known =
       m_directory.Find(core::UpstreamId(record.key));
-  const bool same = known && !known->lapsed && m_dialect.same_upstream &&
+  const bool same = known && !known->expired_at && m_dialect.same_upstream &&
                     m_dialect.same_upstream(last, record.value);
   last = record.value;
   return same;
--- a/tests/entry/unit-admission.cc
+++ b/tests/entry/unit-admission.cc
@@ -96,9 +96,9 @@
 
 TEST(Admission, the_limit_is_the_shorter_of_route_and_caller_timeout) {
   RequestFacts facts = FactsFor("/a/", "key-1");
-  facts.patience = std::chrono::seconds(1);
+  facts.caller_timeout = std::chrono::seconds(1);
   CHECK(core::Value(Admit(view, facts, 0)).limit == std::chrono::seconds(1));
-  facts.patience = std::chrono::seconds(9);
+  facts.caller_timeout = std::chrono::seconds(9);
   CHECK(core::Value(Admit(view, facts, 0)).limit == std::chrono::seconds(4));
 }
 
--- a/tests/entry/unit-advertised-limit.cc
+++ b/tests/entry/unit-advertised-limit.cc
@@ -23,10 +23,10 @@
   UpstreamDirectory other{DirectoryOptions{}};
 
   // Counts the requests sent in a time span, each as early as allowed.
-  int Sends(const SenderPosition& place, double from, double to) {
+  int Sends(const SenderPosition& position, double from, double to) {
     int sent = 0;
     for (double t = from; t < to; t += 0.01) {
-      if (At(t) >= limit.NextSend(place, options)) {
+      if (At(t) >= limit.NextSend(position, options)) {
         limit.OnSend(At(t));
         ++sent;
       }
@@ -53,7 +53,7 @@
       const LimitShare share = DivideLimit(per_second, routers, options);
       CHECK(share.senders >= 1 && share.senders <= routers);
       CHECK(share.senders * share.per_second <= per_second);
-      // In any four seconds, counting the request at the begin of the span.
+      // In any four seconds, counting the request at the start of the span.
       const double each = std::floor(4 * share.per_second) + 1;
       CHECK(share.senders * each <= 1.5 * 4 * per_second + 5);
     }
@@ -91,8 +91,8 @@
 
 TEST(AdvertisedLimit, a_response_without_a_limit_ends_it) {
   limit.OnAnswer(0.2, At(1), At(2));
-  CHECK_FALSE(limit.OnAnswer(std::nullopt, At(1.5),
-                             At(3)));  // request sent before the limit
+  // The request was sent before the limit was received.
+  CHECK_FALSE(limit.OnAnswer(std::nullopt, At(1.5), At(3)));
   CHECK(limit.per_second().has_value());
   CHECK(limit.OnAnswer(std::nullopt, At(2.5), At(4)));
   CHECK_FALSE(limit.per_second().has_value());
--- a/tests/entry/unit-evacuations.cc
+++ b/tests/entry/unit-evacuations.cc
@@ -39,7 +39,7 @@
 }
 
 TEST(Evacuations, the_full_list_includes_missed_changes) {
-  // A disconnected router missed the end of one record and the begin of
+  // A disconnected router missed the end of one record and the start of
   // another.
   evacuations.OnRecord(a, true);
   const auto changes = evacuations.ReplaceAll({b});
--- a/tests/entry/unit-upstream-directory.cc
+++ b/tests/entry/unit-upstream-directory.cc
@@ -36,9 +36,9 @@
   contact.OnAnswer(At(20));
   CHECK_FALSE(directory.Remove(one, contact, At(20)));
   CHECK_EQUAL(1, directory.Of(tickets).size());
-  CHECK(directory.DropLapsed(contact, At(21)).empty());
+  CHECK(directory.DropExpired(contact, At(21)).empty());
   directory.OnRecord(RecordOf(EntryOf("one")));
-  CHECK(directory.DropLapsed(contact, At(23)).empty());
+  CHECK(directory.DropExpired(contact, At(23)).empty());
   CHECK_EQUAL(1, directory.Of(tickets).size());
 }
 
@@ -46,7 +46,7 @@
   contact.OnFailure(At(1));
   contact.OnAnswer(At(20));
   directory.Remove(one, contact, At(20));
-  CHECK_EQUAL(1, directory.DropLapsed(contact, At(22)).size());
+  CHECK_EQUAL(1, directory.DropExpired(contact, At(22)).size());
   CHECK(directory.Of(tickets).empty());
 }
 
@@ -90,7 +90,7 @@
   contact.OnAnswer(At(20));
   directory.Remove(one, contact, At(20));
   contact.OnFailure(At(19));
-  CHECK_EQUAL(1, directory.DropLapsed(contact, At(22)).size());
+  CHECK_EQUAL(1, directory.DropExpired(contact, At(22)).size());
 }
 
 namespace {
--- a/tests/entry/upstream_fleet.cc
+++ b/tests/entry/upstream_fleet.cc
@@ -23,11 +23,12 @@
 constexpr double kRestart = 0.7;
 constexpr double kOverloadDownTime = 3;
 constexpr double kLimitEnds = 12;
-constexpr double kContact =
-    3;  // the limit is checked from so long after it began
-constexpr double kWindow = 4;  // span that it is checked over
-constexpr double kKnownBefore =
-    0.5;  // a router is checked from so long after it knew
+// The limit is checked from this time after it began.
+constexpr double kContact = 3;
+// Span over which the limit is checked.
+constexpr double kWindow = 4;
+// A router is checked from this time after it learned the limit.
+constexpr double kKnownBefore = 0.5;
 constexpr double kEndOfLimitScenario = 20;
 constexpr int kMaxAttempts = 6;
 
@@ -40,10 +41,10 @@
   double cold_until = -100;
   uint32_t running = 0;
   std::deque<double> arrivals;  ///< in the last second while cold
-  std::map<std::pair<size_t, uint64_t>, double>
-      limit_known_at;  ///< when each router start learned the limit
-  std::vector<double>
-      from_informed;  ///< arrivals from routers that know the limit
+  /// When each start of a router learned the limit.
+  std::map<std::pair<size_t, uint64_t>, double> limit_known_at;
+  /// Arrivals from routers that know the limit.
+  std::vector<double> from_informed;
   uint32_t while_limited = 0;
 };
 
--- a/tests/gateway/gateway_fixture.cc
+++ b/tests/gateway/gateway_fixture.cc
@@ -81,7 +81,7 @@
   const std::string tokens = value("X-Tokens");
   if (!tokens.empty()) {
     facts.prompt = core::Tokens(std::stoll(tokens));
-    facts.most_output = core::Tokens(100);
+    facts.max_output = core::Tokens(100);
   }
   return facts;
 }
--- a/tests/platform/unit-dialect.cc
+++ b/tests/platform/unit-dialect.cc
@@ -39,9 +39,9 @@
   const entry::RequestFacts& facts = core::Value(read);
   STRCMP_EQUAL("r-1", facts.id.c_str());
   STRCMP_EQUAL("secret", facts.key.c_str());
-  CHECK(facts.patience == std::chrono::seconds(12));
+  CHECK(facts.caller_timeout == std::chrono::seconds(12));
   CHECK_EQUAL(1'460, facts.prompt.value());
-  CHECK_EQUAL(80, facts.most_output.value());
+  CHECK_EQUAL(80, facts.max_output.value());
   STRCMP_EQUAL("aa:800,bb:410", facts.shared_prefix.c_str());
   CHECK_EQUAL(1'210, facts.shared_tokens.value());
 }
