--- a/include/coppervalve/entry/peer_loads.h
+++ b/include/coppervalve/entry/peer_loads.h
@@ -40,7 +40,7 @@
   struct Peer {
     uint64_t epoch = 0;
     uint64_t sequence = 0;
-    core::TimePoint heard;
+    core::TimePoint received_at;
     std::unordered_map<uint32_t, Load> loads;
   };
   void Add(const Peer& peer, double sign);
--- a/include/coppervalve/entry/placement.h
+++ b/include/coppervalve/entry/placement.h
@@ -19,8 +19,7 @@
 enum class PlacementReason : uint8_t {
   kLeastCost,     ///< lowest expected wait
   kPrefixOwner,   ///< as above, and owns the shared prefix by hashing
-  kPrefixSent,    ///< as above, and was recently sent the prefix by this
-                  ///< router
+  kPrefixSent,    ///< as above, and this router sent it the prefix
   kChosenByPeer,  ///< chosen by a router that follows the upstream table
   kLastResort,    ///< no trusted upstream is left
   kNoneLeft,      ///< none: all were tried or are at their connection limit
@@ -136,7 +135,7 @@
   Candidate CostAtEngine(const UpstreamRef& upstream,
                          const PlacementQuery& query,
                          uint64_t prefix,
-                         bool is_owner,
+                         bool owner,
                          double median_latency,
                          core::TimePoint now) const;
   Candidate CostAtPlain(const UpstreamRef& upstream,
--- a/src/entry/peer_loads.cc
+++ b/src/entry/peer_loads.cc
@@ -29,7 +29,7 @@
 
 void PeerLoads::Advance(core::TimePoint now) {
   for (auto peer = m_peers.begin(); peer != m_peers.end();) {
-    if (now - peer->second.heard < m_lifetime) {
+    if (now - peer->second.received_at < m_lifetime) {
       ++peer;
       continue;
     }
--- a/src/entry/placement.cc
+++ b/src/entry/placement.cc
@@ -133,12 +133,12 @@
   bool evacuated = true;
   bool limited = false;
   for (const UpstreamRef& upstream : upstreams) {
-    const GateState passage = m_gate.StateOf(*upstream, now);
-    if (passage == GateState::kWarmingUp) {
+    const GateState state = m_gate.StateOf(*upstream, now);
+    if (state == GateState::kWarmingUp) {
       return PlacementReason::kWarmingUp;
     }
-    limited = limited || passage == GateState::kLimited;
-    evacuated = evacuated && passage == GateState::kEvacuated;
+    limited = limited || state == GateState::kLimited;
+    evacuated = evacuated && state == GateState::kEvacuated;
   }
   if (limited) {
     return PlacementReason::kLimited;
--- a/src/entry/upstream_directory.cc
+++ b/src/entry/upstream_directory.cc
@@ -97,17 +97,17 @@
 // While the store is unavailable, the record still says that the upstream is
 // ready, and records older than the announcement may be read afterwards.
 bool UpstreamDirectory::HasAnnouncedLeaving(const UpstreamEntry& entry) {
-  const auto said = m_announced_leaving.find(entry.id);
-  if (said == m_announced_leaving.end()) {
+  const auto announced = m_announced_leaving.find(entry.id);
+  if (announced == m_announced_leaving.end()) {
     return false;
   }
-  const std::optional<int64_t>& born = said->second;
+  const std::optional<int64_t>& born = announced->second;
   if (entry.born && born && *entry.born != *born) {
-    m_announced_leaving.erase(said);
+    m_announced_leaving.erase(announced);
     return false;
   }
   if (!born) {
-    said->second = entry.born;
+    announced->second = entry.born;
   }
   return true;
 }
--- a/src/entry/warm_up.cc
+++ b/src/entry/warm_up.cc
@@ -32,11 +32,11 @@
 bool IsCold(const WarmUpState& state,
             const WarmUp& warm_up,
             core::TimePoint now) {
-  const auto lately = [&](const std::optional<core::TimePoint>& event) {
+  const auto recent = [&](const std::optional<core::TimePoint>& event) {
     return event && now < *event + warm_up.duration;
   };
-  return now < state.announced_until || lately(state.cold_since) ||
-         lately(state.unreachable_at);
+  return now < state.announced_until || recent(state.cold_since) ||
+         recent(state.unreachable_at);
 }
 
 }  // namespace coppervalve::entry
--- a/tests/entry/crash_fleet.cc
+++ b/tests/entry/crash_fleet.cc
@@ -34,9 +34,10 @@
   return std::uniform_real_distribution<double>(from, to)(m_random);
 }
 
-bool CrashFleet::Owns(size_t router, const RequestFingerprint& print) const {
+bool CrashFleet::Owns(size_t router,
+                      const RequestFingerprint& fingerprint) const {
   const auto rank = [&](size_t one) {
-    return core::RendezvousRank(print.digest, std::to_string(one));
+    return core::RendezvousRank(fingerprint.digest, std::to_string(one));
   };
   for (size_t one = 0; one < m_records.size(); ++one) {
     if (rank(one) > rank(router)) {
@@ -50,12 +51,13 @@
                       const std::string& body,
                       bool ends_upstreams) {
   CrashRecord& record = m_records[router];
-  const RequestFingerprint print =
+  const RequestFingerprint fingerprint =
       FingerprintOf({"POST", "/x", core::AccountId("gate"), body});
-  const QuarantineState standing = record.QuarantineStateOf(print);
+  const QuarantineState standing = record.QuarantineStateOf(fingerprint);
   const bool alone = standing == QuarantineState::kSuspect;
   if (standing == QuarantineState::kQuarantined ||
-      (alone && !(Owns(router, print) && record.BeginTrial(print)))) {
+      (alone &&
+       !(Owns(router, fingerprint) && record.BeginTrial(fingerprint)))) {
     return false;
   }
   const size_t first = m_random() % m_upstreams.size();
@@ -66,7 +68,7 @@
     }
     const double lasts = ends_upstreams ? 0.1 : Uniform(0.3, 3);
     m_runs.push_back({router, upstream, m_upstreams[upstream].start, body,
-                      print, m_now + lasts, ends_upstreams, alone});
+                      fingerprint, m_now + lasts, ends_upstreams, alone});
     return true;
   }
   return false;
@@ -85,11 +87,12 @@
     if (run.start != start) {
       return false;
     }
-    m_records[run.router].OnBroken(run.print, UpstreamStart(start), At(m_now));
+    m_records[run.router].OnBroken(run.fingerprint, UpstreamStart(start),
+                                   At(m_now));
     m_end_notices.push_back(
         {m_now + (refuses ? kStep : kExpiryDelay), run.router, start});
     if (run.tried_alone) {
-      m_records[run.router].EndTrial(run.print);
+      m_records[run.router].EndTrial(run.fingerprint);
     }
     m_interrupted.push_back(run.body);
     return true;
@@ -119,9 +122,9 @@
     }
     CrashRecord& record = m_records[run.router];
     if (run.tried_alone) {
-      record.EndTrial(run.print);
+      record.EndTrial(run.fingerprint);
     }
-    if (record.OnSurvived(run.print, At(m_now))) {
+    if (record.OnSurvived(run.fingerprint, At(m_now))) {
       SendHeartbeat(run.router);
     }
     return true;
--- a/tests/entry/crash_fleet.h
+++ b/tests/entry/crash_fleet.h
@@ -35,7 +35,7 @@
     size_t upstream;
     uint64_t start;
     std::string body;
-    RequestFingerprint print;
+    RequestFingerprint fingerprint;
     double ends_at;
     bool ends_upstream;
     bool tried_alone;
@@ -54,7 +54,7 @@
     uint64_t start = 0;
     double down_until = 0;
   };
-  bool Owns(size_t router, const RequestFingerprint& print) const;
+  bool Owns(size_t router, const RequestFingerprint& fingerprint) const;
   void Terminate(size_t upstream);
   void SendHeartbeat(size_t router);
   void FinishRuns();
