--- a/include/coppervalve/entry/placement.h
+++ b/include/coppervalve/entry/placement.h
@@ -19,7 +19,7 @@
 enum class PlacementReason : uint8_t {
   kLeastCost,     ///< lowest expected wait
   kPrefixOwner,   ///< as above, and owns the shared prefix by hashing
-  kPrefixSent,    ///< as above, and this router sent it the prefix
+  kPrefixSent,    ///< as above, and was recently sent the prefix
   kChosenByPeer,  ///< chosen by a router that follows the upstream table
   kLastResort,    ///< no trusted upstream is left
   kNoneLeft,      ///< none: all were tried or are at their connection limit
