--- a/bench/cold/main.cc
+++ b/bench/cold/main.cc
@@ -1,5 +1,6 @@
-// Ways to share what cold and limited upstreams bear, on the same plays: how
-// much the hottest of them gets, how many fall over, who is served.
+// Compares ways to share the capacity of cold and limited upstreams in the same
+// scenarios: the load of the hottest one, how many are overloaded, and the
+// share of served requests.
 #include <cstdint>  // uint32_t, uint64_t
 #include <cstdio>   // printf
 #include <cstdlib>  // strtoull
@@ -13,30 +14,30 @@
 using namespace coppervalve;
 using entry::WarmUpOptions;
 using entry::testing::FleetOutcome;
-using entry::testing::NamedPlay;
+using entry::testing::NamedScenario;
 
-struct Way {
+struct WarmUpVariant {
   const char* name;
   WarmUpOptions options;
-  double cold = entry::PlacementOptions().cold;
+  double cold = entry::PlacementOptions().cold_cost;
 };
 
-std::vector<Way> Ways() {
+std::vector<WarmUpVariant> WarmUpVariants() {
   WarmUpOptions none;
-  none.limit = false;
+  none.enforce = false;
   WarmUpOptions equal;
   equal.all_live = true;
   WarmUpOptions few;
   WarmUpOptions one;
-  one.most_senders = 1;
+  one.max_senders = 1;
   WarmUpOptions more = few;
-  more.given_out = 0.75;
+  more.allocated_share = 0.75;
   WarmUpOptions all = few;
-  all.given_out = 1;
+  all.allocated_share = 1;
   WarmUpOptions sooner = few;
-  sooner.settle = core::Duration(1'100'000);
+  sooner.settle_time = core::Duration(1'100'000);
   WarmUpOptions twelve = few;
-  twelve.most_senders = 12;
+  twelve.max_senders = 12;
   constexpr double kLast = 1e12;
   return {{"no limit", none, 0},
           {"no limit, cold last", none, kLast},
@@ -51,34 +52,34 @@
           {"twelve senders", twelve}};
 }
 
-struct LimitWay {
+struct LimitVariant {
   const char* name;
   entry::LimitOptions options;
 };
 
-std::vector<LimitWay> LimitWays() {
+std::vector<LimitVariant> LimitVariants() {
   constexpr double kRouters = 24;
   entry::LimitOptions none;
   none.enforce = false;
   entry::LimitOptions each_alone;
-  each_alone.given_out = kRouters;
-  each_alone.most_senders = kRouters;
+  each_alone.allocated_share = kRouters;
+  each_alone.max_senders = kRouters;
   each_alone.spare_senders = kRouters;
   entry::LimitOptions equal;
-  equal.given_out = 1;
-  equal.most_senders = kRouters;
+  equal.allocated_share = 1;
+  equal.max_senders = kRouters;
   equal.spare_senders = kRouters;
   entry::LimitOptions few;
   entry::LimitOptions one;
-  one.most_senders = 1;
+  one.max_senders = 1;
   entry::LimitOptions fewer = few;
   fewer.spare_senders = 0;
   entry::LimitOptions more = few;
-  more.given_out = 0.9;
+  more.allocated_share = 0.9;
   entry::LimitOptions all = few;
-  all.given_out = 1;
+  all.allocated_share = 1;
   entry::LimitOptions six = few;
-  six.most_senders = 6;
+  six.max_senders = 6;
   return {{"no limit", none},
           {"each router for itself", each_alone},
           {"equal share", equal},
@@ -90,21 +91,21 @@
           {"six senders at most", six}};
 }
 
-bool PlayLimits(uint64_t seeds) {
+bool RunLimitScenarios(uint64_t seeds) {
   bool kept = true;
-  for (const LimitWay& way : LimitWays()) {
-    std::printf("limits: %s\n", way.name);
-    for (NamedPlay one : entry::testing::LimitPlays()) {
-      one.play.limits = way.options;
-      const FleetOutcome outcome = entry::testing::PlayFleet(one.play, seeds);
+  for (const LimitVariant& variant : LimitVariants()) {
+    std::printf("limits: %s\n", variant.name);
+    for (NamedScenario one : entry::testing::LimitScenarios()) {
+      one.scenario.limits = variant.options;
+      const FleetOutcome outcome = entry::testing::SimulateFleet(one.scenario, seeds);
       std::printf(
           "  %-34s used %.2f  filled %.2f  end known after %4.1f s  "
           "served %.3f\n",
-          one.name, outcome.limit_used, outcome.limit_filled,
+          one.name, outcome.limit_used, outcome.limit_utilisation,
           outcome.end_known_after,
           static_cast<double>(outcome.served) / outcome.asked);
-      const bool ships = std::strcmp(way.name, "few senders") == 0;
-      kept = kept && (!ships || outcome.limit_used <= 1);
+      const bool is_default = std::strcmp(variant.name, "few senders") == 0;
+      kept = kept && (!is_default || outcome.limit_used <= 1);
     }
   }
   return kept;
@@ -120,19 +121,19 @@
     }
   }
   constexpr uint32_t kBound = 26;
-  bool kept = PlayLimits(seeds);
-  for (const Way& way : Ways()) {
-    std::printf("%s\n", way.name);
-    for (NamedPlay one : entry::testing::ColdPlays()) {
-      one.play.warm_up = way.options;
-      one.play.placement.cold = way.cold;
-      const FleetOutcome outcome = entry::testing::PlayFleet(one.play, seeds);
-      const uint32_t most = outcome.most_in_a_second;
+  bool kept = RunLimitScenarios(seeds);
+  for (const WarmUpVariant& variant : WarmUpVariants()) {
+    std::printf("%s\n", variant.name);
+    for (NamedScenario one : entry::testing::ColdScenarios()) {
+      one.scenario.warm_up = variant.options;
+      one.scenario.placement.cold_cost = variant.cold;
+      const FleetOutcome outcome = entry::testing::SimulateFleet(one.scenario, seeds);
+      const uint32_t most = outcome.max_in_a_second;
       std::printf("  %-26s most %3u  fell over %4u  served %.3f\n", one.name,
-                  most, outcome.fell_over,
+                  most, outcome.overloaded,
                   static_cast<double>(outcome.served) / outcome.asked);
-      const bool ships = std::strcmp(way.name, "six senders") == 0;
-      kept = kept && (!ships || most <= kBound);
+      const bool is_default = std::strcmp(variant.name, "six senders") == 0;
+      kept = kept && (!is_default || most <= kBound);
     }
   }
   return kept ? 0 : 1;
--- a/include/coppervalve/gateway/crash_monitor.h
+++ b/include/coppervalve/gateway/crash_monitor.h
@@ -25,19 +25,19 @@
 
   /// @brief A response was cut off, or did not come in time.
   void OnBroken(const entry::UpstreamRef& upstream,
-                const entry::RequestPrint& request);
+                const entry::RequestFingerprint& request);
   /// @brief An instance of an upstream is known to have ended.
   /// @param by how this was detected, for the log
   void OnEnded(const entry::UpstreamEntry& entry, std::string_view by);
   /// @brief An upstream ran the request to completion.
-  void OnSurvived(const entry::RequestPrint& request);
+  void OnSurvived(const entry::RequestFingerprint& request);
   /// @brief Another router's heartbeat was read.
   void OnBeat(const v1::RouterBeat& beat);
 
   entry::CrashRecord& record() { return m_record; }
 
  private:
-  void LogQuarantined(const entry::RequestPrint& request, std::string_view by);
+  void LogQuarantined(const entry::RequestFingerprint& request, std::string_view by);
 
   EventLog& m_log;
   Hooks m_hooks;
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -17,9 +17,9 @@
 #include "coppervalve/entry/peer_contact.h"
 #include "coppervalve/entry/placement.h"
 #include "coppervalve/entry/policy.h"
-#include "coppervalve/entry/reading_pace.h"
-#include "coppervalve/entry/request_print.h"
-#include "coppervalve/entry/retry_allowance.h"
+#include "coppervalve/entry/prefill_time_estimator.h"
+#include "coppervalve/entry/request_fingerprint.h"
+#include "coppervalve/entry/retry_budget_share.h"
 #include "coppervalve/entry/upstream_directory.h"
 #include "coppervalve/entry/upstream_gate.h"
 #include "coppervalve/gateway/caller_connection.h"
@@ -41,8 +41,8 @@
   const entry::Policy& policy;
   const entry::UpstreamGate& gate;
   const entry::Placer& placer;
-  entry::ReadingPace& pace;
-  entry::RetryAllowance& retries;
+  entry::PrefillTimeEstimator& pace;
+  entry::RetryBudgetShare& retries;
   entry::AllocationLedger& book;
   const entry::MemberList& members;
   const entry::PeerContact& peers;
@@ -106,7 +106,7 @@
   bool RefuseIfOverloaded();
   void Reserve();
   core::Tokens MaxTokens() const {
-    return m_facts.prompt + m_facts.most_output;
+    return m_facts.prompt + m_facts.max_output;
   }
   void WaitForGrant();
   bool TryReserveTransferred();
@@ -144,9 +144,9 @@
   void RecordOutcome(entry::AttemptOutcome outcome);
 
   entry::RequestContent Content() const;
-  const entry::RequestPrint& Fingerprint();
+  const entry::RequestFingerprint& Fingerprint();
   bool MayHaveCrashedUpstreams() const;
-  entry::Standing CurrentQuarantineState();
+  entry::QuarantineState CurrentQuarantineState();
   /// @brief Refuses a request that crashed upstreams.
   /// @return whether it was refused
   bool RefuseIfCrashesUpstreams();
@@ -197,7 +197,7 @@
   bool m_on_trial = false;  ///< occupies the trial slot of its fingerprint
   bool m_done = false;
   std::string m_last_failure;
-  std::optional<entry::RequestPrint> m_fingerprint;  ///< computed on first use
+  std::optional<entry::RequestFingerprint> m_fingerprint;  ///< computed on first use
   entry::Placement m_last_placement;                 ///< the latest one
   /// Chosen before tokens were reserved; valid until the request has to wait.
   std::optional<entry::Placement> m_prepared_placement;
--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -14,13 +14,13 @@
 #include "coppervalve/entry/allocation_ledger.h"
 #include "coppervalve/entry/heartbeat_rate.h"
 #include "coppervalve/entry/transfer_reply_cache.h"
-#include "coppervalve/entry/in_force.h"
+#include "coppervalve/entry/configuration_index.h"
 #include "coppervalve/entry/member_list.h"
 #include "coppervalve/entry/placement.h"
 #include "coppervalve/entry/policy.h"
-#include "coppervalve/entry/retry_allowance.h"
+#include "coppervalve/entry/retry_budget_share.h"
 #include "coppervalve/entry/store_contact.h"
-#include "coppervalve/entry/table_readers.h"
+#include "coppervalve/entry/table_subscription.h"
 #include "coppervalve/entry/upstream_directory.h"
 #include "coppervalve/gateway/heartbeat_writer.h"
 #include "coppervalve/gateway/token_requester.h"
@@ -166,7 +166,7 @@
   EventLog m_log;
   GatewayMetrics m_metrics;
 
-  std::shared_ptr<const entry::InForce> m_in_force;
+  std::shared_ptr<const entry::ConfigurationIndex> m_in_force;
   entry::StoreContact m_contact;  ///< contact with any topic
   /// Contact with each topic. A missing record proves something only while its
   /// own topic is being read; replies for other topics do not count.
@@ -176,8 +176,8 @@
   entry::UpstreamDirectory m_directory;
   entry::PeerLoads m_peer_loads;
   entry::PeerContact m_peers;
-  entry::ReadingPace m_pace;
-  entry::RetryAllowance m_retries;
+  entry::PrefillTimeEstimator m_pace;
+  entry::RetryBudgetShare m_retries;
   entry::AllocationLedger m_book;
   entry::MemberList m_members;
   entry::UpstreamSenders m_senders;
@@ -188,7 +188,7 @@
   CrashMonitor m_crashes;
   std::optional<ExchangeContext> m_context;
 
-  entry::TableReaders m_table_readers;
+  entry::TableSubscription m_table_readers;
   std::unordered_map<std::string, std::string> m_upstream_documents;
   std::shared_ptr<TopicFollower> m_configuration;
   std::shared_ptr<TopicFollower> m_upstreams;
--- a/src/entry/policy.cc
+++ b/src/entry/policy.cc
@@ -14,7 +14,7 @@
 
 using Field = std::variant<double*, bool*, core::Duration*>;
 
-/// @brief A part of the policy that can be changed by name.
+/// @brief A member of the policy that can be changed by name.
 struct NamedField {
   std::string_view name;
   Field (*of)(Policy&);
@@ -49,48 +49,48 @@
     {"book.standbys_share",
      [](Policy& p) -> Field { return &p.book.standbys_share; }},
     {"placement.missed_prefix",
-     [](Policy& p) -> Field { return &p.placement.missed_prefix; }},
+     [](Policy& p) -> Field { return &p.placement.missed_token_weight; }},
     {"placement.running",
-     [](Policy& p) -> Field { return &p.placement.running; }},
+     [](Policy& p) -> Field { return &p.placement.running_cost; }},
     {"placement.beyond_slots",
-     [](Policy& p) -> Field { return &p.placement.beyond_slots; }},
+     [](Policy& p) -> Field { return &p.placement.over_slots_cost; }},
     {"placement.beyond_plain_slots",
-     [](Policy& p) -> Field { return &p.placement.beyond_plain_slots; }},
+     [](Policy& p) -> Field { return &p.placement.over_slots_weight_plain; }},
     {"placement.own_domain",
-     [](Policy& p) -> Field { return &p.placement.own_domain; }},
-    {"placement.cold", [](Policy& p) -> Field { return &p.placement.cold; }},
+     [](Policy& p) -> Field { return &p.placement.own_domain_bonus; }},
+    {"placement.cold", [](Policy& p) -> Field { return &p.placement.cold_cost; }},
     {"placement.cold_plain",
-     [](Policy& p) -> Field { return &p.placement.cold_plain; }},
+     [](Policy& p) -> Field { return &p.placement.cold_cost_plain; }},
     {"placement.prefix_owner",
-     [](Policy& p) -> Field { return &p.placement.prefix_owner; }},
+     [](Policy& p) -> Field { return &p.placement.use_prefix_owner; }},
     {"placement.prefix_sent",
-     [](Policy& p) -> Field { return &p.placement.prefix_sent; }},
+     [](Policy& p) -> Field { return &p.placement.use_prefix_sent; }},
     {"placement.slowness",
-     [](Policy& p) -> Field { return &p.placement.slowness; }},
+     [](Policy& p) -> Field { return &p.placement.use_slowness; }},
     {"placement.suspicion",
-     [](Policy& p) -> Field { return &p.placement.suspicion; }},
+     [](Policy& p) -> Field { return &p.placement.use_suspicion; }},
     {"placement.guess_silent",
-     [](Policy& p) -> Field { return &p.placement.guess_silent; }},
-    {"shedding", [](Policy& p) -> Field { return &p.shedding.on; }},
+     [](Policy& p) -> Field { return &p.placement.estimate_silent; }},
+    {"shedding", [](Policy& p) -> Field { return &p.shedding.enabled; }},
     {"shedding.free_part",
-     [](Policy& p) -> Field { return &p.shedding.free_part; }},
+     [](Policy& p) -> Field { return &p.shedding.free_share; }},
     {"shedding.full_part",
-     [](Policy& p) -> Field { return &p.shedding.full_part; }},
+     [](Policy& p) -> Field { return &p.shedding.full_share; }},
     {"shedding.rank_part",
-     [](Policy& p) -> Field { return &p.shedding.rank_part; }},
+     [](Policy& p) -> Field { return &p.shedding.rank_factor; }},
     {"limit", [](Policy& p) -> Field { return &p.limit.enforce; }},
-    {"limit.given_out", [](Policy& p) -> Field { return &p.limit.given_out; }},
+    {"limit.given_out", [](Policy& p) -> Field { return &p.limit.allocated_share; }},
     {"limit.spare_senders",
      [](Policy& p) -> Field { return &p.limit.spare_senders; }},
     {"limit.most_senders",
-     [](Policy& p) -> Field { return &p.limit.most_senders; }},
-    {"warm_up", [](Policy& p) -> Field { return &p.warm_up.limit; }},
+     [](Policy& p) -> Field { return &p.limit.max_senders; }},
+    {"warm_up", [](Policy& p) -> Field { return &p.warm_up.enforce; }},
     {"warm_up.all_live",
      [](Policy& p) -> Field { return &p.warm_up.all_live; }},
     {"warm_up.given_out",
-     [](Policy& p) -> Field { return &p.warm_up.given_out; }},
+     [](Policy& p) -> Field { return &p.warm_up.allocated_share; }},
     {"warm_up.most_senders",
-     [](Policy& p) -> Field { return &p.warm_up.most_senders; }},
+     [](Policy& p) -> Field { return &p.warm_up.max_senders; }},
     {"gifts", [](Policy& p) -> Field { return &p.gifts; }},
     {"least_active", [](Policy& p) -> Field { return &p.least_active; }},
     {"load_reports", [](Policy& p) -> Field { return &p.load_reports; }},
@@ -131,7 +131,7 @@
 
 }  // namespace
 
-core::Result<Policy> ReadPolicy(std::string_view changes) {
+core::Result<Policy> ParsePolicy(std::string_view changes) {
   Policy policy;
   while (!changes.empty()) {
     const std::string_view part = changes.substr(0, changes.find(','));
--- a/src/entry/upstream_directory.cc
+++ b/src/entry/upstream_directory.cc
@@ -10,13 +10,13 @@
 
 namespace {
 
-bool SameForUs(const UpstreamEntry& a, const UpstreamEntry& b) {
+bool SameForRouting(const UpstreamEntry& a, const UpstreamEntry& b) {
   return a.service == b.service && a.address == b.address &&
          a.failure_domain == b.failure_domain && a.slots == b.slots &&
          a.leaving == b.leaving;
 }
 
-// Load reports of a start must not count for the next one.
+// Load reports of one start must not count for the next one.
 uint32_t LoadKeyOf(const UpstreamEntry& entry) {
   if (!entry.born) {
     return LoadKey(entry.id);
@@ -25,22 +25,22 @@
       core::UpstreamId(entry.id.value() + "#" + std::to_string(*entry.born)));
 }
 
-// Ids that went are not used again for long; this many are many days of them.
-constexpr size_t kMostBornKept = 20'000;
+// Ids of removed upstreams are not reused for long; this covers many days.
+constexpr size_t kMaxRememberedIds = 20'000;
 
-// The record may be old when it is read, by as much as it is read late: its age
-// is added to what it says, not taken off.
-void NoteWarmUp(const UpstreamEntry& entry,
+// A record may be read late and its age is unknown. The remaining warm-up time
+// counts from when it is read, so the age is added to it instead of subtracted.
+void UpdateWarmUp(const UpstreamEntry& entry,
                 core::TimePoint read_at,
                 WarmUpState& state) {
   if (entry.warm_up_left > core::Duration::zero()) {
-    state.said_until = std::max(state.said_until, read_at + entry.warm_up_left);
+    state.announced_until = std::max(state.announced_until, read_at + entry.warm_up_left);
   }
 }
 
 template <typename Map, typename Known>
-void MakeRoom(Map& kept, const Known& known) {
-  if (kept.size() >= kMostBornKept) {
+void PruneUnknown(Map& kept, const Known& known) {
+  if (kept.size() >= kMaxRememberedIds) {
     std::erase_if(kept,
                   [&](const auto& one) { return !known.contains(one.first); });
   }
@@ -48,85 +48,85 @@
 
 }  // namespace
 
-RecordWorth WorthOf(const UpstreamRecord& record) {
+RecordKind KindOf(const UpstreamRecord& record) {
   if (!record.entry) {
-    return RecordWorth::kNone;
+    return RecordKind::kNone;
   }
-  return record.entry->leaving ? RecordWorth::kLeaving : RecordWorth::kUsable;
+  return record.entry->leaving ? RecordKind::kLeaving : RecordKind::kUsable;
 }
 
-bool UpstreamDirectory::ReturnsAreOver(const StoreContact& contact,
+bool UpstreamDirectory::ReturnTimeIsOver(const StoreContact& contact,
                                        core::TimePoint now) const {
   const auto reachable_since = contact.reachable_since();
   return reachable_since && now - *reachable_since >= m_options.return_time;
 }
 
 DirectoryChange UpstreamDirectory::OnRecord(const UpstreamRecord& record) {
-  switch (WorthOf(record)) {
-    case RecordWorth::kUsable:
-    case RecordWorth::kLeaving:
+  switch (KindOf(record)) {
+    case RecordKind::kUsable:
+    case RecordKind::kLeaving:
       return Put(*record.entry, record.read_at);
-    case RecordWorth::kNone:
+    case RecordKind::kNone:
       break;
   }
   return Drop(record.id);
 }
 
-// A record of an earlier start that is read late would bring back the address
-// of a start that ended: work would be sent to nobody, or to another upstream.
-bool UpstreamDirectory::OfEarlierStart(const UpstreamEntry& entry) const {
-  const auto latest = m_born.find(entry.id);
-  return entry.born && latest != m_born.end() && *entry.born < latest->second;
+// A late record of an earlier start would restore the address of a start that
+// ended: requests would go to a closed port or another upstream.
+bool UpstreamDirectory::IsOfEarlierStart(const UpstreamEntry& entry) const {
+  const auto latest = m_latest_starts.find(entry.id);
+  return entry.born && latest != m_latest_starts.end() && *entry.born < latest->second;
 }
 
-void UpstreamDirectory::RememberBorn(const UpstreamEntry& entry) {
+void UpstreamDirectory::RememberStart(const UpstreamEntry& entry) {
   if (!entry.born) {
     return;
   }
-  MakeRoom(m_born, m_by_id);
-  m_born[entry.id] = *entry.born;
+  PruneUnknown(m_latest_starts, m_by_id);
+  m_latest_starts[entry.id] = *entry.born;
 }
 
-void UpstreamDirectory::RememberWord(const UpstreamEntry& entry) {
-  MakeRoom(m_said_leaving, m_by_id);
-  m_said_leaving[entry.id] = entry.born;
+void UpstreamDirectory::RememberLeaving(const UpstreamEntry& entry) {
+  PruneUnknown(m_announced_leaving, m_by_id);
+  m_announced_leaving[entry.id] = entry.born;
 }
 
-// While the store is away, the record goes on saying that the upstream is
-// ready, and after that records of before the word may still be read.
-bool UpstreamDirectory::SaidItLeaves(const UpstreamEntry& entry) {
-  const auto said = m_said_leaving.find(entry.id);
-  if (said == m_said_leaving.end()) {
+// While the store is unavailable, the record still says that the upstream is
+// ready, and records older than the announcement may be read afterwards.
+bool UpstreamDirectory::HasAnnouncedLeaving(const UpstreamEntry& entry) {
+  const auto announced = m_announced_leaving.find(entry.id);
+  if (announced == m_announced_leaving.end()) {
     return false;
   }
-  const std::optional<int64_t>& born = said->second;
+  const std::optional<int64_t>& born = announced->second;
   if (entry.born && born && *entry.born != *born) {
-    m_said_leaving.erase(said);
+    m_announced_leaving.erase(announced);
     return false;
   }
   if (!born) {
-    said->second = entry.born;
+    announced->second = entry.born;
   }
   return true;
 }
 
-void UpstreamDirectory::OnTakenBack(const core::FailureDomainId& domain,
+void UpstreamDirectory::OnEvacuationEnded(const core::FailureDomainId& domain,
                                     core::TimePoint now) {
   for (const auto& [id, upstream] : m_by_id) {
     if (upstream->entry.failure_domain == domain) {
-      upstream->warm_up.began = now;
+      upstream->warm_up.cold_since = now;
     }
   }
 }
 
-bool UpstreamDirectory::OnLeavingWord(const UpstreamRef& upstream) {
+bool UpstreamDirectory::OnLeavingAnnounced(const UpstreamRef& upstream) {
   const UpstreamRef known = Find(upstream->entry.id);
   if (known && known != upstream) {
     return false;  // another start has the id now
   }
-  // Remembered also where the record said so already, or went: another record
-  // of this start may follow that says it is ready.
-  RememberWord(upstream->entry);
+  // Also remembered if the record already said so or was removed: an older
+  // record of this start that says it is ready may follow.
+  RememberLeaving(upstream->entry);
   if (!known || upstream->entry.leaving) {
     return false;
   }
@@ -135,29 +135,29 @@
   return true;
 }
 
-bool UpstreamDirectory::OnLimitWord(const UpstreamRef& upstream,
+bool UpstreamDirectory::OnLimitReceived(const UpstreamRef& upstream,
                                     std::optional<double> per_second,
                                     core::TimePoint asked,
                                     core::TimePoint now) {
   const UpstreamRef known = Find(upstream->entry.id);
   const bool same_start = !known || known->entry.born == upstream->entry.born;
-  Upstream& speaker = known && same_start ? *known : *upstream;
-  const bool changed = speaker.limit.OnAnswer(per_second, asked, now);
-  m_limits_named = m_limits_named || changed;
+  Upstream& sender = known && same_start ? *known : *upstream;
+  const bool changed = sender.limit.OnAnswer(per_second, asked, now);
+  m_limits_received = m_limits_received || changed;
   if (changed && !known) {
-    RememberLimit(speaker);
+    RememberLimit(sender);
   }
   return changed;
 }
 
-// An upstream that the store loses sight of comes back as the same start, and
-// is in need as before.
+// An upstream whose entry expires in the store returns as the same start, and
+// its limit still applies.
 void UpstreamDirectory::RememberLimit(const Upstream& upstream) {
   if (!upstream.limit.per_second()) {
     m_kept_limits.erase(upstream.entry.id);
     return;
   }
-  MakeRoom(m_kept_limits, m_by_id);
+  PruneUnknown(m_kept_limits, m_by_id);
   m_kept_limits[upstream.entry.id] = {upstream.entry.born, upstream.limit};
 }
 
@@ -188,68 +188,68 @@
   return found;
 }
 
-std::optional<core::TimePoint> UpstreamDirectory::AllHoldUntil(
+std::optional<core::TimePoint> UpstreamDirectory::AllPausedUntil(
     const core::ServiceId& service,
     core::TimePoint now) const {
   std::optional<core::TimePoint> first;
   for (const UpstreamRef& upstream : Of(service)) {
-    if (upstream->hold_until <= now) {
+    if (upstream->paused_until <= now) {
       return std::nullopt;
     }
     first =
-        std::min(first.value_or(upstream->hold_until), upstream->hold_until);
+        std::min(first.value_or(upstream->paused_until), upstream->paused_until);
   }
   return first;
 }
 
-// Kept over a restart, what was seen of the earlier start misleads: prefixes
-// that the new one doesn't hold, suspicion that it didn't earn, work in
-// progress that ended with the earlier one. So each start is an object anew.
+// The state of an earlier start would mislead after a restart: cached prefixes
+// that are gone, failures of the earlier start, and requests in progress that
+// ended with it. So each start is a new object.
 DirectoryChange UpstreamDirectory::Put(const UpstreamEntry& entry,
                                        core::TimePoint read_at) {
-  if (OfEarlierStart(entry)) {
+  if (IsOfEarlierStart(entry)) {
     return DirectoryChange::kNothing;
   }
-  RememberBorn(entry);
+  RememberStart(entry);
   UpstreamEntry put = entry;
-  put.leaving = put.leaving || SaidItLeaves(entry);
+  put.leaving = put.leaving || HasAnnouncedLeaving(entry);
   UpstreamRef& known = m_by_id[entry.id];
   const bool restarted = known && entry.born && known->entry.born &&
                          *entry.born != *known->entry.born;
   if (known) {
-    NoteWarmUp(entry, read_at, known->warm_up);
+    UpdateWarmUp(entry, read_at, known->warm_up);
   }
   if (known && !restarted) {
     put.born = entry.born ? entry.born : known->entry.born;
-    const bool tells_nothing = !known->lapsed && SameForUs(known->entry, put);
+    const bool unchanged = !known->expired_at && SameForRouting(known->entry, put);
     known->entry.born = put.born;
-    if (tells_nothing) {
+    if (unchanged) {
       return DirectoryChange::kNothing;
     }
   }
   if (restarted) {
     m_by_load_key.erase(known->load_key);
     known->entry.leaving = true;
-    TellGone(known->entry);
+    NotifyGone(known->entry);
   }
   if (!known || restarted) {
     known = std::make_shared<Upstream>();
     known->load_key = LoadKeyOf(put);
     m_by_load_key[known->load_key] = known;
-    if (m_listed || restarted) {
-      known->warm_up.began = read_at;
+    if (m_list_read || restarted) {
+      known->warm_up.cold_since = read_at;
     }
-    NoteWarmUp(entry, read_at, known->warm_up);
+    UpdateWarmUp(entry, read_at, known->warm_up);
     RestoreLimit(put, *known);
   }
   known->entry = put;
-  known->lapsed.reset();
+  known->expired_at.reset();
   Rebuild();
   return restarted ? DirectoryChange::kNewStart : DirectoryChange::kChanged;
 }
 
-// Whoever wrote it, the record replaced the upstream's own: where it is now,
-// and whether it still is, nobody says.
+// Whoever wrote it, the record replaced the upstream's own, so that its address
+// and whether it still exists are unknown.
 DirectoryChange UpstreamDirectory::Drop(const core::UpstreamId& id) {
   if (!m_by_id.contains(id)) {
     return DirectoryChange::kNothing;
@@ -259,12 +259,12 @@
   return DirectoryChange::kDropped;
 }
 
-// The store drops the entries of upstreams that it has not heard of, and while
-// the store itself was away it heard of none. Dropping them all would leave
-// callers refused with every upstream idle; so an entry that goes around an
-// outage is kept until the upstreams had time to announce themselves again.
-// That is enough: what is alive is back by then, and no rule binds us to what
-// the store said while it was not well.
+// The store expires the entries of upstreams without heartbeats, and while the
+// store itself was unavailable it received none. Dropping them all would reject
+// callers with every upstream idle. So an entry that expires around an outage
+// is kept until the upstreams had time to announce themselves again. Those that
+// are alive are back by then, and nothing requires a router to follow what the
+// store said while it was disturbed.
 bool UpstreamDirectory::Remove(const core::UpstreamId& id,
                                const StoreContact& contact,
                                core::TimePoint now) {
@@ -274,14 +274,14 @@
   }
   const UpstreamRef& upstream = found->second;
   const bool known_to_leave = upstream->entry.leaving;
-  if (known_to_leave || ReturnsAreOver(contact, now)) {
-    TellGone(upstream->entry);
+  if (known_to_leave || ReturnTimeIsOver(contact, now)) {
+    NotifyGone(upstream->entry);
     Forget(id);
     Rebuild();
     return true;
   }
-  if (!upstream->lapsed) {
-    upstream->lapsed = now;
+  if (!upstream->expired_at) {
+    upstream->expired_at = now;
   }
   return false;
 }
@@ -300,7 +300,7 @@
       ended.push_back(record.id);
     }
   }
-  m_listed = true;
+  m_list_read = true;
   std::vector<core::UpstreamId> missing;
   for (const auto& [id, upstream] : m_by_id) {
     if (!listed.contains(id)) {
@@ -315,20 +315,20 @@
   return ended;
 }
 
-std::vector<core::UpstreamId> UpstreamDirectory::DropLapsed(
+std::vector<core::UpstreamId> UpstreamDirectory::DropExpired(
     const StoreContact& contact,
     core::TimePoint now) {
   std::vector<core::UpstreamId> gone;
-  if (!ReturnsAreOver(contact, now)) {
+  if (!ReturnTimeIsOver(contact, now)) {
     return gone;
   }
   for (const auto& [id, upstream] : m_by_id) {
-    if (upstream->lapsed) {
+    if (upstream->expired_at) {
       gone.push_back(id);
     }
   }
   for (const core::UpstreamId& id : gone) {
-    TellGone(m_by_id.at(id)->entry);
+    NotifyGone(m_by_id.at(id)->entry);
     Forget(id);
   }
   if (!gone.empty()) {
@@ -367,13 +367,13 @@
     return;
   }
   RememberLimit(*found->second);
-  // Requests in progress keep the object: it must not look usable to them.
+  // Requests in progress keep the object, which must not look usable to them.
   found->second->entry.leaving = true;
   m_by_load_key.erase(found->second->load_key);
   m_by_id.erase(found);
 }
 
-void UpstreamDirectory::TellGone(const UpstreamEntry& entry) const {
+void UpstreamDirectory::NotifyGone(const UpstreamEntry& entry) const {
   if (m_on_gone) {
     m_on_gone(entry);
   }
@@ -386,7 +386,7 @@
       m_by_service[upstream->entry.service].push_back(upstream);
     }
   }
-  // All routers list them in the same order, whatever order they read.
+  // All routers use the same order, whatever order the records were read in.
   for (auto& [service, upstreams] : m_by_service) {
     std::sort(upstreams.begin(), upstreams.end(),
               [](const UpstreamRef& a, const UpstreamRef& b) {
--- a/src/gateway/crash_monitor.cc
+++ b/src/gateway/crash_monitor.cc
@@ -15,7 +15,7 @@
 // An upstream's entry expires only seconds after a crash, while callers retry
 // immediately. A connection attempt to its address shows the crash at once.
 void CrashMonitor::OnBroken(const entry::UpstreamRef& upstream,
-                            const entry::RequestPrint& request) {
+                            const entry::RequestFingerprint& request) {
   m_record.OnBroken(request, entry::StartOf(upstream->entry), net::BootNow());
   m_check.Start(upstream->entry.address,
                 [this, upstream] { OnEnded(upstream->entry, "refused"); });
@@ -23,7 +23,7 @@
 
 void CrashMonitor::OnEnded(const entry::UpstreamEntry& entry,
                            std::string_view by) {
-  const std::vector<entry::RequestPrint> under =
+  const std::vector<entry::RequestFingerprint> under =
       m_record.OnEnded(entry::StartOf(entry), net::BootNow());
   if (under.empty()) {
     return;
@@ -34,35 +34,35 @@
                   .Text("address", entry.address)
                   .Text("by", by)
                   .Number("requests", static_cast<int64_t>(under.size())));
-  for (const entry::RequestPrint& request : under) {
-    if (m_record.StandingOf(request) == entry::Standing::kQuarantined) {
+  for (const entry::RequestFingerprint& request : under) {
+    if (m_record.QuarantineStateOf(request) == entry::QuarantineState::kQuarantined) {
       LogQuarantined(request, "this_router");
     }
   }
   m_hooks.on_change();
 }
 
-void CrashMonitor::OnSurvived(const entry::RequestPrint& request) {
+void CrashMonitor::OnSurvived(const entry::RequestFingerprint& request) {
   if (m_record.OnSurvived(request, net::BootNow())) {
     m_hooks.on_change();
   }
 }
 
 void CrashMonitor::OnBeat(const v1::RouterBeat& beat) {
-  for (const entry::RequestPrint& request :
+  for (const entry::RequestFingerprint& request :
        m_record.OnBeat(beat, net::BootNow())) {
     LogQuarantined(request, "another_router");
   }
 }
 
-void CrashMonitor::LogQuarantined(const entry::RequestPrint& request,
+void CrashMonitor::LogQuarantined(const entry::RequestFingerprint& request,
                                   std::string_view by) {
   m_log.Write(
       LogCategory::kLifecycle,
       LogLine("request_quarantined")
-          .Text("content", request.Short())
+          .Text("content", request.ShortHex())
           .Text("by", by)
-          .Millis("refused_ms", m_record.RefusedFor(request, net::BootNow())));
+          .Millis("refused_ms", m_record.RemainingQuarantine(request, net::BootNow())));
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -109,7 +109,7 @@
 
 bool Exchange::RefuseIfOverloaded() {
   const entry::Service* service =
-      m_admitted.in_force->FindService(m_admitted.service);
+      m_admitted.configuration_index->FindService(m_admitted.service);
   if (service == nullptr || !service->engine ||
       !m_context.has_upstream_table()) {
     return false;
@@ -117,8 +117,8 @@
   m_prepared_placement = ChoosePlacement();
   entry::Backlog backlog;
   backlog.wait =
-      m_context.pace.ToRead(m_admitted.service, m_prepared_placement->waiting);
-  backlog.objective = m_admitted.in_force->ObjectiveOf(
+      m_context.pace.Estimate(m_admitted.service, m_prepared_placement->queued_prefill);
+  backlog.objective = m_admitted.configuration_index->ObjectiveOf(
       m_admitted.service, m_admitted.route->priority);
   backlog.rank = m_admitted.route->priority;
   const std::optional<core::Duration> retry_delay = entry::Shed(
@@ -324,21 +324,21 @@
     Refuse({core::ErrorId::kNoUpstream, m_admitted.service.value(), reason},
            retry_delay);
   };
-  if (m_last_placement.why == entry::PlacedBy::kEvacuated) {
+  if (m_last_placement.why == entry::PlacementReason::kEvacuated) {
     refuse("all its failure domains are evacuated", kRetryAfterOutage);
     return;
   }
-  if (m_last_placement.why == entry::PlacedBy::kWarmingUp) {
+  if (m_last_placement.why == entry::PlacementReason::kWarmingUp) {
     refuse("those that are left are warming up", kRetryAfterStoreUpdate);
     return;
   }
   const core::TimePoint now = net::BootNow();
-  if (m_last_placement.why == entry::PlacedBy::kLimited) {
+  if (m_last_placement.why == entry::PlacementReason::kLimited) {
     refuse("those that are left take no more for now",
            RateLimitRetryDelay(now));
     return;
   }
-  const auto hold = m_context.directory.AllHoldUntil(m_admitted.service, now);
+  const auto hold = m_context.directory.AllPausedUntil(m_admitted.service, now);
   if (hold) {
     // The caller should retry when the first pause ends.
     refuse("all upstreams asked for a pause",
@@ -362,7 +362,7 @@
 
 entry::PlacementQuery Exchange::BuildQuery() const {
   const entry::Service* service =
-      m_admitted.in_force->FindService(m_admitted.service);
+      m_admitted.configuration_index->FindService(m_admitted.service);
   entry::PlacementQuery query;
   query.service = m_admitted.service;
   query.exclude = m_tried;
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -82,7 +82,7 @@
   UpstreamRequestContext facts;
   facts.time_left = m_deadline - now;
   facts.upstream = upstream->entry.id;
-  facts.has_accounts = m_admitted.in_force->has_accounts();
+  facts.has_accounts = m_admitted.configuration_index->has_accounts();
   if (m_admitted.account != nullptr) {
     facts.account = m_admitted.account->name;
   }
@@ -96,13 +96,13 @@
   attempt.resumed = HasEvents();
   attempt.connection = m_context.pool.Acquire(*upstream, !Retryable(), now);
   m_attempt = attempt;
-  m_attempt->prefill_cost = placement.own_reading;
-  m_attempt->total_prefill = placement.to_read;
+  m_attempt->prefill_cost = placement.own_prefill;
+  m_attempt->total_prefill = placement.total_prefill;
   m_attempt->cost = placement.cost;
   ++upstream->in_flight;
   upstream->in_prefill += m_attempt->prefill_cost;
   if (!m_facts.shared_prefix.empty()) {
-    upstream->prefixes.Remember(core::Hash64(m_facts.shared_prefix), now);
+    upstream->prefixes.Insert(core::Hash64(m_facts.shared_prefix), now);
   }
   m_last_activity = now;
   if (attempt.connection->connected()) {
@@ -134,7 +134,7 @@
 bool Exchange::MaySendNow(entry::Upstream& upstream) const {
   const core::TimePoint now = net::BootNow();
   if (upstream.entry.leaving ||
-      m_context.gate.Of(upstream, now) != entry::Passage::kOpen) {
+      m_context.gate.StateOf(upstream, now) != entry::GateState::kOpen) {
     return false;
   }
   m_context.gate.OnSend(upstream, now);
@@ -150,7 +150,7 @@
   attempt.upstream->health.OnFirstByte(m_last_activity - attempt.started_at,
                                        attempt.cost + kBaseRequestCost);
   if (attempt.total_prefill > 0 && IsSuccess(head.status)) {
-    m_context.pace.OnFirstPiece(m_admitted.service, attempt.total_prefill,
+    m_context.pace.AddSample(m_admitted.service, attempt.total_prefill,
                                 m_last_activity - attempt.started_at);
   }
   const std::string& echoed = attempt.answer.request_id;
@@ -379,7 +379,7 @@
     return false;
   }
   // A request that crashes upstreams must not crash two of them per arrival.
-  if (CurrentQuarantineState() != entry::Standing::kClear) {
+  if (CurrentQuarantineState() != entry::QuarantineState::kClear) {
     return false;
   }
   return m_context.retries.Take(m_admitted.service, m_context.members.LiveCount(),
--- a/src/gateway/exchange_end.cc
+++ b/src/gateway/exchange_end.cc
@@ -63,14 +63,14 @@
   core::Tokens used(0);
   if (m_may_have_run) {
     const entry::Service* service =
-        m_admitted.in_force->FindService(m_admitted.service);
+        m_admitted.configuration_index->FindService(m_admitted.service);
     const uint64_t per_event = service != nullptr && service->engine
                                    ? service->engine->tokens_per_event
                                    : 1;
     const core::Tokens output(
         static_cast<int64_t>(m_sse_splitter.events() * per_event));
     used = std::min(m_reserved,
-                    m_facts.prompt + std::min(output, m_facts.most_output));
+                    m_facts.prompt + std::min(output, m_facts.max_output));
   }
   const core::AccountId& account = m_admitted.account->name;
   if (m_from_transfer) {
@@ -101,13 +101,13 @@
     line.Text("rule", m_admitted.route->name.value())
         .Text("service", m_admitted.service.value())
         .Number("config",
-                static_cast<int64_t>(m_admitted.in_force->version().value()));
+                static_cast<int64_t>(m_admitted.configuration_index->version().value()));
   }
   if (admitted && m_admitted.account != nullptr) {
     const core::AccountId& account = m_admitted.account->name;
     const auto figures = m_context.book.FiguresOf(account);
     line.Text("account", account.value())
-        .Number("tokens_most", (m_facts.prompt + m_facts.most_output).value())
+        .Number("tokens_most", (m_facts.prompt + m_facts.max_output).value())
         .Number("total", figures.total.value_or(core::Tokens(0)).value())
         .Number("elsewhere", figures.others.value())
         .Number("lost", figures.lost.value())
@@ -126,7 +126,7 @@
         .Number("sends", m_sent_attempts);
   }
   if (m_fingerprint) {
-    line.Text("content", m_fingerprint->Short());
+    line.Text("content", m_fingerprint->ShortHex());
   }
   if (!m_last_failure.empty()) {
     line.Text("why", m_last_failure);
--- a/src/gateway/exchange_quarantine.cc
+++ b/src/gateway/exchange_quarantine.cc
@@ -16,9 +16,9 @@
   return content;
 }
 
-const entry::RequestPrint& Exchange::Fingerprint() {
+const entry::RequestFingerprint& Exchange::Fingerprint() {
   if (!m_fingerprint) {
-    m_fingerprint = entry::PrintOf(Content());
+    m_fingerprint = entry::FingerprintOf(Content());
   }
   return *m_fingerprint;
 }
@@ -27,28 +27,28 @@
 // others, so that the strong hash of their bodies is not needed.
 bool Exchange::MayHaveCrashedUpstreams() const {
   const entry::CrashRecord& record = m_context.crash_monitor.record();
-  return !record.empty() && record.MayKnow(entry::SketchOf(Content()));
+  return !record.empty() && record.MayContain(entry::QuickHashOf(Content()));
 }
 
-entry::Standing Exchange::CurrentQuarantineState() {
+entry::QuarantineState Exchange::CurrentQuarantineState() {
   return MayHaveCrashedUpstreams()
-             ? m_context.crash_monitor.record().StandingOf(Fingerprint())
-             : entry::Standing::kClear;
+             ? m_context.crash_monitor.record().QuarantineStateOf(Fingerprint())
+             : entry::QuarantineState::kClear;
 }
 
 // Ejecting failed upstreams is not enough: a request that crashes them would
 // crash one after another, along with the other requests they run. So the
 // request's content is checked before every send.
 bool Exchange::RefuseIfCrashesUpstreams() {
-  const entry::Standing quarantine_state = CurrentQuarantineState();
-  if (quarantine_state == entry::Standing::kClear) {
+  const entry::QuarantineState quarantine_state = CurrentQuarantineState();
+  if (quarantine_state == entry::QuarantineState::kClear) {
     return false;
   }
-  core::Error error{core::ErrorId::kEndsUpstreams, Fingerprint().Short(),
+  core::Error error{core::ErrorId::kEndsUpstreams, Fingerprint().ShortHex(),
                     "upstreams crashed while running it"};
-  core::Duration retry_delay = m_context.crash_monitor.record().RefusedFor(
+  core::Duration retry_delay = m_context.crash_monitor.record().RemainingQuarantine(
       Fingerprint(), net::BootNow());
-  if (quarantine_state == entry::Standing::kSuspect) {
+  if (quarantine_state == entry::QuarantineState::kSuspect) {
     // Copies that arrive at many routers at once would each crash an upstream.
     // So only one router tries them, one at a time.
     m_on_trial = m_on_trial ||
--- a/src/gateway/exchange_signals.cc
+++ b/src/gateway/exchange_signals.cc
@@ -23,12 +23,12 @@
     return;
   }
   const bool known_to_leave = sender->entry.leaving;
-  if (answer.leaving && m_context.directory.OnLeavingWord(sender)) {
+  if (answer.leaving && m_context.directory.OnLeavingAnnounced(sender)) {
     m_context.pool.CloseAll(sender->entry.id);
   }
   if (answer.retry_after) {
-    sender->hold_until =
-        std::max(sender->hold_until, net::BootNow() + *answer.retry_after);
+    sender->paused_until =
+        std::max(sender->paused_until, net::BootNow() + *answer.retry_after);
   }
   if (known_to_leave && !answer.retry_after) {
     return;  // already logged
@@ -64,7 +64,7 @@
   if (answer.limit_malformed) {
     changed = sender->limit.OnUnreadable();
   } else if (answer.limit || own_answer) {
-    changed = m_context.directory.OnLimitWord(
+    changed = m_context.directory.OnLimitReceived(
         sender, answer.limit, m_attempt->started_at, net::BootNow());
   }
   if (!changed) {
--- a/src/gateway/gateway_configuration.cc
+++ b/src/gateway/gateway_configuration.cc
@@ -60,7 +60,7 @@
     return;
   }
   m_in_force =
-      std::make_shared<const entry::InForce>(core::TakeValue(std::move(read)));
+      std::make_shared<const entry::ConfigurationIndex>(core::TakeValue(std::move(read)));
   m_book.OnConfiguration(m_in_force->configuration());
   m_gate.OnConfiguration(m_in_force->configuration());
   LogLifecycle(
@@ -94,7 +94,7 @@
 // of the store, which bounds its age.
 void Gateway::LogEvacuationChange(const entry::EvacuationChange& change) {
   if (!change.evacuated) {
-    m_directory.OnTakenBack(change.domain, net::BootNow());
+    m_directory.OnEvacuationEnded(change.domain, net::BootNow());
   }
   const core::Duration within = m_config_contact.SilentFor(net::BootNow());
   const bool began_before_start = within == core::Duration::max();
--- a/src/gateway/gateway_heartbeats.cc
+++ b/src/gateway/gateway_heartbeats.cc
@@ -144,7 +144,7 @@
   const bool held_back = entry::ReserveUntouched(m_own_record, predecessor_info);
   LogPredecessor(held_back);
   m_book.OnPredecessor(m_own_record, held_back);
-  m_crashes.record().OnOwnPast(m_own_record, net::BootNow());
+  m_crashes.record().RestoreOwnReports(m_own_record, net::BootNow());
   m_heartbeat_writer->StartHeartbeats();
 }
 
@@ -196,7 +196,7 @@
   context.closing = beat.closing();
   context.period = entry::HeartbeatPeriod(Limits());
   SetReserveTimes(beat, now);
-  m_crashes.record().WriteTo(beat, now);
+  m_crashes.record().AddReportsTo(beat, now);
   m_book.WriteClaims(beat, context, now);
   LogHoldFactor();
 }
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -87,7 +87,7 @@
   std::string& last = m_upstream_documents[record.key];
   const entry::UpstreamRef known =
       m_directory.Find(core::UpstreamId(record.key));
-  const bool same = known && !known->lapsed && m_adapter.upstream_unchanged &&
+  const bool same = known && !known->expired_at && m_adapter.upstream_unchanged &&
                     m_adapter.upstream_unchanged(last, record.value);
   last = record.value;
   return same;
@@ -116,12 +116,12 @@
   if (change == entry::DirectoryChange::kNothing) {
     return;
   }
-  const entry::RecordWorth worth = entry::WorthOf(read);
+  const entry::RecordKind worth = entry::KindOf(read);
   const bool new_start = change == entry::DirectoryChange::kNewStart;
-  if (new_start || worth != entry::RecordWorth::kUsable) {
+  if (new_start || worth != entry::RecordKind::kUsable) {
     m_pool.CloseAll(id);
   }
-  if (worth == entry::RecordWorth::kNone) {
+  if (worth == entry::RecordKind::kNone) {
     LogLifecycle(LogLine("upstream_dropped").Text("upstream", record.key));
     return;
   }
