--- a/bench/ceiling/fleet.cc
+++ b/bench/ceiling/fleet.cc
@@ -50,8 +50,9 @@
     m_weights.push_back(1.0 / (i + 1));
     sum += m_weights.back();
   }
-  const double mean = kLargeRequestShare * static_cast<double>(kLargeTokens) +
-                      (1 - kLargeRequestShare) * static_cast<double>(kSmallTokens);
+  const double mean =
+      kLargeRequestShare * static_cast<double>(kLargeTokens) +
+      (1 - kLargeRequestShare) * static_cast<double>(kSmallTokens);
   const double all = options.requests_per_second * options.end * mean *
                      kUsedShareOfMax * options.prepaid_ratio;
   for (double& weight : m_weights) {
@@ -99,7 +100,8 @@
       own = record.beat;
       continue;
     }
-    router.book->OnPeerHeartbeat(RouterName(record.router), record.beat, At(m_now));
+    router.book->OnPeerHeartbeat(RouterName(record.router), record.beat,
+                                 At(m_now));
   }
   entry::PredecessorInfo predecessor;
   predecessor.boot = std::to_string(router.boot);
@@ -129,7 +131,7 @@
     const Record& record = m_log[router.read];
     if (record.router != index) {
       router.book->OnPeerHeartbeat(RouterName(record.router), record.beat,
-                               At(m_now));
+                                   At(m_now));
       continue;
     }
     if (record.beat.epoch() == router.epoch) {
@@ -184,9 +186,9 @@
       return false;
     }
     router.split[request.account] -= request.max_tokens;
-  } else if (router.book->Reserve(AccountName(request.account),
-                                  core::Tokens(request.max_tokens),
-                                  At(m_now)) != entry::ReserveResult::kReserved) {
+  } else if (router.book->Reserve(
+                 AccountName(request.account), core::Tokens(request.max_tokens),
+                 At(m_now)) != entry::ReserveResult::kReserved) {
     return false;
   }
   m_in_use[request.account] += request.max_tokens;
@@ -228,14 +230,15 @@
   }
   if (router.partitioned || m_policy == Policy::kEqualSplit ||
       !router.book->MayBecomeSpendable(AccountName(request.account),
-                                 core::Tokens(request.max_tokens))) {
+                                       core::Tokens(request.max_tokens))) {
     Refuse(request);
     return;
   }
   Request waiting = request;
   waiting.ends = m_now + kClaimWaitTimeout;
   router.waiting.push_back(waiting);
-  router.next_heartbeat = std::min(router.next_heartbeat, m_now + kExpeditedDelay);
+  router.next_heartbeat =
+      std::min(router.next_heartbeat, m_now + kExpeditedDelay);
 }
 
 void Fleet::GenerateRequests() {
@@ -249,15 +252,18 @@
     Request request;
     double draw = Uniform() * weighted_load;
     while (request.account + 1 < m_options.accounts &&
-           draw >= m_weights[request.account] * m_load_factors[request.account]) {
+           draw >=
+               m_weights[request.account] * m_load_factors[request.account]) {
       draw -= m_weights[request.account] * m_load_factors[request.account];
       ++request.account;
     }
-    const int64_t mean = Uniform() < kLargeRequestShare ? kLargeTokens : kSmallTokens;
+    const int64_t mean =
+        Uniform() < kLargeRequestShare ? kLargeTokens : kSmallTokens;
     const double factor = 1 - kSpread / 2 + kSpread * Uniform();
-    request.max_tokens = static_cast<int64_t>(static_cast<double>(mean) * factor);
-    request.used =
-        static_cast<int64_t>(static_cast<double>(request.max_tokens) * kUsedShareOfMax);
+    request.max_tokens =
+        static_cast<int64_t>(static_cast<double>(mean) * factor);
+    request.used = static_cast<int64_t>(
+        static_cast<double>(request.max_tokens) * kUsedShareOfMax);
     Serve(RouterFor(request.account), request);
   }
 }
@@ -287,12 +293,13 @@
       }
       if (m_now >= request.ends ||
           !router.book->MayBecomeSpendable(AccountName(request.account),
-                                     core::Tokens(request.max_tokens))) {
+                                           core::Tokens(request.max_tokens))) {
         Refuse(request);
         continue;
       }
       router.waiting.push_back(request);
-      router.next_heartbeat = std::min(router.next_heartbeat, m_now + kExpeditedDelay);
+      router.next_heartbeat =
+          std::min(router.next_heartbeat, m_now + kExpeditedDelay);
     }
   }
   GenerateRequests();
--- a/bench/ceiling/fleet.h
+++ b/bench/ceiling/fleet.h
@@ -121,9 +121,9 @@
   double m_now = 0;
   std::vector<Router> m_routers;
   std::vector<Record> m_log;
-  std::vector<double> m_weights;   ///< share of the requests, by account
+  std::vector<double> m_weights;       ///< share of the requests, by account
   std::vector<double> m_load_factors;  ///< factor on that share, by account
-  std::vector<int64_t> m_totals;   ///< by account
+  std::vector<int64_t> m_totals;       ///< by account
   std::vector<int64_t> m_spent;        ///< actually spent, by account
   std::vector<int64_t> m_in_use;       ///< currently reserved, by account
   Outcome m_outcome;
--- a/bench/ceiling/schedule.cc
+++ b/bench/ceiling/schedule.cc
@@ -2,7 +2,10 @@
 
 namespace coppervalve::bench {
 
-void PartitionAll(Fleet& fleet, const FleetOptions& options, double at, double span) {
+void PartitionAll(Fleet& fleet,
+                  const FleetOptions& options,
+                  double at,
+                  double span) {
   fleet.RunUntil(at);
   fleet.SetPartitioned(0, options.routers, true);
   fleet.RunUntil(at + span);
--- a/bench/ceiling/schedule.h
+++ b/bench/ceiling/schedule.h
@@ -17,7 +17,10 @@
 
 /// @brief Runs until `at`, then disconnects all routers from the log for
 /// `span`; both in seconds.
-void PartitionAll(Fleet& fleet, const FleetOptions& options, double at, double span);
+void PartitionAll(Fleet& fleet,
+                  const FleetOptions& options,
+                  double at,
+                  double span);
 
 /// @brief Runs until `at` seconds, then ends all routers at once.
 void KillAllAt(Fleet& fleet, double at, Fleet::End end);
--- a/bench/cold/main.cc
+++ b/bench/cold/main.cc
@@ -97,7 +97,8 @@
     std::printf("limits: %s\n", variant.name);
     for (NamedScenario one : entry::testing::LimitScenarios()) {
       one.scenario.limits = variant.options;
-      const FleetOutcome outcome = entry::testing::SimulateFleet(one.scenario, seeds);
+      const FleetOutcome outcome =
+          entry::testing::SimulateFleet(one.scenario, seeds);
       std::printf(
           "  %-34s used %.2f  filled %.2f  end known after %4.1f s  "
           "served %.3f\n",
@@ -127,7 +128,8 @@
     for (NamedScenario one : entry::testing::ColdScenarios()) {
       one.scenario.warm_up = variant.options;
       one.scenario.placement.cold_cost = variant.cold;
-      const FleetOutcome outcome = entry::testing::SimulateFleet(one.scenario, seeds);
+      const FleetOutcome outcome =
+          entry::testing::SimulateFleet(one.scenario, seeds);
       const uint32_t most = outcome.max_in_a_second;
       std::printf("  %-26s most %3u  fell over %4u  served %.3f\n", one.name,
                   most, outcome.overloaded,
--- a/bench/routing/scenario_faults.cc
+++ b/bench/routing/scenario_faults.cc
@@ -84,8 +84,8 @@
   // they are readmitted and ejected repeatedly.
   const OutageResult false_probes = RunOutage(RetryMode::kPolicy, true);
   figures.Report("lying_probes_attempts_per_request",
-                 false_probes.attempts_per_request, "ratio", BoundKind::kAtMost, 0.3,
-                 twice.attempts_per_request);
+                 false_probes.attempts_per_request, "ratio", BoundKind::kAtMost,
+                 0.3, twice.attempts_per_request);
 }
 
 namespace {
--- a/bench/routing/scenario_placement.cc
+++ b/bench/routing/scenario_placement.cc
@@ -113,9 +113,11 @@
     }
     FleetOptions report_only = UnevenFleet(lag, routing::LeastOfTwo);
     report_only.count_own_attempts = false;
-    const PlacementResult report_only_result = RunPlacement(report_only, kLoad, 0);
+    const PlacementResult report_only_result =
+        RunPlacement(report_only, kLoad, 0);
     figures.Report("imbalance_counting_own" + suffix, least_of_two.imbalance,
-                   "ratio", BoundKind::kAtMost, 1.4, report_only_result.imbalance);
+                   "ratio", BoundKind::kAtMost, 1.4,
+                   report_only_result.imbalance);
   }
 }
 
@@ -134,14 +136,12 @@
   for (const NamedPolicy& policy : policies) {
     const PlacementResult result = run(policy.make);
     figures.Report("prefix_hits_" + policy.name, result.hit_ratio, "share",
-                   BoundKind::kAtLeast, policy.min_hits,
-                   round_robin.hit_ratio);
+                   BoundKind::kAtLeast, policy.min_hits, round_robin.hit_ratio);
     figures.Report("prefix_imbalance_" + policy.name, result.imbalance, "ratio",
                    BoundKind::kAtMost, policy.max_imbalance,
                    round_robin.imbalance);
     figures.Report("prefix_wait_p99_" + policy.name, result.wait_p99, "steps",
-                   BoundKind::kAtMost, policy.max_wait,
-                   round_robin.wait_p99);
+                   BoundKind::kAtMost, policy.max_wait, round_robin.wait_p99);
   }
 }
 
@@ -173,8 +173,9 @@
     max_considered = std::max(max_considered, decision.considered);
     table.OnDispatch(*decision.upstream);
   }
-  figures.Report("candidates_considered_of_10000", static_cast<double>(max_considered),
-                 "count", BoundKind::kAtMost, 256, kUpstreams);
+  figures.Report("candidates_considered_of_10000",
+                 static_cast<double>(max_considered), "count",
+                 BoundKind::kAtMost, 256, kUpstreams);
 }
 
 }  // namespace coppervalve::bench
--- a/bench/routing/workload.cc
+++ b/bench/routing/workload.cc
@@ -28,8 +28,8 @@
     job.admission_class = stream.admission_class;
     job.max_wait = stream.max_wait;
     job.prefix = Prefix(stream.prefixes);
-    const auto span = static_cast<uint64_t>(stream.max_output -
-                                            stream.min_output + 1);
+    const auto span =
+        static_cast<uint64_t>(stream.max_output - stream.min_output + 1);
     job.output_steps =
         stream.min_output +
         static_cast<int64_t>(routing::UniformBelow(m_random, span));
--- a/include/coppervalve/budget/ceiling_store.h
+++ b/include/coppervalve/budget/ceiling_store.h
@@ -30,7 +30,8 @@
 
   /// @return the record that reduces a closed peer's quarantine; nullopt while
   /// the peer is not closed, or when its full list was never received
-  std::optional<v1::QuarantineNarrowed> QuarantineNarrowedFor(const PeerRef& peer) const;
+  std::optional<v1::QuarantineNarrowed> QuarantineNarrowedFor(
+      const PeerRef& peer) const;
 
   /// @brief Deletes the ceilings of a closed peer. Its raises stay refused.
   void ForgetCeilings(const PeerRef& peer);
--- a/include/coppervalve/budget/holding.h
+++ b/include/coppervalve/budget/holding.h
@@ -13,8 +13,8 @@
   core::Tokens transferred_in;          ///< credited, applied or not
   core::Tokens transferred_in_applied;  ///< applied part of transferred_in
   core::Tokens returned;                ///< debited, applied or not
-  core::Tokens spent;                  ///< settled
-  core::Tokens reserved;               ///< by requests in progress
+  core::Tokens spent;                   ///< settled
+  core::Tokens reserved;                ///< by requests in progress
   core::Tokens transferred_out;         ///< debited, applied or not
   core::Tokens gate_only;               ///< spare that only GATE may reserve
 
--- a/include/coppervalve/budget/holding_manager.h
+++ b/include/coppervalve/budget/holding_manager.h
@@ -169,7 +169,7 @@
   void OnSpendApplied(const core::BudgetId& budget, core::Tokens spent);
   /// @brief The ledger applied a transfer from or to this incarnation.
   void OnTransferApplied(core::TimePoint now,
-                        const v1::TransferRecorded& transfer);
+                         const v1::TransferRecorded& transfer);
   /// @brief The ledger applied a WitnessChosen record of this incarnation;
   /// nullopt means no witness.
   void OnWitnessInForce(const std::optional<PeerRef>& peer);
@@ -260,7 +260,7 @@
     bool gate_waits = false;
     std::optional<bool> grant_pending;    ///< if set, whether of class GATE
     bool denied = false;                  ///< the last request was denied
-    core::Sequence last_answer_sequence;       ///< entry of the last grant or denial
+    core::Sequence last_answer_sequence;  ///< entry of the last grant or denial
     core::TimePoint next_grant_request_at{};
     core::TimePoint next_transfer_ask_at{};
     core::TimePoint next_return_at{};
@@ -285,10 +285,11 @@
   Reservation Commit(Account& account, core::Tokens bound, bool gate);
   void AddUnmet(Account& account, core::Tokens bound, bool gate);
   WaitOrError ExplainShortage(core::TimePoint now,
-                     const Account& account,
-                     core::Tokens bound,
-                     bool gate) const;
-  std::optional<OpenReservation> RemoveOpenReservation(const Reservation& reservation);
+                              const Account& account,
+                              core::Tokens bound,
+                              bool gate) const;
+  std::optional<OpenReservation> RemoveOpenReservation(
+      const Reservation& reservation);
   void AfterRelease(core::TimePoint now, Account& account);
 
   void RaiseCeilingIfLow(core::TimePoint now, Account& account);
@@ -310,8 +311,8 @@
               bool applied);
   core::Tokens Transferable(core::TimePoint now, const Account& account) const;
   core::Tokens TransferableTo(core::TimePoint now,
-                          const Account& account,
-                          const PeerRef& peer) const;
+                              const Account& account,
+                              const PeerRef& peer) const;
 
   bool CandidateCovers(const WitnessCeilings& candidate);
   void TakeWitnessRecord(std::vector<v1::Record>& out);
@@ -342,8 +343,8 @@
   PeerSpares m_peer_spares;
 
   std::deque<v1::Record> m_pending_records;  ///< in order: returns, transfers
-  std::deque<Account*> m_sizing_queue;     ///< may need another allotment
-  std::deque<Account*> m_spend_queue;      ///< have settlements to report
+  std::deque<Account*> m_sizing_queue;       ///< may need another allotment
+  std::deque<Account*> m_spend_queue;        ///< have settlements to report
   core::TimePoint m_spend_report_due{};
   std::multimap<core::TimePoint, Account*> m_reviews;
   std::set<core::BudgetId> m_waiting;  ///< budgets with waiting requests
--- a/include/coppervalve/budget/peer_spares.h
+++ b/include/coppervalve/budget/peer_spares.h
@@ -33,14 +33,15 @@
                    const std::vector<v1::Spare>& spares);
   /// @return the largest valid offer above zero, if any
   std::optional<Offer> BestOffer(core::TimePoint now,
-                            const core::BudgetId& budget) const;
+                                 const core::BudgetId& budget) const;
   /// @return the sum of the valid offers
-  core::Tokens TotalOffered(core::TimePoint now, const core::BudgetId& budget) const;
+  core::Tokens TotalOffered(core::TimePoint now,
+                            const core::BudgetId& budget) const;
   /// @brief Reduces an offer by tokens that were requested from it, until the
   /// peer advertises it again.
   void Deduct(const core::BudgetId& budget,
-           const PeerRef& peer,
-           core::Tokens tokens);
+              const PeerRef& peer,
+              core::Tokens tokens);
 
  private:
   struct Advertisement {
--- a/include/coppervalve/budget/spend_reporter.h
+++ b/include/coppervalve/budget/spend_reporter.h
@@ -45,7 +45,8 @@
   /// @param spent cumulative spend in the report
   void OnReportApplied(core::Tokens spent);
   /// @return the final spend with every bill that isn't known to be applied
-  v1::FinalSpend FinalReport(const core::BudgetId& budget, core::Tokens spent) const;
+  v1::FinalSpend FinalReport(const core::BudgetId& budget,
+                             core::Tokens spent) const;
   /// @return the cumulative spend of the last report
   core::Tokens LastReported() const { return m_reported; }
 
--- a/include/coppervalve/budget/transfers.h
+++ b/include/coppervalve/budget/transfers.h
@@ -17,10 +17,12 @@
 namespace coppervalve::budget {
 
 /// @brief An unacknowledged transfer is sent again after this time.
-inline constexpr core::Duration kTransferResendInterval{500'000};  // microseconds
+inline constexpr core::Duration kTransferResendInterval{
+    500'000};  // microseconds
 /// @brief A transfer message is resent for this long; afterwards only the log
 /// record delivers the transfer.
-inline constexpr core::Duration kTransferResendPeriod{60'000'000};  // microseconds
+inline constexpr core::Duration kTransferResendPeriod{
+    60'000'000};  // microseconds
 
 struct TransferAskTo {
   PeerRef to;
@@ -53,7 +55,7 @@
   void OnOutgoingApplied(uint64_t transfer_id);
 
   enum class Credit : uint8_t {
-    kNew,     ///< to be credited
+    kNew,        ///< to be credited
     kApplied,    ///< credited before, applied by the ledger now
     kDuplicate,  ///< received before, no effect
   };
--- a/include/coppervalve/budget/witness_ceilings.h
+++ b/include/coppervalve/budget/witness_ceilings.h
@@ -30,10 +30,12 @@
   /// @brief Requests that the ceiling of a budget be at least `ceiling`.
   void RequestCeiling(const core::BudgetId& budget, core::Tokens ceiling);
   /// @return the highest ceiling requested so far; nullopt when unlimited
-  std::optional<core::Tokens> RequestedCeiling(const core::BudgetId& budget) const;
+  std::optional<core::Tokens> RequestedCeiling(
+      const core::BudgetId& budget) const;
   /// @return the ceiling that the witness has acknowledged; nullopt when
   /// unlimited
-  std::optional<core::Tokens> AcknowledgedCeiling(const core::BudgetId& budget) const;
+  std::optional<core::Tokens> AcknowledgedCeiling(
+      const core::BudgetId& budget) const;
   /// @return whether the witness has acknowledged the full list
   bool Complete() const { return m_complete || !m_peer; }
   bool Refused() const { return m_refused; }
--- a/include/coppervalve/budget/witness_set.h
+++ b/include/coppervalve/budget/witness_set.h
@@ -36,10 +36,12 @@
   void RequestCeiling(const core::BudgetId& budget, core::Tokens ceiling);
 
   /// @return the ceiling that applies to a budget; nullopt when unlimited
-  std::optional<core::Tokens> EffectiveCeiling(const core::BudgetId& budget) const;
+  std::optional<core::Tokens> EffectiveCeiling(
+      const core::BudgetId& budget) const;
   /// @return the smallest ceiling requested from these witnesses; nullopt when
   /// unlimited
-  std::optional<core::Tokens> RequestedCeiling(const core::BudgetId& budget) const;
+  std::optional<core::Tokens> RequestedCeiling(
+      const core::BudgetId& budget) const;
   /// @return the candidate to record, once it has acknowledged the full list
   /// and no other change is pending; null when there is none
   const WitnessCeilings* ReadyCandidate() const;
--- a/include/coppervalve/entry/active_set.h
+++ b/include/coppervalve/entry/active_set.h
@@ -28,11 +28,12 @@
 /// @return the selected candidates in order of selection
 /// @complexity n log n in the candidates
 std::vector<Candidate> SelectActive(std::vector<Candidate> candidates,
-                                     const ActiveSetRequirements& requirements);
+                                    const ActiveSetRequirements& requirements);
 
 /// @brief The names of the selected routers, in the same order.
-std::vector<core::RouterId> SelectActiveNames(std::vector<Candidate> candidates,
-                                         const ActiveSetRequirements& requirements);
+std::vector<core::RouterId> SelectActiveNames(
+    std::vector<Candidate> candidates,
+    const ActiveSetRequirements& requirements);
 
 }  // namespace coppervalve::entry
 
--- a/include/coppervalve/entry/advertised_limit.h
+++ b/include/coppervalve/entry/advertised_limit.h
@@ -60,7 +60,8 @@
   /// @brief Another router reported the upstream's response.
   /// @param received_at when the upstream responded
   /// @return whether a limit began, changed or ended
-  bool OnPeerReport(std::optional<double> per_second, core::TimePoint received_at);
+  bool OnPeerReport(std::optional<double> per_second,
+                    core::TimePoint received_at);
   /// @brief The upstream sent a limit that can't be parsed; the last known one
   /// stays in force.
   /// @return whether it is the first one since a valid limit
--- a/include/coppervalve/entry/allocation_ledger.h
+++ b/include/coppervalve/entry/allocation_ledger.h
@@ -21,7 +21,7 @@
 /// @brief Outcome of an attempt to reserve tokens.
 enum class ReserveResult : uint8_t {
   kReserved,
-  kUnlimited,     ///< the account has no prepaid total
+  kUnlimited,      ///< the account has no prepaid total
   kAboveCeiling,   ///< exceeds this router's current ceiling
   kKeptForUrgent,  ///< fits, but is kept for more urgent requests
   /// The tokens that may still be unspent, on any router, are too few.
@@ -112,11 +112,12 @@
   /// its ceilings count as used. Call it once, before the first claim.
   /// @param reserve_untouched whether the previous incarnation provably did not
   /// spend its reserve
-  void OnPredecessor(const v1::RouterBeat& beat, bool reserve_untouched = false);
+  void OnPredecessor(const v1::RouterBeat& beat,
+                     bool reserve_untouched = false);
   /// @brief Processes a record of another router, in log order.
   void OnPeerHeartbeat(const core::RouterId& router,
-                   const v1::RouterBeat& beat,
-                   core::TimePoint now);
+                       const v1::RouterBeat& beat,
+                       core::TimePoint now);
   /// @brief Processes a record of this incarnation that was read back from the
   /// log, after every earlier record was passed to OnPeerHeartbeat().
   void OnOwnHeartbeat(const v1::RouterBeat& beat);
@@ -133,9 +134,9 @@
   /// @brief Reserves the maximum that a request may use.
   /// @param rank of the request; 0 is the most urgent
   ReserveResult Reserve(const core::AccountId& account,
-                      core::Tokens tokens,
-                      core::TimePoint now,
-                      uint8_t rank = 0);
+                        core::Tokens tokens,
+                        core::TimePoint now,
+                        uint8_t rank = 0);
   /// @brief Replaces a reservation by the tokens that were used.
   /// @pre the tokens were reserved and `used` is at most `reserved`
   void Settle(const core::AccountId& account,
@@ -148,9 +149,9 @@
   /// @return between `least` and `wanted`, or 0 if this router needs them
   /// itself
   core::Tokens TransferOut(const core::AccountId& account,
-                    core::Tokens least,
-                    core::Tokens wanted,
-                    core::TimePoint now);
+                           core::Tokens least,
+                           core::Tokens wanted,
+                           core::TimePoint now);
   /// @brief Makes the next claim cover this many tokens more.
   void RequestTokens(const core::AccountId& account, core::Tokens tokens);
   /// @brief Adds tokens that another router transferred to this one.
@@ -160,23 +161,23 @@
   bool ReserveTransferred(const core::AccountId& account, core::Tokens tokens);
   /// @brief Keeps the unused part of a reservation for later requests.
   void SettleTransferred(const core::AccountId& account,
-                   core::Tokens reserved,
-                   core::Tokens used);
+                         core::Tokens reserved,
+                         core::Tokens used);
   /// @return routers that may be able to transfer this many tokens, those with
   /// the most unspent tokens first
   std::vector<core::RouterId> Donors(const core::AccountId& account,
-                                      core::Tokens tokens) const;
+                                     core::Tokens tokens) const;
   /// @return the amount to request from other routers if `tokens` are missing:
   /// also enough for the following requests
   core::Tokens TransferRequestFor(const core::AccountId& account,
-                         core::Tokens tokens,
-                         core::TimePoint now) const;
+                                  core::Tokens tokens,
+                                  core::TimePoint now) const;
 
   /// @return when the reserve becomes spendable and covers a request, if no new
   /// claim is acknowledged before; nullopt if the ceiling does not cover it
   std::optional<core::TimePoint> SpendableAt(const core::AccountId& account,
-                                           core::Tokens tokens,
-                                           core::TimePoint now) const;
+                                             core::Tokens tokens,
+                                             core::TimePoint now) const;
 
   /// @brief Writes this router's claims. A lower ceiling applies at once, a
   /// higher one when the record was read back. Reserves are written if the
@@ -186,7 +187,8 @@
                    core::TimePoint now);
 
   /// @return whether a later claim may cover `tokens`
-  bool MayBecomeSpendable(const core::AccountId& account, core::Tokens tokens) const;
+  bool MayBecomeSpendable(const core::AccountId& account,
+                          core::Tokens tokens) const;
 
   /// @brief State of one account, for logs and metrics.
   struct Figures {
@@ -258,10 +260,11 @@
   static core::Tokens InUse(const AccountState& state);
   static core::Tokens Free(const AccountState& state);
   static core::Tokens LowestPendingClaim(const AccountState& state);
-  static core::Tokens CurrentSpendLimit(const AccountState& state, core::TimePoint now);
+  static core::Tokens CurrentSpendLimit(const AccountState& state,
+                                        core::TimePoint now);
   core::Tokens NextSpendLimit(const AccountState& state,
-                         core::Tokens next,
-                         core::TimePoint now) const;
+                              core::Tokens next,
+                              core::TimePoint now) const;
   void WriteReserve(AccountState& state,
                     core::Tokens next,
                     const v1::RouterBeat& beat,
@@ -269,28 +272,31 @@
                     core::TimePoint now) const;
   static core::Tokens Unavailable(const AccountState& state);
   bool ClaimsAreAcknowledged(core::TimePoint now) const;
-  core::Tokens OwnRemainder(const AccountState& state, core::TimePoint now) const;
+  core::Tokens OwnRemainder(const AccountState& state,
+                            core::TimePoint now) const;
   bool LeavesEnoughForUrgent(const AccountState& state,
-                    core::Tokens tokens,
-                    uint8_t rank,
-                    core::TimePoint now) const;
+                             core::Tokens tokens,
+                             uint8_t rank,
+                             core::TimePoint now) const;
   static core::Tokens Spendable(const AccountState& state);
   double PriorShare() const;
   double OwnShare(const AccountState& state) const;
   double OwnShareOverRestarts(const AccountState& state) const;
   double EstimateShare(const AccountState& state,
-                 core::Tokens own_use,
-                 core::Tokens others_use) const;
+                       core::Tokens own_use,
+                       core::Tokens others_use) const;
   bool IsLearning(core::TimePoint now) const;
   double ExpectedDemand(const AccountState& state,
-                    double seconds,
-                    core::TimePoint now) const;
-  core::Tokens TargetHeadroom(const AccountState& state, core::TimePoint now) const;
+                        double seconds,
+                        core::TimePoint now) const;
+  core::Tokens TargetHeadroom(const AccountState& state,
+                              core::TimePoint now) const;
   static core::Tokens Lost(const AccountState& state);
   bool NeedsRationing(const AccountState& state, core::TimePoint now) const;
   void AccrueRation(AccountState& state, core::Duration passed) const;
   bool IsIdleStandby(const AccountState& state) const;
-  core::Tokens NextCeiling(const AccountState& state, core::TimePoint now) const;
+  core::Tokens NextCeiling(const AccountState& state,
+                           core::TimePoint now) const;
   void RecordLoss();
   double MinHoldFactor() const;
   void UpdateHistory(v1::RouterBeat& beat);
--- a/include/coppervalve/entry/call_timeouts.h
+++ b/include/coppervalve/entry/call_timeouts.h
@@ -38,7 +38,8 @@
     if (!progress.last_received) {
       return progress.started_at + std::min(first_byte, total);
     }
-    return std::min(*progress.last_received + idle, progress.started_at + total);
+    return std::min(*progress.last_received + idle,
+                    progress.started_at + total);
   }
 };
 
--- a/include/coppervalve/entry/crash_record.h
+++ b/include/coppervalve/entry/crash_record.h
@@ -77,7 +77,7 @@
   /// @return time until a quarantined request may be tried again; 0 if it is
   /// not quarantined
   core::Duration RemainingQuarantine(const RequestFingerprint& request,
-                            core::TimePoint now) const;
+                                     core::TimePoint now) const;
 
   /// @brief Begins the only trial of a request that may run at a time.
   /// @return false if one is running; otherwise EndTrial() must follow
@@ -90,7 +90,8 @@
                 core::TimePoint now);
   /// @brief A start of an upstream is known to have terminated.
   /// @return the requests that this counts against
-  std::vector<RequestFingerprint> OnEnded(UpstreamStart start, core::TimePoint now);
+  std::vector<RequestFingerprint> OnEnded(UpstreamStart start,
+                                          core::TimePoint now);
   /// @brief An upstream completed the request, so the terminations had other
   /// causes.
   /// @return whether other routers should be told soon
@@ -102,7 +103,7 @@
   /// sizes are truncated.
   /// @return requests that this quarantined
   std::vector<RequestFingerprint> OnBeat(const v1::RouterBeat& beat,
-                                   core::TimePoint now);
+                                         core::TimePoint now);
   /// @brief Restores this router's own reports from the last heartbeat before
   /// its restart.
   void RestoreOwnReports(const v1::RouterBeat& beat, core::TimePoint now);
@@ -151,18 +152,20 @@
   void Evaluate(Case& crash_case, core::TimePoint now) const;
   core::Duration QuarantineTime(const Case& crash_case) const;
   static void SetTerminationState(Case& crash_case,
-                       TerminationState state,
-                       bool own,
-                       core::TimePoint now);
-  bool IsReported(const Case& crash_case, const Termination& termination, core::TimePoint now) const;
+                                  TerminationState state,
+                                  bool own,
+                                  core::TimePoint now);
+  bool IsReported(const Case& crash_case,
+                  const Termination& termination,
+                  core::TimePoint now) const;
   v1::CrashCase ReportOf(const RequestFingerprint& request,
-                       const Case& crash_case,
-                       core::TimePoint now) const;
+                         const Case& crash_case,
+                         core::TimePoint now) const;
   void Merge(const v1::CrashCase& report, bool own, core::TimePoint now);
   void MergeSurvived(Case& crash_case,
-                    const v1::CrashCase& report,
-                    bool own,
-                    core::TimePoint now);
+                     const v1::CrashCase& report,
+                     bool own,
+                     core::TimePoint now);
 
   CrashOptions m_options;
   std::map<RequestFingerprint, Case> m_cases;
--- a/include/coppervalve/entry/demand.h
+++ b/include/coppervalve/entry/demand.h
@@ -22,7 +22,9 @@
     double per_second = 0;
     double DecayedBy(double seconds_later, double time_constant) const;
   };
-  double CorrectBias(double average, double time_constant, core::TimePoint now) const;
+  double CorrectBias(double average,
+                     double time_constant,
+                     core::TimePoint now) const;
   Average m_fast;
   Average m_slow;
   std::optional<core::TimePoint> m_first_added;
--- a/include/coppervalve/entry/limit_reports.h
+++ b/include/coppervalve/entry/limit_reports.h
@@ -12,14 +12,14 @@
 /// forwarded on and on, they would never expire.
 /// @complexity linear in the upstreams, once any of them sent a limit
 void AddLimitsToReport(const UpstreamDirectory& directory,
-                core::TimePoint now,
-                v1::LoadReport& report);
+                       core::TimePoint now,
+                       v1::LoadReport& report);
 
 /// @brief Applies the limits in another router's report.
 /// @complexity linear in the limits of the report
 void ApplyReportedLimits(const v1::LoadReport& report,
-                core::TimePoint now,
-                UpstreamDirectory& directory);
+                         core::TimePoint now,
+                         UpstreamDirectory& directory);
 
 }  // namespace coppervalve::entry
 
--- a/include/coppervalve/entry/member_list.h
+++ b/include/coppervalve/entry/member_list.h
@@ -35,8 +35,8 @@
         m_least_active(least_active) {}
 
   void OnHeartbeat(const core::RouterId& router,
-              const v1::RouterBeat& beat,
-              core::TimePoint now);
+                   const v1::RouterBeat& beat,
+                   core::TimePoint now);
   /// @param contact with the topic of the heartbeats. Time counts as silence
   /// only while the topic is readable. If no router at all is heard, the list
   /// stays unchanged for a while.
--- a/include/coppervalve/entry/placement.h
+++ b/include/coppervalve/entry/placement.h
@@ -130,7 +130,7 @@
                                   Trust required_trust,
                                   core::TimePoint now) const;
   PlacementReason ReasonForNone(const std::vector<UpstreamRef>& upstreams,
-                   core::TimePoint now) const;
+                                core::TimePoint now) const;
   Load LoadOf(const Upstream& upstream, const PlacementQuery& query) const;
   Candidate CostAtEngine(const UpstreamRef& upstream,
                          const PlacementQuery& query,
@@ -143,7 +143,7 @@
                         double median_latency,
                         core::TimePoint now) const;
   double QueuedPrefillAt(const Candidate& candidate,
-                   const PlacementQuery& query) const;
+                         const PlacementQuery& query) const;
   Placement Cheapest(const std::vector<UpstreamRef>& usable,
                      const PlacementQuery& query,
                      core::TimePoint now) const;
--- a/include/coppervalve/entry/predecessor_info.h
+++ b/include/coppervalve/entry/predecessor_info.h
@@ -20,7 +20,8 @@
 /// @brief Whether the incarnation that wrote a record provably did not spend
 /// the reserves in it.
 /// @param last its newest record, read after its further writes were fenced
-bool ReserveUntouched(const v1::RouterBeat& last, const PredecessorInfo& predecessor);
+bool ReserveUntouched(const v1::RouterBeat& last,
+                      const PredecessorInfo& predecessor);
 
 }  // namespace coppervalve::entry
 
--- a/include/coppervalve/entry/prefill_time_estimator.h
+++ b/include/coppervalve/entry/prefill_time_estimator.h
@@ -17,8 +17,8 @@
   /// response: those queued ahead and the request's own
   /// @complexity constant, like all members
   void AddSample(const core::ServiceId& service,
-                    double prefill_tokens,
-                    core::Duration time);
+                 double prefill_tokens,
+                 core::Duration time);
 
   /// @return time to process so many tokens; 0 while there are too few samples
   core::Duration Estimate(const core::ServiceId& service, double tokens) const;
--- a/include/coppervalve/entry/ranked_demand.h
+++ b/include/coppervalve/entry/ranked_demand.h
@@ -22,8 +22,8 @@
   /// the total demand
   /// @complexity linear in the ranks
   double MoreUrgentPerSecond(uint8_t rank,
-                            double max_share,
-                            core::TimePoint now) const;
+                             double max_share,
+                             core::TimePoint now) const;
 
  private:
   std::map<uint8_t, Demand> m_by_rank;
--- a/include/coppervalve/entry/read_plan.h
+++ b/include/coppervalve/entry/read_plan.h
@@ -70,7 +70,9 @@
   ReadStep OnOffsetExpired();
   /// @param jitter uniform in [0, 1)
   /// @param started_at start of the failed call
-  ReadStep OnFailure(double jitter, core::TimePoint started_at, core::TimePoint now);
+  ReadStep OnFailure(double jitter,
+                     core::TimePoint started_at,
+                     core::TimePoint now);
   /// @brief A page was read, and another one follows.
   void OnPage(core::TimePoint now);
 
--- a/include/coppervalve/entry/request_fingerprint.h
+++ b/include/coppervalve/entry/request_fingerprint.h
@@ -26,7 +26,8 @@
   uint64_t quick_hash = 0;
   std::string digest;  ///< first 16 bytes of a SHA-256 hash
 
-  friend auto operator<=>(const RequestFingerprint&, const RequestFingerprint&) = default;
+  friend auto operator<=>(const RequestFingerprint&,
+                          const RequestFingerprint&) = default;
   /// @return 24 bytes, the format in messages to other routers
   std::string ToBytes() const;
   /// @return an empty digest if the size is not 24
--- a/include/coppervalve/entry/shedding.h
+++ b/include/coppervalve/entry/shedding.h
@@ -15,7 +15,7 @@
   /// For the first byte; shortest of the service's routes that are as urgent
   /// or more.
   core::Duration objective{};
-  uint8_t rank = 0;            ///< 0 is the most urgent
+  uint8_t rank = 0;  ///< 0 is the most urgent
 };
 
 /// @brief Constants of load shedding.
--- a/include/coppervalve/entry/table_subscription.h
+++ b/include/coppervalve/entry/table_subscription.h
@@ -31,7 +31,8 @@
 };
 
 /// @return whether the store can reliably send the table to every router
-bool StoreCanServeAll(const TableCost& cost, const TableSubscriptionOptions& options);
+bool StoreCanServeAll(const TableCost& cost,
+                      const TableSubscriptionOptions& options);
 
 /// @brief Decides whether this router follows the table of upstreams.
 ///
--- a/include/coppervalve/entry/transfer_reply_cache.h
+++ b/include/coppervalve/entry/transfer_reply_cache.h
@@ -19,8 +19,8 @@
  public:
   std::optional<core::Tokens> Find(const v1::TokenAsk& request) const;
   void Insert(const v1::TokenAsk& request,
-                core::Tokens given,
-                core::TimePoint now);
+              core::Tokens given,
+              core::TimePoint now);
 
  private:
   using Key = std::tuple<core::RouterId, uint64_t, uint64_t>;
--- a/include/coppervalve/entry/upstream_directory.h
+++ b/include/coppervalve/entry/upstream_directory.h
@@ -12,8 +12,8 @@
 
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
-#include "coppervalve/entry/recent_prefixes.h"
 #include "coppervalve/entry/advertised_limit.h"
+#include "coppervalve/entry/recent_prefixes.h"
 #include "coppervalve/entry/store_contact.h"
 #include "coppervalve/entry/upstream_health.h"
 #include "coppervalve/entry/upstream_senders.h"
@@ -112,11 +112,12 @@
   /// periodically.
   /// @return the ids that are gone
   std::vector<core::UpstreamId> DropExpired(const StoreContact& contact,
-                                           core::TimePoint now);
+                                            core::TimePoint now);
 
   /// @brief The evacuation of a failure domain ended: its upstreams may all be
   /// cold.
-  void OnEvacuationEnded(const core::FailureDomainId& domain, core::TimePoint now);
+  void OnEvacuationEnded(const core::FailureDomainId& domain,
+                         core::TimePoint now);
 
   /// @brief An upstream announced in a response that it is leaving. Applies to
   /// this start, whatever its record says later.
@@ -126,9 +127,9 @@
   /// start, also while its entry is gone.
   /// @return whether the known limit changed
   bool OnLimitReceived(const UpstreamRef& upstream,
-                   std::optional<double> per_second,
-                   core::TimePoint asked,
-                   core::TimePoint now);
+                       std::optional<double> per_second,
+                       core::TimePoint asked,
+                       core::TimePoint now);
   /// @return whether any upstream has sent a limit to this router so far
   bool limits_received() const { return m_limits_received; }
   /// @brief A response came from another upstream than the request was sent to.
@@ -138,7 +139,7 @@
   /// @return when the first of a service's upstreams accepts work again; none
   /// if one accepts it now, or if there is no upstream
   std::optional<core::TimePoint> AllPausedUntil(const core::ServiceId& service,
-                                              core::TimePoint now) const;
+                                                core::TimePoint now) const;
 
   /// @return the upstreams of a service that are not leaving; the reference is
   /// valid until the next change
@@ -179,7 +180,8 @@
   std::unordered_map<core::UpstreamId, int64_t> m_latest_starts;
   /// Starts that announced in a response that they are leaving, including
   /// removed ones.
-  std::unordered_map<core::UpstreamId, std::optional<int64_t>> m_announced_leaving;
+  std::unordered_map<core::UpstreamId, std::optional<int64_t>>
+      m_announced_leaving;
   /// Limits of starts whose entries were removed: they may be announced again.
   struct KeptLimit {
     std::optional<int64_t> born;
--- a/include/coppervalve/entry/upstream_senders.h
+++ b/include/coppervalve/entry/upstream_senders.h
@@ -5,9 +5,9 @@
 #include <optional>  // optional
 
 #include "coppervalve/core/units.h"
+#include "coppervalve/entry/advertised_limit.h"
 #include "coppervalve/entry/configuration.h"
 #include "coppervalve/entry/member_list.h"
-#include "coppervalve/entry/advertised_limit.h"
 
 namespace coppervalve::entry {
 
@@ -73,13 +73,13 @@
   /// @return number of requests that this router may send to a cold upstream in
   /// any second; 0 if it is not one of its senders
   uint32_t ShareOf(const core::UpstreamId& upstream,
-                  SenderRank& rank,
-                  double bound,
-                  core::TimePoint now) const;
+                   SenderRank& rank,
+                   double bound,
+                   core::TimePoint now) const;
   /// @return this router's position among the senders of an upstream
   SenderPosition PositionOf(const core::UpstreamId& upstream,
-                      SenderRank& rank,
-                      core::TimePoint now) const;
+                            SenderRank& rank,
+                            core::TimePoint now) const;
   const WarmUpOptions& options() const { return m_options; }
 
  private:
--- a/include/coppervalve/gateway/crash_monitor.h
+++ b/include/coppervalve/gateway/crash_monitor.h
@@ -37,7 +37,8 @@
   entry::CrashRecord& record() { return m_record; }
 
  private:
-  void LogQuarantined(const entry::RequestFingerprint& request, std::string_view by);
+  void LogQuarantined(const entry::RequestFingerprint& request,
+                      std::string_view by);
 
   EventLog& m_log;
   Hooks m_hooks;
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -24,9 +24,9 @@
 #include "coppervalve/entry/upstream_gate.h"
 #include "coppervalve/gateway/caller_connection.h"
 #include "coppervalve/gateway/crash_monitor.h"
-#include "coppervalve/gateway/platform_adapter.h"
 #include "coppervalve/gateway/event_log.h"
 #include "coppervalve/gateway/gateway_metrics.h"
+#include "coppervalve/gateway/platform_adapter.h"
 #include "coppervalve/gateway/unknown_headers.h"
 #include "coppervalve/gateway/upstream_pool.h"
 #include "coppervalve/http1/sse_splitter.h"
@@ -105,9 +105,7 @@
   /// @return whether it was refused
   bool RefuseIfOverloaded();
   void Reserve();
-  core::Tokens MaxTokens() const {
-    return m_facts.prompt + m_facts.max_output;
-  }
+  core::Tokens MaxTokens() const { return m_facts.prompt + m_facts.max_output; }
   void WaitForGrant();
   bool TryReserveTransferred();
   bool TryBorrow();
@@ -197,8 +195,9 @@
   bool m_on_trial = false;  ///< occupies the trial slot of its fingerprint
   bool m_done = false;
   std::string m_last_failure;
-  std::optional<entry::RequestFingerprint> m_fingerprint;  ///< computed on first use
-  entry::Placement m_last_placement;                 ///< the latest one
+  std::optional<entry::RequestFingerprint>
+      m_fingerprint;                  ///< computed on first use
+  entry::Placement m_last_placement;  ///< the latest one
   /// Chosen before tokens were reserved; valid until the request has to wait.
   std::optional<entry::Placement> m_prepared_placement;
 };
--- a/include/coppervalve/gateway/heartbeat_writer.h
+++ b/include/coppervalve/gateway/heartbeat_writer.h
@@ -47,10 +47,10 @@
   };
 
   HeartbeatWriter(boost::asio::io_context& io,
-             HeartbeatOptions options,
-             const KeyedStore& store,
-             routing::RandomSource random,
-             Hooks hooks);
+                  HeartbeatOptions options,
+                  const KeyedStore& store,
+                  routing::RandomSource random,
+                  Hooks hooks);
 
   /// @param last_epoch epoch of this router's newest record; 0 when it has none
   void Start(uint64_t last_epoch);
--- a/include/coppervalve/gateway/placement_client.h
+++ b/include/coppervalve/gateway/placement_client.h
@@ -29,12 +29,13 @@
     std::function<void(const std::string& address, const v1::PlaceAsk&)> send;
   };
   /// @param placement has no upstream when no router named one
-  using PlacementCallback = std::function<void(const entry::Placement& placement)>;
+  using PlacementCallback =
+      std::function<void(const entry::Placement& placement)>;
 
   PlacementClient(boost::asio::io_context& io,
-             std::string reply_address,
-             Hooks hooks,
-             routing::RandomSource random);
+                  std::string reply_address,
+                  Hooks hooks,
+                  routing::RandomSource random);
   void SetEpoch(uint64_t epoch) { m_epoch = epoch; }
 
   /// @param on_placement called exactly once, never from within this call
@@ -66,7 +67,7 @@
 entry::PlacementQuery ToPlacementQuery(const v1::PlaceAsk& ask);
 /// @brief Builds the reply to a request.
 v1::PlaceAnswer ToPlaceAnswer(const v1::PlaceAsk& ask,
-                         const entry::Placement& placement);
+                              const entry::Placement& placement);
 
 }  // namespace coppervalve::gateway
 
--- a/include/coppervalve/gateway/platform_adapter.h
+++ b/include/coppervalve/gateway/platform_adapter.h
@@ -55,7 +55,8 @@
   std::function<core::Result<entry::RequestFacts>(const http1::RequestHead&)>
       read_request;
   /// All headers of the request to an upstream, except those for framing.
-  std::function<http1::HeaderList(const http1::RequestHead&, const UpstreamRequestContext&)>
+  std::function<http1::HeaderList(const http1::RequestHead&,
+                                  const UpstreamRequestContext&)>
       upstream_headers;
   std::function<UpstreamResponseInfo(const http1::ResponseHead&)> read_answer;
   /// The response for an error that the router itself reports.
--- a/include/coppervalve/gateway/token_requester.h
+++ b/include/coppervalve/gateway/token_requester.h
@@ -38,17 +38,17 @@
   };
 
   TokenRequester(boost::asio::io_context& io,
-           std::string router,
-           std::string reply_address,
-           Hooks hooks);
+                 std::string router,
+                 std::string reply_address,
+                 Hooks hooks);
   void SetEpoch(uint64_t epoch) { m_epoch = epoch; }
 
   /// @param on_done called when tokens have arrived or none will; never called
   /// from within this call
   /// @return false when there is no router to ask
   bool RequestTokens(const core::AccountId& account,
-              core::Tokens tokens,
-              std::function<void()> on_done);
+                     core::Tokens tokens,
+                     std::function<void()> on_done);
   void OnTransfer(const v1::TokenGift& gift);
 
  private:
--- a/include/coppervalve/ledger/detail/member_table.h
+++ b/include/coppervalve/ledger/detail/member_table.h
@@ -36,7 +36,7 @@
   void Prune(core::LogOffset offset, uint64_t window);
   /// @brief Removes a holding that has never had tokens.
   void RemoveUnusedHolding(core::Incarnation incarnation,
-                    const core::BudgetId& budget);
+                           const core::BudgetId& budget);
   /// @brief Removes a member that Prune() kept because of quarantined tokens,
   /// once it has none left. @complexity linear in its holdings
   void PruneIfEmpty(core::Incarnation incarnation,
--- a/include/coppervalve/ledger/detail/quorum.h
+++ b/include/coppervalve/ledger/detail/quorum.h
@@ -38,7 +38,9 @@
   /// @brief Records that a voter had read the log up to `seen` when it wrote an
   /// entry.
   void OnSeen(core::Incarnation incarnation, core::LogOffset seen);
-  void AddPending(PendingChange pending) { m_pending.push_back(std::move(pending)); }
+  void AddPending(PendingChange pending) {
+    m_pending.push_back(std::move(pending));
+  }
   /// @brief Removes and returns the oldest pending change if a majority has
   /// read it.
   /// @complexity linear in the voters
--- a/include/coppervalve/ledger/detail/record_handlers.h
+++ b/include/coppervalve/ledger/detail/record_handlers.h
@@ -78,11 +78,12 @@
 
 /// @brief Applies cumulative spend totals and bills to a holding.
 /// @return false when a total is lower than before or exceeds the holding
-bool ApplySpendTotals(EntryContext& context,
-               Member& member,
-               Budget& budget,
-               const SpendTotals& totals,
-               const google::protobuf::RepeatedPtrField<v1::Bill>& bills);
+bool ApplySpendTotals(
+    EntryContext& context,
+    Member& member,
+    Budget& budget,
+    const SpendTotals& totals,
+    const google::protobuf::RepeatedPtrField<v1::Bill>& bills);
 
 /// @brief Emits the tokens that a quarantined holding released; nothing for 0.
 void EmitQuarantineChange(EntryContext& context,
--- a/include/coppervalve/ledger/effects.h
+++ b/include/coppervalve/ledger/effects.h
@@ -253,7 +253,7 @@
 
 enum class OrderTakeRefusal : uint8_t {
   kNotInForce,        ///< superseded, or ended
-  kHeld,        ///< by another incarnation
+  kHeld,              ///< by another incarnation
   kLoadLimitReached,  ///< the maximum number of loads is in progress
 };
 
--- a/include/coppervalve/membership/address_list_builder.h
+++ b/include/coppervalve/membership/address_list_builder.h
@@ -30,8 +30,8 @@
  public:
   /// @param key_prefix returns the idempotency key prefix of an incarnation
   AddressListBuilder(Member self,
-              std::function<std::string(const MemberId&)> key_prefix,
-              AddressLimits limits = {});
+                     std::function<std::string(const MemberId&)> key_prefix,
+                     AddressLimits limits = {});
 
   void SetLifetime(core::Duration lifetime);
   /// @brief Addresses for an account, best first: routers in this router's
--- a/include/coppervalve/membership/silent_member_detector.h
+++ b/include/coppervalve/membership/silent_member_detector.h
@@ -61,9 +61,12 @@
   void ObserveSelf(core::TimePoint issued, const Member& self);
   void Observe(const Member& member, core::Duration silence);
   core::Duration CountedSilence(core::TimePoint issued) const;
-  core::Duration TimeoutFor(const TrackedMember& tracked, bool most_silent) const;
+  core::Duration TimeoutFor(const TrackedMember& tracked,
+                            bool most_silent) const;
   bool MostAreSilent() const;
-  bool IsDue(core::TimePoint now, TrackedMember& tracked, bool most_silent) const;
+  bool IsDue(core::TimePoint now,
+             TrackedMember& tracked,
+             bool most_silent) const;
   size_t OwnRank(const TrackedMember& target) const;
   bool IsSilent(const TrackedMember& tracked) const;
 
--- a/include/coppervalve/membership/witness_selector.h
+++ b/include/coppervalve/membership/witness_selector.h
@@ -33,7 +33,8 @@
 /// @brief Continue without a witness: the whole holding may be spent.
 struct ChooseNoWitness {};
 
-using WitnessVerdict = std::variant<KeepWitness, ChooseWitness, ChooseNoWitness>;
+using WitnessVerdict =
+    std::variant<KeepWitness, ChooseWitness, ChooseNoWitness>;
 
 /// @brief Selects the peer that stores this router's ceilings.
 class WitnessSelector {
@@ -44,8 +45,8 @@
   /// @param peers all peers, with reachability; never this router itself
   /// @complexity O(n)
   WitnessVerdict Evaluate(core::TimePoint now,
-                       const std::optional<MemberId>& current,
-                       const std::vector<Peer>& peers);
+                          const std::optional<MemberId>& current,
+                          const std::vector<Peer>& peers);
 
  private:
   struct Candidate {
--- a/include/coppervalve/router/detail/budget_desk.h
+++ b/include/coppervalve/router/detail/budget_desk.h
@@ -4,8 +4,8 @@
 #include <optional>  // optional
 #include <vector>    // vector
 
-#include "coppervalve/budget/holding_manager.h"
 #include "coppervalve/budget/ceiling_store.h"
+#include "coppervalve/budget/holding_manager.h"
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/ledger/effects.h"
--- a/include/coppervalve/routing/admission_queue.h
+++ b/include/coppervalve/routing/admission_queue.h
@@ -132,15 +132,15 @@
   class DrainPass;
 
   static size_t CountAhead(const ClassQueue& queue,
-                        const core::AccountId& account,
-                        size_t own_ahead);
+                           const core::AccountId& account,
+                           size_t own_ahead);
   Refusal Refuse(core::ErrorId id,
                  const QueueEntry& entry,
                  core::TimePoint now) const;
   std::optional<core::Duration> EstimateWait(const Pool& pool,
-                                           size_t class_index,
-                                           size_t ahead,
-                                           core::TimePoint now) const;
+                                             size_t class_index,
+                                             size_t ahead,
+                                             core::TimePoint now) const;
   std::optional<core::Duration> ExpectedWait(const QueueEntry& entry,
                                              core::TimePoint now) const;
   size_t ClassCapacity(v1::AdmissionClass admission_class) const;
@@ -150,7 +150,8 @@
   void Erase(const QueueEntry& entry);
   void OnStarted(Pool& pool, const QueueEntry& entry, core::TimePoint now);
   std::vector<QueueEntry> Overdue(const Pool& pool, core::TimePoint now) const;
-  std::vector<QueueEntry> PredictedLate(const Pool& pool, core::TimePoint now) const;
+  std::vector<QueueEntry> PredictedLate(const Pool& pool,
+                                        core::TimePoint now) const;
   void PruneIdlePools();
   core::Duration AddJitter(std::optional<core::Duration> wait) const;
 
--- a/src/budget/ceiling_store.cc
+++ b/src/budget/ceiling_store.cc
@@ -6,7 +6,7 @@
 namespace coppervalve::budget {
 
 v1::CeilingAck CeilingStore::OnCeilingRaise(const PeerRef& from,
-                                           const v1::CeilingRaise& raise) {
+                                            const v1::CeilingRaise& raise) {
   v1::CeilingAck ack;
   ack.set_serial(raise.serial());
   PeerEntry& entry = m_peers[from.incarnation];
@@ -22,7 +22,8 @@
   // A raise that arrives out of order must not lower a ceiling that was already
   // acknowledged.
   for (const v1::PeerCeiling& ceiling : raise.ceilings()) {
-    core::Tokens& kept = entry.ceilings[entry.budgets_by_number.at(ceiling.number())];
+    core::Tokens& kept =
+        entry.ceilings[entry.budgets_by_number.at(ceiling.number())];
     kept = std::max(kept, core::Tokens(ceiling.tokens()));
   }
   return ack;
@@ -34,7 +35,8 @@
 bool CeilingStore::LearnNames(const v1::CeilingRaise& raise, PeerEntry& entry) {
   for (const v1::PeerCeiling& ceiling : raise.ceilings()) {
     if (!ceiling.budget().empty()) {
-      entry.budgets_by_number[ceiling.number()] = core::BudgetId(ceiling.budget());
+      entry.budgets_by_number[ceiling.number()] =
+          core::BudgetId(ceiling.budget());
     }
     if (!entry.budgets_by_number.contains(ceiling.number())) {
       return false;
--- a/src/budget/demand.cc
+++ b/src/budget/demand.cc
@@ -22,8 +22,8 @@
 }  // namespace
 
 void Demand::Add(core::TimePoint now, core::Tokens tokens) {
-  m_per_second =
-      PerSecond(now) + static_cast<double>(tokens.value()) / kTimeConstantSeconds;
+  m_per_second = PerSecond(now) +
+                 static_cast<double>(tokens.value()) / kTimeConstantSeconds;
   m_updated = std::max(m_updated, now);
 }
 
--- a/src/budget/holding_manager.cc
+++ b/src/budget/holding_manager.cc
@@ -18,7 +18,9 @@
 
 }  // namespace
 
-HoldingManager::HoldingManager(PeerRef self, SizingPolicy policy, BalanceLookup balance)
+HoldingManager::HoldingManager(PeerRef self,
+                               SizingPolicy policy,
+                               BalanceLookup balance)
     : m_self(self),
       m_policy(std::move(policy)),
       m_balance(std::move(balance)),
@@ -26,7 +28,8 @@
 
 // ---- Accounts --------------------------------------------------------------
 
-HoldingManager::Account& HoldingManager::FindOrCreate(const core::BudgetId& budget) {
+HoldingManager::Account& HoldingManager::FindOrCreate(
+    const core::BudgetId& budget) {
   if (Account* known = Find(budget)) {
     return *known;
   }
@@ -41,7 +44,8 @@
   return found == m_by_id.end() ? nullptr : found->second;
 }
 
-SizingView HoldingManager::MakeSizingView(core::TimePoint now, const Account& account) const {
+SizingView HoldingManager::MakeSizingView(core::TimePoint now,
+                                          const Account& account) const {
   SizingView view;
   view.balance = m_balance(account.id).value_or(BalanceView{});
   view.active_routers = m_active_routers;
@@ -61,7 +65,8 @@
 /// Tokens that can still be committed within both the holding and the ceilings.
 core::Tokens HoldingManager::Headroom(const Account& account) const {
   const core::Tokens received = account.holding.Received();
-  const core::Tokens limit = m_witnesses.EffectiveCeiling(account.id).value_or(received);
+  const core::Tokens limit =
+      m_witnesses.EffectiveCeiling(account.id).value_or(received);
   return std::min(received, limit) - account.holding.Committed();
 }
 
@@ -74,9 +79,9 @@
 // ---- Requests --------------------------------------------------------------
 
 ReserveResult HoldingManager::Reserve(core::TimePoint now,
-                            const core::BudgetId& budget,
-                            core::Tokens upper_bound,
-                            v1::AdmissionClass admission_class) {
+                                      const core::BudgetId& budget,
+                                      core::Tokens upper_bound,
+                                      v1::AdmissionClass admission_class) {
   const core::Tokens bound = std::max(upper_bound, kNoTokens);
   if (m_retired) {
     return Refusal(core::ErrorId::kRetiredInLog, budget, bound);
@@ -104,7 +109,9 @@
   return std::get<core::Error>(why);
 }
 
-Reservation HoldingManager::Commit(Account& account, core::Tokens bound, bool gate) {
+Reservation HoldingManager::Commit(Account& account,
+                                   core::Tokens bound,
+                                   bool gate) {
   Holding& holding = account.holding;
   const core::Tokens gate_part =
       gate ? std::min(bound, holding.gate_only) : kNoTokens;
@@ -118,17 +125,19 @@
 }
 
 void HoldingManager::AddUnmet(Account& account, core::Tokens bound, bool gate) {
-  account.smallest_unmet =
-      account.unmet == kNoTokens ? bound : std::min(account.smallest_unmet, bound);
+  account.smallest_unmet = account.unmet == kNoTokens
+                               ? bound
+                               : std::min(account.smallest_unmet, bound);
   account.unmet += bound;
   account.gate_waits = account.gate_waits || gate;
   m_waiting.insert(account.id);
 }
 
-HoldingManager::WaitOrError HoldingManager::ExplainShortage(core::TimePoint now,
-                               const Account& account,
-                               core::Tokens bound,
-                               bool gate) const {
+HoldingManager::WaitOrError HoldingManager::ExplainShortage(
+    core::TimePoint now,
+    const Account& account,
+    core::Tokens bound,
+    bool gate) const {
   const core::Tokens spare = SpareFor(account, gate);
   if (bound <= spare) {
     return Wait{WaitReason::kCeiling};
@@ -168,7 +177,8 @@
              : Refusal(core::ErrorId::kBudgetExhausted, account.id, bound);
 }
 
-std::optional<HoldingManager::OpenReservation> HoldingManager::RemoveOpenReservation(const Reservation& reservation) {
+std::optional<HoldingManager::OpenReservation>
+HoldingManager::RemoveOpenReservation(const Reservation& reservation) {
   const auto found = m_open_reservations.find(reservation.id);
   if (found == m_open_reservations.end()) {
     return std::nullopt;
@@ -182,10 +192,11 @@
 }
 
 std::optional<Settlement> HoldingManager::Settle(core::TimePoint now,
-                                       const Reservation& reservation,
-                                       core::Tokens spent,
-                                       const Charge& charge) {
-  const std::optional<OpenReservation> open = RemoveOpenReservation(reservation);
+                                                 const Reservation& reservation,
+                                                 core::Tokens spent,
+                                                 const Charge& charge) {
+  const std::optional<OpenReservation> open =
+      RemoveOpenReservation(reservation);
   if (!open) {
     return std::nullopt;
   }
@@ -206,8 +217,10 @@
   return Settlement{charged, used - charged};
 }
 
-bool HoldingManager::Cancel(core::TimePoint now, const Reservation& reservation) {
-  const std::optional<OpenReservation> open = RemoveOpenReservation(reservation);
+bool HoldingManager::Cancel(core::TimePoint now,
+                            const Reservation& reservation) {
+  const std::optional<OpenReservation> open =
+      RemoveOpenReservation(reservation);
   if (!open) {
     return false;
   }
@@ -229,7 +242,8 @@
 /// Requests a higher ceiling when at most half a step is left, so that the
 /// raise is acknowledged before requests need it.
 void HoldingManager::RaiseCeilingIfLow(core::TimePoint now, Account& account) {
-  const std::optional<core::Tokens> requested = m_witnesses.RequestedCeiling(account.id);
+  const std::optional<core::Tokens> requested =
+      m_witnesses.RequestedCeiling(account.id);
   if (m_retired || !requested) {
     return;
   }
@@ -239,8 +253,9 @@
   if (account.unmet <= ahead && ahead > core::Tokens(step.value() / 2)) {
     return;
   }
-  m_witnesses.RequestCeiling(account.id, std::min(view.received,
-                                        view.committed + account.unmet + step));
+  m_witnesses.RequestCeiling(
+      account.id,
+      std::min(view.received, view.committed + account.unmet + step));
 }
 
 void HoldingManager::WakeWaiters(Account& account) {
--- a/src/budget/holding_manager_inputs.cc
+++ b/src/budget/holding_manager_inputs.cc
@@ -15,9 +15,9 @@
 // ---- Ledger -----------------------------------------------------------------
 
 void HoldingManager::OnGranted(core::TimePoint now,
-                     const core::BudgetId& budget,
-                     core::Tokens tokens,
-                     core::Sequence sequence) {
+                               const core::BudgetId& budget,
+                               core::Tokens tokens,
+                               core::Sequence sequence) {
   Account* account = Find(budget);
   // The log can contain the same entry twice, so its effect can be delivered
   // twice. If it were counted twice, this router would spend tokens that it
@@ -39,8 +39,8 @@
 }
 
 void HoldingManager::OnDenied(core::TimePoint now,
-                    const core::BudgetId& budget,
-                    core::Sequence sequence) {
+                              const core::BudgetId& budget,
+                              core::Sequence sequence) {
   Account* account = Find(budget);
   if (account == nullptr || !account->grant_pending ||
       sequence <= account->last_answer_sequence) {
@@ -60,14 +60,15 @@
   WakeWaiters(account);
 }
 
-void HoldingManager::OnSpendApplied(const core::BudgetId& budget, core::Tokens spent) {
+void HoldingManager::OnSpendApplied(const core::BudgetId& budget,
+                                    core::Tokens spent) {
   if (Account* account = Find(budget)) {
     account->spend_reporter.OnReportApplied(spent);
   }
 }
 
 void HoldingManager::OnTransferApplied(core::TimePoint now,
-                            const v1::TransferRecorded& transfer) {
+                                       const v1::TransferRecorded& transfer) {
   if (transfer.from_incarnation() == m_self.incarnation.value()) {
     m_transfers.OnOutgoingApplied(transfer.transfer_id());
   }
@@ -77,8 +78,8 @@
 }
 
 void HoldingManager::Credit(core::TimePoint now,
-                  const v1::TransferRecorded& transfer,
-                  bool applied) {
+                            const v1::TransferRecorded& transfer,
+                            bool applied) {
   const Transfers::Credit credit = m_transfers.OnIncoming(transfer, applied);
   if (credit == Transfers::Credit::kDuplicate) {
     return;
@@ -131,7 +132,8 @@
   return balance && balance->held_by_others > kNoTokens;
 }
 
-void HoldingManager::OnBalanceChanged(core::TimePoint now, const core::BudgetId& budget) {
+void HoldingManager::OnBalanceChanged(core::TimePoint now,
+                                      const core::BudgetId& budget) {
   Account* account = Find(budget);
   if (account == nullptr && WantsStandby(budget)) {
     account = &FindOrCreate(budget);
@@ -163,7 +165,7 @@
 // ---- Peers -----------------------------------------------------------------
 
 void HoldingManager::ChooseWitness(core::TimePoint now,
-                         const std::optional<PeerRef>& peer) {
+                                   const std::optional<PeerRef>& peer) {
   // A router is never its own witness, because both would fail together.
   if (m_retired || peer == m_self || !m_witnesses.StartChange(peer)) {
     return;
@@ -173,14 +175,14 @@
     const bool idle = now - account.demand.LastRequestAt() > kIdleTimeout;
     const core::Tokens step =
         idle ? kNoTokens : m_policy.ceiling_step(MakeSizingView(now, account));
-    m_witnesses.RequestCeiling(account.id,
-                     std::min(holding.Received(), holding.Committed() + step));
+    m_witnesses.RequestCeiling(
+        account.id, std::min(holding.Received(), holding.Committed() + step));
   }
 }
 
 void HoldingManager::OnCeilingAck(core::TimePoint now,
-                        const PeerRef& from,
-                        const v1::CeilingAck& ack) {
+                                  const PeerRef& from,
+                                  const v1::CeilingAck& ack) {
   for (const core::BudgetId& budget : m_witnesses.OnAck(from, ack)) {
     Account& account = *Find(budget);
     RaiseCeilingIfLow(now, account);
@@ -188,7 +190,8 @@
   }
 }
 
-core::Tokens HoldingManager::Transferable(core::TimePoint now, const Account& account) const {
+core::Tokens HoldingManager::Transferable(core::TimePoint now,
+                                          const Account& account) const {
   // Tokens whose arrival is not applied by the ledger stay here. If passed on,
   // they could leave this holding in the log before they enter it.
   const core::Tokens spare =
@@ -205,8 +208,8 @@
 }
 
 void HoldingManager::OnTransferAsk(core::TimePoint now,
-                         const PeerRef& from,
-                         const v1::TransferAsk& ask) {
+                                   const PeerRef& from,
+                                   const v1::TransferAsk& ask) {
   Account* account = Find(core::BudgetId(ask.budget()));
   if (account == nullptr) {
     return;
@@ -215,7 +218,8 @@
       std::min(core::Tokens(ask.tokens()), TransferableTo(now, *account, from));
   const core::Tokens tokens = std::min(wanted, Headroom(*account));
   if (tokens < wanted) {
-    m_witnesses.RequestCeiling(account->id, account->holding.Committed() + wanted);
+    m_witnesses.RequestCeiling(account->id,
+                               account->holding.Committed() + wanted);
   }
   if (tokens <= kNoTokens) {
     return;
@@ -232,8 +236,8 @@
 }
 
 core::Tokens HoldingManager::TransferableTo(core::TimePoint now,
-                              const Account& account,
-                              const PeerRef& peer) const {
+                                            const Account& account,
+                                            const PeerRef& peer) const {
   // If two routers each hold too little for any request, both would refuse. The
   // router with the smaller id gets the tokens, so that they do not move back
   // and forth.
@@ -261,13 +265,14 @@
   return ack;
 }
 
-void HoldingManager::OnTransferAck(const PeerRef& from, const v1::TransferAck& ack) {
+void HoldingManager::OnTransferAck(const PeerRef& from,
+                                   const v1::TransferAck& ack) {
   m_transfers.OnAck(from, ack.transfer_id());
 }
 
 void HoldingManager::OnPeerSpares(core::TimePoint now,
-                        const PeerRef& peer,
-                        const std::vector<v1::Spare>& spares) {
+                                  const PeerRef& peer,
+                                  const std::vector<v1::Spare>& spares) {
   m_peer_spares.OnHeartbeat(now, peer, spares);
 }
 
--- a/src/budget/holding_manager_outputs.cc
+++ b/src/budget/holding_manager_outputs.cc
@@ -48,7 +48,8 @@
   bool covers = true;
   for (const Account& account : m_accounts) {
     const core::Tokens committed = account.holding.Committed();
-    if (committed <= candidate.AcknowledgedCeiling(account.id).value_or(committed)) {
+    if (committed <=
+        candidate.AcknowledgedCeiling(account.id).value_or(committed)) {
       continue;
     }
     m_witnesses.RequestCeiling(account.id, committed);
@@ -58,7 +59,7 @@
 }
 
 void HoldingManager::TakeAllotmentRequests(core::TimePoint now,
-                                 std::vector<v1::Record>& out) {
+                                           std::vector<v1::Record>& out) {
   while (!m_sizing_queue.empty() && out.size() < kMaxRecordsPerTake) {
     Account& account = *m_sizing_queue.front();
     m_sizing_queue.pop_front();
@@ -68,7 +69,8 @@
       continue;
     }
     const bool can_wait = account.unmet == kNoTokens || account.denied;
-    if (account.grant_pending || (can_wait && now < account.next_grant_request_at)) {
+    if (account.grant_pending ||
+        (can_wait && now < account.next_grant_request_at)) {
       continue;
     }
     GrantRequest ask = m_policy.grant(MakeSizingView(now, account));
@@ -89,13 +91,15 @@
   }
 }
 
-void HoldingManager::TakeSpendReports(core::TimePoint now, std::vector<v1::Record>& out) {
+void HoldingManager::TakeSpendReports(core::TimePoint now,
+                                      std::vector<v1::Record>& out) {
   if (now < m_spend_report_due && !m_draining) {
     return;
   }
   while (!m_spend_queue.empty() && out.size() < kMaxRecordsPerTake) {
     Account& account = *m_spend_queue.front();
-    auto report = account.spend_reporter.NextReport(account.id, account.holding.spent);
+    auto report =
+        account.spend_reporter.NextReport(account.id, account.holding.spent);
     if (report) {
       *out.emplace_back().mutable_spend_reported() = std::move(*report);
       continue;
@@ -121,8 +125,8 @@
   // Tokens of pending transfers are withheld from the balance, and permanently
   // so if the transfers are recorded before the final report. A short wait
   // avoids this.
-  const bool waits =
-      m_transfers.HasPendingOutgoing() && now - m_retired_at < kFinalReportDelay;
+  const bool waits = m_transfers.HasPendingOutgoing() &&
+                     now - m_retired_at < kFinalReportDelay;
   if (m_finalized || !m_open_reservations.empty() || waits) {
     return out;
   }
@@ -132,22 +136,26 @@
   last->set_incarnation(m_self.incarnation.value());
   for (const Account& account : m_accounts) {
     v1::FinalSpend& budget = *last->add_budgets();
-    budget = account.spend_reporter.FinalReport(account.id, account.holding.spent);
-    budget.set_transfers_pending(m_transfers.PendingOutgoing(account.id).value());
+    budget =
+        account.spend_reporter.FinalReport(account.id, account.holding.spent);
+    budget.set_transfers_pending(
+        m_transfers.PendingOutgoing(account.id).value());
   }
   return out;
 }
 
 // ---- Peers -----------------------------------------------------------------
 
-std::vector<CeilingRaiseTo> HoldingManager::TakeCeilingRaises(core::TimePoint now) {
+std::vector<CeilingRaiseTo> HoldingManager::TakeCeilingRaises(
+    core::TimePoint now) {
   if (m_retired) {
     return {};
   }
   return m_witnesses.TakeRaises(now);
 }
 
-std::vector<TransferAskTo> HoldingManager::TakeTransferAsks(core::TimePoint now) {
+std::vector<TransferAskTo> HoldingManager::TakeTransferAsks(
+    core::TimePoint now) {
   std::vector<TransferAskTo> asks;
   if (m_retired || m_draining || !m_policy.redistributes) {
     return asks;
@@ -158,8 +166,9 @@
       continue;
     }
     const SizingView view = MakeSizingView(now, account);
-    const bool log_helps = !m_log_unavailable && (account.grant_pending ||
-                                          m_policy.grant(view).tokens > kNoTokens);
+    const bool log_helps =
+        !m_log_unavailable &&
+        (account.grant_pending || m_policy.grant(view).tokens > kNoTokens);
     const auto offer = m_peer_spares.BestOffer(now, budget);
     const bool only_ceiling_binds = view.smallest_unmet <= view.Spare();
     if (only_ceiling_binds || log_helps || !offer) {
@@ -182,14 +191,16 @@
   return asks;
 }
 
-std::vector<TransferSendTo> HoldingManager::TakeTransferSends(core::TimePoint now) {
+std::vector<TransferSendTo> HoldingManager::TakeTransferSends(
+    core::TimePoint now) {
   return m_transfers.TakeSends(now);
 }
 
 std::vector<v1::Spare> HoldingManager::TakeSpares(core::TimePoint now) {
   std::vector<v1::Spare> spares;
   const size_t examined = std::min(m_accounts.size(), kMaxSparesExamined);
-  for (size_t i = 0; i < examined && spares.size() < kMaxSparesAdvertised; ++i) {
+  for (size_t i = 0; i < examined && spares.size() < kMaxSparesAdvertised;
+       ++i) {
     m_spares_cursor = (m_spares_cursor + 1) % m_accounts.size();
     const Account& account = m_accounts[m_spares_cursor];
     const core::Tokens tokens = Transferable(now, account);
--- a/src/budget/peer_spares.cc
+++ b/src/budget/peer_spares.cc
@@ -25,7 +25,8 @@
   }
   std::optional<Offer> best;
   for (const auto& [peer, advertised] : found->second) {
-    if (now - advertised.at > kSpareLifetime || advertised.tokens <= core::Tokens(0)) {
+    if (now - advertised.at > kSpareLifetime ||
+        advertised.tokens <= core::Tokens(0)) {
       continue;
     }
     if (!best || advertised.tokens > best->tokens) {
@@ -36,7 +37,7 @@
 }
 
 core::Tokens PeerSpares::TotalOffered(core::TimePoint now,
-                             const core::BudgetId& budget) const {
+                                      const core::BudgetId& budget) const {
   core::Tokens sum{0};
   const auto found = m_offers.find(budget);
   if (found == m_offers.end()) {
@@ -51,8 +52,8 @@
 }
 
 void PeerSpares::Deduct(const core::BudgetId& budget,
-                     const PeerRef& peer,
-                     core::Tokens tokens) {
+                        const PeerRef& peer,
+                        core::Tokens tokens) {
   core::Tokens& offer = m_offers[budget][peer].tokens;
   offer = std::max(offer - tokens, core::Tokens(0));
 }
--- a/src/budget/sizing.cc
+++ b/src/budget/sizing.cc
@@ -51,10 +51,12 @@
 /// remainder is for routers that join and for demand that shifts between
 /// routers.
 Tokens ShareOfRemaining(const SizingOptions& options, const SizingView& view) {
-  const Tokens remaining = UnrestrictedBalance(view) + view.balance.held_by_others +
-                      AtLeastZero(view.Spare());
+  const Tokens remaining = UnrestrictedBalance(view) +
+                           view.balance.held_by_others +
+                           AtLeastZero(view.Spare());
   const int64_t routers = std::max<int64_t>(view.active_routers, 1);
-  return Tokens(remaining.value() / kPermille * options.held_permille / routers);
+  return Tokens(remaining.value() / kPermille * options.held_permille /
+                routers);
 }
 
 Tokens FairShare(const SizingOptions& options,
@@ -79,8 +81,9 @@
 /// by then, only the tokens held here can be used, and without them paid work
 /// would be refused.
 Tokens MinimumHolding(const SizingOptions& options, const SizingView& view) {
-  const Tokens remaining = UnrestrictedBalance(view) + view.balance.held_by_others +
-                      AtLeastZero(view.Spare());
+  const Tokens remaining = UnrestrictedBalance(view) +
+                           view.balance.held_by_others +
+                           AtLeastZero(view.Spare());
   return Tokens(remaining.value() / kPermille * options.floor_permille);
 }
 
@@ -98,12 +101,13 @@
   const Tokens wanted =
       low ? ExpectedSpend(view, options.low_seconds)
           : std::max({ExpectedSpend(view, options.ride_through_seconds),
-                      LargestRequests(view, options.bounds_ahead), StandbyHolding(view),
-                      MinimumHolding(options, view)});
+                      LargestRequests(view, options.bounds_ahead),
+                      StandbyHolding(view), MinimumHolding(options, view)});
   return std::min(wanted, cap);
 }
 
-GrantRequest DefaultGrant(const SizingOptions& options, const SizingView& view) {
+GrantRequest DefaultGrant(const SizingOptions& options,
+                          const SizingView& view) {
   const Tokens spare = AtLeastZero(view.Spare());
   const Tokens missing = view.smallest_unmet > kNoTokens
                              ? AtLeastZero(view.smallest_unmet - spare)
@@ -142,8 +146,9 @@
   // request after a pause needs neither the log nor a peer. This costs little,
   // because tokens above the ceiling are returned after a crash.
   return std::max({ExpectedSpend(view, options.ride_through_seconds),
-                   LargestRequests(view, options.bounds_ahead), StandbyHolding(view),
-                   MinimumHolding(options, view), view.unmet});
+                   LargestRequests(view, options.bounds_ahead),
+                   StandbyHolding(view), MinimumHolding(options, view),
+                   view.unmet});
 }
 
 Tokens DefaultCeilingStep(const SizingOptions& options,
@@ -153,8 +158,9 @@
   // peer and a crash strands the step. While the log is unavailable, a witness
   // that dies cannot be replaced and only tokens below the acknowledged ceiling
   // remain usable, so the step is larger.
-  const double seconds =
-      view.log_unavailable ? options.ceiling_log_outage_seconds : options.ceiling_seconds;
+  const double seconds = view.log_unavailable
+                             ? options.ceiling_log_outage_seconds
+                             : options.ceiling_seconds;
   const Tokens ahead = ExpectedSpend(view, seconds);
   const Tokens floor =
       view.log_unavailable
--- a/src/budget/spend_reporter.cc
+++ b/src/budget/spend_reporter.cc
@@ -58,7 +58,7 @@
 }
 
 v1::FinalSpend SpendReporter::FinalReport(const core::BudgetId& budget,
-                                 core::Tokens spent) const {
+                                          core::Tokens spent) const {
   v1::FinalSpend final_spend;
   final_spend.set_budget(budget.value());
   final_spend.set_spent(spent.value());
--- a/src/budget/transfers.cc
+++ b/src/budget/transfers.cc
@@ -58,14 +58,15 @@
   // The receiver's ledger credits the transfer now, so the message is no longer
   // needed.
   const v1::TransferSend& send = found->second.message.send;
-  m_pending_outgoing[core::BudgetId(send.budget())] -= core::Tokens(send.tokens());
+  m_pending_outgoing[core::BudgetId(send.budget())] -=
+      core::Tokens(send.tokens());
   m_outgoing.erase(found);
 }
 
 Transfers::Credit Transfers::OnIncoming(const v1::TransferRecorded& transfer,
-                                  bool applied) {
+                                        bool applied) {
   const IncomingKey key{core::Incarnation(transfer.from_incarnation()),
-                  transfer.transfer_id()};
+                        transfer.transfer_id()};
   // The sender repeats a message until it is acknowledged, and the log delivers
   // the same transfer once more. Crediting it twice would create tokens that no
   // record paid in, so the id is kept for the lifetime of this incarnation.
--- a/src/budget/witness_ceilings.cc
+++ b/src/budget/witness_ceilings.cc
@@ -8,7 +8,8 @@
 WitnessCeilings::WitnessCeilings(std::optional<PeerRef> peer)
     : m_peer(std::move(peer)) {}
 
-void WitnessCeilings::RequestCeiling(const core::BudgetId& budget, core::Tokens ceiling) {
+void WitnessCeilings::RequestCeiling(const core::BudgetId& budget,
+                                     core::Tokens ceiling) {
   if (!m_peer) {
     return;
   }
@@ -38,11 +39,13 @@
     return std::nullopt;
   }
   const auto found = m_ceilings.find(budget);
-  return found == m_ceilings.end() ? core::Tokens(0) : found->second.acknowledged;
+  return found == m_ceilings.end() ? core::Tokens(0)
+                                   : found->second.acknowledged;
 }
 
-std::optional<v1::CeilingRaise> WitnessCeilings::TakeRaise(core::TimePoint now,
-                                                       uint64_t& last_serial) {
+std::optional<v1::CeilingRaise> WitnessCeilings::TakeRaise(
+    core::TimePoint now,
+    uint64_t& last_serial) {
   if (!m_peer || m_refused) {
     return std::nullopt;
   }
@@ -83,7 +86,7 @@
 // acknowledged it. A raise that carried a name may be lost, so the name is
 // repeated until then.
 void WitnessCeilings::Write(const core::BudgetId& budget,
-                        v1::PeerCeiling& ceiling) {
+                            v1::PeerCeiling& ceiling) {
   Ceiling& entry = m_ceilings[budget];
   entry.queued = false;
   if (entry.number == 0) {
@@ -117,7 +120,8 @@
     const core::BudgetId& budget = m_budget_by_number[ceiling.number() - 1];
     Ceiling& entry = m_ceilings[budget];
     entry.name_acknowledged = true;
-    entry.acknowledged = std::max(entry.acknowledged, core::Tokens(ceiling.tokens()));
+    entry.acknowledged =
+        std::max(entry.acknowledged, core::Tokens(ceiling.tokens()));
     raised.push_back(budget);
   }
   return raised;
--- a/src/budget/witness_set.cc
+++ b/src/budget/witness_set.cc
@@ -34,7 +34,8 @@
   return true;
 }
 
-void WitnessSet::RequestCeiling(const core::BudgetId& budget, core::Tokens ceiling) {
+void WitnessSet::RequestCeiling(const core::BudgetId& budget,
+                                core::Tokens ceiling) {
   for (WitnessCeilings& witness : m_binding) {
     witness.RequestCeiling(budget, ceiling);
   }
@@ -58,7 +59,8 @@
   for (const WitnessCeilings& witness : m_binding) {
     requested = Smaller(requested, witness.RequestedCeiling(budget));
   }
-  return m_candidate ? Smaller(requested, m_candidate->RequestedCeiling(budget)) : requested;
+  return m_candidate ? Smaller(requested, m_candidate->RequestedCeiling(budget))
+                     : requested;
 }
 
 const WitnessCeilings* WitnessSet::ReadyCandidate() const {
--- a/src/entry/active_set.cc
+++ b/src/entry/active_set.cc
@@ -35,9 +35,9 @@
       continue;
     }
     const bool fewer = next == nullptr || domain.selected < next->selected;
-    const bool better =
-        next != nullptr && domain.selected == next->selected &&
-        RanksHigher(domain.ranked[domain.selected], next->ranked[next->selected]);
+    const bool better = next != nullptr && domain.selected == next->selected &&
+                        RanksHigher(domain.ranked[domain.selected],
+                                    next->ranked[next->selected]);
     if (fewer || better) {
       next = &domain;
     }
@@ -52,7 +52,7 @@
 // shares too small for a large request, and callers that keep one address might
 // stay on a VM that is too weak for them.
 std::vector<Candidate> SelectActive(std::vector<Candidate> candidates,
-                                     const ActiveSetRequirements& requirements) {
+                                    const ActiveSetRequirements& requirements) {
   std::map<core::FailureDomainId, Domain> domains;
   for (Candidate& candidate : candidates) {
     domains[candidate.failure_domain].ranked.push_back(std::move(candidate));
@@ -62,7 +62,8 @@
   }
   std::vector<Candidate> selected;
   double capacity = 0;
-  while (selected.size() < requirements.min_routers || capacity < requirements.requests_per_second) {
+  while (selected.size() < requirements.min_routers ||
+         capacity < requirements.requests_per_second) {
     Domain* domain = NextDomain(domains);
     if (domain == nullptr) {
       break;
@@ -74,10 +75,12 @@
   return selected;
 }
 
-std::vector<core::RouterId> SelectActiveNames(std::vector<Candidate> candidates,
-                                         const ActiveSetRequirements& requirements) {
+std::vector<core::RouterId> SelectActiveNames(
+    std::vector<Candidate> candidates,
+    const ActiveSetRequirements& requirements) {
   std::vector<core::RouterId> names;
-  for (Candidate& selected : SelectActive(std::move(candidates), requirements)) {
+  for (Candidate& selected :
+       SelectActive(std::move(candidates), requirements)) {
     names.push_back(std::move(selected.router));
   }
   return names;
--- a/src/entry/admission.cc
+++ b/src/entry/admission.cc
@@ -27,15 +27,18 @@
   }
   Admitted admitted;
   admitted.configuration_index = view.configuration_index;
-  admitted.route = view.configuration_index->FindRoute(facts.host, facts.target);
+  admitted.route =
+      view.configuration_index->FindRoute(facts.host, facts.target);
   if (admitted.route == nullptr) {
-    return NotFoundOrStale(core::ErrorId::kNotFound, "no rule matches", view.fresh);
+    return NotFoundOrStale(core::ErrorId::kNotFound, "no rule matches",
+                           view.fresh);
   }
   const Route& route = *admitted.route;
   if (!route.is_public && view.configuration_index->has_accounts()) {
     admitted.account = view.configuration_index->FindAccount(facts.key);
     if (admitted.account == nullptr) {
-      return NotFoundOrStale(core::ErrorId::kUnauthorized, "unknown key", view.fresh);
+      return NotFoundOrStale(core::ErrorId::kUnauthorized, "unknown key",
+                             view.fresh);
     }
     if (view.keys_expired) {
       return core::Error{core::ErrorId::kConfigurationStale, "request",
--- a/src/entry/advertised_limit.cc
+++ b/src/entry/advertised_limit.cc
@@ -36,8 +36,8 @@
 // A late response to an earlier request may lack the limit; it says nothing
 // about the current one.
 bool AdvertisedLimit::OnAnswer(std::optional<double> per_second,
-                           core::TimePoint asked,
-                           core::TimePoint now) {
+                               core::TimePoint asked,
+                               core::TimePoint now) {
   if (!per_second && (!m_per_second || asked <= m_received_at)) {
     return false;
   }
@@ -48,7 +48,7 @@
 }
 
 bool AdvertisedLimit::OnPeerReport(std::optional<double> per_second,
-                             core::TimePoint received_at) {
+                                   core::TimePoint received_at) {
   if (received_at <= m_received_at) {
     return false;
   }
@@ -69,17 +69,19 @@
 // request per second, even one saved request at each router would exceed the
 // limit.
 core::TimePoint AdvertisedLimit::NextSend(const SenderPosition& position,
-                                      const LimitOptions& options) const {
+                                          const LimitOptions& options) const {
   if (!m_per_second || !options.enforce) {
     return m_last_send;
   }
-  const LimitShare share = DivideLimit(*m_per_second, position.routers, options);
+  const LimitShare share =
+      DivideLimit(*m_per_second, position.routers, options);
   // There may be no recent response because no sender has callers or the
   // senders are unreachable. Probing in turn keeps routers from probing at
   // once.
-  core::TimePoint next = std::max(
-      m_last_send + options.probe_interval * position.routers,
-      m_received_at + options.fresh_for + options.probe_interval * (position.rank + 1));
+  core::TimePoint next =
+      std::max(m_last_send + options.probe_interval * position.routers,
+               m_received_at + options.fresh_for +
+                   options.probe_interval * (position.rank + 1));
   const bool sender = position.may_send && position.rank < share.senders;
   if (sender && share.per_second > kMinPerSecond) {
     next = std::min(next, m_last_send + IntervalOf(share.per_second));
--- a/src/entry/allocation_ledger.cc
+++ b/src/entry/allocation_ledger.cc
@@ -35,7 +35,8 @@
 
 // Tokens that no router has claimed. Negative while claims race.
 core::Tokens AllocationLedger::Free(const AccountState& state) {
-  return *state.total - state.others_claimed - state.retired - state.written_ceiling;
+  return *state.total - state.others_claimed - state.retired -
+         state.written_ceiling;
 }
 
 // Tokens that no live router can grant any more. Tokens lost with a previous
@@ -50,8 +51,8 @@
 // Tokens that are neither spent nor lost with a previous incarnation:
 // unclaimed, or claimed by a live router.
 core::Tokens AllocationLedger::Spendable(const AccountState& state) {
-  return ClampToZero(ClampToZero(Free(state)) + state.written_ceiling - InUse(state) +
-                     state.others_unspent);
+  return ClampToZero(ClampToZero(Free(state)) + state.written_ceiling -
+                     InUse(state) + state.others_unspent);
 }
 
 void AllocationLedger::OnConfiguration(const Configuration& configuration) {
@@ -67,14 +68,16 @@
   }
 }
 
-void AllocationLedger::OnPredecessor(const v1::RouterBeat& beat, bool reserve_untouched) {
+void AllocationLedger::OnPredecessor(const v1::RouterBeat& beat,
+                                     bool reserve_untouched) {
   m_history.Restore({beat.losses(), beat.outages()});
   for (const v1::AccountClaim& claim : beat.claims()) {
     AccountState& state = m_accounts[core::AccountId(claim.account())];
     const int64_t untouched = reserve_untouched ? claim.reserve() : 0;
     state.retired = core::Tokens(claim.retired() + claim.ceiling() - untouched);
     state.retired_spent = core::Tokens(claim.retired_spent() + claim.spent());
-    state.lost_at_restart = core::Tokens(claim.ceiling() - untouched - claim.spent());
+    state.lost_at_restart =
+        core::Tokens(claim.ceiling() - untouched - claim.spent());
   }
 }
 
@@ -82,8 +85,8 @@
 // only in part, its router's next record corrects it. Until then the tokens
 // left are underestimated, never overestimated.
 void AllocationLedger::OnPeerHeartbeat(const core::RouterId& router,
-                                const v1::RouterBeat& beat,
-                                core::TimePoint now) {
+                                       const v1::RouterBeat& beat,
+                                       core::TimePoint now) {
   m_peer_histories[router] = {beat.losses(), beat.outages()};
   for (const v1::AccountClaim& claim : beat.claims()) {
     AccountState& state = m_accounts[core::AccountId(claim.account())];
@@ -145,9 +148,9 @@
 }
 
 void AllocationLedger::OnDemand(const core::AccountId& account,
-                             core::Tokens tokens,
-                             core::TimePoint now,
-                             uint8_t rank) {
+                                core::Tokens tokens,
+                                core::TimePoint now,
+                                uint8_t rank) {
   AccountState& state = m_accounts[account];
   if (!m_first_demand) {
     m_first_demand = now;
@@ -158,9 +161,9 @@
 }
 
 ReserveResult AllocationLedger::Reserve(const core::AccountId& account,
-                                   core::Tokens tokens,
-                                   core::TimePoint now,
-                                   uint8_t rank) {
+                                        core::Tokens tokens,
+                                        core::TimePoint now,
+                                        uint8_t rank) {
   AccountState& state = m_accounts[account];
   if (!state.total) {
     return ReserveResult::kUnlimited;
@@ -181,9 +184,9 @@
 }
 
 void AllocationLedger::Settle(const core::AccountId& account,
-                           core::Tokens reserved,
-                           core::Tokens used,
-                           core::TimePoint now) {
+                              core::Tokens reserved,
+                              core::Tokens used,
+                              core::TimePoint now) {
   AccountState& state = m_accounts[account];
   state.reserved -= reserved;
   state.spent += used;
@@ -191,7 +194,7 @@
 }
 
 bool AllocationLedger::MayBecomeSpendable(const core::AccountId& account,
-                                 core::Tokens tokens) const {
+                                          core::Tokens tokens) const {
   const auto found = m_accounts.find(account);
   if (found == m_accounts.end() || !found->second.total) {
     return true;
@@ -227,8 +230,8 @@
 }
 
 double AllocationLedger::EstimateShare(const AccountState& state,
-                              core::Tokens own_use,
-                              core::Tokens others_use) const {
+                                       core::Tokens own_use,
+                                       core::Tokens others_use) const {
   const auto own = static_cast<double>(own_use.value());
   const auto all = own + static_cast<double>(others_use.value());
   const double prior =
@@ -247,28 +250,32 @@
 
 // Tokens that callers of this router are expected to request within a time.
 double AllocationLedger::ExpectedDemand(const AccountState& state,
-                                 double seconds,
-                                 core::TimePoint now) const {
+                                        double seconds,
+                                        core::TimePoint now) const {
   return std::max(state.fleet_demand.PerSecond(now) * OwnShare(state) * seconds,
                   state.own_demand.PerSecond(now) * kOwnDemandWeight * seconds);
 }
 
 // The target difference between the ceiling and the tokens in use.
-core::Tokens AllocationLedger::TargetHeadroom(const AccountState& state, core::TimePoint now) const {
+core::Tokens AllocationLedger::TargetHeadroom(const AccountState& state,
+                                              core::TimePoint now) const {
   const double share = OwnShare(state);
   const core::Tokens spendable = Spendable(state);
   const core::Duration ahead =
       m_context.leaving ? m_options.ahead_when_leaving : m_options.ahead;
-  const double seconds = std::chrono::duration<double>(ahead).count() * m_hold_factor;
+  const double seconds =
+      std::chrono::duration<double>(ahead).count() * m_hold_factor;
   const double expected = ExpectedDemand(state, seconds, now);
   const auto largest = static_cast<double>(state.largest.value());
   const double spread = m_options.spread * std::sqrt(expected * largest);
   core::Tokens target(static_cast<int64_t>(expected + spread));
   if (IsLearning(now) && !m_context.leaving) {
-    target =
-        std::max(target, Times(spendable, m_hold_factor * m_options.first_share * share));
+    target = std::max(
+        target,
+        Times(spendable, m_hold_factor * m_options.first_share * share));
   }
-  target = std::min(target, Times(spendable, m_hold_factor * m_options.most_held * share));
+  target = std::min(
+      target, Times(spendable, m_hold_factor * m_options.most_held * share));
   return std::min(std::max(target, state.requested), spendable);
 }
 
@@ -284,7 +291,8 @@
 // proportional to the remainder never uses it up at once: every kind of request
 // still gets a share, and an operator has time to top up the account. A
 // remainder that lasts long enough needs no rationing.
-bool AllocationLedger::NeedsRationing(const AccountState& state, core::TimePoint now) const {
+bool AllocationLedger::NeedsRationing(const AccountState& state,
+                                      core::TimePoint now) const {
   const core::Tokens rest = Spendable(state);
   const double seconds =
       std::chrono::duration<double>(m_options.scarce_below).count();
@@ -294,7 +302,8 @@
          Times(rest, OwnShareOverRestarts(state)) < needed;
 }
 
-void AllocationLedger::AccrueRation(AccountState& state, core::Duration passed) const {
+void AllocationLedger::AccrueRation(AccountState& state,
+                                    core::Duration passed) const {
   const double part = std::chrono::duration<double>(passed) /
                       std::chrono::duration<double>(m_options.spread_rest);
   const double share = OwnShareOverRestarts(state);
@@ -313,7 +322,7 @@
 }
 
 core::Tokens AllocationLedger::NextCeiling(const AccountState& state,
-                                        core::TimePoint now) const {
+                                           core::TimePoint now) const {
   const core::Tokens in_use = InUse(state);
   if (IsIdleStandby(state)) {
     return in_use;
@@ -335,12 +344,13 @@
   if (state.rationed) {
     fair = std::min(fair, state.ration);
   }
-  return std::max(state.ceiling, std::min(in_use + target, state.ceiling + fair));
+  return std::max(state.ceiling,
+                  std::min(in_use + target, state.ceiling + fair));
 }
 
 void AllocationLedger::WriteClaims(v1::RouterBeat& beat,
-                                const ClaimContext& context,
-                                core::TimePoint now) {
+                                   const ClaimContext& context,
+                                   core::TimePoint now) {
   m_context = context;
   UpdateHistory(beat);
   const core::Duration passed =
@@ -357,7 +367,8 @@
     } else if (state.total) {
       next = NextCeiling(state, now);
     }
-    state.ration = ClampToZero(state.ration - ClampToZero(next - state.ceiling));
+    state.ration =
+        ClampToZero(state.ration - ClampToZero(next - state.ceiling));
     state.written_ceiling = next;
     state.ceiling = std::min(state.ceiling, next);
     const bool claims_nothing =
--- a/src/entry/allocation_reserve.cc
+++ b/src/entry/allocation_reserve.cc
@@ -11,7 +11,8 @@
 // previous one may be the last in the log, and a successor would rely on it. So
 // the lowest limit of all claims that may be the last applies, each until its
 // own time.
-core::Tokens AllocationLedger::CurrentSpendLimit(const AccountState& state, core::TimePoint now) {
+core::Tokens AllocationLedger::CurrentSpendLimit(const AccountState& state,
+                                                 core::TimePoint now) {
   core::Tokens limit = state.ceiling;
   for (const SpendLimit& spend_limit : state.spend_limits) {
     if (now < spend_limit.not_before) {
@@ -29,7 +30,8 @@
   m_last_acknowledged = now;
   for (auto& [account, state] : m_accounts) {
     // The newest acknowledged claim stays: it applies until its time.
-    while (state.spend_limits.size() > 1 && state.spend_limits[1].sequence <= sequence) {
+    while (state.spend_limits.size() > 1 &&
+           state.spend_limits[1].sequence <= sequence) {
       state.spend_limits.pop_front();
     }
   }
@@ -56,8 +58,8 @@
 // The limit until the next claims are acknowledged or, if none are, until the
 // reserve may be spent.
 core::Tokens AllocationLedger::NextSpendLimit(const AccountState& state,
-                                      core::Tokens next,
-                                      core::TimePoint now) const {
+                                              core::Tokens next,
+                                              core::TimePoint now) const {
   const double seconds =
       std::chrono::duration<double>(m_options.held_back).count();
   const double expected = ExpectedDemand(state, seconds, now);
@@ -74,10 +76,10 @@
 }
 
 void AllocationLedger::WriteReserve(AccountState& state,
-                                 core::Tokens next,
-                                 const v1::RouterBeat& beat,
-                                 v1::AccountClaim& claim,
-                                 core::TimePoint now) const {
+                                    core::Tokens next,
+                                    const v1::RouterBeat& beat,
+                                    v1::AccountClaim& claim,
+                                    core::TimePoint now) const {
   core::Tokens spend_limit = next;
   if (beat.not_before() != 0) {
     spend_limit = NextSpendLimit(state, next, now);
--- a/src/entry/allocation_transfers.cc
+++ b/src/entry/allocation_transfers.cc
@@ -21,9 +21,9 @@
 }  // namespace
 
 core::Tokens AllocationLedger::TransferOut(const core::AccountId& account,
-                                 core::Tokens least,
-                                 core::Tokens wanted,
-                                 core::TimePoint now) {
+                                           core::Tokens least,
+                                           core::Tokens wanted,
+                                           core::TimePoint now) {
   const auto found = m_accounts.find(account);
   if (found == m_accounts.end() || !found->second.total) {
     return core::Tokens(0);
@@ -35,22 +35,24 @@
   if (least <= core::Tokens(0) || free - own_reserve < least) {
     return core::Tokens(0);
   }
-  const core::Tokens given = std::min(std::max(wanted, least), free - own_reserve);
+  const core::Tokens given =
+      std::min(std::max(wanted, least), free - own_reserve);
   state.spent += given;
   return given;
 }
 
-void AllocationLedger::RequestTokens(const core::AccountId& account, core::Tokens tokens) {
+void AllocationLedger::RequestTokens(const core::AccountId& account,
+                                     core::Tokens tokens) {
   m_accounts[account].requested += tokens;
 }
 
 void AllocationLedger::OnTransfer(const core::AccountId& account,
-                           core::Tokens tokens) {
+                                  core::Tokens tokens) {
   m_accounts[account].transferred_in += tokens;
 }
 
 bool AllocationLedger::ReserveTransferred(const core::AccountId& account,
-                                 core::Tokens tokens) {
+                                          core::Tokens tokens) {
   AccountState& state = m_accounts[account];
   if (state.transferred_in < tokens) {
     return false;
@@ -60,8 +62,8 @@
 }
 
 void AllocationLedger::SettleTransferred(const core::AccountId& account,
-                                core::Tokens reserved,
-                                core::Tokens used) {
+                                         core::Tokens reserved,
+                                         core::Tokens used) {
   m_accounts[account].transferred_in += reserved - used;
 }
 
@@ -88,9 +90,10 @@
   return donors;
 }
 
-core::Tokens AllocationLedger::TransferRequestFor(const core::AccountId& account,
-                                      core::Tokens tokens,
-                                      core::TimePoint now) const {
+core::Tokens AllocationLedger::TransferRequestFor(
+    const core::AccountId& account,
+    core::Tokens tokens,
+    core::TimePoint now) const {
   const auto found = m_accounts.find(account);
   if (found == m_accounts.end()) {
     return tokens;
--- a/src/entry/allocation_urgency.cc
+++ b/src/entry/allocation_urgency.cc
@@ -21,7 +21,7 @@
 // Tokens that this router can still spend on an account: its unused ceiling
 // and, while claims are acknowledged, its share of the unclaimed tokens.
 core::Tokens AllocationLedger::OwnRemainder(const AccountState& state,
-                                    core::TimePoint now) const {
+                                            core::TimePoint now) const {
   core::Tokens rest = state.ceiling - InUse(state);
   if (ClaimsAreAcknowledged(now)) {
     const auto free =
@@ -39,9 +39,9 @@
 // This does not apply during a partition: more tokens can be claimed when it
 // ends, so the kept ones would remain unused.
 bool AllocationLedger::LeavesEnoughForUrgent(const AccountState& state,
-                                 core::Tokens tokens,
-                                 uint8_t rank,
-                                 core::TimePoint now) const {
+                                             core::Tokens tokens,
+                                             uint8_t rank,
+                                             core::TimePoint now) const {
   if (!state.rationed) {
     return true;
   }
--- a/src/entry/configuration_index.cc
+++ b/src/entry/configuration_index.cc
@@ -32,7 +32,7 @@
 }
 
 void ConfigurationIndex::NoteObjective(const core::ServiceId& service,
-                            const Route& route) {
+                                       const Route& route) {
   if (route.target_latency <= core::Duration::zero()) {
     return;
   }
@@ -43,7 +43,7 @@
 }
 
 core::Duration ConfigurationIndex::ObjectiveOf(const core::ServiceId& service,
-                                    uint8_t priority) const {
+                                               uint8_t priority) const {
   const auto found = m_objectives.find(service);
   if (found == m_objectives.end()) {
     return core::Duration::zero();
@@ -58,7 +58,7 @@
 }
 
 const Route* ConfigurationIndex::FindRoute(std::string_view host,
-                                std::string_view target) const {
+                                           std::string_view target) const {
   auto found = m_routes.find(std::string(host));
   if (found == m_routes.end()) {
     found = m_routes.find(std::string(host.substr(0, host.find(':'))));
@@ -80,7 +80,8 @@
   return found == m_accounts.end() ? nullptr : found->second;
 }
 
-const Service* ConfigurationIndex::FindService(const core::ServiceId& service) const {
+const Service* ConfigurationIndex::FindService(
+    const core::ServiceId& service) const {
   const auto found = m_services.find(service);
   return found == m_services.end() ? nullptr : found->second;
 }
--- a/src/entry/crash_record.cc
+++ b/src/entry/crash_record.cc
@@ -28,13 +28,16 @@
 size_t CrashRecord::CountedTerminations(const Case& crash_case) {
   return static_cast<size_t>(std::count_if(
       crash_case.terminations.begin(), crash_case.terminations.end(),
-      [](const auto& termination) { return termination.second.state == TerminationState::kCounts; }));
+      [](const auto& termination) {
+        return termination.second.state == TerminationState::kCounts;
+      }));
 }
 
 // Decides which cases stay if there is room for some only. Most requests that
 // ran when an upstream terminated never recur; the one that caused it does.
 CrashRecord::Priority CrashRecord::PriorityOf(const Case& crash_case) {
-  return {crash_case.quarantined, CountedTerminations(crash_case), crash_case.changed};
+  return {crash_case.quarantined, CountedTerminations(crash_case),
+          crash_case.changed};
 }
 
 bool CrashRecord::MayContain(uint64_t quick_hash) const {
@@ -42,7 +45,8 @@
   return first != m_cases.end() && first->first.quick_hash == quick_hash;
 }
 
-QuarantineState CrashRecord::QuarantineStateOf(const RequestFingerprint& request) const {
+QuarantineState CrashRecord::QuarantineStateOf(
+    const RequestFingerprint& request) const {
   const auto found = m_cases.find(request);
   if (found == m_cases.end()) {
     return QuarantineState::kClear;
@@ -51,7 +55,8 @@
   if (crash_case.quarantined) {
     return QuarantineState::kQuarantined;
   }
-  return crash_case.probation || CountedTerminations(crash_case) >= m_options.suspect_threshold
+  return crash_case.probation ||
+                 CountedTerminations(crash_case) >= m_options.suspect_threshold
              ? QuarantineState::kSuspect
              : QuarantineState::kClear;
 }
@@ -62,8 +67,9 @@
   return m_options.first_quarantine * (1U << doublings);
 }
 
-core::Duration CrashRecord::RemainingQuarantine(const RequestFingerprint& request,
-                                       core::TimePoint now) const {
+core::Duration CrashRecord::RemainingQuarantine(
+    const RequestFingerprint& request,
+    core::TimePoint now) const {
   const auto found = m_cases.find(request);
   if (found == m_cases.end() || !found->second.quarantined) {
     return core::Duration::zero();
@@ -99,11 +105,12 @@
                       bool own,
                       core::TimePoint now) {
   Case& crash_case = CaseOf(request, now);
-  if (crash_case.terminations.size() >= kMaxTerminationsKept && !crash_case.terminations.contains(start)) {
+  if (crash_case.terminations.size() >= kMaxTerminationsKept &&
+      !crash_case.terminations.contains(start)) {
     return;
   }
-  const auto [termination, added] =
-      crash_case.terminations.try_emplace(start, Termination{now, TerminationState::kCounts, own});
+  const auto [termination, added] = crash_case.terminations.try_emplace(
+      start, Termination{now, TerminationState::kCounts, own});
   if (added) {
     Evaluate(crash_case, now);
   }
@@ -121,9 +128,12 @@
       ++counted;
     }
   }
-  crash_case.separate_events = crash_case.separate_events || now - first > m_options.event_window;
-  const size_t needed = crash_case.probation ? 1 : m_options.quarantine_threshold;
-  if (counted < needed || (!crash_case.separate_events && !crash_case.probation)) {
+  crash_case.separate_events =
+      crash_case.separate_events || now - first > m_options.event_window;
+  const size_t needed =
+      crash_case.probation ? 1 : m_options.quarantine_threshold;
+  if (counted < needed ||
+      (!crash_case.separate_events && !crash_case.probation)) {
     return;
   }
   crash_case.quarantined = true;
@@ -141,7 +151,7 @@
 }
 
 std::vector<RequestFingerprint> CrashRecord::OnEnded(UpstreamStart start,
-                                               core::TimePoint now) {
+                                                     core::TimePoint now) {
   std::vector<RequestFingerprint> affected;
   for (const BrokenRun& broken : m_broken_runs) {
     const bool in_time = now - broken.at <= m_options.detection_time;
@@ -160,7 +170,8 @@
 // A request that crashes every upstream can't have been completed by one.
 // Without this, requests with a popular content would be rejected after a
 // series of unrelated crashes.
-bool CrashRecord::OnSurvived(const RequestFingerprint& request, core::TimePoint now) {
+bool CrashRecord::OnSurvived(const RequestFingerprint& request,
+                             core::TimePoint now) {
   std::erase_if(m_broken_runs, [&](const BrokenRun& broken) {
     return broken.request == request;
   });
@@ -175,9 +186,9 @@
 }
 
 void CrashRecord::SetTerminationState(Case& crash_case,
-                           TerminationState state,
-                           bool own,
-                           core::TimePoint now) {
+                                      TerminationState state,
+                                      bool own,
+                                      core::TimePoint now) {
   for (auto& [start, termination] : crash_case.terminations) {
     if (termination.state != state) {
       termination = {now, state, own};
@@ -190,8 +201,8 @@
 }
 
 bool CrashRecord::IsReported(const Case& crash_case,
-                       const Termination& termination,
-                       core::TimePoint now) const {
+                             const Termination& termination,
+                             core::TimePoint now) const {
   const bool recent = now - termination.since <= m_options.report_time;
   switch (termination.state) {
     case TerminationState::kCounts:
@@ -205,8 +216,8 @@
 }
 
 v1::CrashCase CrashRecord::ReportOf(const RequestFingerprint& request,
-                                  const Case& crash_case,
-                                  core::TimePoint now) const {
+                                    const Case& crash_case,
+                                    core::TimePoint now) const {
   v1::CrashCase report;
   for (const auto& [start, termination] : crash_case.terminations) {
     if (!IsReported(crash_case, termination, now)) {
@@ -223,7 +234,8 @@
   return report;
 }
 
-void CrashRecord::AddReportsTo(v1::RouterBeat& beat, core::TimePoint now) const {
+void CrashRecord::AddReportsTo(v1::RouterBeat& beat,
+                               core::TimePoint now) const {
   std::vector<std::pair<Priority, v1::CrashCase>> all;
   for (const auto& [request, crash_case] : m_cases) {
     v1::CrashCase report = ReportOf(request, crash_case, now);
@@ -240,9 +252,10 @@
 }
 
 void CrashRecord::Merge(const v1::CrashCase& report,
-                       bool own,
-                       core::TimePoint now) {
-  const RequestFingerprint request = RequestFingerprint::FromBytes(report.request());
+                        bool own,
+                        core::TimePoint now) {
+  const RequestFingerprint request =
+      RequestFingerprint::FromBytes(report.request());
   if (request.digest.empty()) {
     return;
   }
@@ -256,19 +269,22 @@
   }
   MergeSurvived(found->second, report, own, now);
   if (terminations != 0 && CountedTerminations(found->second) != 0) {
-    found->second.separate_events = found->second.separate_events || report.apart();
+    found->second.separate_events =
+        found->second.separate_events || report.apart();
     Evaluate(found->second, now);
   }
 }
 
 void CrashRecord::MergeSurvived(Case& crash_case,
-                               const v1::CrashCase& report,
-                               bool own,
-                               core::TimePoint now) {
+                                const v1::CrashCase& report,
+                                bool own,
+                                core::TimePoint now) {
   const int survived = std::min(report.survived_size(), kMaxTerminationsRead);
   for (int i = 0; i < survived; ++i) {
-    const auto termination = crash_case.terminations.find(UpstreamStart(report.survived(i)));
-    if (termination != crash_case.terminations.end() && termination->second.state != TerminationState::kSurvived) {
+    const auto termination =
+        crash_case.terminations.find(UpstreamStart(report.survived(i)));
+    if (termination != crash_case.terminations.end() &&
+        termination->second.state != TerminationState::kSurvived) {
       termination->second = {now, TerminationState::kSurvived, own};
     }
   }
@@ -280,23 +296,26 @@
 }
 
 std::vector<RequestFingerprint> CrashRecord::OnBeat(const v1::RouterBeat& beat,
-                                              core::TimePoint now) {
+                                                    core::TimePoint now) {
   std::vector<RequestFingerprint> quarantined;
   const int count =
       std::min(beat.crashes_size(), static_cast<int>(m_options.max_reported));
   for (int i = 0; i < count; ++i) {
     const RequestFingerprint request =
         RequestFingerprint::FromBytes(beat.crashes(i).request());
-    const bool before = QuarantineStateOf(request) == QuarantineState::kQuarantined;
+    const bool before =
+        QuarantineStateOf(request) == QuarantineState::kQuarantined;
     Merge(beat.crashes(i), false, now);
-    if (!before && QuarantineStateOf(request) == QuarantineState::kQuarantined) {
+    if (!before &&
+        QuarantineStateOf(request) == QuarantineState::kQuarantined) {
       quarantined.push_back(request);
     }
   }
   return quarantined;
 }
 
-void CrashRecord::RestoreOwnReports(const v1::RouterBeat& beat, core::TimePoint now) {
+void CrashRecord::RestoreOwnReports(const v1::RouterBeat& beat,
+                                    core::TimePoint now) {
   const int count =
       std::min(beat.crashes_size(), static_cast<int>(m_options.max_reported));
   for (int i = 0; i < count; ++i) {
@@ -310,7 +329,8 @@
     m_broken_runs.pop_front();
   }
   for (auto& [request, crash_case] : m_cases) {
-    if (crash_case.quarantined && now - crash_case.quarantined_at >= QuarantineTime(crash_case)) {
+    if (crash_case.quarantined &&
+        now - crash_case.quarantined_at >= QuarantineTime(crash_case)) {
       // The terminations stay on record: one more is enough for the next
       // quarantine.
       SetTerminationState(crash_case, TerminationState::kExpired, true, now);
@@ -318,16 +338,17 @@
   }
   std::erase_if(m_cases, [&](const auto& entry) {
     const Case& crash_case = entry.second;
-    const core::Duration kept =
-        crash_case.probation ? QuarantineTime(crash_case) : m_options.suspicion_time;
+    const core::Duration kept = crash_case.probation
+                                    ? QuarantineTime(crash_case)
+                                    : m_options.suspicion_time;
     return !crash_case.quarantined && now - crash_case.changed > kept;
   });
 }
 
 size_t CrashRecord::quarantined() const {
-  return static_cast<size_t>(
-      std::count_if(m_cases.begin(), m_cases.end(),
-                    [](const auto& crash_case) { return crash_case.second.quarantined; }));
+  return static_cast<size_t>(std::count_if(
+      m_cases.begin(), m_cases.end(),
+      [](const auto& crash_case) { return crash_case.second.quarantined; }));
 }
 
 }  // namespace coppervalve::entry
--- a/src/entry/demand.cc
+++ b/src/entry/demand.cc
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-double Demand::Average::DecayedBy(double seconds_later, double time_constant) const {
+double Demand::Average::DecayedBy(double seconds_later,
+                                  double time_constant) const {
   return per_second * std::exp(-seconds_later / time_constant);
 }
 
@@ -31,16 +32,18 @@
   }
   const double passed = SecondsSince(m_updated, now);
   const auto amount = static_cast<double>(tokens.value());
-  m_fast.per_second = m_fast.DecayedBy(passed, kFastTimeConstant) + amount / kFastTimeConstant;
-  m_slow.per_second = m_slow.DecayedBy(passed, kSlowTimeConstant) + amount / kSlowTimeConstant;
+  m_fast.per_second =
+      m_fast.DecayedBy(passed, kFastTimeConstant) + amount / kFastTimeConstant;
+  m_slow.per_second =
+      m_slow.DecayedBy(passed, kSlowTimeConstant) + amount / kSlowTimeConstant;
   m_updated = now;
 }
 
 // Corrects the bias of an average that has not covered its whole time constant
 // yet and would be far too low until then.
 double Demand::CorrectBias(double average,
-                         double time_constant,
-                         core::TimePoint now) const {
+                           double time_constant,
+                           core::TimePoint now) const {
   const double age = std::max(SecondsSince(*m_first_added, now), kMinAge);
   return average / (1 - std::exp(-age / time_constant));
 }
@@ -50,8 +53,10 @@
     return 0;
   }
   const double passed = SecondsSince(m_updated, now);
-  const double fast = CorrectBias(m_fast.DecayedBy(passed, kFastTimeConstant), kFastTimeConstant, now);
-  const double slow = CorrectBias(m_slow.DecayedBy(passed, kSlowTimeConstant), kSlowTimeConstant, now);
+  const double fast = CorrectBias(m_fast.DecayedBy(passed, kFastTimeConstant),
+                                  kFastTimeConstant, now);
+  const double slow = CorrectBias(m_slow.DecayedBy(passed, kSlowTimeConstant),
+                                  kSlowTimeConstant, now);
   return std::max(kFastWeight * fast, slow);
 }
 
--- a/src/entry/heartbeat_rate.cc
+++ b/src/entry/heartbeat_rate.cc
@@ -16,7 +16,8 @@
 
 // Time between writes of each router such that `routers` together stay within
 // the share of heartbeats.
-core::Duration IntervalPerRouter(uint32_t routers, const HeartbeatLimits& limits) {
+core::Duration IntervalPerRouter(uint32_t routers,
+                                 const HeartbeatLimits& limits) {
   const double rate = limits.store_writes_per_second * kHeartbeatShareOfWrites;
   const double seconds = routers / std::max(rate, 1.0);
   return core::Duration(static_cast<int64_t>(seconds * 1e6));
@@ -27,9 +28,9 @@
 // The write rate of the store is shared by the fleet, so the period grows with
 // the number of routers.
 core::Duration HeartbeatPeriod(const HeartbeatLimits& limits) {
-  const core::Duration regular = limits.self_active
-                                 ? kDefaultHeartbeatPeriod
-                                 : kDefaultHeartbeatPeriod * kStandbyPeriodFactor;
+  const core::Duration regular =
+      limits.self_active ? kDefaultHeartbeatPeriod
+                         : kDefaultHeartbeatPeriod * kStandbyPeriodFactor;
   return std::max(regular, IntervalPerRouter(limits.live, limits));
 }
 
--- a/src/entry/limit_reports.cc
+++ b/src/entry/limit_reports.cc
@@ -20,8 +20,8 @@
 }  // namespace
 
 void AddLimitsToReport(const UpstreamDirectory& directory,
-                core::TimePoint now,
-                v1::LoadReport& report) {
+                       core::TimePoint now,
+                       v1::LoadReport& report) {
   if (!directory.limits_received()) {
     return;
   }
@@ -36,7 +36,8 @@
     // Keep the newest; older ones were in earlier reports.
     std::sort(reported.begin(), reported.end(),
               [](const UpstreamRef& a, const UpstreamRef& b) {
-                return *a->limit.directly_received_at() > *b->limit.directly_received_at();
+                return *a->limit.directly_received_at() >
+                       *b->limit.directly_received_at();
               });
     reported.resize(kMaxReported);
   }
@@ -53,8 +54,8 @@
 }
 
 void ApplyReportedLimits(const v1::LoadReport& report,
-                core::TimePoint now,
-                UpstreamDirectory& directory) {
+                         core::TimePoint now,
+                         UpstreamDirectory& directory) {
   for (const v1::UpstreamLimit& limit : report.limits()) {
     const UpstreamRef upstream = directory.FindByLoadKey(limit.upstream());
     if (!upstream) {
@@ -68,7 +69,8 @@
     if (!std::isfinite(rate) || rate < 0) {
       continue;
     }
-    upstream->limit.OnPeerReport(per_second, now - milliseconds(limit.age_ms()));
+    upstream->limit.OnPeerReport(per_second,
+                                 now - milliseconds(limit.age_ms()));
   }
 }
 
--- a/src/entry/member_list.cc
+++ b/src/entry/member_list.cc
@@ -31,8 +31,8 @@
 }  // namespace
 
 void MemberList::OnHeartbeat(const core::RouterId& router,
-                        const v1::RouterBeat& beat,
-                        core::TimePoint now) {
+                             const v1::RouterBeat& beat,
+                             core::TimePoint now) {
   Member& member = m_members[router];
   const bool newer =
       beat.epoch() > member.epoch ||
@@ -68,7 +68,8 @@
     member.silent_for += step;
   }
   DropSilent();
-  m_required_capacity = std::max(m_required_capacity * kCapacityDecay, Load() * kLoadHeadroom);
+  m_required_capacity =
+      std::max(m_required_capacity * kCapacityDecay, Load() * kLoadHeadroom);
   UpdateActive(now);
 }
 
@@ -89,7 +90,8 @@
 // there is none for long, all others are considered dead.
 void MemberList::DropSilent() {
   const core::Duration shortest = ShortestSilence();
-  const bool all_silent = m_members.size() > kMaxAmbiguousMembers && shortest >= m_silence;
+  const bool all_silent =
+      m_members.size() > kMaxAmbiguousMembers && shortest >= m_silence;
   if (all_silent && shortest < m_silence * kAllSilentFactor) {
     return;
   }
@@ -131,8 +133,8 @@
   for (const Candidate& chosen :
        SelectActive(std::move(candidates), with_next)) {
     m_self_active_or_next = m_self_active_or_next || chosen.router == m_self;
-    const bool enough =
-        active.size() >= requirements.min_routers && capacity >= requirements.requests_per_second;
+    const bool enough = active.size() >= requirements.min_routers &&
+                        capacity >= requirements.requests_per_second;
     if (!enough) {
       capacity += chosen.capacity;
       active.insert(chosen.router);
--- a/src/entry/peer_contact.cc
+++ b/src/entry/peer_contact.cc
@@ -31,7 +31,7 @@
 }
 
 bool PeerContact::IsLost(const core::RouterId& router,
-                       core::TimePoint now) const {
+                         core::TimePoint now) const {
   const auto found = m_peers.find(router);
   if (found == m_peers.end() || IsHeard(found->second, now)) {
     return false;
--- a/src/entry/placement.cc
+++ b/src/entry/placement.cc
@@ -129,7 +129,7 @@
 }
 
 PlacementReason Placer::ReasonForNone(const std::vector<UpstreamRef>& upstreams,
-                         core::TimePoint now) const {
+                                      core::TimePoint now) const {
   bool evacuated = true;
   bool limited = false;
   for (const UpstreamRef& upstream : upstreams) {
@@ -155,9 +155,10 @@
   for (const UpstreamRef& upstream : upstreams) {
     // An upstream whose entry expired may be gone; it is used only if nothing
     // else is left.
-    const Trust trust = upstream->expired_at ? std::max(upstream->health.trust(now),
-                                                    Trust::kSuspect)
-                                         : upstream->health.trust(now);
+    const Trust trust =
+        upstream->expired_at
+            ? std::max(upstream->health.trust(now), Trust::kSuspect)
+            : upstream->health.trust(now);
     if (trust > required_trust || Excluded(query, upstream->entry.id)) {
       continue;
     }
@@ -194,18 +195,20 @@
                                        double median_latency,
                                        core::TimePoint now) const {
   Candidate candidate{upstream, 0, owner, false};
-  candidate.recently_sent = m_options.use_prefix_sent && !query.shared_prefix.empty() &&
-                   upstream->prefixes.Contains(prefix, now);
+  candidate.recently_sent = m_options.use_prefix_sent &&
+                            !query.shared_prefix.empty() &&
+                            upstream->prefixes.Contains(prefix, now);
   const bool cached = owner || candidate.recently_sent;
   const core::Tokens own = query.prompt - query.shared_tokens;
   const double uncached_cost =
       cached ? 0
-           : m_options.missed_token_weight *
-                 static_cast<double>(query.shared_tokens.value());
+             : m_options.missed_token_weight *
+                   static_cast<double>(query.shared_tokens.value());
   const Load load = LoadOf(*upstream, query);
   const double over_slots =
       std::max(0.0, load.in_flight + 1 - upstream->entry.slots);
-  const double wait = load.in_prefill + m_options.running_cost * load.in_flight +
+  const double wait = load.in_prefill +
+                      m_options.running_cost * load.in_flight +
                       m_options.over_slots_cost * over_slots + PrefillCost(own);
   candidate.slowness = Slowness(*upstream, median_latency);
   candidate.cost = wait * candidate.slowness + uncached_cost;
@@ -224,7 +227,8 @@
   const Load load = LoadOf(*upstream, query);
   const double over_slots =
       std::max(0.0, load.in_flight + 1 - upstream->entry.slots);
-  double cost = 1 + load.in_flight + m_options.over_slots_weight_plain * over_slots;
+  double cost =
+      1 + load.in_flight + m_options.over_slots_weight_plain * over_slots;
   cost *= Slowness(*upstream, median_latency);
   if (upstream->entry.failure_domain == m_own_domain) {
     cost -= m_options.own_domain_bonus;
@@ -239,7 +243,7 @@
 
 // Prefill ahead of the part of the prompt that no upstream can have cached.
 double Placer::QueuedPrefillAt(const Candidate& candidate,
-                         const PlacementQuery& query) const {
+                               const PlacementQuery& query) const {
   const double own_cost = PrefillCost(query.prompt - query.shared_tokens);
   return (candidate.in_prefill + candidate.own_prefill - own_cost) *
          candidate.slowness;
@@ -248,8 +252,10 @@
 Placement Placer::Cheapest(const std::vector<UpstreamRef>& usable,
                            const PlacementQuery& query,
                            core::TimePoint now) const {
-  const double median_latency = m_options.use_slowness ? MedianLatency(usable) : 0;
-  const bool has_owner = m_options.use_prefix_owner && !query.shared_prefix.empty();
+  const double median_latency =
+      m_options.use_slowness ? MedianLatency(usable) : 0;
+  const bool has_owner =
+      m_options.use_prefix_owner && !query.shared_prefix.empty();
   const uint64_t prefix = core::Hash64(query.shared_prefix);
   const Upstream* owner = has_owner ? OwnerOf(usable, prefix) : nullptr;
   Candidate best;
@@ -259,9 +265,10 @@
   for (size_t i = 0; i < usable.size(); ++i) {
     const UpstreamRef& upstream = usable[(start + i) % usable.size()];
     const Candidate candidate =
-        query.engine ? CostAtEngine(upstream, query, prefix,
-                                    upstream.get() == owner, median_latency, now)
-                     : CostAtPlain(upstream, query, median_latency, now);
+        query.engine
+            ? CostAtEngine(upstream, query, prefix, upstream.get() == owner,
+                           median_latency, now)
+            : CostAtPlain(upstream, query, median_latency, now);
     least_queued = std::min(least_queued, QueuedPrefillAt(candidate, query));
     if (best.upstream == nullptr || candidate.cost < best.cost) {
       best = candidate;
@@ -282,7 +289,8 @@
   placement.cost = best.cost;
   placement.queued_prefill = least_queued;
   placement.own_prefill = best.own_prefill;
-  placement.total_prefill = (best.in_prefill + best.own_prefill) * best.slowness;
+  placement.total_prefill =
+      (best.in_prefill + best.own_prefill) * best.slowness;
   return placement;
 }
 
--- a/src/entry/predecessor_info.cc
+++ b/src/entry/predecessor_info.cc
@@ -8,7 +8,8 @@
 // both incarnations read: the same boot, not set back, and still before the
 // time named in the record. After a reboot the clock proves nothing.
 // model/reserve.pml checks that each condition is needed.
-bool ReserveUntouched(const v1::RouterBeat& last, const PredecessorInfo& predecessor) {
+bool ReserveUntouched(const v1::RouterBeat& last,
+                      const PredecessorInfo& predecessor) {
   if (last.not_before() == 0 || predecessor.boot.empty() ||
       last.boot() != predecessor.boot || !predecessor.ended_by) {
     return false;
--- a/src/entry/prefill_time_estimator.cc
+++ b/src/entry/prefill_time_estimator.cc
@@ -25,14 +25,15 @@
 }
 
 void PrefillTimeEstimator::AddSample(const core::ServiceId& service,
-                               double prefill_tokens,
-                               core::Duration time) {
+                                     double prefill_tokens,
+                                     core::Duration time) {
   Fit& fit = m_fits[service];
   const auto micros = static_cast<double>(time.count());
   fit.weight = fit.weight * kDecay + 1;
   fit.tokens = fit.tokens * kDecay + prefill_tokens;
   fit.micros = fit.micros * kDecay + micros;
-  fit.tokens_squared = fit.tokens_squared * kDecay + prefill_tokens * prefill_tokens;
+  fit.tokens_squared =
+      fit.tokens_squared * kDecay + prefill_tokens * prefill_tokens;
   fit.tokens_micros = fit.tokens_micros * kDecay + prefill_tokens * micros;
 }
 
@@ -45,11 +46,11 @@
 }
 
 core::Duration PrefillTimeEstimator::Estimate(const core::ServiceId& service,
-                                   double tokens) const {
+                                              double tokens) const {
   const Fit* fit = Find(service);
   return fit == nullptr ? core::Duration::zero()
-                         : core::Duration(static_cast<int64_t>(
-                               fit->Slope() * std::max(tokens, 0.0)));
+                        : core::Duration(static_cast<int64_t>(
+                              fit->Slope() * std::max(tokens, 0.0)));
 }
 
 }  // namespace coppervalve::entry
--- a/src/entry/ranked_demand.cc
+++ b/src/entry/ranked_demand.cc
@@ -6,8 +6,8 @@
 // save them: reserving it would serve few urgent requests and refuse all
 // others.
 double RankedDemand::MoreUrgentPerSecond(uint8_t rank,
-                                        double max_share,
-                                        core::TimePoint now) const {
+                                         double max_share,
+                                         core::TimePoint now) const {
   double all = 0;
   for (const auto& [other, demand] : m_by_rank) {
     all += demand.PerSecond(now);
--- a/src/entry/read_plan.cc
+++ b/src/entry/read_plan.cc
@@ -77,8 +77,8 @@
   m_last_answer = now;
   m_next = next;
   const uint64_t behind = end > next ? end - next : 0;
-  const bool newest_is_cheaper =
-      static_cast<double>(behind) > static_cast<double>(m_keys) * kPageCostFactor;
+  const bool newest_is_cheaper = static_cast<double>(behind) >
+                                 static_cast<double>(m_keys) * kPageCostFactor;
   // A record larger than one read would be requested forever.
   const bool stuck = empty && behind > 0;
   if (newest_is_cheaper || stuck) {
--- a/src/entry/request_fingerprint.cc
+++ b/src/entry/request_fingerprint.cc
@@ -17,8 +17,8 @@
 }
 
 std::string HeadDigestInput(const RequestContent& content) {
-  return LengthPrefixed(content.account.value()) + LengthPrefixed(content.method) +
-         LengthPrefixed(content.target);
+  return LengthPrefixed(content.account.value()) +
+         LengthPrefixed(content.method) + LengthPrefixed(content.target);
 }
 
 }  // namespace
@@ -56,8 +56,9 @@
 RequestFingerprint FingerprintOf(const RequestContent& content) {
   RequestFingerprint fingerprint;
   fingerprint.quick_hash = QuickHashOf(content);
-  fingerprint.digest = core::Sha256(HeadDigestInput(content) + core::Sha256(content.body))
-                     .substr(0, kDigestBytes);
+  fingerprint.digest =
+      core::Sha256(HeadDigestInput(content) + core::Sha256(content.body))
+          .substr(0, kDigestBytes);
   return fingerprint;
 }
 
--- a/src/entry/retry_budget_share.cc
+++ b/src/entry/retry_budget_share.cc
@@ -18,8 +18,9 @@
 
 }  // namespace
 
-RetryBudgetShare::Window& RetryBudgetShare::Current(const core::ServiceId& service,
-                                                core::TimePoint now) {
+RetryBudgetShare::Window& RetryBudgetShare::Current(
+    const core::ServiceId& service,
+    core::TimePoint now) {
   Window& window = m_windows[service];
   DropBefore(window.requests, now - m_bounds.window);
   DropBefore(window.retries, now - m_bounds.window);
@@ -27,13 +28,13 @@
 }
 
 void RetryBudgetShare::OnRequest(const core::ServiceId& service,
-                               core::TimePoint now) {
+                                 core::TimePoint now) {
   Current(service, now).requests.push_back(now);
 }
 
 bool RetryBudgetShare::Take(const core::ServiceId& service,
-                          uint32_t routers,
-                          core::TimePoint now) {
+                            uint32_t routers,
+                            core::TimePoint now) {
   Window& window = Current(service, now);
   const double earned =
       m_bounds.ratio * static_cast<double>(window.requests.size());
--- a/src/entry/table_subscription.cc
+++ b/src/entry/table_subscription.cc
@@ -2,7 +2,8 @@
 
 namespace coppervalve::entry {
 
-bool StoreCanServeAll(const TableCost& cost, const TableSubscriptionOptions& options) {
+bool StoreCanServeAll(const TableCost& cost,
+                      const TableSubscriptionOptions& options) {
   if (cost.heartbeat <= core::Duration::zero() ||
       cost.store_bytes_per_second <= 0) {
     return true;
@@ -21,12 +22,13 @@
 }
 
 bool TableSubscription::Advance(const TableCost& cost,
-                           bool active_or_next,
-                           core::TimePoint now) {
+                                bool active_or_next,
+                                core::TimePoint now) {
   if (active_or_next) {
     m_last_active = now;
   }
-  const bool recently_active = m_last_active && now - *m_last_active < m_options.keep_following;
+  const bool recently_active =
+      m_last_active && now - *m_last_active < m_options.keep_following;
   m_follows = recently_active || StoreCanServeAll(cost, m_options);
   return m_follows;
 }
--- a/src/entry/transfer_reply_cache.cc
+++ b/src/entry/transfer_reply_cache.cc
@@ -24,8 +24,8 @@
 }
 
 void TransferReplyCache::Insert(const v1::TokenAsk& request,
-                          core::Tokens given,
-                          core::TimePoint now) {
+                                core::Tokens given,
+                                core::TimePoint now) {
   m_replies[KeyOf(request)] = given;
   m_order.emplace_back(now, KeyOf(request));
   while (now - m_order.front().first > kRetention) {
--- a/src/entry/upstream_directory.cc
+++ b/src/entry/upstream_directory.cc
@@ -31,10 +31,11 @@
 // A record may be read late and its age is unknown. The remaining warm-up time
 // counts from when it is read, so the age is added to it instead of subtracted.
 void UpdateWarmUp(const UpstreamEntry& entry,
-                core::TimePoint read_at,
-                WarmUpState& state) {
+                  core::TimePoint read_at,
+                  WarmUpState& state) {
   if (entry.warm_up_left > core::Duration::zero()) {
-    state.announced_until = std::max(state.announced_until, read_at + entry.warm_up_left);
+    state.announced_until =
+        std::max(state.announced_until, read_at + entry.warm_up_left);
   }
 }
 
@@ -56,7 +57,7 @@
 }
 
 bool UpstreamDirectory::ReturnTimeIsOver(const StoreContact& contact,
-                                       core::TimePoint now) const {
+                                         core::TimePoint now) const {
   const auto reachable_since = contact.reachable_since();
   return reachable_since && now - *reachable_since >= m_options.return_time;
 }
@@ -76,7 +77,8 @@
 // ended: requests would go to a closed port or another upstream.
 bool UpstreamDirectory::IsOfEarlierStart(const UpstreamEntry& entry) const {
   const auto latest = m_latest_starts.find(entry.id);
-  return entry.born && latest != m_latest_starts.end() && *entry.born < latest->second;
+  return entry.born && latest != m_latest_starts.end() &&
+         *entry.born < latest->second;
 }
 
 void UpstreamDirectory::RememberStart(const UpstreamEntry& entry) {
@@ -111,7 +113,7 @@
 }
 
 void UpstreamDirectory::OnEvacuationEnded(const core::FailureDomainId& domain,
-                                    core::TimePoint now) {
+                                          core::TimePoint now) {
   for (const auto& [id, upstream] : m_by_id) {
     if (upstream->entry.failure_domain == domain) {
       upstream->warm_up.cold_since = now;
@@ -136,9 +138,9 @@
 }
 
 bool UpstreamDirectory::OnLimitReceived(const UpstreamRef& upstream,
-                                    std::optional<double> per_second,
-                                    core::TimePoint asked,
-                                    core::TimePoint now) {
+                                        std::optional<double> per_second,
+                                        core::TimePoint asked,
+                                        core::TimePoint now) {
   const UpstreamRef known = Find(upstream->entry.id);
   const bool same_start = !known || known->entry.born == upstream->entry.born;
   Upstream& sender = known && same_start ? *known : *upstream;
@@ -196,8 +198,8 @@
     if (upstream->paused_until <= now) {
       return std::nullopt;
     }
-    first =
-        std::min(first.value_or(upstream->paused_until), upstream->paused_until);
+    first = std::min(first.value_or(upstream->paused_until),
+                     upstream->paused_until);
   }
   return first;
 }
@@ -221,7 +223,8 @@
   }
   if (known && !restarted) {
     put.born = entry.born ? entry.born : known->entry.born;
-    const bool unchanged = !known->expired_at && SameForRouting(known->entry, put);
+    const bool unchanged =
+        !known->expired_at && SameForRouting(known->entry, put);
     known->entry.born = put.born;
     if (unchanged) {
       return DirectoryChange::kNothing;
--- a/src/entry/upstream_gate.cc
+++ b/src/entry/upstream_gate.cc
@@ -19,7 +19,8 @@
                                                            : &found->second;
 }
 
-bool UpstreamGate::CountsAsCold(const Upstream& upstream, core::TimePoint now) const {
+bool UpstreamGate::CountsAsCold(const Upstream& upstream,
+                                core::TimePoint now) const {
   const WarmUp* warm_up = WarmUpOf(upstream);
   return warm_up != nullptr && IsCold(upstream.warm_up, *warm_up, now);
 }
@@ -27,7 +28,8 @@
 // A cold upstream attracts requests by least load, as all its slots are free,
 // and a hot prefix whose owner ended moves to one new owner at once. An
 // upstream that gets more than it can handle while it is cold fails again.
-GateState UpstreamGate::StateOf(const Upstream& upstream, core::TimePoint now) const {
+GateState UpstreamGate::StateOf(const Upstream& upstream,
+                                core::TimePoint now) const {
   if (m_evacuations.Contains(upstream.entry.failure_domain)) {
     return GateState::kEvacuated;
   }
@@ -37,11 +39,12 @@
   if (upstream.limit.per_second() && now < NextWithinLimit(upstream, now)) {
     return GateState::kLimited;
   }
-  return AllowsOneMore(upstream, now) ? GateState::kOpen : GateState::kWarmingUp;
+  return AllowsOneMore(upstream, now) ? GateState::kOpen
+                                      : GateState::kWarmingUp;
 }
 
 bool UpstreamGate::AllowsOneMore(const Upstream& upstream,
-                                core::TimePoint now) const {
+                                 core::TimePoint now) const {
   if (!CountsAsCold(upstream, now) || !m_senders->options().enforce) {
     return true;
   }
@@ -56,7 +59,8 @@
                                               core::TimePoint now) const {
   SenderPosition position;
   if (m_senders != nullptr) {
-    position = m_senders->PositionOf(upstream.entry.id, upstream.sender_rank, now);
+    position =
+        m_senders->PositionOf(upstream.entry.id, upstream.sender_rank, now);
   }
   return upstream.limit.NextSend(position, m_limits);
 }
--- a/src/entry/upstream_health.cc
+++ b/src/entry/upstream_health.cc
@@ -46,7 +46,8 @@
     case AttemptOutcome::kSilent:
     case AttemptOutcome::kMisaddressed:
       m_failures = failures + kOutcomeWeight * (1 - failures);
-      m_consecutive_failures = std::min(m_consecutive_failures + 1, kMaxDoublings);
+      m_consecutive_failures =
+          std::min(m_consecutive_failures + 1, kMaxDoublings);
       AvoidFor(std::min(kFirstAvoidance * (1U << (m_consecutive_failures - 1)),
                         kLongestAvoidance),
                now);
@@ -57,8 +58,13 @@
 }
 
 void UpstreamHealth::OnFirstByte(core::Duration time, double cost) {
-  const double latency_per_cost = static_cast<double>(time.count()) / std::max(cost, 1.0);
-  m_latency_per_cost = m_latency_per_cost == 0 ? latency_per_cost : m_latency_per_cost + (latency_per_cost - m_latency_per_cost) * kLatencyWeight;
+  const double latency_per_cost =
+      static_cast<double>(time.count()) / std::max(cost, 1.0);
+  m_latency_per_cost =
+      m_latency_per_cost == 0
+          ? latency_per_cost
+          : m_latency_per_cost +
+                (latency_per_cost - m_latency_per_cost) * kLatencyWeight;
 }
 
 Trust UpstreamHealth::trust(core::TimePoint now) const {
--- a/src/entry/upstream_senders.cc
+++ b/src/entry/upstream_senders.cc
@@ -46,9 +46,9 @@
 }
 
 uint32_t UpstreamSenders::ShareOf(const core::UpstreamId& upstream,
-                                 SenderRank& rank,
-                                 double bound,
-                                 core::TimePoint now) const {
+                                  SenderRank& rank,
+                                  double bound,
+                                  core::TimePoint now) const {
   if (!Settled(now)) {
     return 0;
   }
@@ -58,8 +58,8 @@
 }
 
 SenderPosition UpstreamSenders::PositionOf(const core::UpstreamId& upstream,
-                                     SenderRank& rank,
-                                     core::TimePoint now) const {
+                                           SenderRank& rank,
+                                           core::TimePoint now) const {
   return {std::max(m_peak_now, m_peak_before), RankOf(upstream, rank),
           Settled(now)};
 }
@@ -69,7 +69,8 @@
 uint32_t UpstreamSenders::RankOf(const core::UpstreamId& upstream,
                                  SenderRank& rank) const {
   if (rank.version != m_members.ActiveVersion()) {
-    rank = {m_members.ActiveVersion(), m_members.ActiveRankedAbove(upstream.value())};
+    rank = {m_members.ActiveVersion(),
+            m_members.ActiveRankedAbove(upstream.value())};
   }
   return rank.above;
 }
--- a/src/gateway/crash_monitor.cc
+++ b/src/gateway/crash_monitor.cc
@@ -35,7 +35,8 @@
                   .Text("by", by)
                   .Number("requests", static_cast<int64_t>(under.size())));
   for (const entry::RequestFingerprint& request : under) {
-    if (m_record.QuarantineStateOf(request) == entry::QuarantineState::kQuarantined) {
+    if (m_record.QuarantineStateOf(request) ==
+        entry::QuarantineState::kQuarantined) {
       LogQuarantined(request, "this_router");
     }
   }
@@ -57,12 +58,12 @@
 
 void CrashMonitor::LogQuarantined(const entry::RequestFingerprint& request,
                                   std::string_view by) {
-  m_log.Write(
-      LogCategory::kLifecycle,
-      LogLine("request_quarantined")
-          .Text("content", request.ShortHex())
-          .Text("by", by)
-          .Millis("refused_ms", m_record.RemainingQuarantine(request, net::BootNow())));
+  m_log.Write(LogCategory::kLifecycle,
+              LogLine("request_quarantined")
+                  .Text("content", request.ShortHex())
+                  .Text("by", by)
+                  .Millis("refused_ms", m_record.RemainingQuarantine(
+                                            request, net::BootNow())));
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/event_log.cc
+++ b/src/gateway/event_log.cc
@@ -131,17 +131,19 @@
   if (m_dropped == m_dropped_reported) {
     return;
   }
-  m_buffer += LogLine("log_lines_left_out")
-                .Number("count", static_cast<int64_t>(m_dropped - m_dropped_reported))
-                .Finish();
+  m_buffer +=
+      LogLine("log_lines_left_out")
+          .Number("count", static_cast<int64_t>(m_dropped - m_dropped_reported))
+          .Finish();
   m_dropped_reported = m_dropped;
 }
 
 void EventLog::Flush() {
   size_t written = 0;
   while (written < m_buffer.size() && IsWritable(m_descriptor)) {
-    const ssize_t count = write(m_descriptor, m_buffer.data() + written,
-                                std::min(kMaxWriteBytes, m_buffer.size() - written));
+    const ssize_t count =
+        write(m_descriptor, m_buffer.data() + written,
+              std::min(kMaxWriteBytes, m_buffer.size() - written));
     if (count <= 0) {
       break;
     }
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -116,8 +116,8 @@
   }
   m_prepared_placement = ChoosePlacement();
   entry::Backlog backlog;
-  backlog.wait =
-      m_context.pace.Estimate(m_admitted.service, m_prepared_placement->queued_prefill);
+  backlog.wait = m_context.pace.Estimate(m_admitted.service,
+                                         m_prepared_placement->queued_prefill);
   backlog.objective = m_admitted.configuration_index->ObjectiveOf(
       m_admitted.service, m_admitted.route->priority);
   backlog.rank = m_admitted.route->priority;
@@ -191,7 +191,8 @@
   const core::TimePoint now = net::BootNow();
   const bool wait_expired = m_wait_until && now >= *m_wait_until;
   if (!m_context.contact.up() || wait_expired ||
-      !m_context.book.MayBecomeSpendable(m_admitted.account->name, MaxTokens())) {
+      !m_context.book.MayBecomeSpendable(m_admitted.account->name,
+                                         MaxTokens())) {
     if (!TryBorrow()) {
       RefuseForLackOfTokens(now);
     }
@@ -211,7 +212,8 @@
 }
 
 bool Exchange::TryReserveTransferred() {
-  if (!m_context.book.ReserveTransferred(m_admitted.account->name, MaxTokens())) {
+  if (!m_context.book.ReserveTransferred(m_admitted.account->name,
+                                         MaxTokens())) {
     return false;
   }
   m_from_transfer = true;
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -87,7 +87,8 @@
     facts.account = m_admitted.account->name;
   }
   facts.priority = m_admitted.priority;
-  facts.resume_after = HasEvents() ? m_sse_splitter.last_id() : m_facts.resume_after;
+  facts.resume_after =
+      HasEvents() ? m_sse_splitter.last_id() : m_facts.resume_after;
   m_tried.push_back(upstream->entry.id);
 
   Attempt attempt;
@@ -151,7 +152,7 @@
                                        attempt.cost + kBaseRequestCost);
   if (attempt.total_prefill > 0 && IsSuccess(head.status)) {
     m_context.pace.AddSample(m_admitted.service, attempt.total_prefill,
-                                m_last_activity - attempt.started_at);
+                             m_last_activity - attempt.started_at);
   }
   const std::string& echoed = attempt.answer.request_id;
   const bool wrong_request = !echoed.empty() && echoed != m_facts.id;
@@ -298,7 +299,7 @@
                                     "address_taken");
   }
   RecordOutcome(m_attempt->answer.misdirected ? AttemptOutcome::kMisaddressed
-                                                 : AttemptOutcome::kDeclined);
+                                              : AttemptOutcome::kDeclined);
   m_attempt.reset();
   DiscardResponse();
   if (TakeRetry()) {
@@ -382,8 +383,8 @@
   if (CurrentQuarantineState() != entry::QuarantineState::kClear) {
     return false;
   }
-  return m_context.retries.Take(m_admitted.service, m_context.members.LiveCount(),
-                                net::BootNow());
+  return m_context.retries.Take(m_admitted.service,
+                                m_context.members.LiveCount(), net::BootNow());
 }
 
 }  // namespace coppervalve::gateway
--- a/src/gateway/exchange_end.cc
+++ b/src/gateway/exchange_end.cc
@@ -101,7 +101,8 @@
     line.Text("rule", m_admitted.route->name.value())
         .Text("service", m_admitted.service.value())
         .Number("config",
-                static_cast<int64_t>(m_admitted.configuration_index->version().value()));
+                static_cast<int64_t>(
+                    m_admitted.configuration_index->version().value()));
   }
   if (admitted && m_admitted.account != nullptr) {
     const core::AccountId& account = m_admitted.account->name;
--- a/src/gateway/exchange_quarantine.cc
+++ b/src/gateway/exchange_quarantine.cc
@@ -46,8 +46,9 @@
   }
   core::Error error{core::ErrorId::kEndsUpstreams, Fingerprint().ShortHex(),
                     "upstreams crashed while running it"};
-  core::Duration retry_delay = m_context.crash_monitor.record().RemainingQuarantine(
-      Fingerprint(), net::BootNow());
+  core::Duration retry_delay =
+      m_context.crash_monitor.record().RemainingQuarantine(Fingerprint(),
+                                                           net::BootNow());
   if (quarantine_state == entry::QuarantineState::kSuspect) {
     // Copies that arrive at many routers at once would each crash an upstream.
     // So only one router tries them, one at a time.
--- a/src/gateway/exchange_signals.cc
+++ b/src/gateway/exchange_signals.cc
@@ -33,13 +33,13 @@
   if (known_to_leave && !answer.retry_after) {
     return;  // already logged
   }
-  m_context.log.Write(
-      LogCategory::kLifecycle,
-      LogLine("upstream_says")
-          .Text("upstream", sender->entry.id.value())
-          .Flag("leaving", answer.leaving)
-          .Flag("known_to_leave", known_to_leave)
-          .Millis("wait_ms", answer.retry_after.value_or(core::Duration::zero())));
+  m_context.log.Write(LogCategory::kLifecycle,
+                      LogLine("upstream_says")
+                          .Text("upstream", sender->entry.id.value())
+                          .Flag("leaving", answer.leaving)
+                          .Flag("known_to_leave", known_to_leave)
+                          .Millis("wait_ms", answer.retry_after.value_or(
+                                                 core::Duration::zero())));
 }
 
 void Exchange::LogUnknownHeaders(const core::UpstreamId& upstream) {
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -101,8 +101,8 @@
       },
       [this](const core::AccountId& account, core::Tokens tokens,
              std::function<void()> on_done) {
-        return m_policy.gifts &&
-               m_token_requester->RequestTokens(account, tokens, std::move(on_done));
+        return m_policy.gifts && m_token_requester->RequestTokens(
+                                     account, tokens, std::move(on_done));
       },
       [this] { return TimeUntilShutdown(); },
       [this] { return m_upstreams_known; },
@@ -118,9 +118,9 @@
 
 core::Status Gateway::Start() {
   LogLifecycle(LogLine("started")
-                .Text("router", m_settings.router.value())
-                .Text("failure_domain", m_settings.failure_domain.value())
-                .Text("callers", m_settings.caller_address));
+                   .Text("router", m_settings.router.value())
+                   .Text("failure_domain", m_settings.failure_domain.value())
+                   .Text("callers", m_settings.caller_address));
   core::Status listening = MakeListeners();
   if (!core::IsOk(listening)) {
     return listening;
@@ -144,7 +144,8 @@
 entry::ConfigurationView Gateway::View() const {
   const core::Duration age = m_config_contact.SilentFor(net::BootNow());
   const bool expires = m_settings.key_expiry > core::Duration::zero();
-  return {m_in_force, age < kConfigurationFreshness, expires && age > m_settings.key_expiry};
+  return {m_in_force, age < kConfigurationFreshness,
+          expires && age > m_settings.key_expiry};
 }
 
 bool Gateway::Ready() const {
@@ -193,9 +194,9 @@
   m_active_logged = active;
   m_was_active = m_members.SelfActive();
   LogLifecycle(LogLine("active_routers")
-                .Number("active", active)
-                .Number("live", m_members.LiveCount())
-                .Flag("this_one", m_was_active));
+                   .Number("active", active)
+                   .Number("live", m_members.LiveCount())
+                   .Flag("this_one", m_was_active));
 }
 
 void Gateway::Drain(std::function<void()> on_done) {
@@ -204,8 +205,8 @@
   }
   m_on_drained = std::move(on_done);
   m_leaving_since = net::BootNow();
-  LogLifecycle(LogLine("leaving").Number("in_progress",
-                                      static_cast<int64_t>(m_callers->Busy())));
+  LogLifecycle(LogLine("leaving").Number(
+      "in_progress", static_cast<int64_t>(m_callers->Busy())));
   m_heartbeat_writer->Expedite();
 }
 
@@ -248,8 +249,8 @@
       m_last_claim_written || now - *m_closing_since >= kClosingTimeout;
   if ((claimed && !busy) || since >= last + kClosingTimeout) {
     LogLifecycle(LogLine("stopped")
-                  .Number("in_progress", busy ? 1 : 0)
-                  .Flag("ceilings_returned", m_last_claim_written));
+                     .Number("in_progress", busy ? 1 : 0)
+                     .Flag("ceilings_returned", m_last_claim_written));
     m_log.Flush();
     m_on_drained();
   }
--- a/src/gateway/gateway_configuration.cc
+++ b/src/gateway/gateway_configuration.cc
@@ -51,7 +51,7 @@
       m_adapter.read_configuration(document);
   if (!core::IsOk(read)) {
     LogLifecycle(LogLine("configuration_unreadable")
-                  .Text("why", core::ToString(core::Failure(read))));
+                     .Text("why", core::ToString(core::Failure(read))));
     return;
   }
   const core::ConfigVersion version = core::Value(read).version;
@@ -59,8 +59,8 @@
   if (m_in_force && version <= m_in_force->version()) {
     return;
   }
-  m_in_force =
-      std::make_shared<const entry::ConfigurationIndex>(core::TakeValue(std::move(read)));
+  m_in_force = std::make_shared<const entry::ConfigurationIndex>(
+      core::TakeValue(std::move(read)));
   m_book.OnConfiguration(m_in_force->configuration());
   m_gate.OnConfiguration(m_in_force->configuration());
   LogLifecycle(
@@ -83,8 +83,8 @@
   }
   if (!core::IsOk(*read)) {
     LogLifecycle(LogLine("evacuation_unreadable")
-                  .Text("key", record.key)
-                  .Text("why", core::ToString(core::Failure(*read))));
+                     .Text("key", record.key)
+                     .Text("why", core::ToString(core::Failure(*read))));
     return std::nullopt;
   }
   return core::Value(*read);
--- a/src/gateway/gateway_heartbeats.cc
+++ b/src/gateway/gateway_heartbeats.cc
@@ -3,8 +3,8 @@
 #include <cmath>      // abs, lround
 #include <utility>    // move, exchange
 
-#include "coppervalve/entry/heartbeat_rate.h"
 #include "coppervalve/entry/heartbeat_parser.h"
+#include "coppervalve/entry/heartbeat_rate.h"
 #include "coppervalve/entry/predecessor_info.h"
 #include "coppervalve/gateway/gateway.h"
 #include "coppervalve/net/clock.h"
@@ -37,8 +37,8 @@
     StartLoadReports(epoch);
     StartHeartbeatsIfCaughtUp();
     LogLifecycle(LogLine("epoch_announced")
-                  .Number("epoch", static_cast<int64_t>(epoch))
-                  .Number("log_end", static_cast<int64_t>(end)));
+                     .Number("epoch", static_cast<int64_t>(epoch))
+                     .Number("log_end", static_cast<int64_t>(end)));
   };
   hooks.on_written = [this](const v1::RouterBeat& beat) {
     m_metrics.OnStoreCall("beat_write", true);
@@ -54,11 +54,13 @@
     LogLifecycle(LogLine("beat_not_written").Text("why", error.detail));
   };
   hooks.on_superseded = [this] {
-    LogLifecycle(LogLine("retired").Text("why", "a newer start of this router exists"));
+    LogLifecycle(
+        LogLine("retired").Text("why", "a newer start of this router exists"));
   };
   m_heartbeat_writer = std::make_shared<HeartbeatWriter>(
       m_io,
-      HeartbeatOptions{m_settings.layout.heartbeat_topic, m_settings.router.value()},
+      HeartbeatOptions{m_settings.layout.heartbeat_topic,
+                       m_settings.router.value()},
       m_store, m_random, std::move(hooks));
 }
 
@@ -78,8 +80,8 @@
     return core::TakeValue(std::move(read));
   }
   LogLifecycle(LogLine("beat_unreadable")
-                .Text("router", record.key)
-                .Text("why", core::Failure(read).detail));
+                   .Text("router", record.key)
+                   .Text("why", core::Failure(read).detail));
   return std::nullopt;
 }
 
@@ -141,7 +143,8 @@
   entry::PredecessorInfo predecessor_info;
   predecessor_info.boot = m_boot;
   predecessor_info.ended_by = m_load_port_bound_since;
-  const bool held_back = entry::ReserveUntouched(m_own_record, predecessor_info);
+  const bool held_back =
+      entry::ReserveUntouched(m_own_record, predecessor_info);
   LogPredecessor(held_back);
   m_book.OnPredecessor(m_own_record, held_back);
   m_crashes.record().RestoreOwnReports(m_own_record, net::BootNow());
@@ -160,11 +163,11 @@
     reserved += claim.reserve();
   }
   LogLifecycle(LogLine("predecessor")
-                .Number("epoch", static_cast<int64_t>(m_own_record.epoch()))
-                .Number("claimed", claimed)
-                .Number("spent", spent)
-                .Number("lost_before", lost_before)
-                .Number("held_back", held_back ? reserved : 0));
+                   .Number("epoch", static_cast<int64_t>(m_own_record.epoch()))
+                   .Number("claimed", claimed)
+                   .Number("spent", spent)
+                   .Number("lost_before", lost_before)
+                   .Number("held_back", held_back ? reserved : 0));
 }
 
 void Gateway::ComposeHeartbeat(v1::RouterBeat& beat) {
@@ -208,16 +211,15 @@
   m_hold_logged = m_book.HoldFactor();
   const entry::LossHistory past = m_book.History();
   LogLifecycle(LogLine("held_ahead")
-                .Number("per_thousand", PerThousand(m_hold_logged))
-                .Number("losses_per_thousand", PerThousand(past.losses))
-                .Number("outages_per_thousand", PerThousand(past.outages)));
+                   .Number("per_thousand", PerThousand(m_hold_logged))
+                   .Number("losses_per_thousand", PerThousand(past.losses))
+                   .Number("outages_per_thousand", PerThousand(past.outages)));
 }
 
 // A successor can tell that this process has ended only if the process holds
 // the VM's port exclusively. The reserve is held back longer by as much as the
 // heartbeat period exceeds the usual one.
-void Gateway::SetReserveTimes(v1::RouterBeat& beat,
-                               core::TimePoint now) const {
+void Gateway::SetReserveTimes(v1::RouterBeat& beat, core::TimePoint now) const {
   if (!m_load_port_bound_since || m_boot.empty() ||
       m_policy.book.held_back == core::Duration::zero()) {
     return;
--- a/src/gateway/gateway_listeners.cc
+++ b/src/gateway/gateway_listeners.cc
@@ -24,7 +24,7 @@
     return;
   }
   LogLifecycle(LogLine("loads_not_shared")
-                .Text("why", core::ToString(core::Failure(bound))));
+                   .Text("why", core::ToString(core::Failure(bound))));
 }
 
 void Gateway::StartLoadReports(uint64_t epoch) {
@@ -71,8 +71,8 @@
   hooks.on_gift = [this](const v1::TokenGift& gift) {
     m_token_requester->OnTransfer(gift);
   };
-  m_peer_messenger = std::make_unique<PeerMessenger>(m_io, m_settings.router.value(),
-                                           std::move(hooks));
+  m_peer_messenger = std::make_unique<PeerMessenger>(
+      m_io, m_settings.router.value(), std::move(hooks));
 }
 
 CallerConnection::Hooks Gateway::CallerHooks(
@@ -83,10 +83,10 @@
     const core::ErrorInfo& info = core::Describe(error.id);
     m_metrics.OnRequest(entry::RouteKind::kAtMostOnce, info.name);
     m_log.Write(LogCategory::kFailure, LogLine("request")
-                                        .Text("id", "")
-                                        .Text("outcome", info.name)
-                                        .Number("status", info.http_status)
-                                        .Text("why", error.detail));
+                                           .Text("id", "")
+                                           .Text("outcome", info.name)
+                                           .Number("status", info.http_status)
+                                           .Text("why", error.detail));
   };
   hooks.bounds = [this] {
     return m_in_force ? m_in_force->configuration().bounds
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -27,18 +27,20 @@
 }
 
 Family<Counter>& RegisterCounter(Registry& registry,
-                           const char* name,
-                           const char* help) {
+                                 const char* name,
+                                 const char* help) {
   return prometheus::BuildCounter().Name(name).Help(help).Register(registry);
 }
 
-Family<Gauge>& RegisterGauge(Registry& registry, const char* name, const char* help) {
+Family<Gauge>& RegisterGauge(Registry& registry,
+                             const char* name,
+                             const char* help) {
   return prometheus::BuildGauge().Name(name).Help(help).Register(registry);
 }
 
 Family<Histogram>& RegisterHistogram(Registry& registry,
-                               const char* name,
-                               const char* help) {
+                                     const char* name,
+                                     const char* help) {
   return prometheus::BuildHistogram().Name(name).Help(help).Register(registry);
 }
 
@@ -46,39 +48,41 @@
 
 struct GatewayMetrics::Impl {
   Registry registry;
-  Family<Counter>& requests = RegisterCounter(registry,
-                                        "coppervalve_entry_requests_total",
-                                        "Requests ended, by kind and cause");
-  Family<Counter>& attempts = RegisterCounter(registry,
-                                        "coppervalve_entry_attempts_total",
-                                        "Attempts at upstreams, by outcome");
+  Family<Counter>& requests =
+      RegisterCounter(registry,
+                      "coppervalve_entry_requests_total",
+                      "Requests ended, by kind and cause");
+  Family<Counter>& attempts =
+      RegisterCounter(registry,
+                      "coppervalve_entry_attempts_total",
+                      "Attempts at upstreams, by outcome");
   Family<Counter>& gifts =
       RegisterCounter(registry,
-                "coppervalve_entry_gifts_total",
-                "Token transfers with other routers, by way");
+                      "coppervalve_entry_gifts_total",
+                      "Token transfers with other routers, by way");
   Family<Counter>& store_calls =
       RegisterCounter(registry,
-                "coppervalve_entry_store_calls_total",
-                "Calls to the durable store, by topic and result");
+                      "coppervalve_entry_store_calls_total",
+                      "Calls to the durable store, by topic and result");
   Family<Histogram>& first_byte =
       RegisterHistogram(registry,
-                  "coppervalve_entry_first_byte_seconds",
-                  "From a request's last byte to its answer's first");
+                        "coppervalve_entry_first_byte_seconds",
+                        "From a request's last byte to its answer's first");
   Family<Histogram>& whole =
       RegisterHistogram(registry,
-                  "coppervalve_entry_whole_answer_seconds",
-                  "From a request's last byte to its answer's last");
+                        "coppervalve_entry_whole_answer_seconds",
+                        "From a request's last byte to its answer's last");
   Family<Histogram>& grant_wait =
       RegisterHistogram(registry,
-                  "coppervalve_entry_grant_wait_seconds",
-                  "Time requests waited for a higher ceiling");
+                        "coppervalve_entry_grant_wait_seconds",
+                        "Time requests waited for a higher ceiling");
   Family<Gauge>& tokens =
       RegisterGauge(registry,
-              "coppervalve_entry_account_tokens",
-              "Tokens of an account at this router, by state");
+                    "coppervalve_entry_account_tokens",
+                    "Tokens of an account at this router, by state");
   Family<Gauge>& process = RegisterGauge(registry,
-                                   "coppervalve_entry_state",
-                                   "State of the router, by figure");
+                                         "coppervalve_entry_state",
+                                         "State of the router, by figure");
 };
 
 GatewayMetrics::GatewayMetrics() : m_impl(std::make_unique<Impl>()) {}
@@ -123,8 +127,9 @@
       .Increment();
 }
 
-void GatewayMetrics::OnAccount(const core::AccountId& account,
-                               const entry::AllocationLedger::Figures& figures) {
+void GatewayMetrics::OnAccount(
+    const core::AccountId& account,
+    const entry::AllocationLedger::Figures& figures) {
   const auto set = [&](const char* state, core::Tokens tokens) {
     m_impl->tokens.Add({{"account", account.value()}, {"state", state}})
         .Set(static_cast<double>(tokens.value()));
@@ -151,8 +156,7 @@
   set("log_lines_left_out", static_cast<double>(stats.log_lines_left_out));
   set("ready", stats.ready ? 1 : 0);
   set("store_up", stats.store_up ? 1 : 0);
-  set("quarantined_requests",
-      static_cast<double>(stats.quarantined_requests));
+  set("quarantined_requests", static_cast<double>(stats.quarantined_requests));
   set("follows_upstreams", stats.follows_upstreams ? 1 : 0);
   set("limited_upstreams", static_cast<double>(stats.limited_upstreams));
   set("evacuated_domains", static_cast<double>(stats.evacuated_domains));
--- a/src/gateway/gateway_store.cc
+++ b/src/gateway/gateway_store.cc
@@ -68,17 +68,19 @@
   of_heartbeats.on_newest = [this](const std::vector<KeyedRecord>& records) {
     OnNewestHeartbeats(records);
   };
-  of_heartbeats.pause = [this, usual = of_heartbeats.pause](core::Duration pause) {
+  of_heartbeats.pause = [this,
+                         usual = of_heartbeats.pause](core::Duration pause) {
     return m_first_heartbeat_read ? usual(pause) : kStartingPause;
   };
-  of_heartbeats.on_read = [this, topic = layout.heartbeat_topic](uint64_t next) {
+  of_heartbeats.on_read = [this,
+                           topic = layout.heartbeat_topic](uint64_t next) {
     OnStoreAnswer(topic);
     m_heartbeats_read_to = next;
     StartHeartbeatsIfCaughtUp();
   };
   m_heartbeats = std::make_shared<TopicFollower>(
-      m_io, FollowerOptions{layout.heartbeat_topic, entry::HeartbeatPlan()}, m_store,
-      m_random, std::move(of_heartbeats));
+      m_io, FollowerOptions{layout.heartbeat_topic, entry::HeartbeatPlan()},
+      m_store, m_random, std::move(of_heartbeats));
 }
 
 // Nearly all records of a large upstream table only renew an entry. Parsing
@@ -87,7 +89,8 @@
   std::string& last = m_upstream_documents[record.key];
   const entry::UpstreamRef known =
       m_directory.Find(core::UpstreamId(record.key));
-  const bool same = known && !known->expired_at && m_adapter.upstream_unchanged &&
+  const bool same = known && !known->expired_at &&
+                    m_adapter.upstream_unchanged &&
                     m_adapter.upstream_unchanged(last, record.value);
   last = record.value;
   return same;
@@ -107,8 +110,8 @@
       m_pool.CloseAll(id);
     }
     LogLifecycle(LogLine("upstream_entry_removed")
-                  .Text("upstream", record.key)
-                  .Flag("gone", gone));
+                     .Text("upstream", record.key)
+                     .Flag("gone", gone));
     return;
   }
   const entry::UpstreamRecord read = ReadUpstreamRecord(record);
@@ -126,11 +129,11 @@
     return;
   }
   LogLifecycle(LogLine("upstream_entry")
-                .Text("upstream", record.key)
-                .Text("service", read.entry->service.value())
-                .Text("address", read.entry->address)
-                .Flag("leaving", read.entry->leaving)
-                .Flag("new_start", new_start));
+                   .Text("upstream", record.key)
+                   .Text("service", read.entry->service.value())
+                   .Text("address", read.entry->address)
+                   .Flag("leaving", read.entry->leaving)
+                   .Flag("new_start", new_start));
 }
 
 entry::UpstreamRecord Gateway::ReadUpstreamRecord(const KeyedRecord& record) {
@@ -143,8 +146,8 @@
     return read;
   }
   LogLifecycle(LogLine("upstream_entry_unreadable")
-                .Text("upstream", record.key)
-                .Text("why", core::ToString(core::Failure(entry))));
+                   .Text("upstream", record.key)
+                   .Text("why", core::ToString(core::Failure(entry))));
   return read;
 }
 
@@ -166,8 +169,8 @@
     m_heartbeat_writer->Expedite();
   }
   LogLifecycle(LogLine("upstreams_read")
-                .Number("listed", static_cast<int64_t>(read.size()))
-                .Number("kept", static_cast<int64_t>(m_directory.size())));
+                   .Number("listed", static_cast<int64_t>(read.size()))
+                   .Number("kept", static_cast<int64_t>(m_directory.size())));
 }
 
 entry::StoreContact& Gateway::ContactOf(const std::string& topic) {
--- a/src/gateway/gateway_transfers.cc
+++ b/src/gateway/gateway_transfers.cc
@@ -33,12 +33,12 @@
     m_book.OnTransfer(account, tokens);
     m_metrics.OnTransfer("taken");
     m_log.Write(LogCategory::kRoutine, LogLine("tokens_borrowed")
-                                        .Text("account", account.value())
-                                        .Number("tokens", tokens.value()));
+                                           .Text("account", account.value())
+                                           .Number("tokens", tokens.value()));
   };
-  m_token_requester =
-      std::make_unique<TokenRequester>(m_io, m_settings.router.value(),
-                                 m_settings.load_address, std::move(hooks));
+  m_token_requester = std::make_unique<TokenRequester>(
+      m_io, m_settings.router.value(), m_settings.load_address,
+      std::move(hooks));
 }
 
 void Gateway::OnTokenAsk(const v1::TokenAsk& ask) {
@@ -47,14 +47,14 @@
   std::optional<core::Tokens> given = m_transfer_replies.Find(ask);
   if (!given) {
     given = m_book.TransferOut(account, core::Tokens(ask.least()),
-                        core::Tokens(ask.wanted()), now);
+                               core::Tokens(ask.wanted()), now);
     m_transfer_replies.Insert(ask, *given, now);
     m_metrics.OnTransfer(*given > core::Tokens(0) ? "given" : "none_to_spare");
     m_log.Write(LogCategory::kRoutine, LogLine("tokens_given")
-                                        .Text("account", account.value())
-                                        .Text("to", ask.router())
-                                        .Number("asked", ask.least())
-                                        .Number("tokens", given->value()));
+                                           .Text("account", account.value())
+                                           .Text("to", ask.router())
+                                           .Number("asked", ask.least())
+                                           .Number("tokens", given->value()));
   }
   v1::PeerDatagram datagram;
   v1::TokenGift& gift = *datagram.mutable_gift();
--- a/src/gateway/gateway_upstream_table.cc
+++ b/src/gateway/gateway_upstream_table.cc
@@ -21,13 +21,13 @@
   cost.heartbeat = m_settings.upstream_heartbeat;
   cost.store_bytes_per_second = m_settings.store_read_bytes_per_second;
   const bool followed = m_table_readers.follows();
-  const bool follows =
-      m_table_readers.Advance(cost, m_members.SelfActiveOrNext(), net::BootNow());
+  const bool follows = m_table_readers.Advance(
+      cost, m_members.SelfActiveOrNext(), net::BootNow());
   if (follows != followed && cost.known) {
     LogLifecycle(LogLine("follows_upstreams")
-                  .Flag("follows", follows)
-                  .Number("upstreams", static_cast<int64_t>(cost.upstreams))
-                  .Number("routers", static_cast<int64_t>(cost.routers)));
+                     .Flag("follows", follows)
+                     .Number("upstreams", static_cast<int64_t>(cost.upstreams))
+                     .Number("routers", static_cast<int64_t>(cost.routers)));
   }
   if (follows) {
     m_upstreams->Resume();
@@ -49,8 +49,8 @@
       m_peer_messenger->Send(address, datagram);
     }
   };
-  m_placement_client = std::make_unique<PlacementClient>(m_io, m_settings.load_address,
-                                               std::move(hooks), m_random);
+  m_placement_client = std::make_unique<PlacementClient>(
+      m_io, m_settings.load_address, std::move(hooks), m_random);
 }
 
 // The request that follows counts as sent by this router while the upstream is
--- a/src/gateway/heartbeat_writer.cc
+++ b/src/gateway/heartbeat_writer.cc
@@ -5,10 +5,10 @@
 namespace coppervalve::gateway {
 
 HeartbeatWriter::HeartbeatWriter(boost::asio::io_context& io,
-                       HeartbeatOptions options,
-                       const KeyedStore& store,
-                       routing::RandomSource random,
-                       Hooks hooks)
+                                 HeartbeatOptions options,
+                                 const KeyedStore& store,
+                                 routing::RandomSource random,
+                                 Hooks hooks)
     : m_options(std::move(options)),
       m_store(store),
       m_random(std::move(random)),
@@ -28,7 +28,8 @@
           return;
         }
         if (core::IsOk(result)) {
-          self->m_hooks.on_epoch_announced(self->m_epoch, core::Value(result).end);
+          self->m_hooks.on_epoch_announced(self->m_epoch,
+                                           core::Value(result).end);
           return;
         }
         const core::Error& error = core::Failure(result);
@@ -108,7 +109,8 @@
       &HeartbeatWriter::Append);
 }
 
-void HeartbeatWriter::Schedule(core::Duration delay, void (HeartbeatWriter::*step)()) {
+void HeartbeatWriter::Schedule(core::Duration delay,
+                               void (HeartbeatWriter::*step)()) {
   m_timer.expires_after(delay);
   m_timer.async_wait(
       [self = shared_from_this(), step](const boost::system::error_code& code) {
--- a/src/gateway/peer_messenger.cc
+++ b/src/gateway/peer_messenger.cc
@@ -26,8 +26,8 @@
 }  // namespace
 
 PeerMessenger::PeerMessenger(boost::asio::io_context& io,
-                           std::string router,
-                           Hooks hooks)
+                             std::string router,
+                             Hooks hooks)
     : m_socket(io), m_timer(io), m_buffer{}, m_hooks(std::move(hooks)) {
   m_report.set_router(std::move(router));
 }
@@ -96,7 +96,7 @@
 }
 
 void PeerMessenger::Send(const std::string& address,
-                        const v1::PeerDatagram& datagram) {
+                         const v1::PeerDatagram& datagram) {
   if (m_socket.is_open()) {
     SendTo(address, datagram.SerializeAsString());
   }
@@ -130,7 +130,7 @@
 }
 
 void PeerMessenger::SendTo(const std::string& address,
-                          const std::string& bytes) {
+                           const std::string& bytes) {
   const auto endpoint = net::ReadEndpoint(address);
   ErrorCode code;
   const auto ip = boost::asio::ip::make_address(
--- a/src/gateway/placement_client.cc
+++ b/src/gateway/placement_client.cc
@@ -43,7 +43,7 @@
 }
 
 v1::PlaceAnswer ToPlaceAnswer(const v1::PlaceAsk& ask,
-                         const entry::Placement& placement) {
+                              const entry::Placement& placement) {
   v1::PlaceAnswer answer;
   answer.set_ask_epoch(ask.epoch());
   answer.set_ask_id(ask.id());
@@ -59,15 +59,16 @@
 }
 
 PlacementClient::PlacementClient(boost::asio::io_context& io,
-                       std::string reply_address,
-                       Hooks hooks,
-                       routing::RandomSource random)
+                                 std::string reply_address,
+                                 Hooks hooks,
+                                 routing::RandomSource random)
     : m_io(io),
       m_reply_address(std::move(reply_address)),
       m_hooks(std::move(hooks)),
       m_random(std::move(random)) {}
 
-void PlacementClient::Ask(const entry::PlacementQuery& query, PlacementCallback on_placement) {
+void PlacementClient::Ask(const entry::PlacementQuery& query,
+                          PlacementCallback on_placement) {
   const uint64_t id = ++m_last_id;
   Pending pending;
   pending.ask = ToPlaceAsk(query);
--- a/src/gateway/token_requester.cc
+++ b/src/gateway/token_requester.cc
@@ -22,9 +22,9 @@
 }  // namespace
 
 TokenRequester::TokenRequester(boost::asio::io_context& io,
-                   std::string router,
-                   std::string reply_address,
-                   Hooks hooks)
+                               std::string router,
+                               std::string reply_address,
+                               Hooks hooks)
     : m_io(io),
       m_router(std::move(router)),
       m_reply_address(std::move(reply_address)),
@@ -35,8 +35,8 @@
 }
 
 bool TokenRequester::RequestTokens(const core::AccountId& account,
-                      core::Tokens tokens,
-                      std::function<void()> on_done) {
+                                   core::Tokens tokens,
+                                   std::function<void()> on_done) {
   const auto found = m_pending.find(account);
   if (found != m_pending.end()) {
     found->second.callbacks.push_back(std::move(on_done));
@@ -87,7 +87,8 @@
       });
 }
 
-void TokenRequester::OnTimeout(const core::AccountId& account, uint64_t message_id) {
+void TokenRequester::OnTimeout(const core::AccountId& account,
+                               uint64_t message_id) {
   const auto found = m_pending.find(account);
   if (found == m_pending.end() || found->second.message_id != message_id) {
     return;
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -89,7 +89,8 @@
   const core::Duration usual = m_options.plan.pause;
   const bool varies = usual > core::Duration::zero() && m_hooks.pause;
   ScheduleStep(m_plan.OnBatch(batch.records.empty(), batch.next, batch.end,
-                      varies ? m_hooks.pause(usual) : usual, net::BootNow()));
+                              varies ? m_hooks.pause(usual) : usual,
+                              net::BootNow()));
 }
 
 // Parsing a configuration takes tens of milliseconds on a small VM. When
@@ -156,7 +157,8 @@
 
 // Without a delay the step runs immediately: a zero timer would cost an extra
 // wake-up.
-void TopicFollower::RunAfter(core::Duration delay, void (TopicFollower::*step)()) {
+void TopicFollower::RunAfter(core::Duration delay,
+                             void (TopicFollower::*step)()) {
   if (delay == core::Duration::zero()) {
     m_timer.cancel();
     (this->*step)();
--- a/src/ledger/entry_context.cc
+++ b/src/ledger/entry_context.cc
@@ -74,7 +74,8 @@
   }
   // A refused record may have created a holding that never had tokens.
   for (const ModifiedHolding& modified : m_modified) {
-    m_state.members.RemoveUnusedHolding(modified.incarnation, modified.ref.budget().id);
+    m_state.members.RemoveUnusedHolding(modified.incarnation,
+                                        modified.ref.budget().id);
   }
   for (const ModifiedHolding& modified : m_modified) {
     m_state.members.PruneIfEmpty(modified.incarnation, m_offset,
--- a/src/ledger/fold_balance.cc
+++ b/src/ledger/fold_balance.cc
@@ -162,8 +162,8 @@
   HoldingRef receiver = context.GetOrCreateHolding(*to, *budget);
   receiver.TransferIn(tokens);
   context.Emit(TransferApplied{from->id, from->incarnation, to->id,
-                              to->incarnation, r.transfer_id(), budget->id,
-                              tokens});
+                               to->incarnation, r.transfer_id(), budget->id,
+                               tokens});
   // A retired receiver with a ceiling cannot commit more than the ceiling, so
   // tokens above it would stay quarantined without need.
   EmitQuarantineChange(context, *to, receiver, receiver.ReleaseAboveCeiling());
--- a/src/ledger/fold_config.cc
+++ b/src/ledger/fold_config.cc
@@ -26,7 +26,7 @@
 // The publisher has validated the whole file. Only what the balances depend on
 // is checked here, so that a faulty publisher cannot corrupt them.
 std::optional<ConfigRejection> CheckProposal(EntryContext& context,
-                                     const v1::ConfigPublished& r) {
+                                             const v1::ConfigPublished& r) {
   const State& state = context.state();
   if (context.stale()) {
     return ConfigRejection::kStale;
--- a/src/ledger/fold_members.cc
+++ b/src/ledger/fold_members.cc
@@ -92,8 +92,8 @@
     return;
   }
   if (!by_itself && member->last_sequence > Sequence(r.as_of_sequence())) {
-    context.Emit(
-        RetirementVoided{member->id, member->incarnation, member->last_sequence});
+    context.Emit(RetirementVoided{member->id, member->incarnation,
+                                  member->last_sequence});
     return;
   }
   // An operator has verified that the router is gone, so its vote is removed at
--- a/src/ledger/fold_quarantine.cc
+++ b/src/ledger/fold_quarantine.cc
@@ -33,9 +33,9 @@
 }
 
 void ApplyCeiling(EntryContext& context,
-            Member& member,
-            Budget& budget,
-            Tokens reported) {
+                  Member& member,
+                  Budget& budget,
+                  Tokens reported) {
   HoldingRef ref = context.GetOrCreateHolding(member, budget);
   Holding& holding = ref.holding();
   const Tokens committed = holding.spent + holding.transferred_out;
@@ -45,8 +45,8 @@
 }
 
 void ApplyFinalSpend(EntryContext& context,
-              Member& member,
-              const v1::FinalSpend& final_spend) {
+                     Member& member,
+                     const v1::FinalSpend& final_spend) {
   Budget* budget = context.BudgetOrIgnore(final_spend.budget());
   if (budget == nullptr) {
     return;
--- a/src/ledger/fold_spend.cc
+++ b/src/ledger/fold_spend.cc
@@ -43,11 +43,12 @@
 
 }  // namespace
 
-bool ApplySpendTotals(EntryContext& context,
-               Member& member,
-               Budget& budget,
-               const SpendTotals& totals,
-               const google::protobuf::RepeatedPtrField<v1::Bill>& bills) {
+bool ApplySpendTotals(
+    EntryContext& context,
+    Member& member,
+    Budget& budget,
+    const SpendTotals& totals,
+    const google::protobuf::RepeatedPtrField<v1::Bill>& bills) {
   HoldingRef ref = context.GetOrCreateHolding(member, budget);
   const Tokens delta = totals.spent - ref.holding().spent;
   const Tokens abandoned = totals.written_off - ref.holding().written_off;
@@ -82,7 +83,7 @@
     return;
   }
   ApplySpendTotals(context, *context.writer(), *budget,
-            {Tokens(r.spent()), Tokens(r.written_off())}, r.bills());
+                   {Tokens(r.spent()), Tokens(r.written_off())}, r.bills());
 }
 
 void FoldKeyClaimed(EntryContext& context, const v1::KeyClaimed& r) {
--- a/src/ledger/member_table.cc
+++ b/src/ledger/member_table.cc
@@ -14,7 +14,9 @@
                      });
 }
 
-bool OutsideWindow(core::LogOffset retired, core::LogOffset offset, uint64_t window) {
+bool OutsideWindow(core::LogOffset retired,
+                   core::LogOffset offset,
+                   uint64_t window) {
   return offset.value() - retired.value() > window;
 }
 
@@ -91,7 +93,7 @@
 }
 
 void MemberTable::RemoveUnusedHolding(core::Incarnation incarnation,
-                               const core::BudgetId& budget) {
+                                      const core::BudgetId& budget) {
   Member* member = Find(incarnation);
   if (member == nullptr) {
     return;
--- a/src/ledger/snapshot_codec.cc
+++ b/src/ledger/snapshot_codec.cc
@@ -15,7 +15,8 @@
 
 namespace {
 
-core::Error SnapshotError(const std::string& subject, const std::string& detail) {
+core::Error SnapshotError(const std::string& subject,
+                          const std::string& detail) {
   return {core::ErrorId::kSnapshotInvalid, subject, detail};
 }
 
@@ -311,7 +312,8 @@
     const bool valid = v1::RouterPhase_IsValid(member.phase) &&
                        member.phase != v1::ROUTER_PHASE_UNSPECIFIED;
     if (!valid || members.Find(member.incarnation) != nullptr) {
-      return SnapshotError(member.id.value(), "invalid phase or duplicate incarnation");
+      return SnapshotError(member.id.value(),
+                           "invalid phase or duplicate incarnation");
     }
     if (member.live() && members.FindLive(member.id) != nullptr) {
       return SnapshotError(member.id.value(), "has two live incarnations");
@@ -328,11 +330,13 @@
     Member* member = members.Find(RouterId(encoded.router()),
                                   Incarnation(encoded.incarnation()));
     if (member == nullptr) {
-      return SnapshotError(budget.id.value(), "has a holding of an unknown router");
+      return SnapshotError(budget.id.value(),
+                           "has a holding of an unknown router");
     }
     const Holding holding = DecodeHolding(encoded);
     if (!member->holdings.emplace(budget.id, holding).second) {
-      return SnapshotError(budget.id.value(), "has two holdings of " + encoded.router());
+      return SnapshotError(budget.id.value(),
+                           "has two holdings of " + encoded.router());
     }
     budget.held += holding.held();
     if (!member->live()) {
--- a/src/ledger/state.cc
+++ b/src/ledger/state.cc
@@ -13,7 +13,8 @@
   core::Tokens quarantined;
 };
 
-core::Status ConservationError(const core::BudgetId& budget, const std::string& detail) {
+core::Status ConservationError(const core::BudgetId& budget,
+                               const std::string& detail) {
   return core::Error{core::ErrorId::kConservationBroken, budget.value(),
                      detail};
 }
@@ -23,7 +24,8 @@
     std::unordered_map<core::BudgetId, HeldTotals>& totals) {
   for (const auto& [id, holding] : member.holdings) {
     if (!IsBalanced(holding)) {
-      return ConservationError(id, "a holding of " + member.id.value() + " is negative");
+      return ConservationError(
+          id, "a holding of " + member.id.value() + " is negative");
     }
     HeldTotals& total = totals[id];
     total.held += holding.held();
@@ -56,16 +58,19 @@
   for (const Budget* budget : state.budgets.Sorted()) {
     const HeldTotals& total = totals[budget->id];
     if (!IsBalanced(*budget)) {
-      return ConservationError(budget->id, "the balance differs from the sum of its parts");
+      return ConservationError(budget->id,
+                               "the balance differs from the sum of its parts");
     }
     if (total.held != budget->held ||
         total.quarantined != budget->quarantined) {
-      return ConservationError(budget->id, "the total held differs from the sum of the holdings");
+      return ConservationError(
+          budget->id, "the total held differs from the sum of the holdings");
     }
     totals.erase(budget->id);
   }
   if (!totals.empty()) {
-    return ConservationError(totals.begin()->first, "has holdings, but is unknown");
+    return ConservationError(totals.begin()->first,
+                             "has holdings, but is unknown");
   }
   return core::Ok();
 }
--- a/src/membership/address_list_builder.cc
+++ b/src/membership/address_list_builder.cc
@@ -50,9 +50,10 @@
 
 }  // namespace
 
-AddressListBuilder::AddressListBuilder(Member self,
-                         std::function<std::string(const MemberId&)> key_prefix,
-                         AddressLimits limits)
+AddressListBuilder::AddressListBuilder(
+    Member self,
+    std::function<std::string(const MemberId&)> key_prefix,
+    AddressLimits limits)
     : m_self(std::move(self)),
       m_key_prefix(std::move(key_prefix)),
       m_limits(limits) {}
@@ -108,8 +109,10 @@
   // domain is cut off for the lifetime of the list. So half of the list is
   // reserved for other domains, as far as they have enough routers.
   const size_t half = m_limits.max_addresses / 2;
-  const size_t other_slots = std::min(other_count, m_limits.max_addresses - half);
-  const size_t own_slots = std::min(own_count, m_limits.max_addresses - other_slots);
+  const size_t other_slots =
+      std::min(other_count, m_limits.max_addresses - half);
+  const size_t own_slots =
+      std::min(own_count, m_limits.max_addresses - other_slots);
 
   v1::AddressList list;
   list.set_lifetime_ms(static_cast<uint32_t>(
--- a/src/membership/drain.cc
+++ b/src/membership/drain.cc
@@ -48,12 +48,14 @@
 /// Other routers may hand out this router's address until they know of the
 /// drain, and callers use a list for its lifetime.
 bool Drain::ListsExpired(core::TimePoint now, const DrainInputs& inputs) {
-  const bool log_unavailable = now - m_requested_at >= m_limits.announce_timeout;
+  const bool log_unavailable =
+      now - m_requested_at >= m_limits.announce_timeout;
   if (!m_lists_expiring_since && (inputs.announced || log_unavailable)) {
     m_lists_expiring_since = now;
   }
   return m_lists_expiring_since &&
-         now - *m_lists_expiring_since >= m_limits.address_lifetime + m_limits.margin;
+         now - *m_lists_expiring_since >=
+             m_limits.address_lifetime + m_limits.margin;
 }
 
 }  // namespace coppervalve::membership
--- a/src/membership/freshness.cc
+++ b/src/membership/freshness.cc
@@ -43,7 +43,7 @@
 }
 
 FreshnessVerdict Freshness::Evaluate(core::TimePoint now,
-                                  const FreshnessInputs& inputs) {
+                                     const FreshnessInputs& inputs) {
   const auto decision = Decide(now, inputs);
   if (const auto* basis = std::get_if<FreshBasis>(&decision)) {
     m_stale_since.reset();
@@ -114,7 +114,7 @@
 }
 
 bool Freshness::IsRecent(core::TimePoint now,
-                       std::optional<core::TimePoint> read) const {
+                         std::optional<core::TimePoint> read) const {
   return read && now - *read <= m_bound;
 }
 
--- a/src/membership/peer_view.cc
+++ b/src/membership/peer_view.cc
@@ -22,7 +22,8 @@
 
 /// Selects from each failure domain round-robin, so that the loss of a domain,
 /// or of the connection to it, costs a member only its share of contacts.
-std::vector<MemberId> ChooseAcrossDomains(std::vector<Ranked> ranked, size_t count) {
+std::vector<MemberId> ChooseAcrossDomains(std::vector<Ranked> ranked,
+                                          size_t count) {
   std::sort(ranked.begin(), ranked.end(), HigherRank);
   std::map<core::FailureDomainId, size_t> taken;
   struct Pick {
@@ -283,9 +284,9 @@
     }
     const bool counts =
         Contains(m_chosen, id) && (Sampled() || entry.member.voter);
-    log_reports.push_back({EntryReachable(now, entry), counts, entry.read_to_end,
-                        entry.claimed_read_to_end, entry.config_version,
-                        entry.known_version});
+    log_reports.push_back({EntryReachable(now, entry), counts,
+                           entry.read_to_end, entry.claimed_read_to_end,
+                           entry.config_version, entry.known_version});
   }
   return log_reports;
 }
--- a/src/membership/silent_member_detector.cc
+++ b/src/membership/silent_member_detector.cc
@@ -7,7 +7,8 @@
 
 namespace coppervalve::membership {
 
-SilentMemberDetector::SilentMemberDetector(MemberId self, RetirementLimits limits)
+SilentMemberDetector::SilentMemberDetector(MemberId self,
+                                           RetirementLimits limits)
     : m_self(std::move(self)),
       m_limits(limits),
       m_name(RendezvousName(m_self)) {}
@@ -17,7 +18,7 @@
 }
 
 void SilentMemberDetector::OnReadToEnd(core::TimePoint issued,
-                                  const std::vector<Member>& members) {
+                                       const std::vector<Member>& members) {
   m_is_member = false;
   for (const Member& member : members) {
     if (member.id == m_self) {
@@ -40,7 +41,8 @@
   m_last_read = issued;
 }
 
-void SilentMemberDetector::ObserveSelf(core::TimePoint issued, const Member& self) {
+void SilentMemberDetector::ObserveSelf(core::TimePoint issued,
+                                       const Member& self) {
   m_is_member = true;
   m_own_phase = self.phase;
   if (self.last_sequence > m_own_sequence) {
@@ -49,7 +51,8 @@
   }
 }
 
-void SilentMemberDetector::Observe(const Member& member, core::Duration silence) {
+void SilentMemberDetector::Observe(const Member& member,
+                                   core::Duration silence) {
   TrackedMember& tracked = m_tracked[member.id];
   tracked.phase = member.phase;
   if (tracked.name.empty() || tracked.last_sequence != member.last_sequence) {
@@ -65,7 +68,8 @@
 
 /// Part of the time since the last read that counts as silence of members
 /// without new entries.
-core::Duration SilentMemberDetector::CountedSilence(core::TimePoint issued) const {
+core::Duration SilentMemberDetector::CountedSilence(
+    core::TimePoint issued) const {
   if (!m_is_member || !m_last_read || !m_own_entry_read) {
     return {};
   }
@@ -80,7 +84,8 @@
   return std::min(issued - *m_last_read, m_limits.max_read_gap);
 }
 
-std::vector<v1::RouterRetired> SilentMemberDetector::TakeDue(core::TimePoint now) {
+std::vector<v1::RouterRetired> SilentMemberDetector::TakeDue(
+    core::TimePoint now) {
   std::vector<v1::RouterRetired> due;
   if (!m_is_member) {
     return due;
@@ -101,13 +106,14 @@
 }
 
 bool SilentMemberDetector::IsDue(core::TimePoint now,
-                          TrackedMember& tracked,
-                          bool most_silent) const {
+                                 TrackedMember& tracked,
+                                 bool most_silent) const {
   const core::Duration timeout = TimeoutFor(tracked, most_silent);
   if (tracked.silent < timeout) {
     return false;
   }
-  if (tracked.reported_at && now - *tracked.reported_at < m_limits.report_again_after) {
+  if (tracked.reported_at &&
+      now - *tracked.reported_at < m_limits.report_again_after) {
     return false;
   }
   if (!tracked.own_rank) {
@@ -121,7 +127,7 @@
 /// When most members are silent at once, the log or the connection to it is the
 /// more likely cause, and retiring working routers would refuse valid requests.
 core::Duration SilentMemberDetector::TimeoutFor(const TrackedMember& tracked,
-                                            bool most_silent) const {
+                                                bool most_silent) const {
   core::Duration timeout = m_limits.retire_after;
   if (tracked.phase == MemberPhase::kDraining) {
     timeout *= m_limits.draining_factor;
