--- a/src/membership/witness_selector.cc
+++ b/src/membership/witness_selector.cc
@@ -11,7 +11,7 @@
 namespace {
 
 std::map<MemberId, size_t> CountWitnessed(const MemberId& self,
-                                      const std::vector<Peer>& peers) {
+                                          const std::vector<Peer>& peers) {
   std::map<MemberId, size_t> witnessed_counts;
   for (const Peer& peer : peers) {
     if (!peer.member.witness || peer.member.id == self) {
@@ -40,8 +40,8 @@
     : m_self(std::move(self)), m_limits(limits) {}
 
 WitnessVerdict WitnessSelector::Evaluate(core::TimePoint now,
-                                    const std::optional<MemberId>& current,
-                                    const std::vector<Peer>& peers) {
+                                         const std::optional<MemberId>& current,
+                                         const std::vector<Peer>& peers) {
   const std::optional<Candidate> best = BestCandidate(peers);
   if (!current) {
     m_unavailable_since.reset();
@@ -62,8 +62,8 @@
 }
 
 WitnessVerdict WitnessSelector::Replace(core::Duration unavailable_for,
-                                      const Peer* current,
-                                      const std::optional<Candidate>& best) {
+                                        const Peer* current,
+                                        const std::optional<Candidate>& best) {
   const bool leaving = current == nullptr || current->draining;
   if (best && (leaving || unavailable_for >= m_limits.replace_after)) {
     return ChooseWitness{best->id};
@@ -88,7 +88,8 @@
 
 std::optional<WitnessSelector::Candidate> WitnessSelector::BestCandidate(
     const std::vector<Peer>& peers) const {
-  const std::map<MemberId, size_t> witnessed_counts = CountWitnessed(m_self.id, peers);
+  const std::map<MemberId, size_t> witnessed_counts =
+      CountWitnessed(m_self.id, peers);
   const std::string own_name = RendezvousName(m_self.id);
   std::optional<Candidate> best;
   for (const Peer& peer : peers) {
@@ -99,13 +100,15 @@
       continue;
     }
     const auto counted = witnessed_counts.find(id);
-    const size_t count = counted == witnessed_counts.end() ? 0 : counted->second;
+    const size_t count =
+        counted == witnessed_counts.end() ? 0 : counted->second;
     Candidate candidate;
     candidate.id = id;
     candidate.other_domain =
         peer.member.failure_domain != m_self.failure_domain;
-    candidate.excess_witnessed =
-        count >= m_limits.max_witnessed ? count + 1 - m_limits.max_witnessed : 0;
+    candidate.excess_witnessed = count >= m_limits.max_witnessed
+                                     ? count + 1 - m_limits.max_witnessed
+                                     : 0;
     candidate.rank = core::RendezvousRank(own_name, RendezvousName(id));
     if (!best || IsBetter(candidate, *best)) {
       best = std::move(candidate);
@@ -115,8 +118,8 @@
 }
 
 bool WitnessSelector::UpgradeDue(core::TimePoint now,
-                               const Peer& current,
-                               const std::optional<Candidate>& best) {
+                                 const Peer& current,
+                                 const std::optional<Candidate>& best) {
   const bool same_domain =
       current.member.failure_domain == m_self.failure_domain;
   if (!same_domain || !best || !best->other_domain) {
--- a/src/router/budget_desk.cc
+++ b/src/router/budget_desk.cc
@@ -149,7 +149,7 @@
     }
     const v1::SpendReported& report = record.spend_reported();
     m_book.OnSpendApplied(core::BudgetId(report.budget()),
-                         Tokens(report.spent()));
+                          Tokens(report.spent()));
   }
 }
 
--- a/src/routing/admission_queue.cc
+++ b/src/routing/admission_queue.cc
@@ -118,11 +118,12 @@
     // requests keep the upstreams full: they wait for hours and expire.
     // Reserving one in N starts bounds their wait and costs GATE requests at
     // most that share.
-    if (batch.size > 0 && batch.skipped_starts + 1 >= m_options.batch_start_interval) {
+    if (batch.size > 0 &&
+        batch.skipped_starts + 1 >= m_options.batch_start_interval) {
       return {kBatch, kGate, kInteractive};
     }
-    if (interactive.size > 0 &&
-        interactive.skipped_starts + 1 >= m_options.interactive_start_interval) {
+    if (interactive.size > 0 && interactive.skipped_starts + 1 >=
+                                    m_options.interactive_start_interval) {
       return {kInteractive, kGate, kBatch};
     }
     return {kGate, kInteractive, kBatch};
@@ -154,7 +155,8 @@
   std::set<std::pair<LaneId, size_t>> m_blocked;
 };
 
-AdmissionQueue::AdmissionQueue(AdmissionQueueOptions options, RandomSource random)
+AdmissionQueue::AdmissionQueue(AdmissionQueueOptions options,
+                               RandomSource random)
     : m_options(options), m_random(std::move(random)) {}
 
 AdmissionQueue::~AdmissionQueue() = default;
@@ -224,8 +226,8 @@
 }
 
 void AdmissionQueue::OnStarted(Pool& pool,
-                             const QueueEntry& entry,
-                             core::TimePoint now) {
+                               const QueueEntry& entry,
+                               core::TimePoint now) {
   const size_t class_index = ClassIndex(entry.admission_class);
   ClassQueue& queue = pool.classes[class_index];
   ClassQueue::Account& account = queue.accounts.at(entry.account);
@@ -287,8 +289,9 @@
   return overdue;
 }
 
-std::vector<QueueEntry> AdmissionQueue::PredictedLate(const Pool& pool,
-                                                 core::TimePoint now) const {
+std::vector<QueueEntry> AdmissionQueue::PredictedLate(
+    const Pool& pool,
+    core::TimePoint now) const {
   std::vector<QueueEntry> predicted_late;
   for (size_t index = 0; index < kClasses; ++index) {
     const ClassQueue& queue = pool.classes[index];
@@ -375,9 +378,8 @@
 
 core::Duration AdmissionQueue::AddJitter(
     std::optional<core::Duration> wait) const {
-  const core::Duration base =
-      std::max(wait.value_or(m_options.default_retry_after),
-               m_options.min_retry_after);
+  const core::Duration base = std::max(
+      wait.value_or(m_options.default_retry_after), m_options.min_retry_after);
   // Jitter keeps callers that were refused together from retrying together.
   return std::min(base + UniformDuration(m_random, base / 2),
                   m_options.max_retry_after);
@@ -386,8 +388,8 @@
 /// Number of entries that start before the one with `own_ahead` entries of its
 /// own account before it, when accounts take turns.
 size_t AdmissionQueue::CountAhead(const ClassQueue& queue,
-                               const core::AccountId& account,
-                               size_t own_ahead) {
+                                  const core::AccountId& account,
+                                  size_t own_ahead) {
   size_t ahead = own_ahead;
   for (const auto& [id, other] : queue.accounts) {
     if (id != account) {
@@ -439,8 +441,8 @@
       own_ahead += static_cast<size_t>(std::distance(flow.begin(), later));
     }
   }
-  return EstimateWait(pool, class_index, CountAhead(queue, entry.account, own_ahead),
-                    now);
+  return EstimateWait(pool, class_index,
+                      CountAhead(queue, entry.account, own_ahead), now);
 }
 
 size_t AdmissionQueue::ClassCapacity(v1::AdmissionClass admission_class) const {
@@ -476,10 +478,9 @@
     if (entry.admission_class != v1::BATCH) {
       continue;
     }
-    const bool is_later = latest == nullptr ||
-                         entry.start_by > latest->start_by ||
-                         (entry.start_by == latest->start_by &&
-                          entry.request > latest->request);
+    const bool is_later =
+        latest == nullptr || entry.start_by > latest->start_by ||
+        (entry.start_by == latest->start_by && entry.request > latest->request);
     if (is_later) {
       latest = &entry;
     }
--- a/src/routing/health.cc
+++ b/src/routing/health.cc
@@ -71,8 +71,9 @@
 
 void Health::ScheduleProbe(core::TimePoint now, const RandomSource& random) {
   const uint32_t step = std::min(m_backoff_step, kMaxBackoffStep);
-  const core::Duration backoff = std::min(
-      m_options.initial_probe_interval * (int64_t{1} << step), m_options.max_probe_interval);
+  const core::Duration backoff =
+      std::min(m_options.initial_probe_interval * (int64_t{1} << step),
+               m_options.max_probe_interval);
   m_backoff_step = step + 1;
   // Jitter keeps the seven routers that saw the same failure from probing at
   // the same time.
--- a/src/routing/placement.cc
+++ b/src/routing/placement.cc
@@ -105,7 +105,8 @@
   Scan scan;
   const size_t start = WindowStart(table, candidates, request.affinity);
   const size_t scan_limit = std::min(candidates.size(), m_options.max_scan);
-  while (scan.considered < scan_limit && scan.usable.size() < m_options.window) {
+  while (scan.considered < scan_limit &&
+         scan.usable.size() < m_options.window) {
     const size_t index = (start + scan.considered) % candidates.size();
     ++scan.considered;
     Candidate candidate = table.Inspect(
--- a/src/routing/placement_policies.cc
+++ b/src/routing/placement_policies.cc
@@ -90,8 +90,10 @@
             [](const RankedCandidate& a, const RankedCandidate& b) {
               return a.rank > b.rank;
             });
-  for (size_t position = 0; position < ranked.size() && position < kTieredRanks; ++position) {
-    ranked[position].tier = position == 0 ? AffinityTier::kOwner : AffinityTier::kNear;
+  for (size_t position = 0; position < ranked.size() && position < kTieredRanks;
+       ++position) {
+    ranked[position].tier =
+        position == 0 ? AffinityTier::kOwner : AffinityTier::kNear;
   }
   return ranked;
 }
--- a/src/routing/random_source.cc
+++ b/src/routing/random_source.cc
@@ -10,7 +10,8 @@
   return random() % bound;
 }
 
-core::Duration UniformDuration(const RandomSource& random, core::Duration span) {
+core::Duration UniformDuration(const RandomSource& random,
+                               core::Duration span) {
   if (span.count() <= 0) {
     return core::Duration::zero();
   }
--- a/src/routing/rate_limiter.cc
+++ b/src/routing/rate_limiter.cc
@@ -105,7 +105,8 @@
   if (m_peer_demand.empty() || total <= 0) {
     return equal;
   }
-  return kEqualShare * equal + (1 - kEqualShare) * bucket.reported_demand / total;
+  return kEqualShare * equal +
+         (1 - kEqualShare) * bucket.reported_demand / total;
 }
 
 void RateLimiter::Advance(Bucket& bucket, core::TimePoint now) const {
--- a/src/routing/retry_policy.cc
+++ b/src/routing/retry_policy.cc
@@ -79,7 +79,8 @@
   return retry;
 }
 
-bool RetryPolicy::SpendBudgets(const FailedAttempt& failed, core::TimePoint now) {
+bool RetryPolicy::SpendBudgets(const FailedAttempt& failed,
+                               core::TimePoint now) {
   RetryBudget& upstream =
       m_by_upstream.try_emplace(failed.upstream, m_options.per_upstream)
           .first->second;
@@ -96,15 +97,15 @@
 
 core::Duration RetryPolicy::Backoff(uint32_t attempts) const {
   const uint32_t step = std::min(attempts - 1, kMaxBackoffStep);
-  const core::Duration backoff =
-      std::min(m_options.initial_backoff * (int64_t{1} << step),
-               m_options.max_backoff);
+  const core::Duration backoff = std::min(
+      m_options.initial_backoff * (int64_t{1} << step), m_options.max_backoff);
   // Half of the delay is fixed and half is random: requests that failed
   // together are spread out, and none reaches the next upstream immediately.
   return backoff / 2 + UniformDuration(m_random, backoff / 2);
 }
 
-void RetryPolicy::RetainUpstreams(const std::vector<core::UpstreamId>& upstreams) {
+void RetryPolicy::RetainUpstreams(
+    const std::vector<core::UpstreamId>& upstreams) {
   const std::unordered_set<core::UpstreamId> kept(upstreams.begin(),
                                                   upstreams.end());
   std::erase_if(m_by_upstream, [&kept](const auto& entry) {
--- a/src/routing/upstream_table.cc
+++ b/src/routing/upstream_table.cc
@@ -200,9 +200,8 @@
     return;
   }
   entry->limit.OnOverload(now);
-  const core::Duration pause =
-      std::min(retry_after.value_or(m_options.default_hold_off),
-               m_options.max_hold_off);
+  const core::Duration pause = std::min(
+      retry_after.value_or(m_options.default_hold_off), m_options.max_hold_off);
   entry->held_off_until = std::max(entry->held_off_until, now + pause);
   EndAttempt(*entry);
   if (load) {
@@ -260,8 +259,9 @@
   const double gap_us = static_cast<double>((now - entry->reported_at).count());
   const double time_constant_us =
       static_cast<double>(m_options.report_smoothing.count());
-  const double decay =
-      entry->reported && time_constant_us > 0 ? std::exp(-gap_us / time_constant_us) : 0;
+  const double decay = entry->reported && time_constant_us > 0
+                           ? std::exp(-gap_us / time_constant_us)
+                           : 0;
   entry->others = decay * entry->others + (1 - decay) * others;
   entry->queued = load.queued;
   entry->reported = true;
@@ -280,9 +280,9 @@
   }
   m_last_probe_scan = now;
   std::vector<size_t> probe_order(m_ejected.lower_bound(m_next_probe_slot),
-                              m_ejected.end());
+                                  m_ejected.end());
   probe_order.insert(probe_order.end(), m_ejected.begin(),
-                 m_ejected.lower_bound(m_next_probe_slot));
+                     m_ejected.lower_bound(m_next_probe_slot));
   for (const size_t slot : probe_order) {
     Entry& entry = *m_entries[slot];
     if (entry.removed || entry.leaving) {
@@ -299,7 +299,8 @@
   return due;
 }
 
-void UpstreamTable::UpdateEjectedSlots(const Entry& entry, core::TimePoint now) {
+void UpstreamTable::UpdateEjectedSlots(const Entry& entry,
+                                       core::TimePoint now) {
   const size_t slot = m_slots.at(entry.info.id);
   if (entry.health.state(now) == HealthState::kEjected) {
     m_ejected.insert(slot);
--- a/src/rules/condition.cc
+++ b/src/rules/condition.cc
@@ -14,7 +14,7 @@
 }
 
 bool EmptyOrContains(const std::vector<std::string>& sorted,
-                std::string_view value) {
+                     std::string_view value) {
   return sorted.empty() ||
          std::binary_search(sorted.begin(), sorted.end(), value);
 }
@@ -48,10 +48,10 @@
 }
 
 bool Condition::Matches(const RequestFacts& facts) const {
-  return EmptyOrContains(m_accounts, facts.account.value()) && TargetMatches(facts) &&
-         SizesMatch(facts) && EmptyOrContains(m_methods, facts.method) &&
-         PathMatches(facts) && HeadersMatch(facts) &&
-         TimeMatches(facts.minute_of_day);
+  return EmptyOrContains(m_accounts, facts.account.value()) &&
+         TargetMatches(facts) && SizesMatch(facts) &&
+         EmptyOrContains(m_methods, facts.method) && PathMatches(facts) &&
+         HeadersMatch(facts) && TimeMatches(facts.minute_of_day);
 }
 
 bool Condition::TargetMatches(const RequestFacts& facts) const {
@@ -64,7 +64,8 @@
   if (prompt < m_min_prompt || (m_max_prompt != 0 && prompt > m_max_prompt)) {
     return false;
   }
-  return m_output_lower_bound == 0 || facts.max_output_tokens.value() > m_output_lower_bound;
+  return m_output_lower_bound == 0 ||
+         facts.max_output_tokens.value() > m_output_lower_bound;
 }
 
 bool Condition::PathMatches(const RequestFacts& facts) const {
--- a/tests/budget/fake_fleet.h
+++ b/tests/budget/fake_fleet.h
@@ -130,14 +130,17 @@
   int64_t Release(LedgerHolding& holding) {
     const int64_t bound = holding.ceiling.value_or(holding.received);
     const int64_t past =
-        holding.Held() - std::max<int64_t>(0, bound - holding.spent - holding.out);
+        holding.Held() -
+        std::max<int64_t>(0, bound - holding.spent - holding.out);
     const int64_t tokens = holding.ceiling ? std::max<int64_t>(0, past) : 0;
     holding.released += tokens;
     m_free += tokens;
     return tokens;
   }
 
-  void ApplyRecord(const PeerRef& writer, LedgerHolding& own, const v1::Record& r) {
+  void ApplyRecord(const PeerRef& writer,
+                   LedgerHolding& own,
+                   const v1::Record& r) {
     if (r.has_transfer_recorded()) {
       ApplyTransfer(r.transfer_recorded());
     } else if (r.has_spend_finalized()) {
@@ -164,8 +167,8 @@
     }
   }
   void ApplyRequest(const PeerRef& writer,
-                   LedgerHolding& own,
-                   const v1::AllotmentRequested& r) {
+                    LedgerHolding& own,
+                    const v1::AllotmentRequested& r) {
     const bool gate = r.admission_class() == v1::GATE;
     const int64_t open = gate ? m_free : m_free - kGateHeldBack;
     const core::Tokens tokens(std::min(r.tokens(), open));
@@ -192,8 +195,8 @@
     own.spent = spent;
   }
   void ApplyWitness(const PeerRef& writer,
-                   LedgerHolding& own,
-                   const v1::WitnessChosen& r) {
+                    LedgerHolding& own,
+                    const v1::WitnessChosen& r) {
     const PeerRef peer{core::RouterId(r.router()),
                        core::Incarnation(r.incarnation())};
     const bool none = r.router().empty();
@@ -208,7 +211,8 @@
       if (refused) {
         router.holdings.OnWitnessRefused(peer);
       } else {
-        router.holdings.OnWitnessInForce(none ? std::nullopt : std::optional(peer));
+        router.holdings.OnWitnessInForce(none ? std::nullopt
+                                              : std::optional(peer));
       }
     });
   }
--- a/tests/budget/holding_manager_fixture.h
+++ b/tests/budget/holding_manager_fixture.h
@@ -21,10 +21,10 @@
 class HoldingManagerFixture {
  public:
   explicit HoldingManagerFixture(uint64_t number = 1,
-                       SizingPolicy policy = DefaultSizing())
-      : m_holdings(Peer(number), std::move(policy), [this](const core::BudgetId&) {
-          return m_balance;
-        }) {
+                                 SizingPolicy policy = DefaultSizing())
+      : m_holdings(Peer(number),
+                   std::move(policy),
+                   [this](const core::BudgetId&) { return m_balance; }) {
     SetBalance(1'000'000, 1'000'000);
   }
 
@@ -51,7 +51,7 @@
   ReserveResult Reserve(int64_t bound,
                         v1::AdmissionClass admission_class = v1::INTERACTIVE) {
     return m_holdings.Reserve(m_now, m_budget, core::Tokens(bound),
-                          admission_class);
+                              admission_class);
   }
   std::optional<Reservation> TryReserve(int64_t bound) {
     const ReserveResult result = Reserve(bound);
@@ -91,7 +91,7 @@
     Reserve(1);
     Records();
     m_holdings.OnGranted(m_now, m_budget, core::Tokens(tokens),
-                     core::Sequence(++m_sequence));
+                         core::Sequence(++m_sequence));
     m_holdings.TakeWokenBudgets();
   }
   /// Puts a witness in force: it acknowledges the full list, and the ledger
--- a/tests/budget/unit-holding-manager.cc
+++ b/tests/budget/unit-holding-manager.cc
@@ -35,7 +35,8 @@
   CHECK(f.holdings()
             .Settle(f.now(), reservation, Tokens(300), Unkeyed{})
             .has_value());
-  CHECK_FALSE(f.holdings().Settle(f.now(), reservation, Tokens(300), Unkeyed{}));
+  CHECK_FALSE(
+      f.holdings().Settle(f.now(), reservation, Tokens(300), Unkeyed{}));
   CHECK_FALSE(f.holdings().Cancel(f.now(), reservation));
   LONGS_EQUAL(700, f.Held());
 }
@@ -53,7 +54,8 @@
 
 // An engine exceeds its maximum. If all of it were charged, the holding would
 // become negative and the ledger would refuse the reports of this router.
-TEST(HoldingManager, charges_an_excess_up_to_what_is_held_and_reports_the_rest) {
+TEST(HoldingManager,
+     charges_an_excess_up_to_what_is_held_and_reports_the_rest) {
   HoldingManagerFixture f;
   f.Grant(1000);
   const Reservation reservation = *f.TryReserve(100);
@@ -67,7 +69,8 @@
 // Near exhaustion all tokens are reserved by upper bounds, and most are
 // released within seconds. Refusing then would be wrong, because the budget has
 // tokens.
-TEST(HoldingManager, lets_requests_wait_while_reservations_may_settle_for_less) {
+TEST(HoldingManager,
+     lets_requests_wait_while_reservations_may_settle_for_less) {
   HoldingManagerFixture f;
   f.Grant(1000);
   f.SetBalance(0, 1000);
@@ -131,7 +134,8 @@
   CHECK_FALSE(f.TryReserve(1));
 }
 
-TEST(HoldingManager, returns_the_holding_of_an_idle_budget_when_the_balance_is_low) {
+TEST(HoldingManager,
+     returns_the_holding_of_an_idle_budget_when_the_balance_is_low) {
   HoldingManagerFixture f;
   f.Grant(1000);
   f.SetBalance(10, 1'000'000);
@@ -166,7 +170,8 @@
 // Queued requests may finish during a drain. The router may still request
 // allotments for them, but not for the minutes ahead that a router normally
 // holds.
-TEST(HoldingManager, requests_no_more_than_waiting_requests_need_while_draining) {
+TEST(HoldingManager,
+     requests_no_more_than_waiting_requests_need_while_draining) {
   HoldingManagerFixture f;
   f.holdings().StartDrain(f.now());
   CHECK(f.Waits(300, WaitReason::kGrant));
@@ -196,7 +201,8 @@
   CHECK(f.Refuses(1, ErrorId::kRetiredInLog));
 }
 
-TEST(HoldingManager, reports_spending_at_most_once_a_second_for_all_settlements) {
+TEST(HoldingManager,
+     reports_spending_at_most_once_a_second_for_all_settlements) {
   HoldingManagerFixture f;
   f.Grant(1000);
   for (int i = 0; i < 10; ++i) {
--- a/tests/budget/unit-random.cc
+++ b/tests/budget/unit-random.cc
@@ -155,7 +155,8 @@
   }
   void Reserve(FakeRouter& r) {
     const Tokens bound(1 + RandomBelow(kLargestBound));
-    const auto admission_class = RandomBelow(3) == 0 ? v1::GATE : v1::INTERACTIVE;
+    const auto admission_class =
+        RandomBelow(3) == 0 ? v1::GATE : v1::INTERACTIVE;
     const ReserveResult result =
         r.holdings.Reserve(m_now, kOnlyBudget, bound, admission_class);
     if (const auto* reservation = std::get_if<Reservation>(&result)) {
@@ -174,7 +175,8 @@
       return;
     }
     // Some upstreams exceed their bound.
-    const int64_t most = reservation.bound.value() * (RandomBelow(20) == 0 ? 3 : 1);
+    const int64_t most =
+        reservation.bound.value() * (RandomBelow(20) == 0 ? 3 : 1);
     const Tokens spent(RandomBelow(static_cast<uint32_t>(most + 1)));
     AddTrace(r, "settles " + std::to_string(spent.value()));
     r.holdings.Settle(m_now, reservation, spent, Unkeyed{});
@@ -193,7 +195,7 @@
   }
 
   void SendMessage(const PeerRef& to,
-            const std::function<void(FakeRouter&)>& deliver) {
+                   const std::function<void(FakeRouter&)>& deliver) {
     const uint32_t copies = RandomBelow(10) == 0 ? 0 : 1 + RandomBelow(5) / 4;
     for (uint32_t i = 0; i < copies; ++i) {
       m_network.push_back({to, deliver});
@@ -226,7 +228,8 @@
     const PeerRef self = r.self;
     for (const CeilingRaiseTo& raise : r.holdings.TakeCeilingRaises(m_now)) {
       SendMessage(raise.to, [this, self, raise](FakeRouter& to) {
-        const v1::CeilingAck ack = to.ceiling_store.OnCeilingRaise(self, raise.raise);
+        const v1::CeilingAck ack =
+            to.ceiling_store.OnCeilingRaise(self, raise.raise);
         SendMessage(self, [this, witness = to.self, ack](FakeRouter& back) {
           back.holdings.OnCeilingAck(m_now, witness, ack);
         });
--- a/tests/budget/unit-transfer.cc
+++ b/tests/budget/unit-transfer.cc
@@ -79,7 +79,8 @@
   send.set_budget(f.budget().value());
   send.set_tokens(500);
   f.holdings().OnTransferSend(f.now(), Peer(1), send);
-  f.holdings().Settle(f.now(), *f.TryReserve(500), core::Tokens(500), Unkeyed{});
+  f.holdings().Settle(f.now(), *f.TryReserve(500), core::Tokens(500),
+                      Unkeyed{});
   const auto records = f.Records();
   size_t transfer = records.size();
   for (size_t i = 0; i < records.size(); ++i) {
--- a/tests/budget/unit-witness.cc
+++ b/tests/budget/unit-witness.cc
@@ -14,7 +14,9 @@
   return raises.at(0);
 }
 
-void Deliver(HoldingManagerFixture& f, CeilingStore& ceiling_store, const CeilingRaiseTo& raise) {
+void Deliver(HoldingManagerFixture& f,
+             CeilingStore& ceiling_store,
+             const CeilingRaiseTo& raise) {
   const v1::CeilingAck ack = ceiling_store.OnCeilingRaise(Peer(1), raise.raise);
   f.holdings().OnCeilingAck(f.now(), raise.to, ack);
 }
@@ -70,7 +72,8 @@
   f.Ack(first);
   const int64_t ceiling = f.Ceiling();
   f.Reserve(5'000);
-  const CeilingRaiseTo second = OnlyOne(f.holdings().TakeCeilingRaises(f.now()));
+  const CeilingRaiseTo second =
+      OnlyOne(f.holdings().TakeCeilingRaises(f.now()));
   CHECK(second.raise.serial() > first.raise.serial());
   f.Ack(first);
   LONGS_EQUAL(ceiling, f.Ceiling());
@@ -172,7 +175,8 @@
     ceiling_store.OnCeilingRaise(Peer(1), raise);
   }
   ceiling_store.Close(Peer(1));
-  LONGS_EQUAL(900, ceiling_store.QuarantineNarrowedFor(Peer(1))->ceilings(0).tokens());
+  LONGS_EQUAL(
+      900, ceiling_store.QuarantineNarrowedFor(Peer(1))->ceilings(0).tokens());
 }
 
 // If a ceiling could be reported before the peer is closed, it could be raised
--- a/tests/entry/crash_fleet.cc
+++ b/tests/entry/crash_fleet.cc
@@ -34,7 +34,8 @@
   return std::uniform_real_distribution<double>(from, to)(m_random);
 }
 
-bool CrashFleet::Owns(size_t router, const RequestFingerprint& fingerprint) const {
+bool CrashFleet::Owns(size_t router,
+                      const RequestFingerprint& fingerprint) const {
   const auto rank = [&](size_t one) {
     return core::RendezvousRank(fingerprint.digest, std::to_string(one));
   };
@@ -47,15 +48,16 @@
 }
 
 bool CrashFleet::Send(size_t router,
-                     const std::string& body,
-                     bool ends_upstreams) {
+                      const std::string& body,
+                      bool ends_upstreams) {
   CrashRecord& record = m_records[router];
   const RequestFingerprint fingerprint =
       FingerprintOf({"POST", "/x", core::AccountId("gate"), body});
   const QuarantineState standing = record.QuarantineStateOf(fingerprint);
   const bool alone = standing == QuarantineState::kSuspect;
   if (standing == QuarantineState::kQuarantined ||
-      (alone && !(Owns(router, fingerprint) && record.BeginTrial(fingerprint)))) {
+      (alone &&
+       !(Owns(router, fingerprint) && record.BeginTrial(fingerprint)))) {
     return false;
   }
   const size_t first = m_random() % m_upstreams.size();
@@ -65,8 +67,8 @@
       continue;
     }
     const double lasts = ends_upstreams ? 0.1 : Uniform(0.3, 3);
-    m_runs.push_back({router, upstream, m_upstreams[upstream].start, body, fingerprint,
-                      m_now + lasts, ends_upstreams, alone});
+    m_runs.push_back({router, upstream, m_upstreams[upstream].start, body,
+                      fingerprint, m_now + lasts, ends_upstreams, alone});
     return true;
   }
   return false;
@@ -85,8 +87,10 @@
     if (run.start != start) {
       return false;
     }
-    m_records[run.router].OnBroken(run.fingerprint, UpstreamStart(start), At(m_now));
-    m_end_notices.push_back({m_now + (refuses ? kStep : kExpiryDelay), run.router, start});
+    m_records[run.router].OnBroken(run.fingerprint, UpstreamStart(start),
+                                   At(m_now));
+    m_end_notices.push_back(
+        {m_now + (refuses ? kStep : kExpiryDelay), run.router, start});
     if (run.tried_alone) {
       m_records[run.router].EndTrial(run.fingerprint);
     }
@@ -100,7 +104,8 @@
   v1::RouterBeat beat;
   m_records[router].AddReportsTo(beat, At(m_now));
   m_sent_heartbeats.push_back(
-      {m_now + Uniform(kMinReportDelay, kMaxReportDelay), std::move(beat), router});
+      {m_now + Uniform(kMinReportDelay, kMaxReportDelay), std::move(beat),
+       router});
 }
 
 void CrashFleet::FinishRuns() {
--- a/tests/entry/unit-advertised-limit.cc
+++ b/tests/entry/unit-advertised-limit.cc
@@ -69,7 +69,8 @@
   CHECK_EQUAL(2, sent);
 }
 
-TEST(AdvertisedLimit, a_router_that_is_no_sender_sends_nothing_while_others_report) {
+TEST(AdvertisedLimit,
+     a_router_that_is_no_sender_sends_nothing_while_others_report) {
   limit.OnAnswer(2, At(1), At(1));
   for (int second = 2; second < 60; ++second) {
     limit.OnPeerReport(2, At(second));
@@ -97,7 +98,8 @@
   CHECK_FALSE(limit.per_second().has_value());
 }
 
-TEST(AdvertisedLimit, an_unreadable_limit_changes_nothing_and_is_reported_once) {
+TEST(AdvertisedLimit,
+     an_unreadable_limit_changes_nothing_and_is_reported_once) {
   limit.OnAnswer(2, At(1), At(2));
   CHECK(limit.OnUnreadable());
   CHECK_FALSE(limit.OnUnreadable());
--- a/tests/entry/unit-allocation-history.cc
+++ b/tests/entry/unit-allocation-history.cc
@@ -56,8 +56,8 @@
   /// Sends requests at a steady rate; they are served while tokens last.
   void Serve(double seconds, int64_t per_second) {
     const double until = now + seconds;
-    const auto each = core::Tokens(
-        static_cast<int64_t>(static_cast<double>(per_second) * kHeartbeatPeriod));
+    const auto each = core::Tokens(static_cast<int64_t>(
+        static_cast<double>(per_second) * kHeartbeatPeriod));
     while (now < until) {
       book.OnDemand(kGate, each, At(now));
       if (book.Reserve(kGate, each, At(now)) == ReserveResult::kReserved) {
@@ -77,7 +77,8 @@
 };
 // clang-format on
 
-TEST(AllocationHistory, a_second_loss_takes_a_much_smaller_part_than_the_first) {
+TEST(AllocationHistory,
+     a_second_loss_takes_a_much_smaller_part_than_the_first) {
   const double first = static_cast<double>(router.HeldAhead()) /
                        static_cast<double>(router.Left());
   router.Start();
--- a/tests/entry/unit-allocation-ledger.cc
+++ b/tests/entry/unit-allocation-ledger.cc
@@ -52,9 +52,11 @@
 
 TEST(AllocationLedger, nothing_is_spendable_before_the_claim_is_read_back) {
   Write(0);
-  CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) == ReserveResult::kAboveCeiling);
+  CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) ==
+        ReserveResult::kAboveCeiling);
   book.OnOwnHeartbeat(written);
-  CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) == ReserveResult::kReserved);
+  CHECK(book.Reserve(kGate, core::Tokens(10), At(0)) ==
+        ReserveResult::kReserved);
 }
 
 TEST(AllocationLedger, a_claim_is_granted_only_from_unclaimed_tokens) {
@@ -80,7 +82,8 @@
   book.Settle(kGate, core::Tokens(500), core::Tokens(300), At(1));
   WriteAndRead(1, true);
   CHECK_EQUAL(300, written.claims(0).ceiling());
-  CHECK(book.Reserve(kGate, core::Tokens(1), At(0)) != ReserveResult::kReserved);
+  CHECK(book.Reserve(kGate, core::Tokens(1), At(0)) !=
+        ReserveResult::kReserved);
 }
 
 TEST(AllocationLedger, a_lower_ceiling_applies_before_its_record_is_read_back) {
@@ -107,7 +110,8 @@
   // up for good, while other routers hold the rest of it unspent.
   book.OnPeerHeartbeat(kOther, Claim(99'990, 0), At(0));
   WriteAndRead(0);
-  CHECK(book.Reserve(kGate, core::Tokens(100), At(0)) == ReserveResult::kAboveCeiling);
+  CHECK(book.Reserve(kGate, core::Tokens(100), At(0)) ==
+        ReserveResult::kAboveCeiling);
   book.OnPeerHeartbeat(kOther, Claim(99'990, 99'950), At(1));
   CHECK(book.Reserve(kGate, core::Tokens(100), At(0)) ==
         ReserveResult::kExhausted);
@@ -130,14 +134,14 @@
   CHECK(book.Reserve(kGate, large, At(0)) == ReserveResult::kReserved);
 }
 
-TEST(AllocationLedger,
-     an_account_that_uses_one_router_gets_its_ceiling_there) {
+TEST(AllocationLedger, an_account_that_uses_one_router_gets_its_ceiling_there) {
   // Guards against an account being refused during a partition at the only
   // router it uses, while other routers hold unused ceilings for it.
   for (int i = 0; i < 100; ++i) {
     const core::TimePoint now = At(i * 0.1);
     book.OnDemand(kGate, core::Tokens(100), now);
-    if (book.Reserve(kGate, core::Tokens(100), now) == ReserveResult::kReserved) {
+    if (book.Reserve(kGate, core::Tokens(100), now) ==
+        ReserveResult::kReserved) {
       book.Settle(kGate, core::Tokens(100), core::Tokens(100), now);
     }
     if (i % 10 == 0) {
@@ -193,7 +197,8 @@
   CHECK(book.Reserve(kGate, core::Tokens(6'000), At(0)) ==
         ReserveResult::kExhausted);
   book.OnPeerHeartbeat(kOther, Claim(95'000, 0), At(1));
-  CHECK(book.Reserve(kGate, core::Tokens(6'000), At(0)) == ReserveResult::kAboveCeiling);
+  CHECK(book.Reserve(kGate, core::Tokens(6'000), At(0)) ==
+        ReserveResult::kAboveCeiling);
 }
 
 TEST(AllocationLedger, a_leaving_router_returns_most_tokens_at_once) {
@@ -250,10 +255,11 @@
   // would spend the same tokens.
   WriteAndRead(0);
   const int64_t ceiling = Ceiling();
-  const core::Tokens given =
-      book.TransferOut(kGate, core::Tokens(100), core::Tokens(ceiling - 50), At(0));
+  const core::Tokens given = book.TransferOut(
+      kGate, core::Tokens(100), core::Tokens(ceiling - 50), At(0));
   CHECK_EQUAL(ceiling - 50, given.value());
-  CHECK(book.Reserve(kGate, core::Tokens(51), At(0)) != ReserveResult::kReserved);
+  CHECK(book.Reserve(kGate, core::Tokens(51), At(0)) !=
+        ReserveResult::kReserved);
   Write(1);
   CHECK(written.claims(0).spent() >= ceiling - 50);
 }
@@ -265,7 +271,8 @@
     book.OnDemand(kGate, core::Tokens(ceiling / 5), At(i * 0.1));
   }
   CHECK_EQUAL(
-      0, book.TransferOut(kGate, core::Tokens(100), core::Tokens(100), At(5)).value());
+      0, book.TransferOut(kGate, core::Tokens(100), core::Tokens(100), At(5))
+             .value());
 }
 
 TEST(AllocationLedger, unused_transferred_tokens_serve_the_next_request) {
@@ -288,7 +295,8 @@
   CHECK_EQUAL(1, book.Donors(kGate, core::Tokens(2'000)).size());
 }
 
-TEST(AllocationLedger, a_claim_lowered_and_raised_again_does_not_grant_an_old_claim) {
+TEST(AllocationLedger,
+     a_claim_lowered_and_raised_again_does_not_grant_an_old_claim) {
   // Guards against an account spending more than its total (1,633,842 of
   // 1,611,251 tokens in fortaleza-cv, trouble-3). A router claims a high, a low
   // and again a high ceiling before it reads any of the records back. Other
--- a/tests/entry/unit-allocation-urgency.cc
+++ b/tests/entry/unit-allocation-urgency.cc
@@ -26,7 +26,8 @@
 /// virtual time: eight chats and eight drafts per second.
 class SimulatedRouter {
  public:
-  explicit SimulatedRouter(core::Duration urgent_ahead) : m_book(Options(urgent_ahead)) {
+  explicit SimulatedRouter(core::Duration urgent_ahead)
+      : m_book(Options(urgent_ahead)) {
     m_book.OnConfiguration(Prepaid(3'000'000));
   }
 
--- a/tests/entry/unit-crash-fleet.cc
+++ b/tests/entry/unit-crash-fleet.cc
@@ -26,7 +26,10 @@
 
 /// @brief Copies of such a request arrive at once at different routers,
 /// repeatedly for 90 seconds.
-Cost SimulateCopies(uint64_t seed, size_t routers, size_t copies, double every) {
+Cost SimulateCopies(uint64_t seed,
+                    size_t routers,
+                    size_t copies,
+                    double every) {
   CrashFleet fleet(seed, routers, kUpstreams);
   Cost cost;
   double third_at = -1;
@@ -127,7 +130,8 @@
 };
 // clang-format on
 
-TEST(CrashFleet, a_request_that_crashes_upstreams_is_sent_at_most_three_more_times) {
+TEST(CrashFleet,
+     a_request_that_crashes_upstreams_is_sent_at_most_three_more_times) {
   // It arrives about once a second at any of seven routers, under new ids.
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const Cost cost = SimulateCopies(seed, kRouters, 1, 1.1);
@@ -147,7 +151,8 @@
   }
 }
 
-TEST(CrashFleet, only_the_crashing_request_is_rejected_not_those_that_ran_beside_it) {
+TEST(CrashFleet,
+     only_the_crashing_request_is_rejected_not_those_that_ran_beside_it) {
   Refused others;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const MixedOutcome seen = SimulateMixedCallers(seed);
--- a/tests/entry/unit-crash-record.cc
+++ b/tests/entry/unit-crash-record.cc
@@ -27,9 +27,9 @@
 
 /// @brief Records a termination that the router learns of at once.
 void TerminateUnder(CrashRecord& record,
-              const RequestFingerprint& request,
-              uint64_t start,
-              double seconds) {
+                    const RequestFingerprint& request,
+                    uint64_t start,
+                    double seconds) {
   record.OnBroken(request, Start(start), At(seconds));
   record.OnEnded(Start(start), At(seconds));
 }
@@ -58,7 +58,8 @@
 };
 // clang-format on
 
-TEST(CrashRecord, a_request_that_crashed_three_upstreams_is_quarantined_everywhere) {
+TEST(CrashRecord,
+     a_request_that_crashed_three_upstreams_is_quarantined_everywhere) {
   // Each router saw one or two terminations; only all of them together are
   // sufficient.
   TerminateUnder(record, Fingerprint(), 1, 1);
@@ -66,26 +67,34 @@
   ExchangeBeats(3.5);
   CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kSuspect);
   TerminateUnder(record, Fingerprint(), 3, 5);
-  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kQuarantined);
+  CHECK(record.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
   ExchangeBeats(5.5);
-  CHECK(other.QuarantineStateOf(Fingerprint()) == QuarantineState::kQuarantined);
-  CHECK(third.QuarantineStateOf(Fingerprint()) == QuarantineState::kQuarantined);
-  CHECK_EQUAL(599, third.RemainingQuarantine(Fingerprint(), At(6.5)).count() / 1'000'000);
+  CHECK(other.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
+  CHECK(third.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
+  CHECK_EQUAL(599, third.RemainingQuarantine(Fingerprint(), At(6.5)).count() /
+                       1'000'000);
 }
 
 TEST(CrashRecord, a_different_body_or_account_is_a_different_request) {
   for (uint64_t start = 1; start <= 3; ++start) {
-    TerminateUnder(record, Fingerprint(), start, static_cast<double>(start) * 2);
+    TerminateUnder(record, Fingerprint(), start,
+                   static_cast<double>(start) * 2);
   }
   CHECK(record.MayContain(QuickHashOf(Content("a prompt"))));
-  CHECK(record.QuarantineStateOf(Fingerprint("another one")) == QuarantineState::kClear);
+  CHECK(record.QuarantineStateOf(Fingerprint("another one")) ==
+        QuarantineState::kClear);
   const RequestContent of_another = Content("a prompt", "desk");
-  CHECK(record.QuarantineStateOf(FingerprintOf(of_another)) == QuarantineState::kClear);
+  CHECK(record.QuarantineStateOf(FingerprintOf(of_another)) ==
+        QuarantineState::kClear);
 }
 
 TEST(CrashRecord, a_broken_connection_is_no_termination) {
   for (uint64_t start = 1; start <= 9; ++start) {
-    record.OnBroken(Fingerprint(), Start(start), At(static_cast<double>(start)));
+    record.OnBroken(Fingerprint(), Start(start),
+                    At(static_cast<double>(start)));
   }
   CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kClear);
 }
@@ -101,7 +110,8 @@
   // A rack with four upstreams fails while a popular request runs at each of
   // them. The rack caused the terminations, not the request.
   for (uint64_t start = 1; start <= 4; ++start) {
-    TerminateUnder(record, Fingerprint(), start, 1 + 0.1 * static_cast<double>(start));
+    TerminateUnder(record, Fingerprint(), start,
+                   1 + 0.1 * static_cast<double>(start));
   }
   CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kSuspect);
 }
@@ -124,7 +134,8 @@
 
 TEST(CrashRecord, a_completed_run_clears_a_quarantined_request) {
   for (uint64_t start = 1; start <= 3; ++start) {
-    TerminateUnder(record, Fingerprint(), start, static_cast<double>(start) * 2);
+    TerminateUnder(record, Fingerprint(), start,
+                   static_cast<double>(start) * 2);
   }
   ExchangeBeats(6.5);
   other.OnSurvived(Fingerprint(), At(7));
@@ -153,27 +164,33 @@
   CrashRecord started{{}};
   started.RestoreOwnReports(first, At(100));
   started.OnBeat(second, At(100));
-  CHECK(started.QuarantineStateOf(Fingerprint()) == QuarantineState::kQuarantined);
+  CHECK(started.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
   CHECK_EQUAL(1, BeatOf(started, 200).crashes_size());
 }
 
-TEST(CrashRecord,
-     after_quarantine_one_more_termination_doubles_it) {
+TEST(CrashRecord, after_quarantine_one_more_termination_doubles_it) {
   for (uint64_t start = 1; start <= 3; ++start) {
-    TerminateUnder(record, Fingerprint(), start, static_cast<double>(start) * 2);
+    TerminateUnder(record, Fingerprint(), start,
+                   static_cast<double>(start) * 2);
   }
   record.Advance(At(605));
-  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kQuarantined);
+  CHECK(record.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
   record.Advance(At(607));
   CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kSuspect);
   TerminateUnder(record, Fingerprint(), 4, 610);
-  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kQuarantined);
-  CHECK_EQUAL(1'200, record.RemainingQuarantine(Fingerprint(), At(610)).count() / 1'000'000);
+  CHECK(record.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
+  CHECK_EQUAL(
+      1'200,
+      record.RemainingQuarantine(Fingerprint(), At(610)).count() / 1'000'000);
 }
 
 TEST(CrashRecord, a_fixed_request_is_served_again_after_quarantine) {
   for (uint64_t start = 1; start <= 3; ++start) {
-    TerminateUnder(record, Fingerprint(), start, static_cast<double>(start) * 2);
+    TerminateUnder(record, Fingerprint(), start,
+                   static_cast<double>(start) * 2);
   }
   record.Advance(At(607));
   record.OnSurvived(Fingerprint(), At(608));
@@ -199,13 +216,15 @@
 TEST(CrashRecord, thousands_of_such_requests_use_bounded_memory) {
   // The quarantined request is kept; of the others the oldest are dropped.
   for (uint64_t start = 1; start <= 3; ++start) {
-    TerminateUnder(record, Fingerprint(), start, static_cast<double>(start) * 2);
+    TerminateUnder(record, Fingerprint(), start,
+                   static_cast<double>(start) * 2);
   }
   for (uint64_t i = 0; i < 5'000; ++i) {
     TerminateUnder(record, Fingerprint(std::string(100 + i, 'x')), 10 + i,
-             10 + static_cast<double>(i) * 0.001);
+                   10 + static_cast<double>(i) * 0.001);
   }
-  CHECK(record.QuarantineStateOf(Fingerprint()) == QuarantineState::kQuarantined);
+  CHECK(record.QuarantineStateOf(Fingerprint()) ==
+        QuarantineState::kQuarantined);
   CHECK_FALSE(record.MayContain(Fingerprint(std::string(101, 'x')).quick_hash));
   CHECK(record.MayContain(Fingerprint(std::string(5'099, 'x')).quick_hash));
   CHECK(BeatOf(record, 15).crashes_size() <= 64);
@@ -237,19 +256,23 @@
   v1::RouterBeat beat;
   for (int request = 0; request < 10'000; ++request) {
     v1::CrashCase* told = beat.add_crashes();
-    told->set_request(Fingerprint("false " + std::to_string(request)).ToBytes());
+    told->set_request(
+        Fingerprint("false " + std::to_string(request)).ToBytes());
     for (uint64_t start = 0; start < 40; ++start) {
       told->add_ended(start);
     }
   }
   record.OnBeat(beat, At(1));
-  CHECK(record.QuarantineStateOf(Fingerprint("false 63")) == QuarantineState::kSuspect);
-  CHECK(record.QuarantineStateOf(Fingerprint("false 64")) == QuarantineState::kClear);
+  CHECK(record.QuarantineStateOf(Fingerprint("false 63")) ==
+        QuarantineState::kSuspect);
+  CHECK(record.QuarantineStateOf(Fingerprint("false 64")) ==
+        QuarantineState::kClear);
 }
 
 TEST(CrashRecord, corrupted_reports_do_no_harm) {
   for (uint64_t start = 1; start <= 3; ++start) {
-    TerminateUnder(record, Fingerprint(), start, static_cast<double>(start) * 2);
+    TerminateUnder(record, Fingerprint(), start,
+                   static_cast<double>(start) * 2);
   }
   const std::string whole = BeatOf(record, 7).SerializeAsString();
   std::mt19937 random(7);
--- a/tests/entry/unit-heartbeat-rate.cc
+++ b/tests/entry/unit-heartbeat-rate.cc
@@ -23,7 +23,8 @@
   CHECK(HeartbeatPeriod({600, 6, 3, false}) > 3 * kDefaultHeartbeatPeriod);
 }
 
-TEST(HeartbeatRate, expedited_heartbeats_stay_within_the_write_rate_of_the_store) {
+TEST(HeartbeatRate,
+     expedited_heartbeats_stay_within_the_write_rate_of_the_store) {
   // After a power failure of all VMs every router has little headroom, and each
   // request needs a claim. If all claims were written at once, the store would
   // reject most of them, and callers would wait for claims that never succeed.
--- a/tests/entry/unit-member-list.cc
+++ b/tests/entry/unit-member-list.cc
@@ -95,7 +95,8 @@
   for (int i = 3; i <= 40; ++i) {
     v1::RouterBeat beat = Beat("10.0.0." + std::to_string(i) + ":80", 1);
     beat.set_capacity(25);
-    members.OnHeartbeat(core::RouterId("router-" + std::to_string(i)), beat, At(0));
+    members.OnHeartbeat(core::RouterId("router-" + std::to_string(i)), beat,
+                        At(0));
   }
   members.Advance(contact, At(0.2));
   CHECK_EQUAL(8, members.ActiveCount());
@@ -111,28 +112,32 @@
   // The store refuses all writes for some seconds, or this router reads too
   // slowly to see any. Guards against each router considering all others dead,
   // so that a weak standby receives all callers.
-  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1), At(0));
+  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1),
+                      At(0));
   Pass(0, 6);
   CHECK_EQUAL(3, members.Addresses().size());
   // A heartbeat of one router shows that the other one is dead.
-  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 2), At(6));
+  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 2),
+                      At(6));
   Pass(6.2, 6.4);
   CHECK_EQUAL(2, members.Addresses().size());
 }
 
 TEST(MemberList, routers_that_stay_silent_count_as_dead) {
-  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1), At(0));
+  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1),
+                      At(0));
   Pass(0, 11);
   CHECK_EQUAL(1, members.Addresses().size());
 }
 
 TEST(MemberList, the_last_router_of_a_fleet_does_not_announce_dead_ones) {
   // Guards against sending callers to VMs that lost power long ago.
-  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1), At(0));
+  members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1),
+                      At(0));
   for (uint64_t i = 0; i < 8; ++i) {
     const double now = 0.6 * static_cast<double>(i);
     members.OnHeartbeat(core::RouterId("router-1"), Beat("10.0.0.1:80", 2 + i),
-                   At(now));
+                        At(now));
     Pass(now, now + 0.4);
   }
   CHECK_EQUAL(1, members.Addresses().size());
--- a/tests/entry/unit-placement.cc
+++ b/tests/entry/unit-placement.cc
@@ -155,7 +155,8 @@
   CHECK(placement.why == PlacementReason::kNoneLeft);
 }
 
-TEST(Placement, an_upstream_whose_entry_expired_is_used_if_nothing_else_is_left) {
+TEST(Placement,
+     an_upstream_whose_entry_expired_is_used_if_nothing_else_is_left) {
   const StoreContact contact;
   directory.Remove(core::UpstreamId("e1"), contact, At(1));
   for (int i = 0; i < 20; ++i) {
--- a/tests/entry/unit-policy.cc
+++ b/tests/entry/unit-policy.cc
@@ -37,6 +37,7 @@
                               "gifts=1x", "=1", "gifts=0,,book.ahead=1"}) {
     CHECK_FALSE(core::IsOk(ParsePolicy(changes)));
   }
-  STRCMP_EQUAL("gift=0",
-               core::Failure(ParsePolicy("book.ahead=1,gift=0")).detail.c_str());
+  STRCMP_EQUAL(
+      "gift=0",
+      core::Failure(ParsePolicy("book.ahead=1,gift=0")).detail.c_str());
 }
--- a/tests/entry/unit-read-after-partition.cc
+++ b/tests/entry/unit-read-after-partition.cc
@@ -67,7 +67,8 @@
     for (size_t i = 0; i < kRouters; ++i) {
       m_readers[i].plan.OnNewest(reading.keys, 0, At(kPartitionStart - 0.1));
       // The call in progress when the partition began times out during it.
-      Schedule(kPartitionStart + 1 + NextFraction(), [this, i] { Fail(i, kPartitionStart - 0.8); });
+      Schedule(kPartitionStart + 1 + NextFraction(),
+               [this, i] { Fail(i, kPartitionStart - 0.8); });
     }
   }
 
@@ -125,7 +126,8 @@
   }
 
   void Fail(size_t i, double began) {
-    ScheduleStep(i, m_readers[i].plan.OnFailure(NextFraction(), At(began), At(m_now)));
+    ScheduleStep(
+        i, m_readers[i].plan.OnFailure(NextFraction(), At(began), At(m_now)));
   }
 
   void Call(size_t i, bool newest) {
@@ -167,9 +169,9 @@
     if (next == kVersions && !reader.in_force_at) {
       reader.in_force_at = m_now;
     }
-    ScheduleStep(i, newest
-                ? reader.plan.OnNewest(m_reading.keys, next, At(m_now))
-                : reader.plan.OnBatch(false, next, kVersions, {}, At(m_now)));
+    ScheduleStep(
+        i, newest ? reader.plan.OnNewest(m_reading.keys, next, At(m_now))
+                  : reader.plan.OnBatch(false, next, kVersions, {}, At(m_now)));
   }
 
   Reading m_reading;
@@ -192,14 +194,17 @@
 // large versions are written, and reconnect together. The missed versions
 // exceed what the store can send, and on most links what fits the timeout of a
 // call.
-TEST(ReadAfterPartition, the_newest_configuration_is_in_force_within_two_seconds) {
+TEST(ReadAfterPartition,
+     the_newest_configuration_is_in_force_within_two_seconds) {
   Fleet fleet(ProductReading());
   DOUBLES_EQUAL(kPartitionEnd, fleet.AllInForceAt(40), 2);
 }
 
 // Shows that the test above detects the failure: the same load, read version by
 // version.
-TEST(ReadAfterPartition, reading_every_version_takes_longer_than_the_partition) {
+TEST(ReadAfterPartition,
+     reading_every_version_takes_longer_than_the_partition) {
   Fleet fleet(VersionByVersion());
-  CHECK(fleet.AllInForceAt(40) > kPartitionEnd + (kPartitionEnd - kPartitionStart));
+  CHECK(fleet.AllInForceAt(40) >
+        kPartitionEnd + (kPartitionEnd - kPartitionStart));
 }
--- a/tests/entry/unit-read-plan.cc
+++ b/tests/entry/unit-read-plan.cc
@@ -61,12 +61,14 @@
 
 TEST(ReadPlan, a_refused_call_is_repeated) {
   plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
-  CHECK(IsCall(plan.OnFailure(0.5, At(1.4), At(1.4)), ReadStep::Call::kRecords));
+  CHECK(
+      IsCall(plan.OnFailure(0.5, At(1.4), At(1.4)), ReadStep::Call::kRecords));
 }
 
 TEST(ReadPlan, reads_the_newest_records_after_a_long_silence) {
   plan.OnBatch(false, 1'020, 1'020, kPause, At(1));
-  CHECK(IsCall(plan.OnFailure(0.5, At(1.2), At(3)), ReadStep::Call::kFirstNewestPage));
+  CHECK(IsCall(plan.OnFailure(0.5, At(1.2), At(3)),
+               ReadStep::Call::kFirstNewestPage));
   CHECK(IsCall(plan.OnFailure(0.5, At(4), At(5)), ReadStep::Call::kRepeatPage));
 }
 
--- a/tests/entry/unit-retry-budget-share.cc
+++ b/tests/entry/unit-retry-budget-share.cc
@@ -19,7 +19,8 @@
 TEST_GROUP(RetryBudgetShare){};
 // clang-format on
 
-TEST(RetryBudgetShare, all_routers_together_keep_the_bound_without_communication) {
+TEST(RetryBudgetShare,
+     all_routers_together_keep_the_bound_without_communication) {
   // Guards against retries that overload recovering upstreams. All upstreams of
   // a service fail; each of seven routers retries as often as it may, without
   // communication.
--- a/tests/entry/unit-shedding.cc
+++ b/tests/entry/unit-shedding.cc
@@ -70,7 +70,7 @@
   for (int i = 0; i < 50; ++i) {
     const double tokens = 1'000 + 500 * (i % 9);
     pace.AddSample(chat, tokens,
-                      40ms + core::Duration(static_cast<int64_t>(20 * tokens)));
+                   40ms + core::Duration(static_cast<int64_t>(20 * tokens)));
   }
   CHECK(pace.Estimate(chat, 10'000) > 195ms);
   CHECK(pace.Estimate(chat, 10'000) < 205ms);
@@ -94,7 +94,8 @@
 /// virtual time.
 class OverloadSimulation {
  public:
-  OverloadSimulation(bool shed, double times_capacity) : m_times(times_capacity) {
+  OverloadSimulation(bool shed, double times_capacity)
+      : m_times(times_capacity) {
     m_options.enabled = shed;
     for (int i = 0; i < kEngines; ++i) {
       UpstreamEntry entry = EntryOf("e" + std::to_string(i), "chat");
@@ -123,13 +124,13 @@
     bool is_large;
   };
   static constexpr int kEngines = 4;
-  static constexpr double kStep = 0.001;      // seconds
+  static constexpr double kStep = 0.001;        // seconds
   static constexpr double kTokensPerStep = 50;  // per engine
-  static constexpr double kSmall = 1'500;     // tokens
-  static constexpr double kLarge = 9'000;     // tokens
+  static constexpr double kSmall = 1'500;       // tokens
+  static constexpr double kLarge = 9'000;       // tokens
   static constexpr double kLargeShare = 0.2;    // of all requests
-  static constexpr double kObjective = 0.6;   // seconds
-  static constexpr double kPatience = 2.4;    // seconds
+  static constexpr double kObjective = 0.6;     // seconds
+  static constexpr double kPatience = 2.4;      // seconds
 
   Outcomes& Of(bool is_large) { return is_large ? large : small; }
   double Uniform() {
@@ -198,8 +199,8 @@
     const auto engine =
         static_cast<size_t>(placement.upstream->entry.id.value().back() - '0');
     m_queues[engine].push_back({static_cast<double>(query.prompt.value()),
-                                placement.own_prefill, placement.total_prefill, m_now,
-                                m_now, is_large});
+                                placement.own_prefill, placement.total_prefill,
+                                m_now, m_now, is_large});
   }
 
   double m_times;
--- a/tests/entry/unit-upstream-directory.cc
+++ b/tests/entry/unit-upstream-directory.cc
@@ -42,8 +42,7 @@
   CHECK_EQUAL(1, directory.Of(tickets).size());
 }
 
-TEST(UpstreamDirectory,
-     entries_missing_two_seconds_after_the_outage_are_gone) {
+TEST(UpstreamDirectory, entries_missing_two_seconds_after_the_outage_are_gone) {
   contact.OnFailure(At(1));
   contact.OnAnswer(At(20));
   directory.Remove(one, contact, At(20));
@@ -83,8 +82,7 @@
   STRCMP_EQUAL("two", directory.Of(tickets).front()->entry.id.value().c_str());
 }
 
-TEST(UpstreamDirectory,
-     a_late_timeout_of_a_call_does_not_prolong_the_outage) {
+TEST(UpstreamDirectory, a_late_timeout_of_a_call_does_not_prolong_the_outage) {
   // Guards against sending to an upstream that left three seconds ago. The
   // store is back and the entry is read as expired; then a call made during the
   // outage times out, which must not restart the time to return.
@@ -170,7 +168,8 @@
   STRCMP_EQUAL("two", directory.Of(tickets).front()->entry.id.value().c_str());
 }
 
-TEST(UpstreamDirectory, an_entry_of_an_unknown_service_serves_no_other_service) {
+TEST(UpstreamDirectory,
+     an_entry_of_an_unknown_service_serves_no_other_service) {
   directory.OnRecord(RecordOf(EntryOf("one", "nobody-knows")));
   CHECK(directory.Of(tickets).empty());
 }
@@ -197,7 +196,8 @@
   CHECK(directory.Of(tickets).empty());
 }
 
-TEST(UpstreamDirectory, an_announced_leave_is_kept_if_the_record_said_so_before) {
+TEST(UpstreamDirectory,
+     an_announced_leave_is_kept_if_the_record_said_so_before) {
   // The record says that it is leaving; the store is unavailable, and the first
   // record read afterwards is an older one, in which it is ready.
   UpstreamEntry leaving = EntryOf("one");
@@ -231,7 +231,8 @@
   CHECK_EQUAL(1, directory.Of(tickets).size());
 }
 
-TEST(UpstreamDirectory, a_response_belongs_to_the_current_owner_of_the_address) {
+TEST(UpstreamDirectory,
+     a_response_belongs_to_the_current_owner_of_the_address) {
   directory.OnRecord(RecordOf(EntryOf("two")));
   const UpstreamRef asked = directory.Find(one);
   CHECK(directory.OtherAtAddress(*asked)->entry.id == core::UpstreamId("two"));
--- a/tests/entry/unit-upstream-gate.cc
+++ b/tests/entry/unit-upstream-gate.cc
@@ -67,7 +67,8 @@
 // clang-format on
 
 TEST(UpstreamGate, an_upstream_listed_at_the_start_is_warm) {
-  CHECK_FALSE(gate.CountsAsCold(*directory.Find(core::UpstreamId("old")), At(4)));
+  CHECK_FALSE(
+      gate.CountsAsCold(*directory.Find(core::UpstreamId("old")), At(4)));
 }
 
 TEST(UpstreamGate, a_start_during_traffic_is_cold_whatever_its_record_says) {
@@ -116,7 +117,8 @@
   CHECK(other.StateOf(upstream, At(8)) == GateState::kOpen);
 }
 
-TEST(UpstreamGate, all_senders_together_stay_below_the_bound_of_a_cold_upstream) {
+TEST(UpstreamGate,
+     all_senders_together_stay_below_the_bound_of_a_cold_upstream) {
   const UpstreamRef fresh = Put("new", 4);
   const int sent = SendAll(*fresh, 5);
   CHECK_EQUAL(4, sent);  // 13 of 26, divided by three
@@ -152,8 +154,8 @@
     beat.set_epoch(1);
     beat.set_sequence(2);
     beat.set_leaving(true);
-    members.OnHeartbeat(core::RouterId("router-" + std::to_string(router)), beat,
-                   At(4));
+    members.OnHeartbeat(core::RouterId("router-" + std::to_string(router)),
+                        beat, At(4));
   }
   AdvanceTime(4, 8);
   CHECK_EQUAL(1, members.ActiveCount());
--- a/tests/entry/upstream_fleet.cc
+++ b/tests/entry/upstream_fleet.cc
@@ -62,8 +62,8 @@
 /// @brief The state of one start of a router.
 struct RouterState {
   RouterState(const core::RouterId& name,
-            const FleetScenario& scenario,
-            routing::RandomSource random)
+              const FleetScenario& scenario,
+              routing::RandomSource random)
       : contact(core::Duration(1'200'000), core::Duration(5'000'000)),
         members(name, core::Duration(3'500'000), contact, 3),
         senders(members, scenario.warm_up),
@@ -121,7 +121,8 @@
 
 class Fleet {
  public:
-  explicit Fleet(const FleetScenario& scenario) : m_scenario(scenario), m_random(scenario.seed) {
+  explicit Fleet(const FleetScenario& scenario)
+      : m_scenario(scenario), m_random(scenario.seed) {
     for (size_t i = 0; i < kEngines; ++i) {
       Engine engine;
       engine.id = "e" + std::to_string(i);
@@ -162,7 +163,9 @@
   }
   bool Chance(double part) { return Between(0, 1) < part; }
   core::TimePoint Now() const { return At(100 + m_now); }
-  bool Disconnected(const RouterVm& vm) const { return m_now < vm.disconnected_until; }
+  bool Disconnected(const RouterVm& vm) const {
+    return m_now < vm.disconnected_until;
+  }
 
   UpstreamEntry EntryNow(size_t i) const {
     const Engine& engine = m_engines[i];
@@ -183,11 +186,12 @@
   void Answer(const Run& run, RouterVm& vm) {
     const bool limited = Limited(run.engine);
     if (limited) {
-      m_engines[run.engine].limit_known_at.emplace(std::pair(run.router, run.epoch),
-                                         m_now);
+      m_engines[run.engine].limit_known_at.emplace(
+          std::pair(run.router, run.epoch), m_now);
     }
     vm.state->directory.OnLimitReceived(
-        run.upstream, limited ? std::optional(m_scenario.per_second) : std::nullopt,
+        run.upstream,
+        limited ? std::optional(m_scenario.per_second) : std::nullopt,
         At(100 + run.began), Now());
   }
 
@@ -197,8 +201,10 @@
       return;
     }
     ++engine.while_limited;
-    const auto limit_known_at = engine.limit_known_at.find({router, m_routers[router].epoch});
-    if (limit_known_at != engine.limit_known_at.end() && m_now - limit_known_at->second >= kKnownBefore) {
+    const auto limit_known_at =
+        engine.limit_known_at.find({router, m_routers[router].epoch});
+    if (limit_known_at != engine.limit_known_at.end() &&
+        m_now - limit_known_at->second >= kKnownBefore) {
       engine.from_informed.push_back(m_now);
     }
   }
@@ -216,8 +222,8 @@
         m_outcome.limit_used = std::max(m_outcome.limit_used, most / allowed);
       }
       m_outcome.limit_utilisation += m_engines[i].while_limited /
-                                (kLimitEnds - kContact) / m_scenario.per_second /
-                                m_scenario.limited;
+                                     (kLimitEnds - kContact) /
+                                     m_scenario.per_second / m_scenario.limited;
     }
   }
 
@@ -241,7 +247,7 @@
       ++vm.epoch;
       vm.sequence = 0;
       vm.state = std::make_unique<RouterState>(vm.name, m_scenario,
-                                             [this] { return m_random(); });
+                                               [this] { return m_random(); });
       vm.next_beat = m_now + Between(0.1, 0.4);
     }
   }
@@ -422,8 +428,9 @@
       }
       if (vm.up() && vm.epoch == run.epoch) {
         --run.upstream->in_flight;
-        RecordOutcome(vm, run.upstream,
-             same_start ? AttemptOutcome::kAnswered : AttemptOutcome::kBroken);
+        RecordOutcome(
+            vm, run.upstream,
+            same_start ? AttemptOutcome::kAnswered : AttemptOutcome::kBroken);
         if (same_start) {
           Answer(run, vm);
         }
@@ -431,13 +438,16 @@
     }
   }
 
-  void RecordOutcome(RouterVm& vm, const UpstreamRef& upstream, AttemptOutcome outcome) {
+  void RecordOutcome(RouterVm& vm,
+                     const UpstreamRef& upstream,
+                     AttemptOutcome outcome) {
     upstream->health.On(outcome, Now());
     vm.state->gate.OnOutcome(*upstream, outcome, Now());
   }
 
   void Arrive() {
-    const double rate = kRequestsPerSecond * (m_now >= 5 ? m_scenario.load_factor : 1.0);
+    const double rate =
+        kRequestsPerSecond * (m_now >= 5 ? m_scenario.load_factor : 1.0);
     m_due += rate * kStep;
     for (; m_due >= 1; m_due -= 1) {
       if (m_now >= 3 && m_now < kEnd) {
@@ -583,7 +593,8 @@
     p.back_cold = 60;
     p.load_factor = 2;
   });
-  add("48, cut before the return", [](FleetScenario& p) { p.disconnected_share = 1; });
+  add("48, cut before the return",
+      [](FleetScenario& p) { p.disconnected_share = 1; });
   add("48, cut of all", [](FleetScenario& p) {
     p.disconnected_share = 1;
     p.disconnect_at = 6.6;
--- a/tests/entry/upstream_fleet.h
+++ b/tests/entry/upstream_fleet.h
@@ -30,9 +30,11 @@
   bool in_place = false;
   double hot_share = 0.3;  ///< share of requests with one common prefix
   double load_factor = 1;  ///< factor on the load from 5 s on
-  double disconnected_share = 0;  ///< share of routers disconnected from the store and each other
+  double disconnected_share =
+      0;  ///< share of routers disconnected from the store and each other
   double disconnect_at = 4;
-  double killed_share = 0;  ///< share of routers down at a random time, for 0.7 s
+  double killed_share =
+      0;  ///< share of routers down at a random time, for 0.7 s
 };
 
 /// @brief Results for callers and upstreams from 3 s to 12 s, and until 20 s
--- a/tests/gateway/fake_store.cc
+++ b/tests/gateway/fake_store.cc
@@ -53,7 +53,7 @@
   const Topic& kept = m_topics[topic];
   if (from < kept.first) {
     Post<RecordBatch>(std::move(handler),
-                       core::Error{core::ErrorId::kLogGap, topic, "compacted"});
+                      core::Error{core::ErrorId::kLogGap, topic, "compacted"});
     return;
   }
   if (from >= EndOf(kept)) {
--- a/tests/gateway/unit-lifecycle.cc
+++ b/tests/gateway/unit-lifecycle.cc
@@ -84,7 +84,8 @@
   CHECK(Has(router.Ask("/hold/x"), "held"));
 }
 
-TEST(Lifecycle, a_drain_finishes_requests_in_progress_and_returns_the_ceilings) {
+TEST(Lifecycle,
+     a_drain_finishes_requests_in_progress_and_returns_the_ceilings) {
   // A planned restart must neither interrupt a response in progress nor lose
   // the tokens that the router holds for the rest of the day.
   StreamRef waiting;
--- a/tests/http1/unit-sse-splitter.cc
+++ b/tests/http1/unit-sse-splitter.cc
@@ -25,7 +25,8 @@
   // that half again, and the caller receives it twice.
   splitter.Feed("id: 1\ndata: a\n\nid: 2\ndata: b");
   STRCMP_EQUAL("id: 2\ndata: b", splitter.TakePartialEvent().c_str());
-  STRCMP_EQUAL("id: 2\ndata: b\n\n", splitter.Feed("id: 2\ndata: b\n\n").c_str());
+  STRCMP_EQUAL("id: 2\ndata: b\n\n",
+               splitter.Feed("id: 2\ndata: b\n\n").c_str());
   CHECK_EQUAL(2, splitter.events());
 }
 
--- a/tests/ledger/test_log.h
+++ b/tests/ledger/test_log.h
@@ -129,9 +129,10 @@
   return record;
 }
 
-inline v1::Record RequestAllotment(int64_t tokens,
-                      int64_t minimum = 1,
-                      v1::AdmissionClass admission_class = v1::INTERACTIVE) {
+inline v1::Record RequestAllotment(
+    int64_t tokens,
+    int64_t minimum = 1,
+    v1::AdmissionClass admission_class = v1::INTERACTIVE) {
   v1::Record record;
   v1::AllotmentRequested& asked = *record.mutable_allotment_requested();
   asked.set_budget("tours");
@@ -199,8 +200,8 @@
 }
 
 inline v1::Record FinalizeSpend(const Writer& retired,
-                               int64_t spent,
-                               int64_t transfers_pending = 0) {
+                                int64_t spent,
+                                int64_t transfers_pending = 0) {
   v1::Record record;
   v1::SpendFinalized& finalized = *record.mutable_spend_finalized();
   finalized.set_router(retired.id);
--- a/tests/ledger/unit-balance.cc
+++ b/tests/ledger/unit-balance.cc
@@ -136,8 +136,11 @@
 
 TEST(Balance, only_gate_requests_draw_on_the_reserve) {
   Fleet log(v1::ON_PROOF, 100);
-  LONGS_EQUAL(900, Find<Granted>(log.Write(log.r1, RequestAllotment(1000)))->tokens.value());
-  CHECK(Find<Denied>(log.Write(log.r1, RequestAllotment(1, 1, v1::BATCH))) != nullptr);
+  LONGS_EQUAL(
+      900,
+      Find<Granted>(log.Write(log.r1, RequestAllotment(1000)))->tokens.value());
+  CHECK(Find<Denied>(log.Write(log.r1, RequestAllotment(1, 1, v1::BATCH))) !=
+        nullptr);
   const auto gate = log.Write(log.r2, RequestAllotment(1000, 1, v1::GATE));
   LONGS_EQUAL(100, Find<Granted>(gate)->tokens.value());
 }
@@ -146,10 +149,11 @@
   Fleet log;
   log.Write(log.r1, RequestAllotment(100));
   log.Write(log.r1, Spend(40));
-  CHECK(
-      Ignored(log.Write(log.r1, ReturnAllotment(61)), IgnoreReason::kExceedsHolding));
-  LONGS_EQUAL(60,
-              Find<Returned>(log.Write(log.r1, ReturnAllotment(60)))->tokens.value());
+  CHECK(Ignored(log.Write(log.r1, ReturnAllotment(61)),
+                IgnoreReason::kExceedsHolding));
+  LONGS_EQUAL(
+      60,
+      Find<Returned>(log.Write(log.r1, ReturnAllotment(60)))->tokens.value());
   LONGS_EQUAL(960, log.Free());
 }
 
@@ -166,16 +170,19 @@
 TEST(Balance, an_entry_after_a_missing_one_is_ignored) {
   Fleet log;
   log.Draft(log.r1, {RequestAllotment(100)});
-  CHECK(Ignored(log.Write(log.r1, RequestAllotment(100)), IgnoreReason::kSequenceGap));
+  CHECK(Ignored(log.Write(log.r1, RequestAllotment(100)),
+                IgnoreReason::kSequenceGap));
   LONGS_EQUAL(1000, log.Free());
 }
 
 TEST(Balance, records_of_the_wrong_kind_of_writer_are_ignored) {
   Fleet log;
-  CHECK(Ignored(log.Write(log.alice, RequestAllotment(100)), IgnoreReason::kNotAllowed));
+  CHECK(Ignored(log.Write(log.alice, RequestAllotment(100)),
+                IgnoreReason::kNotAllowed));
   CHECK(Ignored(log.Write(log.r1, TopUp(9, "t")), IgnoreReason::kNotAllowed));
   Writer stranger{"r9", 9};
-  CHECK(Ignored(log.Write(stranger, RequestAllotment(1)), IgnoreReason::kUnknownWriter));
+  CHECK(Ignored(log.Write(stranger, RequestAllotment(1)),
+                IgnoreReason::kUnknownWriter));
   LONGS_EQUAL(1000, log.Free());
 }
 
--- a/tests/ledger/unit-orders.cc
+++ b/tests/ledger/unit-orders.cc
@@ -14,8 +14,8 @@
 }
 
 v1::Record MakeOrderEnded(const std::string& upstream,
-                  uint64_t fencing,
-                  v1::OrderOutcome outcome) {
+                          uint64_t fencing,
+                          v1::OrderOutcome outcome) {
   v1::Record record;
   v1::OrderEnded& ended = *record.mutable_order_ended();
   ended.set_upstream(upstream);
@@ -60,7 +60,8 @@
            const std::string& upstream,
            uint64_t fencing,
            v1::OrderOutcome outcome) {
-    return Find<OrderEnded>(Write(writer, MakeOrderEnded(upstream, fencing, outcome)));
+    return Find<OrderEnded>(
+        Write(writer, MakeOrderEnded(upstream, fencing, outcome)));
   }
   const Order& order(const std::string& upstream) {
     return *fold().FindOrder(core::UpstreamId(upstream));
--- a/tests/ledger/unit-snapshot.cc
+++ b/tests/ledger/unit-snapshot.cc
@@ -29,15 +29,16 @@
 
   void Step() {
     Writer& writer = m_routers[RandomBelow(m_routers.size())];
-    const v1::Entry entry = RandomBelow(8) == 0
-                                ? m_log.Draft(m_alice, {RandomOperatorRecord()})
-                                : m_log.Draft(writer, RandomRouterRecords(writer));
+    const v1::Entry entry =
+        RandomBelow(8) == 0 ? m_log.Draft(m_alice, {RandomOperatorRecord()})
+                            : m_log.Draft(writer, RandomRouterRecords(writer));
     Append(entry);
     if (RandomBelow(4) == 0) {
       Append(entry);
     }
     if (RandomBelow(8) == 0) {
-      const v1::Entry late = m_log.entries()[RandomBelow(m_log.entries().size())];
+      const v1::Entry late =
+          m_log.entries()[RandomBelow(m_log.entries().size())];
       Append(late);
     }
   }
@@ -57,7 +58,9 @@
     return m_random(static_cast<uint32_t>(bound));
   }
   int64_t RandomAmount() { return static_cast<int64_t>(RandomBelow(200)); }
-  const Writer& RandomRouter() { return m_routers[RandomBelow(m_routers.size())]; }
+  const Writer& RandomRouter() {
+    return m_routers[RandomBelow(m_routers.size())];
+  }
 
   v1::Record RandomOperatorRecord() {
     const std::string id = std::to_string(RandomBelow(30));
@@ -67,7 +70,8 @@
       case 0:
         return TopUp(RandomAmount(), "t" + id);
       case 1:
-        return Release(m_retired.empty() ? RandomRouter() : m_retired.back(), RandomAmount());
+        return Release(m_retired.empty() ? RandomRouter() : m_retired.back(),
+                       RandomAmount());
       case 2:
         return Retire(RandomRouter(), RandomBelow(40));
       default:
@@ -99,7 +103,8 @@
     const std::string key = std::to_string(RandomBelow(50));
     switch (RandomBelow(9)) {
       case 0:
-        return {Spend(RandomSpend(writer), {{key, RandomAmount()}}), ClaimKey(key)};
+        return {Spend(RandomSpend(writer), {{key, RandomAmount()}}),
+                ClaimKey(key)};
       case 1:
         return {ReturnAllotment(RandomAmount())};
       case 2:
@@ -107,14 +112,18 @@
       case 3:
         return {Retire(RandomRouter(), RandomBelow(40))};
       case 4:
-        return {NarrowQuarantine(m_retired.empty() ? writer : m_retired.back(), RandomAmount()),
+        return {NarrowQuarantine(m_retired.empty() ? writer : m_retired.back(),
+                                 RandomAmount()),
                 NarrowQuarantine(RandomRouter(), RandomAmount())};
       case 5:
-        return {Transfer(writer, RandomRouter(), RandomBelow(40), RandomAmount())};
+        return {
+            Transfer(writer, RandomRouter(), RandomBelow(40), RandomAmount())};
       case 6:
-        return {Transfer(RandomRouter(), writer, RandomBelow(40), RandomAmount())};
+        return {
+            Transfer(RandomRouter(), writer, RandomBelow(40), RandomAmount())};
       default:
-        return {RequestAllotment(RandomAmount(), 1, RandomBelow(2) == 0 ? v1::GATE : v1::BATCH)};
+        return {RequestAllotment(RandomAmount(), 1,
+                                 RandomBelow(2) == 0 ? v1::GATE : v1::BATCH)};
     }
   }
 
--- a/tests/membership/unit-choices.cc
+++ b/tests/membership/unit-choices.cc
@@ -119,13 +119,14 @@
   std::vector<Member> m_members = MakeMembers(7);
   std::vector<Peer> m_peers = MakePeers(m_members);
   AddressListBuilder m_builder{m_members[0], [](const MemberId& id) {
-                       return "cv1." + id.router.value() + ".";
-                     }};
+                                 return "cv1." + id.router.value() + ".";
+                               }};
   const core::AccountId m_account{"boleteria"};
 
   std::vector<std::string> Prefixes(const OwnState& own) {
     std::vector<std::string> prefixes;
-    const v1::AddressList list = m_builder.AddressesFor(m_account, own, m_peers);
+    const v1::AddressList list =
+        m_builder.AddressesFor(m_account, own, m_peers);
     for (const v1::RouterAddress& address : list.addresses()) {
       prefixes.push_back(address.key_prefix());
     }
@@ -133,7 +134,8 @@
   }
 };
 
-TEST(AddressListBuilder, the_own_failure_domain_comes_first_and_all_are_listed) {
+TEST(AddressListBuilder,
+     the_own_failure_domain_comes_first_and_all_are_listed) {
   const v1::AddressList list = m_builder.AddressesFor(m_account, {}, m_peers);
   UNSIGNED_LONGS_EQUAL(10'000, list.lifetime_ms());
   UNSIGNED_LONGS_EQUAL(7, list.addresses_size());
@@ -151,7 +153,8 @@
   UNSIGNED_LONGS_EQUAL(4, Prefixes({.listed = false}).size());
 }
 
-TEST(AddressListBuilder, an_account_keeps_its_routers_until_one_is_much_busier) {
+TEST(AddressListBuilder,
+     an_account_keeps_its_routers_until_one_is_much_busier) {
   const std::vector<std::string> before = Prefixes({});
   for (Peer& peer : m_peers) {
     peer.load.in_progress = 4;
--- a/tests/membership/unit-freshness.cc
+++ b/tests/membership/unit-freshness.cc
@@ -109,8 +109,9 @@
   m_freshness.OnReadToEnd(kStart);
   PeerLogReport claims = ReadAt(kStart);
   claims.claimed_read_to_end = m_later;
-  ExpectStale(m_freshness.Evaluate(m_later, Inputs(3, {claims, ReadAt(kStart)})),
-              StaleReason::kNotConfirmed);
+  ExpectStale(
+      m_freshness.Evaluate(m_later, Inputs(3, {claims, ReadAt(kStart)})),
+      StaleReason::kNotConfirmed);
 }
 
 TEST(Freshness, in_a_large_fleet_nearly_all_sampled_peers_must_be_reachable) {
--- a/tests/membership/unit-peer-view.cc
+++ b/tests/membership/unit-peer-view.cc
@@ -70,7 +70,8 @@
 }
 
 TEST(PeerView, a_heartbeat_of_another_incarnation_is_ignored) {
-  m_view.OnHeartbeat(m_now, {m_peer.router, core::Incarnation(1)}, MakeHeartbeat());
+  m_view.OnHeartbeat(m_now, {m_peer.router, core::Incarnation(1)},
+                     MakeHeartbeat());
   CHECK_FALSE(m_view.Reachable(m_now, m_peer));
 }
 
--- a/tests/membership/unit-silent-member-detector.cc
+++ b/tests/membership/unit-silent-member-detector.cc
@@ -20,7 +20,8 @@
 
   /// Advances one second; all members except `silent` append, then reads to the
   /// end.
-  void ReadForOneSecond(SilentMemberDetector & detector, const std::vector<size_t>& silent) {
+  void ReadForOneSecond(SilentMemberDetector & detector,
+                        const std::vector<size_t>& silent) {
     m_now += kSecond;
     for (size_t i = 0; i < m_members.size(); ++i) {
       if (std::find(silent.begin(), silent.end(), i) == silent.end()) {
@@ -81,7 +82,8 @@
 
 // The observer is paused for a minute again and again. Each read adds no more
 // than a usual gap, and the others' entries arrive in between.
-TEST(SilentMemberDetector, an_observer_that_is_paused_repeatedly_retires_nobody) {
+TEST(SilentMemberDetector,
+     an_observer_that_is_paused_repeatedly_retires_nobody) {
   SilentMemberDetector detector = MakeDetector(0);
   for (int i = 0; i < 50; ++i) {
     m_now += 60 * kSecond;
@@ -121,7 +123,8 @@
 // A failed domain, a third of the fleet, is retired as fast as one router. If
 // most of the fleet is silent, retirement waits longer: the connection to the
 // log is the more likely cause.
-TEST(SilentMemberDetector, a_failure_domain_is_retired_at_once_but_a_majority_later) {
+TEST(SilentMemberDetector,
+     a_failure_domain_is_retired_at_once_but_a_majority_later) {
   SilentMemberDetector one = MakeDetector(0);
   CHECK_EQUAL(10, SecondsUntilDue(one, {1, 4}, 60));
   SilentMemberDetector most = MakeDetector(0);
--- a/tests/platform/unit-adapter.cc
+++ b/tests/platform/unit-adapter.cc
@@ -52,7 +52,8 @@
   STRCMP_EQUAL("tenant-1", headers.Find("Tenant")->c_str());
 }
 
-TEST(PlatformAdapter, headers_that_only_the_router_may_set_are_not_taken_from_callers) {
+TEST(PlatformAdapter,
+     headers_that_only_the_router_may_set_are_not_taken_from_callers) {
   // By sending a header that only the router sets, a caller could spend another
   // account's tokens or continue from another request's KV cache.
   for (const char* name :
--- a/tests/platform/unit-damaged-input.cc
+++ b/tests/platform/unit-damaged-input.cc
@@ -44,7 +44,8 @@
 
 // Prefers bytes that are significant to the parsers.
 char RandomByte(pcg64& random) {
-  constexpr std::string_view kSignificantBytes = "{}[]\",:0123456789-+.eEtrufalsn\\\n= ";
+  constexpr std::string_view kSignificantBytes =
+      "{}[]\",:0123456789-+.eEtrufalsn\\\n= ";
   if (random() % 3 == 0) {
     return static_cast<char>(random());
   }
--- a/tests/routing/unit-admission-queue.cc
+++ b/tests/routing/unit-admission-queue.cc
@@ -39,7 +39,9 @@
 
 /// Queues and starts entries so that the queue measures one start per
 /// `interval_ms`.
-void MeasureStartRate(AdmissionQueue& queue, int64_t interval_ms, int64_t until_ms) {
+void MeasureStartRate(AdmissionQueue& queue,
+                      int64_t interval_ms,
+                      int64_t until_ms) {
   for (uint64_t i = 0; i < 20; ++i) {
     queue.Offer(Entry(900'000 + i, v1::BATCH, 10'000'000, "measure"), At(0));
   }
@@ -54,7 +56,8 @@
 TEST_GROUP(AdmissionQueue){};
 // clang-format on
 
-TEST(AdmissionQueue, gate_has_priority_and_every_batch_entry_starts_eventually) {
+TEST(AdmissionQueue,
+     gate_has_priority_and_every_batch_entry_starts_eventually) {
   // Guards against starvation of BATCH entries. GATE entries arrive as fast as
   // they are served during the whole test and start almost immediately. The 20
   // waiting BATCH entries still all start, because one start in ten is reserved
@@ -142,7 +145,8 @@
   CHECK(displaced > 0);
 }
 
-TEST(AdmissionQueue, a_gate_request_displaces_the_batch_entry_with_the_latest_deadline) {
+TEST(AdmissionQueue,
+     a_gate_request_displaces_the_batch_entry_with_the_latest_deadline) {
   // The queue is full when a GATE request arrives. The BATCH entry with the
   // latest deadline is refused at once with a retry time, and the GATE request
   // takes its place.
@@ -162,7 +166,8 @@
   CHECK(batch.refused->error.id == core::ErrorId::kQueueFull);
 }
 
-TEST(AdmissionQueue, a_request_that_would_miss_its_deadline_is_refused_at_once) {
+TEST(AdmissionQueue,
+     a_request_that_would_miss_its_deadline_is_refused_at_once) {
   // One entry starts every 100 ms and 10 wait. Without an early refusal, a
   // caller whose deadline is too close would be refused only after the entries
   // before it, too late to try anything else.
@@ -181,7 +186,8 @@
   CHECK(predicted_late.refused->error.id == core::ErrorId::kDeadlineTooShort);
 }
 
-TEST(AdmissionQueue, waiting_entries_are_refused_early_when_service_slows_down) {
+TEST(AdmissionQueue,
+     waiting_entries_are_refused_early_when_service_slows_down) {
   // Ten requests with 18 s left were queued at a rate of one start every 100
   // ms. Then the upstreams slow down to one start every 5 s. The entries at the
   // end of the queue must be refused well before their deadline.
--- a/tests/routing/unit-retry-policy.cc
+++ b/tests/routing/unit-retry-policy.cc
@@ -53,7 +53,8 @@
   CHECK(retries <= requests * 12 / 100);
 }
 
-TEST(RetryPolicy, a_non_idempotent_request_is_not_retried_once_bytes_were_sent) {
+TEST(RetryPolicy,
+     a_non_idempotent_request_is_not_retried_once_bytes_were_sent) {
   // The engine closed the connection after it received a seat hold. The hold
   // may exist, and a second one would block a party that has paid, so the
   // caller is told that the outcome is unknown.
@@ -68,7 +69,8 @@
   CHECK(std::get<Retry>(not_sent).exclude.front() == EngineId(0));
 }
 
-TEST(RetryPolicy, a_request_is_not_retried_after_part_of_the_answer_was_forwarded) {
+TEST(RetryPolicy,
+     a_request_is_not_retried_after_part_of_the_answer_was_forwarded) {
   FailedAttempt failed = Failed(AttemptEnd::kFailed, true);
   failed.forwarded_bytes = true;
   const RetryDecision decision = DecideOnce(failed);
@@ -85,7 +87,8 @@
   CHECK(std::holds_alternative<GiveUp>(DecideOnce(failed)));
 }
 
-TEST(RetryPolicy, a_request_that_did_not_run_is_reported_as_not_run_without_budget) {
+TEST(RetryPolicy,
+     a_request_that_did_not_run_is_reported_as_not_run_without_budget) {
   RetryPolicyOptions options;
   options.per_account = {0.1, 0, 1};
   RetryPolicy policy(options, Seeded(1));
--- a/tests/routing/unit-upstream-table.cc
+++ b/tests/routing/unit-upstream-table.cc
@@ -28,7 +28,8 @@
 TEST_GROUP(UpstreamTable){};
 // clang-format on
 
-TEST(UpstreamTable, a_leaving_upstream_gets_no_new_requests_and_keeps_its_attempts) {
+TEST(UpstreamTable,
+     a_leaving_upstream_gets_no_new_requests_and_keeps_its_attempts) {
   // An operator drains a VM, and the VM list shows it as leaving while an
   // answer is still streaming. New requests would be cut off when the VM stops.
   // The attempt in progress must stay counted until it ends.
@@ -42,7 +43,8 @@
   CHECK(TimesChosen(view, 1, 200, At(1)) > 0);
 }
 
-TEST(UpstreamTable, an_upstream_removed_from_the_configuration_ends_its_attempts) {
+TEST(UpstreamTable,
+     an_upstream_removed_from_the_configuration_ends_its_attempts) {
   // A configuration without engine 2 is applied while the engine is streaming.
   // Until the attempt ends, the table must count it and send no new requests
   // there; afterwards it must delete the entry.
@@ -180,7 +182,8 @@
   CHECK(view.table.Inspect(slot, v1::INTERACTIVE, {}, At(301)).limit < 16);
 }
 
-TEST(UpstreamTable, gate_requests_may_exceed_the_adaptive_limit_up_to_the_hard_cap) {
+TEST(UpstreamTable,
+     gate_requests_may_exceed_the_adaptive_limit_up_to_the_hard_cap) {
   RouterView view(1);
   const auto slot = *view.table.SlotOf(EngineId(0));
   for (int i = 0; i < 16; ++i) {
--- a/tests/rules/unit-index-equivalence.cc
+++ b/tests/rules/unit-index-equivalence.cc
@@ -104,7 +104,7 @@
     bool found = false;
     for (const auto& [name, value] : headers) {
       found = found || (name == "x-kind" &&
-                      (wanted.equals().empty() || wanted.equals() == value));
+                        (wanted.equals().empty() || wanted.equals() == value));
     }
     if (!found) {
       return false;
@@ -115,8 +115,8 @@
 
 // Evaluates the fields of the schema directly, without the compiled form.
 bool MatchesBySchema(const v1::When& when,
-                   const rules::RequestFacts& facts,
-                   const Headers& headers) {
+                     const rules::RequestFacts& facts,
+                     const Headers& headers) {
   bool path = when.path_prefixes().empty();
   for (const std::string& prefix : when.path_prefixes()) {
     path = path || facts.path.substr(0, prefix.size()) == prefix;
@@ -131,8 +131,8 @@
   return EmptyOrContains(when.accounts(), facts.account.value()) &&
          EmptyOrContains(when.models(), facts.model.value()) &&
          EmptyOrContains(when.services(), facts.service.value()) &&
-         EmptyOrContains(when.methods(), facts.method) && path && size_matches &&
-         output_matches && HeadersMatch(when, headers) &&
+         EmptyOrContains(when.methods(), facts.method) && path &&
+         size_matches && output_matches && HeadersMatch(when, headers) &&
          WindowMatches(when, facts.minute_of_day);
 }
 
