--- a/include/coppervalve/orders/order_desk.h
+++ b/include/coppervalve/orders/order_desk.h
@@ -19,21 +19,21 @@
 namespace coppervalve::orders {
 
 struct OrderDeskOptions {
-  /// Head start of each live router, by rendezvous rank, before the next one
-  /// asks for the order too.
+  /// Delay between live routers, by rendezvous rank, before the next one tries
+  /// to take the order.
   core::Duration stagger = std::chrono::seconds(2);
   core::Duration first_backoff = std::chrono::seconds(1);
   core::Duration longest_backoff = std::chrono::seconds(30);
-  uint32_t max_tries = 10;  ///< then the holder states what it knows
+  uint32_t max_tries = 10;  ///< then the holder reports the outcome
 };
 
-/// @brief Ask the log for an order: append OrderTaken.
+/// @brief Append OrderTaken to take an order.
 struct Take {
   core::UpstreamId upstream;
   core::FencingNumber fencing;
 };
 
-/// @brief Send an order that this router has taken; ends by OnSent().
+/// @brief Send an order that this router has taken, then call OnSent().
 struct Send {
   core::UpstreamId upstream;
   std::string address;
@@ -41,7 +41,7 @@
   v1::OrderIssued order;
 };
 
-/// @brief State how an order ended: append OrderEnded.
+/// @brief Append OrderEnded with the outcome of an order.
 struct State {
   core::UpstreamId upstream;
   core::FencingNumber fencing;
@@ -50,54 +50,55 @@
 
 using Command = std::variant<Take, Send, State>;
 
-/// @brief Whether this router may act now.
+/// @brief Whether this router may take and send orders.
 struct Permit {
-  bool fresh = false;  ///< it may take new work under its configuration
+  bool fresh = false;  ///< its configuration is known to be current
   bool draining = false;
 };
 
-/// @brief What one router incarnation does about the orders in the log: which
-/// it asks for, when it sends them, and what it states of them. No I/O, clock
-/// or randomness; not thread-safe.
+/// @brief Decides which orders of the log one router incarnation takes, when it
+/// sends them and which outcomes it reports. No I/O, clock or randomness; not
+/// thread-safe.
 class OrderDesk {
  public:
   explicit OrderDesk(membership::MemberId self, OrderDeskOptions options = {});
 
-  /// @brief Takes the orders of the fold after it changed.
-  /// @complexity linear in the orders; in the members for open ones
+  /// @brief Updates the open orders after the fold changed.
+  /// @complexity linear in the orders; for open ones, also in the members
   void Follow(core::TimePoint now, const ledger::Fold& fold);
-  /// @brief The fold refused this router's Take.
+  /// @brief The fold refused an OrderTaken of this router.
   void OnTakeRefused(core::TimePoint now,
                      const core::UpstreamId& upstream,
                      core::FencingNumber fencing);
-  /// @brief A try ended; one that this desk does not wait for is ignored.
+  /// @brief An attempt to send ended. Unexpected calls are ignored.
   void OnSent(core::TimePoint now,
               const core::UpstreamId& upstream,
               core::FencingNumber fencing,
               SendOutcome outcome);
-  /// @return what is due. @complexity linear in the open orders
+  /// @return the commands that are due
+  /// @complexity linear in the open orders
   std::vector<Command> Pump(core::TimePoint now, const Permit& permit);
 
-  /// @return tries that have not ended, and orders that this router has taken
-  /// and not ended
+  /// @return sends in progress, plus orders taken by this router that have not
+  /// ended
   size_t busy() const;
-  /// @return orders that are still to be carried out, by any router
+  /// @return orders not yet completed by any router
   size_t open() const { return m_open.size(); }
 
  private:
-  /// What this router knows of one open order.
+  /// State of one open order.
   struct Job {
     core::FencingNumber fencing;
     v1::OrderIssued order;
     std::string address;
     bool configured = false;
     bool checks_fencing = false;
-    bool mine = false;           ///< taken by this incarnation, as folded
+    bool mine = false;           ///< taken by this incarnation in the fold
     bool available = false;      ///< may be taken
-    bool asked = false;          ///< a Take or State is on its way to the fold
-    bool maybe_arrived = false;  ///< a try ended without a reply
+    bool asked = false;          ///< a record is appended, not yet folded
+    bool maybe_arrived = false;  ///< an attempt ended without a reply
     uint32_t tries = 0;
-    core::TimePoint due{};  ///< of the next Take or try
+    core::TimePoint due{};  ///< of the next attempt to take or send
   };
   using Jobs = std::map<core::UpstreamId, Job>;
 
@@ -118,9 +119,10 @@
   membership::MemberId m_self;
   OrderDeskOptions m_options;
   Jobs m_open;
-  std::vector<State> m_results;  ///< of tries, still to be stated
-  /// Tries that have not ended. Apart from the open orders, since an order may
-  /// be overtaken while it is being sent: never two at once to an upstream.
+  std::vector<State> m_results;  ///< outcomes to report
+  /// Sends in progress. Stored apart from the open orders because a newer order
+  /// may replace one that is being sent; an upstream never gets two orders at
+  /// once.
   std::map<core::UpstreamId, core::FencingNumber> m_sending;
 };
 
--- a/include/coppervalve/orders/send_outcome.h
+++ b/include/coppervalve/orders/send_outcome.h
@@ -5,12 +5,12 @@
 
 namespace coppervalve::orders {
 
-/// @brief How one try to send an order to an upstream ended.
+/// @brief Result of one attempt to send an order to an upstream.
 enum class SendOutcome : uint8_t {
   kDone,     ///< acknowledged
-  kRefused,  ///< as a whole; nothing changed
+  kRefused,  ///< rejected without any effect
   kNotSent,  ///< no byte left this router
-  kUnknown,  ///< sent, and no valid reply came
+  kUnknown,  ///< sent, but no valid reply received
 };
 
 }  // namespace coppervalve::orders
--- a/include/coppervalve/request/forgotten_keys.h
+++ b/include/coppervalve/request/forgotten_keys.h
@@ -9,16 +9,17 @@
 
 namespace coppervalve::request {
 
-/// @brief Two generations of a Bloom filter over keys that ran and whose
-/// records were dropped. It never misses a key of the last
-/// `per_generation` ones; it may take a new key for an old one, with a
-/// probability that the bits per key (16, four probes) keep below 0.5 %.
+/// @brief Remembers the keys of dropped records of requests that ran, in a
+/// Bloom filter of two generations.
+/// The last `per_generation` keys are always found. With 16 bits and four
+/// probes per key, a new key is reported as known with a probability below 0.5
+/// %.
 class ForgottenKeys {
  public:
   explicit ForgottenKeys(size_t per_generation);
 
-  /// @complexity constant, but for clearing a generation once in
-  /// `per_generation` calls
+  /// @complexity constant, except that one call in `per_generation` clears a
+  /// generation
   void Add(const core::Hash128& key);
   bool MayContain(const core::Hash128& key) const;
 
--- a/include/coppervalve/request/key_name.h
+++ b/include/coppervalve/request/key_name.h
@@ -12,8 +12,8 @@
 
 namespace coppervalve::request {
 
-/// @brief One incarnation of a router: the only place where a non-idempotent
-/// request under a key with its prefix may run.
+/// @brief One incarnation of a router. A non-idempotent request whose key has
+/// its prefix may run only there.
 struct Origin {
   core::RouterId router;
   core::Incarnation incarnation;
@@ -21,19 +21,19 @@
   friend auto operator<=>(const Origin&, const Origin&) = default;
 };
 
-/// @brief An idempotency key as callers send it.
+/// @brief An idempotency key sent by a caller.
 class KeyName {
  public:
-  /// @brief Checks and takes apart a key.
+  /// @brief Validates and parses a key.
   /// @return kBadRequest unless it has 1 to 200 printable ASCII characters
   /// @complexity linear in the size of the text
   static core::Result<KeyName> Parse(std::string_view text);
 
   const std::string& text() const { return m_text; }
-  /// @return the incarnation that the prefix names; none without a prefix
+  /// @return the incarnation named by the prefix, if there is a prefix
   const std::optional<Origin>& origin() const { return m_origin; }
-  /// @brief What the fleet knows the key by. Accounts never share one: the
-  /// account is part of it.
+  /// @brief Hash that identifies the key in the fleet. It includes the account,
+  /// so two accounts never share a key.
   core::Hash128 IdentityFor(const core::AccountId& account) const;
 
  private:
@@ -41,8 +41,8 @@
   std::optional<Origin> m_origin;
 };
 
-/// @brief The prefix "cv1.<router>.<16 hex digits>." that the address answer
-/// hands out.
+/// @brief The prefix "cv1.<router>.<16 hex digits>." that GET /v1/addresses
+/// returns.
 std::string KeyPrefix(const Origin& origin);
 
 }  // namespace coppervalve::request
--- a/include/coppervalve/request/request_record.h
+++ b/include/coppervalve/request/request_record.h
@@ -14,16 +14,16 @@
 
 namespace coppervalve::request {
 
-/// @brief Where a request stands.
+/// @brief State of a request.
 enum class Phase : uint8_t {
-  kWaitingClaim,  ///< KeyClaimed is on its way through the log
-  kQueued,        ///< admitted, nothing given to an upstream
+  kWaitingClaim,  ///< the KeyClaimed record is not yet applied
+  kQueued,        ///< admitted, not sent to an upstream
   kReserved,      ///< tokens reserved for an attempt, not dispatched
-  kRunning,       ///< past the point of no return
-  kForwarded,     ///< another router has it; its answer is relayed
-  kDone,          ///< whole answer
+  kRunning,       ///< sent to an upstream
+  kForwarded,     ///< relayed to another router
+  kDone,          ///< answered completely
   kRefused,       ///< provably not run
-  kFailed,        ///< sent, no whole answer: the outcome is unknown
+  kFailed,        ///< sent, no complete answer: outcome unknown
 };
 
 /// @return whether the phase is final
@@ -32,7 +32,7 @@
          phase == Phase::kFailed;
 }
 
-/// @brief One request as this incarnation knows it.
+/// @brief What this incarnation knows of one request.
 struct RequestRecord {
   core::RequestId id;
   core::AccountId account;
@@ -40,31 +40,31 @@
   core::Hash128 body_hash;
   Phase phase = Phase::kQueued;
   bool non_idempotent = false;
-  bool forwarded = false;   ///< a peer sent it here: it is never sent on
-  bool only_there = false;  ///< forwarded to the one place that may run it
-  /// An earlier run under this key, here or elsewhere, cannot be ruled out.
+  bool forwarded = false;   ///< received from a peer: not forwarded again
+  bool only_there = false;  ///< only the target of the forward may run it
+  /// An earlier run under this key, on any router, cannot be ruled out.
   bool may_have_run = false;
   bool caller_gone = false;
   v1::AdmissionClass admission_class = v1::ADMISSION_CLASS_UNSPECIFIED;
   uint32_t attempts = 0;
-  uint32_t sent_attempts = 0;  ///< less those that provably did not run
+  uint32_t sent_attempts = 0;  ///< minus those that provably did not run
   core::UpstreamId upstream;   ///< of the latest attempt
   core::TimePoint arrived;
   core::TimePoint changed;                 ///< when the phase was entered
   std::optional<core::RequestId> leader;   ///< set for a joiner
   std::vector<core::RequestId> joiners;    ///< set for a leader
   std::optional<core::ErrorId> error;      ///< why it was refused or failed
-  std::optional<core::Bytes> kept_answer;  ///< the shell still has the answer
+  std::optional<core::Bytes> kept_answer;  ///< size, while the shell keeps it
 };
 
-/// @return what can truthfully be said about whether the request ran
+/// @return whether the request ran, as far as the record shows
 core::RunState RunStateOf(const RequestRecord& record);
 
-/// @return whether the record must be kept so that the request never runs a
-/// second time: keyed, non-idempotent, and admitted here
+/// @return whether the record must be kept to prevent a second run: keyed,
+/// non-idempotent and admitted here
 bool IsTombstone(const RequestRecord& record);
 
-/// @brief Fills in what a status lookup says of a known request.
+/// @brief Fills in the status of a known request.
 void DescribeTo(core::TimePoint now,
                 const RequestRecord& record,
                 v1::RequestStatus& status);
--- a/include/coppervalve/request/request_table.h
+++ b/include/coppervalve/request/request_table.h
@@ -21,29 +21,29 @@
 
 namespace coppervalve::request {
 
-/// @brief Bounds of the table. Its memory is at most
-/// (max_open + max_kept + max_tombstones) records, max_open joiners, and the
-/// filter of forgotten keys; the shell's is max_kept_bytes of kept answers.
+/// @brief Limits of the table. It holds at most (max_open + max_kept +
+/// max_tombstones) records, max_open joiners and the filter of expired keys.
+/// The shell keeps at most max_kept_bytes of answers.
 struct TableLimits {
   size_t max_open = 8'192;         ///< not final, joiners included
-  size_t max_kept = 16'384;        ///< final and safe to forget early
+  size_t max_kept = 16'384;        ///< final, may be evicted early
   size_t max_tombstones = 65'536;  ///< keyed non-idempotent, open or final
   core::Bytes max_kept_bytes{64LL << 20};
   core::Duration answer_keep = std::chrono::seconds(300);
   size_t forgotten_per_generation = size_t{1} << 20;
 };
 
-/// @brief What the table asks of its surroundings; each is a pure lookup.
+/// @brief Lookups that the table needs. None has side effects.
 struct TableHooks {
-  /// How this router sees an incarnation.
+  /// State and address of an incarnation, as seen by this router.
   std::function<Location(const Origin&)> locate;
-  /// The live member that rendezvous hashing picks for a key; may be this one.
+  /// The live member chosen by rendezvous hashing for a key; may be this one.
   std::function<Location(const core::Hash128& key)> owner_of;
-  /// The winner of a key's claim in the fold; none when not claimed.
+  /// The owner of the first claim of a key in the folded log, if any.
   std::function<std::optional<Origin>(const core::Hash128& key)> claim_of;
 };
 
-/// @brief A request as it arrives, after its rule was matched.
+/// @brief A new request, after its rule was matched.
 struct Arrival {
   core::RequestId id;
   core::AccountId account;
@@ -51,61 +51,63 @@
   core::Hash128 body_hash;
   bool non_idempotent = false;
   v1::AdmissionClass admission_class = v1::ADMISSION_CLASS_UNSPECIFIED;
-  bool forwarded = false;      ///< a peer sent it here
-  bool log_available = false;  ///< appends to the log succeed at present
-  /// The log was read to its end lately, so an earlier claim would be known.
+  bool forwarded = false;      ///< received from a peer
+  bool log_available = false;  ///< appends to the log succeed
+  /// The log was recently read to its end, so an earlier claim would be known.
   bool fold_current = true;
-  /// Why this router takes no new work; joins and forwards still happen.
+  /// Why this router accepts no new work, if so. Joins and forwards still
+  /// happen.
   std::optional<core::Error> closed = std::nullopt;
 };
 
-/// @brief Those who wait for the outcome of a request: its own caller unless
-/// gone, then its joiners.
+/// @brief Requests that wait for an outcome: the request itself unless its
+/// caller has disconnected, then its joiners.
 using Waiters = std::vector<core::RequestId>;
 
-/// @brief How a relay to a peer ended.
+/// @brief Result of a relay to a peer.
 struct ForwardOutcome {
-  bool answered = false;       ///< the peer's whole answer was relayed
+  bool answered = false;       ///< the peer's complete answer was relayed
   bool sent = false;           ///< the peer may have it
   bool relayed = false;        ///< the caller may have part of an answer
   bool log_available = false;  ///< as in Arrival
   bool fold_current = true;    ///< as in Arrival
 };
 
-/// @brief What to do when a caller has gone.
+/// @brief What to do after a caller disconnects.
 enum class GoneDecision : uint8_t {
-  kKeepRunning,  ///< someone else waits, or a retry can fetch the answer
-  kCancel,       ///< nobody can ever read it: cancel, then OnRefused/OnFailed
+  kKeepRunning,  ///< others wait, or a retry can get the answer
+  kCancel,       ///< no reader is left: cancel, then OnRefused or OnFailed
   kNothing,      ///< it was a joiner, or is final
 };
 
-/// @brief The answer to a status lookup.
+/// @brief Result of a status lookup.
 struct StatusLookup {
   v1::RequestStatus status;
-  /// Who knows more, when this router has not seen the request.
+  /// The router to ask when this one has no record of the request.
   std::optional<ForwardTo> ask;
 };
 
-/// @brief All requests that this incarnation knows. Every keyed non-idempotent
-/// request that was sent from here is in the table or among the forgotten
-/// keys, so it never runs twice.
+/// @brief All requests known to this incarnation. Every keyed non-idempotent
+/// request sent from here is in the table or in the filter of expired keys, so
+/// it never runs twice.
 class RequestTable {
  public:
   RequestTable(Origin self, TableHooks hooks, TableLimits limits = {});
 
-  /// @brief Follows the configuration in force; applies to kept entries too.
+  /// @brief Sets how long answers are kept; also applies to existing entries.
   void SetAnswerKeep(core::Duration answer_keep);
 
-  /// @brief Decides what becomes of a new request and records it, unless it is
+  /// @brief Decides how to handle a new request and records it unless it is
   /// refused.
   /// @complexity amortised constant, plus the hooks
   KeyVerdict OnArrival(core::TimePoint now, const Arrival& arrival);
 
-  /// @brief The claim is this incarnation's: admit the request.
+  /// @brief This incarnation owns the claim: admits the request.
   void OnClaimWon(core::TimePoint now, core::RequestId id);
-  /// @brief Another incarnation has the claim. Joiners follow the request when
-  /// it is forwarded.
-  /// @return its verdict, and when that is Refuse the same for its joiners
+  /// @brief Another incarnation owns the claim. Joiners stay with the request
+  /// when it is forwarded.
+  /// @return its verdict; if that is Refuse, also the same verdict for each
+  /// joiner
   std::vector<RequestVerdict> OnClaimLost(core::TimePoint now,
                                           core::RequestId id,
                                           const Origin& winner);
@@ -113,8 +115,8 @@
   void OnReserved(core::TimePoint now,
                   core::RequestId id,
                   const core::UpstreamId& upstream);
-  /// @brief Point of no return. Call it when the dispatch is handed to the
-  /// shell, before any byte can be given to the kernel.
+  /// @brief The request may run from now on. Call this when the dispatch is
+  /// handed to the shell, before any byte reaches the kernel.
   void OnSent(core::TimePoint now, core::RequestId id);
   /// @brief The attempt provably did not run (not sent, or declined).
   void OnAttemptNotRun(core::TimePoint now, core::RequestId id);
@@ -125,39 +127,40 @@
   /// before OnRefused
   core::RunState RefusalRunState(core::RequestId id) const;
 
-  /// @brief The answer came to its proper end and the shell keeps it.
-  /// @return those who wait
+  /// @brief The answer is complete and kept by the shell.
+  /// @return the requests that wait for it
   Waiters OnDone(core::TimePoint now,
                  core::RequestId id,
                  core::Bytes answer_size);
-  /// @brief No whole answer after the point of no return.
-  /// @return those who wait and are to be told
+  /// @brief The request was sent but has no complete answer.
+  /// @return the requests to notify
   Waiters OnFailed(core::TimePoint now,
                    core::RequestId id,
                    core::ErrorId error);
-  /// @brief Given up before the point of no return: provably not run.
-  /// @return those who wait and are to be told
+  /// @brief The request was given up before it was sent, so it did not run.
+  /// @return the requests to notify
   Waiters OnRefused(core::TimePoint now,
                     core::RequestId id,
                     core::ErrorId error);
-  /// @brief A relay ended. Joiners follow the request, also into a refusal.
-  /// @return what to do next; none when the caller has its whole answer
+  /// @brief A relay ended. Joiners stay with the request, also when it is
+  /// refused.
+  /// @return what to do next; none when the caller has its complete answer
   std::optional<KeyVerdict> OnForwardEnded(core::TimePoint now,
                                            core::RequestId id,
                                            const ForwardOutcome& outcome);
   GoneDecision OnCallerGone(core::TimePoint now, core::RequestId id);
 
-  /// @brief Requests whose answer the shell need not keep any longer. Expires
-  /// what is due.
-  /// @complexity linear in the number of entries that expire
+  /// @brief Removes expired entries.
+  /// @return requests whose answer the shell may drop
+  /// @complexity linear in the number of expired entries
   std::vector<core::RequestId> TakeExpired(core::TimePoint now);
 
-  /// @return what a refusal before OnArrival may state of a key: "not run" only
-  /// when nothing here speaks against it
+  /// @return the run state of a key for a refusal before OnArrival: "not run"
+  /// only when no local information contradicts it
   core::RunState RunStateOfKey(const core::AccountId& account,
                                const KeyName& key) const;
-  /// @brief What is known of a key; always an answer.
-  /// @param forwarded a peer asks, so nobody else is named
+  /// @brief The status of a key; always returns one.
+  /// @param forwarded a peer asks, so no other router is named
   StatusLookup StatusOf(core::TimePoint now,
                         const core::AccountId& account,
                         const KeyName& key,
@@ -176,14 +179,14 @@
     std::list<core::RequestId>::iterator answer_at;  // valid with kept_answer
   };
 
-  /// What the decision about one request is made from.
+  /// Input of the decision about one request.
   struct Question {
     const RequestRecord& request;
     std::optional<Origin> origin;  // of its key
     bool log_available;
     bool fold_current;
   };
-  /// A verdict and what the record has to remember of it.
+  /// A verdict and the values to store in the record.
   struct Decision {
     KeyVerdict verdict;
     bool only_there = false;
@@ -206,12 +209,13 @@
                                       const Decision& decision) const;
   std::optional<Refuse> RefuseAsClosed(const Arrival& arrival,
                                        const Decision& decision) const;
-  /// Records the request as decided, if there is room and it is not refused.
+  /// Records the request unless it is refused or the table is full.
   KeyVerdict Admit(core::TimePoint now,
                    RequestRecord request,
                    Decision decision);
   void Insert(core::TimePoint now, RequestRecord request);
-  /// Its joiners stay in the table, for Admit or Abandon.
+  /// Removes an open request. Its joiners stay in the table until Admit or
+  /// Abandon.
   std::optional<RequestRecord> Extract(core::RequestId id);
   void Abandon(const Waiters& joiners);
   void MoveJoiners(const Waiters& joiners, core::RequestId leader);
--- a/include/coppervalve/request/verdict.h
+++ b/include/coppervalve/request/verdict.h
@@ -14,42 +14,42 @@
 
 namespace coppervalve::request {
 
-/// @brief What this router knows of another incarnation.
+/// @brief State of an incarnation, as seen by this router.
 enum class PeerState : uint8_t {
-  kReachable,    ///< a live member that answers heartbeats, or is not suspected
+  kReachable,    ///< a live member that is not suspected
   kUnreachable,  ///< a live member that is suspected
   kRetired,      ///< retired in the log, or replaced by a newer incarnation
-  kUnknown,      ///< never joined as far as this router has read
+  kUnknown,      ///< no join in the log read so far
 };
 
 /// @brief An incarnation and how to reach it.
 struct Location {
   Origin origin;
   PeerState state = PeerState::kUnknown;
-  std::string address;  ///< where it takes work from routers; may be empty
+  std::string address;  ///< for requests from routers; may be empty
 };
 
-/// @brief Admit the request here: match rules, queue, reserve, dispatch.
+/// @brief Run the request here: match rules, queue, reserve, dispatch.
 struct RunHere {};
 
-/// @brief Append KeyClaimed first; then OnClaimWon or OnClaimLost.
+/// @brief Append KeyClaimed, then call OnClaimWon or OnClaimLost.
 struct NeedClaim {
   core::Hash128 key;
 };
 
-/// @brief Hand the caller the answer of `leader`, kept or still arriving.
+/// @brief Send the caller the answer of `leader`, complete or still arriving.
 struct Join {
   core::RequestId leader;
 };
 
-/// @brief Relay to that incarnation; ends with OnForwardEnded.
+/// @brief Relay to this incarnation, then call OnForwardEnded.
 struct ForwardTo {
   core::RouterId router;
   core::Incarnation incarnation;
   std::string address;
 };
 
-/// @brief The final answer of this request.
+/// @brief Refuse the request; this is its final answer.
 struct Refuse {
   core::Error error;
   core::RunState run_state = core::RunState::kNotRun;
@@ -59,7 +59,7 @@
 /// @brief What to do with a request.
 using KeyVerdict = std::variant<RunHere, NeedClaim, Join, ForwardTo, Refuse>;
 
-/// @brief A verdict and whom it is about.
+/// @brief A verdict and the request it applies to.
 struct RequestVerdict {
   core::RequestId request;
   KeyVerdict verdict;
--- a/include/coppervalve/router/core.h
+++ b/include/coppervalve/router/core.h
@@ -22,12 +22,12 @@
 
 namespace coppervalve::router {
 
-/// @brief All decisions of one router: `(now, event) -> actions`.
+/// @brief Decision logic of one router: `(now, event) -> actions`.
 ///
-/// It has no socket, thread, clock or random source of its own. Not
-/// thread-safe; time must not go back. A router that the log has retired while
-/// it was paused or cut off ends what is in progress, reports its final spend
-/// and joins again as a new incarnation.
+/// It has no socket, thread, clock or random source of its own. It is not
+/// thread-safe, and time must not go back. If the log retires the router while
+/// it is paused or partitioned, the router finishes the requests in progress,
+/// reports its final spend and joins again as a new incarnation.
 class RouterCore {
  public:
   RouterCore(RouterSettings settings, RouterHooks hooks);
@@ -35,12 +35,12 @@
   RouterCore(const RouterCore&) = delete;
   RouterCore& operator=(const RouterCore&) = delete;
 
-  /// @brief Decides on one event.
-  /// @return what the shell is to do, in order
+  /// @brief Handles one event.
+  /// @return the actions for the shell, in order
   /// @complexity that of the libraries involved; no scan over all budgets
   std::vector<Action> Handle(core::TimePoint now, const Event& event);
 
-  /// @return whether new work is taken (GET /readyz)
+  /// @return whether new work is accepted (GET /readyz)
   bool Ready() const;
   core::Incarnation incarnation() const;
   /// @brief The answer of GET /admin/status.
--- a/include/coppervalve/router/detail/budget_desk.h
+++ b/include/coppervalve/router/detail/budget_desk.h
@@ -17,8 +17,8 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief Connects this router's holdings with the log and with its peers, both
-/// as a spender and as a witness of others.
+/// @brief Connects the holdings of this router to the log and to its peers,
+/// both as a spender and as a witness of others.
 class BudgetDesk {
  public:
   BudgetDesk(const RouterSettings& settings,
@@ -26,20 +26,21 @@
              LogDesk& log,
              PeerDesk& peers);
 
-  /// @brief Takes what one folded entry changed.
+  /// @brief Handles the effects of one folded entry.
   void OnFolded(core::TimePoint now,
                 const v1::Entry& entry,
                 const std::vector<ledger::Effect>& effects);
-  /// @return whether the message was one about budgets
+  /// @return whether the message was about budgets
   bool OnPeerMessage(core::TimePoint now, const v1::PeerMessage& message);
-  /// @brief Runs what is due.
+  /// @brief Runs periodic work.
   void Tick(core::TimePoint now);
-  /// @brief Sends what is ready. Requests that Tick() woke must have tried
-  /// again before: the book forgets what waits when it wakes it.
+  /// @brief Sends pending records and messages. Call it after the requests
+  /// woken by Tick() have tried again, because waking a request clears its
+  /// demand.
   void Send(core::TimePoint now);
   /// @brief Chooses, keeps or replaces the witness.
   void ReviewWitness(core::TimePoint now);
-  /// @return whether nothing is held any more and all is reported
+  /// @return whether all holdings are returned or spent, and reported
   bool Settled() const;
 
   budget::Book& book() { return m_book; }
--- a/include/coppervalve/router/detail/configured.h
+++ b/include/coppervalve/router/detail/configured.h
@@ -14,26 +14,27 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief The configuration in force here, compiled.
+/// @brief The configuration in force on this router, compiled.
 class Configured {
  public:
   Configured();
 
-  /// @brief Takes over the fold's configuration if it is newer.
-  /// @return whether it was: the parts that depend on it are to be updated
+  /// @brief Installs the configuration of the fold if it is newer.
+  /// @return whether it was installed; dependent components must then be
+  /// updated
   bool Follow(const ledger::Fold& fold);
 
   core::ConfigVersion version() const { return m_version; }
   const config::Tables& tables() const { return *m_tables; }
   const rules::RuleSet& rules() const { return *m_rules; }
 
-  /// @brief Most tokens that one attempt can cost at any of the candidates.
-  /// @param prompt bound of the prompt's tokens
+  /// @brief Maximum cost in tokens of one attempt at any of the candidates.
+  /// @param prompt upper bound of the prompt tokens
   /// @complexity linear in the candidates the first time, then constant
   core::Tokens BoundOf(const config::SharedUpstreamIds& candidates,
                        core::Tokens prompt,
                        core::Tokens output);
-  /// @brief What an answered attempt costs.
+  /// @brief Cost of an answered attempt.
   /// @param usage none for a plain service
   core::Tokens CostAt(const core::UpstreamId& upstream,
                       const std::optional<Usage>& usage) const;
--- a/include/coppervalve/router/detail/log_desk.h
+++ b/include/coppervalve/router/detail/log_desk.h
@@ -20,11 +20,11 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief This incarnation's end of the log: reads and folds entries, groups
-/// and appends records, takes snapshots.
+/// @brief Access to the log for one incarnation: reads and folds entries,
+/// batches and appends records, takes snapshots.
 class LogDesk {
  public:
-  /// @brief Told of each folded entry, in log order, with what it changed.
+  /// @brief Called for each folded entry, in log order, with its effects.
   using OnFolded = std::function<void(const v1::Entry& entry,
                                       const std::vector<ledger::Effect>&)>;
 
@@ -35,31 +35,32 @@
 
   void SetOnFolded(OnFolded on_folded) { m_on_folded = std::move(on_folded); }
 
-  /// @brief Folds a reply. @return whether it reached the end of the log
+  /// @brief Folds the entries of a reply.
+  /// @return whether it reached the end of the log
   bool OnRead(core::TimePoint now, const v1::ReadReply& reply);
   void OnReadFailed(core::TimePoint now);
   void OnAppended(core::TimePoint now, core::LogOffset offset);
   void OnAppendFailed(core::TimePoint now);
-  /// @brief Sends what is due: a read, an append, a snapshot.
+  /// @brief Starts the read, append or snapshot that is due.
   void Pump(core::TimePoint now);
 
-  /// @brief Queues a record. Nothing is appended before the first one.
+  /// @brief Queues a record. Nothing is appended before the first record.
   /// @error kBacklogFull
   core::Status Add(v1::Record record, logclient::Urgency urgency);
-  /// @return whether that many more records surely fit
+  /// @return whether `records` more records fit
   bool HasRoomFor(size_t records) const;
 
   const ledger::Fold& fold() const { return m_fold; }
   const logclient::Writer& writer() const { return m_writer; }
-  /// @return the first alarm of the fold; admission must stop
+  /// @return the first error of the fold; admission must stop
   const std::optional<core::Error>& failure() const { return m_failure; }
   std::optional<core::TimePoint> last_read_to_end() const {
     return m_reader.last_read_to_end();
   }
-  /// @return whether entries were skipped by loading a snapshot after this
-  /// incarnation had begun to write
+  /// @return whether a snapshot loaded after this incarnation began to write
+  /// has skipped entries
   bool lost_continuity() const { return m_lost_continuity; }
-  /// @return whether appends or reads have been failing for too long
+  /// @return whether reads or appends have failed for too long
   bool IsOut(core::TimePoint now) const;
 
  private:
--- a/include/coppervalve/router/detail/order_link.h
+++ b/include/coppervalve/router/detail/order_link.h
@@ -13,7 +13,7 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief Connects the order desk to the log and to the shell.
+/// @brief Connects OrderDesk to the log and to the shell.
 class OrderLink {
  public:
   OrderLink(const core::RouterId& router,
@@ -21,14 +21,15 @@
             LogDesk& log,
             Outbox& outbox);
 
-  /// @brief Entries were folded, or a snapshot was loaded.
+  /// @brief Call after entries were folded or a snapshot was loaded.
   void AfterReading(core::TimePoint now);
   void OnEffect(core::TimePoint now, const ledger::Effect& effect);
   void OnSent(core::TimePoint now, const OrderSent& event);
-  /// @brief Sends and appends what is due. @pre this router is a member
+  /// @brief Sends and appends what is due.
+  /// @pre this router is a member
   void Pump(core::TimePoint now, const orders::Permit& permit);
 
-  /// @return what a drain must wait for
+  /// @return the number of orders that a drain must wait for
   size_t busy() const { return m_desk.busy(); }
 
  private:
--- a/include/coppervalve/router/detail/outbox.h
+++ b/include/coppervalve/router/detail/outbox.h
@@ -12,13 +12,13 @@
 
 using LogFields = std::vector<std::pair<std::string, std::string>>;
 
-/// @brief The actions that the current event has led to.
+/// @brief Collects the actions of the current event.
 class Outbox {
  public:
   void Add(Action action) { m_actions.push_back(std::move(action)); }
   void Info(std::string event, LogFields fields);
   void Warn(std::string event, LogFields fields);
-  /// @brief A failure that an operator must look at.
+  /// @brief Logs a failure that needs an operator.
   void Alarm(const core::Error& error);
   std::vector<Action> Take() { return std::exchange(m_actions, {}); }
 
--- a/include/coppervalve/router/detail/peer_desk.h
+++ b/include/coppervalve/router/detail/peer_desk.h
@@ -22,15 +22,15 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief The other routers: who they are, whether they answer, which of them
-/// is this router's witness, and which must be retired.
+/// @brief The other routers: their addresses and reachability, the choice of
+/// the witness, and the routers to retire.
 class PeerDesk {
  public:
   PeerDesk(const RouterSettings& settings,
            core::Incarnation incarnation,
            Outbox& outbox);
 
-  /// @brief Takes the members of the fold after they changed.
+  /// @brief Updates the members after they changed in the fold.
   void SetMembers(const ledger::Fold& fold);
   /// @brief A read reached the end of the log.
   /// @complexity linear in the members, at most every 500 ms
@@ -45,7 +45,7 @@
             const budget::PeerRef& to,
             v1::PeerMessage message);
   /// @brief Sends a heartbeat to all contacts when one is due.
-  /// @param make called once if so
+  /// @param make creates the heartbeat; called at most once
   template <typename Make>
   void Beat(core::TimePoint now, const Make& make);
   void OnHeartbeat(core::TimePoint now,
@@ -58,17 +58,18 @@
   membership::WitnessVerdict JudgeWitness(
       core::TimePoint now,
       const std::optional<budget::PeerRef>& current);
-  /// @brief Whether new work may be taken under this configuration version.
+  /// @brief Whether new work may be accepted under this configuration version.
   membership::FreshnessVerdict JudgeFreshness(core::TimePoint now,
                                               core::ConfigVersion version,
                                               const ledger::Fold& fold);
   std::optional<core::Duration> LogAge(core::TimePoint now) const;
 
-  /// @brief How this router sees an incarnation and where it takes work.
+  /// @brief State and request address of an incarnation, as seen by this
+  /// router.
   request::Location Locate(core::TimePoint now,
                            const request::Origin& origin,
                            const ledger::Fold& fold) const;
-  /// @brief The live router that rendezvous hashing picks for a key.
+  /// @brief The live router chosen by rendezvous hashing for a key.
   request::Location OwnerOf(core::TimePoint now,
                             const core::Hash128& key) const;
 
@@ -98,7 +99,7 @@
   }
 }
 
-/// @brief The fold's member in the form that membership works with.
+/// @brief Converts a member of the fold to the type used by membership.
 membership::Member ToMember(const ledger::Member& member);
 
 }  // namespace coppervalve::router::detail
--- a/include/coppervalve/router/detail/request_flow.h
+++ b/include/coppervalve/router/detail/request_flow.h
@@ -29,7 +29,7 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief What the flow of requests works with; owned by the session.
+/// @brief Dependencies of RequestFlow; owned by the session.
 struct FlowParts {
   const RouterSettings& settings;
   const RouterHooks& hooks;
@@ -41,19 +41,19 @@
   Outbox& outbox;
 };
 
-/// @brief The way of each request: account, rule, key, tokens, queue, attempts,
-/// final answer. Every request that enters gets exactly one final answer.
+/// @brief Processes each request: account, rule, key, tokens, queue, attempts,
+/// final answer. Every request gets exactly one final answer.
 class RequestFlow {
  public:
   explicit RequestFlow(FlowParts parts);
 
-  /// @brief Installs what depends on the configuration.
+  /// @brief Applies a new configuration.
   void OnConfigured();
-  /// @param closed why no new work is taken; none when it is
+  /// @param closed why no new work is accepted, if so
   void OnArrived(core::TimePoint now,
                  const RequestArrived& event,
                  const std::optional<core::Error>& closed);
-  /// @brief Refuses a request before the log was read for the first time.
+  /// @brief Refuses a request that arrives before the first read of the log.
   void RefuseUnread(const RequestArrived& event, const core::Error& closed);
   void OnStatusAsked(core::TimePoint now, const StatusAsked& event);
   void OnCallerGone(core::TimePoint now, core::RequestId id);
@@ -71,11 +71,12 @@
                const request::Origin& owner);
   void OnVmList(const v1::VmList& vms);
 
-  /// @brief Moves on what can move: tokens, queue, pauses, probes, expiry.
+  /// @brief Advances requests that wait for tokens, an upstream or a retry;
+  /// sends probes and expires entries.
   /// @param may_start whether attempts may be started now
   void Pump(core::TimePoint now, bool may_start);
 
-  /// @brief The account of a caller.
+  /// @brief Finds the account of a caller.
   /// @error kUnauthorized
   core::Result<const config::Account*> Authenticate(
       const std::string& api_key,
@@ -108,7 +109,8 @@
   void ExpireWaiters(core::TimePoint now);
   void Enqueue(core::TimePoint now, Work& work);
   void DrainQueue(core::TimePoint now);
-  /// @return whether there were any, so that others may be at the front now
+  /// @return whether any was refused, so that others may now be first in their
+  /// lanes
   bool RefuseDeadEnds(core::TimePoint now);
   bool TryStart(core::TimePoint now, const routing::QueueEntry& entry);
   void Start(core::TimePoint now,
@@ -154,12 +156,12 @@
   core::TimePoint m_now{};  ///< of the current event, for the table's hooks
   std::unordered_map<core::RequestId, Work> m_work;
   std::unordered_map<core::Hash128, core::RequestId> m_claims;
-  /// Requests that wait for tokens, by budget, in the order they are served.
+  /// Requests that wait for tokens, by budget, in service order.
   std::unordered_map<core::BudgetId, std::deque<core::RequestId>> m_waiting;
   Pauses m_pauses;
-  /// When requests that wait for a claim or for tokens are given up.
+  /// When to give up requests that wait for a claim or for tokens.
   std::multimap<core::TimePoint, core::RequestId> m_deadlines;
-  /// Entries at the front of their lanes with no upstream alive.
+  /// Requests at the front of their lanes without a live upstream.
   std::vector<core::RequestId> m_dead_ends;
   std::unordered_map<core::RequestId, v1::RequestStatus> m_status_relays;
   uint64_t m_last_attempt = 0;
--- a/include/coppervalve/router/detail/session.h
+++ b/include/coppervalve/router/detail/session.h
@@ -22,14 +22,14 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief Where an incarnation stands; it only moves forward.
+/// @brief State of an incarnation; it only moves forward.
 enum class Phase : uint8_t {
-  kReading,  ///< folds the log for the first time
-  kJoining,  ///< its join is on its way
-  kMember,   ///< serves
-  kRetired,  ///< ends what is in progress, then reports its final spend
-  kEnded,    ///< nothing left to do: a new incarnation may start
-  kStopped,  ///< its fold raised an alarm: serves nothing until restarted
+  kReading,  ///< first read of the log
+  kJoining,  ///< RouterJoined is appended, not yet folded
+  kMember,   ///< serves requests
+  kRetired,  ///< finishes requests, reports its final spend
+  kEnded,    ///< finished: a new incarnation may start
+  kStopped,  ///< its fold failed: serves nothing until restarted
 };
 
 /// @brief One incarnation of this router.
@@ -50,7 +50,7 @@
   const BudgetDesk& budgets() const { return m_budgets; }
 
  private:
-  // One overload for each kind of event.
+  // One overload per event type.
   void On(core::TimePoint now, const RequestArrived& event);
   void On(core::TimePoint now, const AddressesAsked& event);
   void On(core::TimePoint now, const StatusAsked& event);
@@ -91,7 +91,7 @@
   v1::Heartbeat MakeHeartbeat(core::TimePoint now);
   void OnPeerHeartbeat(core::TimePoint now, const v1::PeerMessage& message);
   void Append(v1::Record record);
-  /// @return why no new work is taken; none when it is
+  /// @return why no new work is accepted, if so
   std::optional<core::Error> WhyClosed() const;
   std::optional<core::Error> WhyUnfit() const;
   bool IsSelf(const core::RouterId& router,
--- a/include/coppervalve/router/detail/status_report.h
+++ b/include/coppervalve/router/detail/status_report.h
@@ -8,7 +8,7 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief What a status report is made from.
+/// @brief Inputs of a status report.
 struct StatusSources {
   const RouterSettings& settings;
   core::Incarnation incarnation;
@@ -22,8 +22,8 @@
   const Configured& configured;
 };
 
-/// @brief The answer of GET /admin/status.
-/// @complexity linear in upstreams, peers and the budgets touched here
+/// @brief Builds the answer of GET /admin/status.
+/// @complexity linear in the upstreams, the peers and the budgets used here
 v1::RouterStatus ReportStatus(core::TimePoint now,
                               const StatusSources& sources);
 
--- a/include/coppervalve/router/detail/work.h
+++ b/include/coppervalve/router/detail/work.h
@@ -16,14 +16,14 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief Where a request that this router runs stands.
+/// @brief State of a request that this router runs.
 enum class Stage : uint8_t {
   kClaim,      ///< waits for its claim in the log
   kTokens,     ///< waits for tokens of its budget
-  kQueue,      ///< has its reservation, waits for an upstream
+  kQueue,      ///< has a reservation, waits for an upstream
   kAttempt,    ///< an attempt is in progress
-  kPause,      ///< before the next attempt
-  kForwarded,  ///< another router has it
+  kPause,      ///< backs off before the next attempt
+  kForwarded,  ///< relayed to another router
 };
 
 /// @brief One request that this router runs or relays.
--- a/include/coppervalve/router/events.h
+++ b/include/coppervalve/router/events.h
@@ -17,39 +17,39 @@
 #include "coppervalve/platform.pb.h"
 #include "coppervalve/records.pb.h"
 
-/// The narrow interface between the decision core and its shell: the shell
-/// feeds events with the time they happened, the core answers with actions.
+/// Interface between the decision core and its shell. The shell passes events
+/// with the time they happened; the core returns actions.
 namespace coppervalve::router {
 
 // ---- Events ----------------------------------------------------------------
 
-/// @brief What a caller wants; the body itself stays in the shell.
+/// @brief A request of a caller. The body stays in the shell.
 struct RequestArrived {
   core::RequestId request;  ///< chosen by the shell, unique per incarnation
   std::string method;
   std::string path;
-  std::vector<std::pair<std::string, std::string>> headers;  ///< names lowered
+  std::vector<std::pair<std::string, std::string>> headers;  ///< lower-case names
   std::string api_key;  ///< as sent; empty when forwarded by a peer
   core::Hash128 body_hash;
   core::Bytes body_size;
   std::string model;               ///< model work only
   core::ServiceId service;         ///< plain services only
-  core::Tokens max_output_tokens;  ///< asked for; 0 = not given
+  core::Tokens max_output_tokens;  ///< requested; 0 if not given
   bool stream = false;
   std::string prompt_prefix;    ///< first bytes of the prompt, for affinity
   std::string idempotency_key;  ///< empty when not given
   std::optional<core::TimePoint> deadline;
-  /// Set when a peer forwarded it: the account that the peer authenticated.
+  /// Set for a forwarded request: the account that the peer authenticated.
   std::optional<core::AccountId> forwarded_account;
 };
 
-/// @brief A caller asks where to connect (GET /v1/addresses).
+/// @brief A caller requests the router addresses (GET /v1/addresses).
 struct AddressesAsked {
   core::RequestId request;
   std::string api_key;
 };
 
-/// @brief A caller asks what became of a request (GET /v1/requests/{key}).
+/// @brief A caller requests the status of a request (GET /v1/requests/{key}).
 struct StatusAsked {
   core::RequestId request;
   std::string api_key;
@@ -57,7 +57,7 @@
   std::optional<core::AccountId> forwarded_account;
 };
 
-/// @brief An operator asks for this router's state (GET /admin/status).
+/// @brief An operator requests this router's state (GET /admin/status).
 struct OperatorStatusAsked {
   core::RequestId request;
 };
@@ -69,14 +69,13 @@
   core::Error error;
 };
 
-/// @brief What an upstream reports of its load beside an answer; lags.
+/// @brief The load that an upstream reports with an answer. It may be outdated.
 struct UpstreamLoad {
   uint32_t running = 0;
   uint32_t queued = 0;
 };
 
-/// @brief The upstream answered that it did not take the work (429 or 503
-/// marked as not run).
+/// @brief The upstream rejected the work (429, or 503 marked as not run).
 struct AttemptDeclined {
   core::RequestId request;
   core::AttemptId attempt;
@@ -90,40 +89,41 @@
   core::AttemptId attempt;
 };
 
-/// @brief Token usage as the engine reports it.
+/// @brief Token usage reported by the engine.
 struct Usage {
   core::Tokens prompt;
   core::Tokens output;
 };
 
-/// @brief The answer came to its proper end.
+/// @brief The answer is complete.
 struct AttemptDone {
   core::RequestId request;
   core::AttemptId attempt;
   uint32_t http_status = 200;
   std::optional<Usage> usage;  ///< absent for plain services
-  core::Bytes answer_size;     ///< kept by the shell for later callers
+  core::Bytes answer_size;     ///< kept by the shell for retries
   std::optional<UpstreamLoad> load;
 };
 
-/// @brief The attempt ended without a whole answer after bytes were sent.
+/// @brief The attempt ended without a complete answer after bytes were sent.
 struct AttemptFailed {
   core::RequestId request;
   core::AttemptId attempt;
   core::Error error;  ///< kUpstreamFailed, kUpstreamSilent, kAnswerCut, ...
-  bool forwarded_bytes = false;  ///< the caller has part of the answer
-  core::Tokens output_seen;      ///< tokens that passed through
+  bool forwarded_bytes = false;  ///< the caller got part of the answer
+  core::Tokens output_seen;      ///< tokens forwarded so far
 };
 
-/// @brief The caller closed its connection, or its joined wait.
+/// @brief The caller closed its connection or stopped waiting for a joined
+/// answer.
 struct CallerGone {
   core::RequestId request;
 };
 
-/// @brief A forward to a peer ended; the shell relayed whatever came.
+/// @brief A forward to a peer ended. The shell relayed what it received.
 struct ForwardEnded {
   core::RequestId request;
-  bool answered = false;  ///< the peer's whole answer was relayed
+  bool answered = false;  ///< the peer's complete answer was relayed
   bool sent = false;     ///< bytes reached the kernel: the peer may have run it
   bool relayed = false;  ///< the caller may have part of an answer
 };
@@ -153,21 +153,21 @@
   core::RouterId router;
 };
 
-/// @brief A probe that the core asked for ended.
+/// @brief A probe requested by the core ended.
 struct ProbeEnded {
   core::UpstreamId upstream;
   bool healthy = false;
   std::optional<UpstreamLoad> load;
 };
 
-/// @brief An order that the core asked for ended.
+/// @brief Sending an order requested by the core ended.
 struct OrderSent {
   core::UpstreamId upstream;
   core::FencingNumber fencing;
   orders::SendOutcome outcome = orders::SendOutcome::kUnknown;
 };
 
-/// @brief SIGTERM or an operator's drain. A second one changes nothing.
+/// @brief SIGTERM or a drain by an operator. Repeated events have no effect.
 struct DrainAsked {};
 
 /// @brief Sent by the shell at least every 50 ms.
@@ -198,8 +198,8 @@
 
 // ---- Actions ---------------------------------------------------------------
 
-/// @brief Send the request's body to an upstream. The first byte given to the
-/// kernel is the point of no return.
+/// @brief Send the body of the request to an upstream. Once a byte is given to
+/// the kernel, the request may run.
 struct Dispatch {
   core::RequestId request;
   core::AttemptId attempt;
@@ -213,9 +213,9 @@
   core::Duration inter_token_timeout{};
 };
 
-/// @brief The final answer of a request that failed or was refused. When part
-/// of the answer is with the caller already, the shell ends the stream with an
-/// error event, never with a proper end.
+/// @brief The final answer of a request that failed or was refused. If the
+/// caller already has part of an answer, the shell ends the stream with an
+/// error event instead of a normal end.
 struct Refuse {
   core::RequestId request;
   core::Error error;
@@ -223,13 +223,13 @@
   std::optional<core::Duration> retry_after;
 };
 
-/// @brief Hand the caller the answer (kept, or still arriving) of `leader`.
+/// @brief Send the caller the answer of `leader`, complete or still arriving.
 struct JoinAnswer {
   core::RequestId request;
   core::RequestId leader;
 };
 
-/// @brief The answer kept for a finished request is no longer needed.
+/// @brief Drop the stored answer of a finished request.
 struct ForgetAnswer {
   core::RequestId request;
 };
@@ -239,11 +239,11 @@
   core::RequestId request;
   core::RouterId router;
   core::Incarnation incarnation;
-  std::string address;  ///< the peer's caller-facing work port for routers
+  std::string address;  ///< of the peer, for requests from routers
   core::AccountId account;
 };
 
-/// @brief The answer is of no use any more.
+/// @brief Cancel an attempt whose answer is no longer needed.
 struct CancelAttempt {
   core::RequestId request;
   core::AttemptId attempt;  ///< 0: the forward to a peer
@@ -256,15 +256,15 @@
   std::string json;
 };
 
-/// @brief Read the log from `from`; the reply comes as LogRead or
-/// LogReadFailed. At most one is outstanding.
+/// @brief Read the log from `from`; answered by LogRead or LogReadFailed. At
+/// most one read is outstanding.
 struct ReadLog {
   core::LogOffset from;
-  core::Duration wait{};  ///< how long the service may hold an empty answer
+  core::Duration wait{};  ///< long-poll time when there are no entries
 };
 
 /// @brief Append one entry; answered by LogAppended or LogAppendFailed. At most
-/// one is outstanding.
+/// one append is outstanding.
 struct AppendLog {
   std::string entry;  ///< a serialized v1::Entry
 };
@@ -280,9 +280,9 @@
   std::string address;
 };
 
-/// @brief Give a model engine an order (POST /admin/order); answered by
-/// OrderSent. The fencing number lets an engine that checks it refuse an order
-/// that was overtaken.
+/// @brief Send an order to a model engine (POST /admin/order); answered by
+/// OrderSent. An engine that checks the fencing number refuses an order that a
+/// newer one has replaced.
 struct SendOrder {
   core::UpstreamId upstream;
   std::string address;
@@ -298,7 +298,7 @@
   std::vector<std::pair<std::string, std::string>> fields;
 };
 
-/// @brief The drain is complete: the process may end.
+/// @brief The drain is complete; end the process.
 struct Exit {};
 
 using Action = std::variant<Dispatch,
--- a/include/coppervalve/router/settings.h
+++ b/include/coppervalve/router/settings.h
@@ -15,7 +15,7 @@
 
 namespace coppervalve::router {
 
-/// @brief What a router process knows of itself from its settings.
+/// @brief Settings of a router process.
 struct RouterSettings {
   core::RouterId router;
   std::string caller_address;  ///< "ip:port" that callers connect to
@@ -23,23 +23,23 @@
   std::string operator_address;
   core::FailureDomainId failure_domain;
   std::string region;
-  std::string version;  ///< of the program, for the record of joining
+  std::string version;  ///< program version, stored in RouterJoined
 
   logclient::ReaderOptions reader;
   logclient::WriterOptions writer;
   logclient::SnapshotOptions snapshots;
-  /// Checkpoints every 256 offsets, so that snapshots can be compared often;
-  /// each costs one serialization of the state.
+  /// A checkpoint every 256 offsets allows frequent comparison of snapshots.
+  /// Each one serializes the whole state.
   ledger::FoldSettings fold{100'000, 256, 16};
   budget::SizingPolicy sizing = budget::DefaultSizing();
-  /// A router that cannot give its holdings back because the log is out ends
-  /// after this; its holdings are then quarantined.
+  /// A draining router that cannot return its holdings because the log is
+  /// unavailable exits after this time. Its holdings are then quarantined.
   core::Duration drain_patience = std::chrono::seconds(30);
 };
 
-/// @brief The only sources of chance and of the calendar.
+/// @brief Sources of randomness and of the time of day.
 struct RouterHooks {
-  std::function<uint64_t()> random;  ///< 64 uniform bits a call
+  std::function<uint64_t()> random;  ///< 64 uniform bits per call
   /// UTC minute of the day at a time of the decision clock, 0..1439.
   std::function<uint32_t(core::TimePoint)> minute_of_day;
 };
--- a/src/orders/order_desk.cc
+++ b/src/orders/order_desk.cc
@@ -31,8 +31,8 @@
   return holder != nullptr && holder->live() ? holder : nullptr;
 }
 
-// The loads that the weight store leaves room for, the oldest order first, so
-// that every router names the same ones.
+// The loads that the capacity of the weight store admits, oldest first, so that
+// all routers choose the same ones.
 std::set<FencingNumber> LoadsWithRoom(const ledger::Fold& fold) {
   std::vector<FencingNumber> waiting;
   for (const ledger::Order* order : fold.Orders()) {
@@ -46,7 +46,8 @@
   return {waiting.begin(), waiting.end()};
 }
 
-// A refusal says nothing of an earlier try whose reply was lost.
+// A refusal does not show whether an earlier attempt without a reply had an
+// effect.
 v1::OrderOutcome OutcomeOf(SendOutcome outcome, bool maybe_arrived) {
   if (outcome == SendOutcome::kDone) {
     return v1::DONE;
@@ -109,8 +110,8 @@
   const bool was_available = job.available;
   job.available = LiveHolder(fold, order) == nullptr && job.configured &&
                   (!order.taken() || job.checks_fencing);
-  // Ranks count from when the order can be had, else the first in rank would
-  // have no head start after a holder was retired.
+  // The delay starts when the order becomes available. Otherwise the
+  // first-ranked router would have no head start after a holder was retired.
   if (job.available && !was_available) {
     job.due = now + HeadStart(fold, id);
   }
@@ -170,7 +171,7 @@
   m_sending.erase(sending);
   Job* job = Find(upstream, fencing);
   if (job == nullptr) {
-    return;  // overtaken by a newer order meanwhile
+    return;  // replaced by a newer order
   }
   job->due = now + Backoff(job->tries);
   if (outcome == SendOutcome::kDone || outcome == SendOutcome::kRefused) {
@@ -180,8 +181,8 @@
     return;
   }
   job->maybe_arrived = job->maybe_arrived || outcome == SendOutcome::kUnknown;
-  // An engine that ignores fencing numbers may be told by a later order in the
-  // meantime; a resend would silently undo that one. The operator looks.
+  // An engine that ignores fencing numbers may have received a later order
+  // since, and a resend would silently undo it. The operator has to check.
   const bool may_resend = job->checks_fencing || !job->maybe_arrived;
   if (may_resend && job->tries < m_options.max_tries) {
     return;
@@ -227,9 +228,9 @@
                                             const UpstreamId& upstream,
                                             Job& job) {
   if (permit.draining) {
-    // Otherwise the order would wait for this router's retirement, and one to
-    // an engine that ignores fencing numbers for an operator, although nothing
-    // was sent.
+    // Otherwise the order would wait for the retirement of this router. An
+    // order to an engine that ignores fencing numbers would even wait for an
+    // operator, although nothing was sent.
     job.asked = true;
     return State{upstream, job.fencing,
                  job.maybe_arrived && !job.checks_fencing ? v1::OUTCOME_UNKNOWN
--- a/src/request/forgotten_keys.cc
+++ b/src/request/forgotten_keys.cc
@@ -13,7 +13,7 @@
 constexpr unsigned kHalfBits = 32;
 constexpr size_t kProbes = 4;
 
-/// A key is a hash already: its four 32-bit parts serve as the probes.
+/// The key is already a hash, so its four 32-bit parts are the probes.
 std::array<size_t, kProbes> Probes(const core::Hash128& key, size_t bits) {
   constexpr uint64_t kLowHalf = 0xFFFFFFFF;
   return {static_cast<size_t>(key.high >> kHalfBits) % bits,
@@ -32,7 +32,7 @@
     m_previous = std::exchange(m_current, {});
     m_added = 0;
   }
-  // Allocated late: most routers of a large fleet never forget a key.
+  // Allocated on first use: most routers of a large fleet never add a key.
   if (m_current.empty()) {
     m_current.resize(m_per_generation * kBitsPerKey / kWordBits);
   }
--- a/src/request/key_decision.cc
+++ b/src/request/key_decision.cc
@@ -6,8 +6,7 @@
 
 namespace {
 
-/// For refusals whose cause passes by itself: the peer answers again, the
-/// claim is read, an entry expires.
+/// For temporary causes: an unreachable peer, an unread claim, a full table.
 constexpr core::Duration kSoon = std::chrono::seconds(1);
 
 Refuse RefuseWith(core::ErrorId id,
@@ -47,13 +46,13 @@
   return decision;
 }
 
-/// For a key that has no record here, or only one of a refusal.
+/// For a key without a record here, or with one that was refused.
 RequestTable::Decision RequestTable::DecideUnseen(
     const Question& question) const {
   const RequestRecord& request = question.request;
-  // Failure: a caller retries a seat hold after its record has expired.
-  // Symptom: a second hold of a paid seat. Enough: every such key is in the
-  // filter, which misses none within its generations.
+  // A retry may arrive after the record of its request has expired. Running it
+  // again would, for example, hold a paid seat twice. The filter contains every
+  // such key within its generations.
   if (request.non_idempotent && m_forgotten.MayContain(*request.key)) {
     return {UnknownOutcome(std::nullopt)};
   }
@@ -61,8 +60,8 @@
                          : DecideUnbound(question);
 }
 
-/// For a request that was waiting for another router: by now its key may have
-/// a record here.
+/// For a request that waited for another router. Its key may have a record here
+/// by now.
 RequestTable::Decision RequestTable::DecideAgain(const RequestRecord& request,
                                                  Decision otherwise) const {
   const RequestRecord* known = FindKey(*request.key);
@@ -75,8 +74,8 @@
 std::optional<RequestTable::Decision> RequestTable::DecideKnown(
     const RequestRecord& request,
     const RequestRecord& known) const {
-  // The identity is no cryptographic hash. Should two accounts ever collide,
-  // the second is refused and never shown the first one's answer.
+  // The identity is not a cryptographic hash. If two accounts collide, the
+  // second is refused, so that it never gets the answer of the first.
   if (known.account != request.account) {
     return Decision{
         RefuseWith(core::ErrorId::kBadRequest, core::RunState::kNotRun)};
@@ -115,8 +114,8 @@
     const Question& question) const {
   const RequestRecord& request = question.request;
   const std::optional<Origin> claimed = m_hooks.claim_of(*request.key);
-  // A claim of this incarnation without a record of a run: it was refused
-  // before it was sent, so it may run now without a second claim.
+  // A claim of this incarnation without a record of a run: the request was
+  // refused before it was sent, so it may run without a second claim.
   if (claimed && *claimed == m_self) {
     return {RunHere{}};
   }
@@ -140,9 +139,9 @@
   if (question.log_available) {
     return {NeedClaim{*question.request.key}, false, !question.fold_current};
   }
-  // Failure: the first try claimed and ran at a router that then died, and
-  // this one has not read that claim. Symptom: "not run" of a hold that was
-  // made. Enough: "not run" is said only when the claim would have been read.
+  // The first attempt may have claimed the key and run on a router that failed
+  // since, and this router may not have read that claim. "Not run" is reported
+  // only if the claim would have been read.
   const core::RunState run_state = question.fold_current
                                        ? core::RunState::kNotRun
                                        : core::RunState::kUnknown;
@@ -150,21 +149,21 @@
 }
 
 Location RequestTable::Locate(const Origin& place) const {
-  // Another incarnation of this very router has ended: this one replaced it.
+  // Another incarnation of this router has ended: this one replaced it.
   if (place.router == m_self.router) {
     return {place, PeerState::kRetired, {}};
   }
   return m_hooks.locate(place);
 }
 
-/// For a key that one other incarnation has, or alone may run.
+/// For a key that another incarnation has claimed or alone may run.
 RequestTable::Decision RequestTable::GoTo(const RequestRecord& request,
                                           const Origin& place) const {
   const Location location = Locate(place);
   const bool gone = location.state == PeerState::kRetired ||
                     location.state == PeerState::kUnknown;
-  // Routers whose views differ could send a request round in circles; one that
-  // a peer forwarded therefore ends here.
+  // Routers with different views could forward a request in a loop, so a
+  // forwarded request is not forwarded again.
   if (location.state == PeerState::kReachable && !request.forwarded) {
     return {ForwardTo{place.router, place.incarnation, location.address}, true};
   }
@@ -185,9 +184,9 @@
     return std::nullopt;
   }
   const bool admits = Admits(decision.verdict);
-  // Failure: a full table drops the record of a hold that ran, and its retry
-  // runs it again. Symptom: a doubled seat hold. Enough: a request enters only
-  // while its own record is sure to fit for as long as answers are kept.
+  // A full table must not drop the record of a non-idempotent request that ran,
+  // because its retry would run it again. A request is therefore admitted only
+  // if its record fits for as long as answers are kept.
   const bool no_tombstone = admits && request.key && request.non_idempotent &&
                             m_tombstones >= m_limits.max_tombstones;
   if (m_open < m_limits.max_open && !no_tombstone) {
@@ -230,7 +229,8 @@
 RequestTable::Decision RequestTable::DecideAfterForward(
     const RequestRecord& request,
     const ForwardOutcome& outcome) const {
-  // A second run would append its answer to the part that the caller has.
+  // A second run would append its answer to the part already sent to the
+  // caller.
   if (outcome.relayed) {
     return {RefuseWith(core::ErrorId::kAnswerCut, core::RunState::kUnknown)};
   }
--- a/src/request/key_name.cc
+++ b/src/request/key_name.cc
@@ -26,7 +26,7 @@
   size_t size = 0;
 };
 
-/// Takes a prefix whose incarnation starts after the dot at `dot`.
+/// Parses a prefix whose incarnation starts after the dot at `dot`.
 std::optional<Prefix> PrefixAt(std::string_view text, size_t dot) {
   const size_t end = dot + 1 + kHexDigits;
   if (end >= text.size() || text[end] != '.') {
@@ -45,8 +45,8 @@
       end + 1};
 }
 
-/// Router ids may contain dots, so the first dot that is followed by an
-/// incarnation ends the id.
+/// Router ids may contain dots, so the id ends at the first dot followed by an
+/// incarnation.
 std::optional<Prefix> FindPrefix(std::string_view text) {
   if (!text.starts_with(kScheme)) {
     return std::nullopt;
@@ -80,9 +80,9 @@
   if (!prefix) {
     return key;
   }
-  // A caller that sends the bare prefix would give all its requests one key.
+  // A caller that sends only the prefix would use one key for all its requests.
   if (prefix->size == text.size()) {
-    return BadKey("nothing follows the prefix");
+    return BadKey("must have characters after the prefix");
   }
   key.m_origin = prefix->origin;
   return key;
--- a/src/request/request_table.cc
+++ b/src/request/request_table.cc
@@ -58,7 +58,7 @@
     MoveJoiners(request.joiners, join->leader);
     request.joiners.clear();
     Slot* leader = FindOpen(join->leader);
-    // A kept answer is handed out at once: nobody waits.
+    // A complete answer is sent immediately, so the request does not wait.
     if (leader == nullptr) {
       return decision.verdict;
     }
@@ -75,7 +75,7 @@
   return decision.verdict;
 }
 
-/// Drops the records of joiners whose request ends; their answers end with its.
+/// Removes the joiners of a request that ends; they get its answer.
 void RequestTable::Abandon(const Waiters& joiners) {
   for (const core::RequestId joiner : joiners) {
     m_records.erase(joiner);
@@ -114,7 +114,7 @@
   m_records[id].record = std::move(request);
 }
 
-/// Takes an open request out of the table, to be decided again or dropped.
+/// Removes an open request, to be decided again or dropped.
 std::optional<RequestRecord> RequestTable::Extract(core::RequestId id) {
   Slot* slot = FindOpen(id);
   if (slot == nullptr) {
@@ -137,7 +137,7 @@
 
 void RequestTable::OnClaimWon(core::TimePoint now, core::RequestId id) {
   if (Slot* slot = FindOpen(id)) {
-    // The first claim of the key is this one: nobody ran it before.
+    // This is the first claim of the key, so the request has not run before.
     slot->record.may_have_run = false;
     SetPhase(now, *slot, Phase::kQueued);
   }
@@ -224,9 +224,9 @@
   if (slot == nullptr) {
     return {};
   }
-  // Failure: a request is given up on while an attempt of it may be running.
-  // Symptom: its retry runs it twice, or "not run" is said of work that ran.
-  // Enough: what was sent, and not only the caller's word, decides.
+  // A request may be given up while an attempt of it still runs. Reporting "not
+  // run" would be wrong and a retry would run it twice, so the sent attempts
+  // decide, not the caller of this function.
   const bool sent = slot->record.sent_attempts > 0;
   return Finish(now, *slot, sent ? Phase::kFailed : Phase::kRefused, error);
 }
@@ -337,7 +337,7 @@
 }
 
 void RequestTable::KeepAnswer(Slot& slot, core::Bytes size) {
-  // One answer past the bound would push out all others and itself.
+  // An answer above the limit would evict all others and itself.
   if (size > m_limits.max_kept_bytes) {
     m_expired.push_back(slot.record.id);
     return;
@@ -360,7 +360,7 @@
   slot.record.kept_answer.reset();
 }
 
-/// Drops a final keyed record.
+/// Removes the record of a final keyed request.
 void RequestTable::Forget(core::RequestId id) {
   Slot& slot = m_records.at(id);
   DropAnswer(slot);
--- a/src/router/budget_desk.cc
+++ b/src/router/budget_desk.cc
@@ -19,7 +19,7 @@
 struct Overloaded : Cases... {
   using Cases::operator()...;
 };
-// Not every compiler deduces the arguments of an aggregate by itself.
+// Some compilers need this guide to deduce the arguments of an aggregate.
 template <typename... Cases>
 Overloaded(Cases...) -> Overloaded<Cases...>;
 
@@ -28,7 +28,7 @@
           core::Incarnation(message.from_incarnation())};
 }
 
-// Requests wait for these; the rest may share the next batch.
+// Requests wait for allotments; other records may wait for the next batch.
 Urgency UrgencyOf(const v1::Record& record) {
   return record.has_allotment_requested() ? Urgency::kUrgent
                                           : Urgency::kRoutine;
@@ -159,9 +159,9 @@
     m_book.OnRetired(now);
     return;
   }
-  // The desk is closed before anything is stated: a raise that arrived between
-  // the statement and the close would let the retired router commit tokens
-  // that the statement has just given back to the balance.
+  // Close before the report: a raise that arrived in between would let the
+  // retired router commit tokens that the report has just returned to the
+  // balance.
   m_witness_desk.Close(peer);
   StateCeilings(peer);
 }
@@ -245,8 +245,8 @@
   SendMessages(now);
 }
 
-// A record that the book has handed out exists nowhere else, so the book is
-// only asked when the backlog is sure to take what it may hand out.
+// A record taken from the holdings exists nowhere else, so records are taken
+// only if the backlog has room for all of them.
 void BudgetDesk::SendRecords(TimePoint now) {
   if (!m_log.HasRoomFor(budget::kMaxRecordsPerTake)) {
     return;
--- a/src/router/configured.cc
+++ b/src/router/configured.cc
@@ -22,9 +22,8 @@
       m_rules(std::make_shared<rules::RuleSet>(v1::Configuration{}, m_tables)) {
 }
 
-// A fold that was rebuilt from an older snapshot passes through versions that
-// were in force before; installing one would revert a change that operators
-// were told is in force.
+// A fold rebuilt from an older snapshot passes through earlier versions.
+// Installing one would revert a change that operators were told is in force.
 bool Configured::Follow(const ledger::Fold& fold) {
   if (fold.config_version() <= m_version) {
     return false;
--- a/src/router/core.cc
+++ b/src/router/core.cc
@@ -20,7 +20,7 @@
 RouterCore::~RouterCore() = default;
 
 void RouterCore::Restart() {
-  // 0 stands for "none" in the records.
+  // 0 means "none" in the records.
   core::Incarnation incarnation;
   while (incarnation == core::Incarnation()) {
     incarnation = core::Incarnation(m_hooks.random());
@@ -51,9 +51,9 @@
   }
 }
 
-// A reply that is still on its way belongs to the old incarnation. The next one
-// would take the acknowledgement of an old append for that of its own join and
-// wait for ever to become a member, so it starts only when nothing is open.
+// A pending reply belongs to the old incarnation. The next incarnation would
+// take the acknowledgement of an old append for that of its own join and never
+// become a member, so it starts only when no call is pending.
 void RouterCore::RestartIfEnded() {
   if (m_session->phase() == detail::Phase::kEnded && !m_session->draining() &&
       m_open_log_calls == 0) {
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -14,9 +14,9 @@
 
 namespace {
 
-/// A top-up is in force within seconds of being published.
+/// A published top-up takes effect within seconds.
 constexpr core::Duration kRetryAfterTopUp = std::chrono::seconds(10);
-/// Tokens that other routers hold come back within about this time.
+/// Tokens held by other routers are returned within about this time.
 constexpr core::Duration kRetryWhenBusy = std::chrono::seconds(1);
 constexpr core::Duration kRetryAfterOutage = std::chrono::seconds(2);
 
@@ -37,8 +37,9 @@
 
 }  // namespace
 
-// Tokens first, upstream second: an entry of the queue can then always start,
-// and an account whose budget is short never blocks the queue for others.
+// Tokens are reserved before a request is queued, so a queued request can
+// always start and an account short of tokens never blocks the queue for
+// others.
 void RequestFlow::AskForTokens(TimePoint now, Work& work) {
   const Tokens bound = m_parts.configured.BoundOf(
       work.route.candidates, work.prompt_bound, work.max_output);
@@ -60,7 +61,7 @@
   if (waits_already) {
     return;
   }
-  // GATE work is served before the rest, each in the order of arrival.
+  // GATE work goes first; each class is in order of arrival.
   const auto later = std::upper_bound(
       waiting.begin(), waiting.end(), PriorityOf(work.route.admission_class),
       [this](uint32_t priority, RequestId other) {
@@ -78,7 +79,7 @@
     if (found == m_waiting.end()) {
       continue;
     }
-    // Each waiter is tried once; those that still have to wait stay in order.
+    // Each waiting request is tried once; the rest keep their order.
     std::deque<RequestId> trying = std::move(found->second);
     m_waiting.erase(found);
     for (const RequestId id : trying) {
@@ -102,14 +103,14 @@
     if (work->stage == Stage::kTokens) {
       GiveUp(now, *work,
              {ErrorId::kBudgetBusy, work->budget.value(),
-              "no tokens became free in the time the request may wait"},
+              "no tokens became available within the queue time limit"},
              kRetryWhenBusy);
     } else if (work->stage == Stage::kClaim) {
       // The claim may still win later. It then names this incarnation, where
-      // the key is known as not run, so a retry may run it here and only here.
+      // the key is known as not run, so only this router may run a retry.
       GiveUp(now, *work,
              {ErrorId::kClaimUnavailable, work->account.value(),
-              "the log did not answer in the time the request may wait"},
+              "the claim was not confirmed within the queue time limit"},
              kRetryAfterOutage);
     }
   }
@@ -178,9 +179,10 @@
   }
   const bool dead = decision.why == routing::PlacementWhy::kNoneAlive ||
                     decision.why == routing::PlacementWhy::kNoCandidate;
-  // BATCH work may wait for an upstream to return; a person would wait in vain.
-  // It is refused after this round and not reported as a start: starts measure
-  // the drain rate, and callers would be told to come back too early.
+  // BATCH work may wait for an upstream to recover; other classes are refused.
+  // They are refused after this pass and not reported as started, because
+  // starts measure the drain rate and would make the Retry-After of others too
+  // short.
   if (dead && work->route.admission_class != v1::BATCH) {
     m_dead_ends.push_back(work->id);
   }
--- a/src/router/flow_arrival.cc
+++ b/src/router/flow_arrival.cc
@@ -15,12 +15,13 @@
 
 namespace {
 
-/// No tokenizer makes more tokens than the prompt has bytes; roles and
-/// separators of a chat add a few per message, which the body's own JSON
-/// syntax already outweighs.
+/// A prompt never has more tokens than bytes. Roles and separators of a chat
+/// add a few tokens per message, fewer than the JSON syntax of the body has
+/// bytes.
 constexpr Tokens kFramingAllowance{64};
 
-/// A claim or status that the fold would show must have been read this lately.
+/// Maximum age of the last read to the end of the log for the fold to count as
+/// current.
 constexpr core::Duration kFoldCurrentFor = std::chrono::seconds(3);
 
 constexpr core::Duration kRetryElsewhere = std::chrono::milliseconds(100);
@@ -129,9 +130,9 @@
   FollowVerdict(now, event.request, m_table.OnArrival(now, arrival));
 }
 
-// A retry of a request that ran elsewhere may meet a router that has read
-// nothing yet. "Not run" would then be a lie, so a keyed request is told that
-// its outcome is unknown and when to ask again.
+// A retry of a request that ran elsewhere may reach a router that has not read
+// the log yet. "Not run" could be wrong, so a keyed request gets an unknown
+// outcome and a Retry-After.
 void RequestFlow::RefuseUnread(const RequestArrived& event,
                                const Error& closed) {
   const core::RunState run_state = event.idempotency_key.empty()
@@ -235,10 +236,10 @@
   }
 }
 
-// The limit comes after the key: a retry that fetches the answer of a running
-// request costs nothing upstream and must not be turned away. Nor must the
-// retry of work whose router was lost: it was counted when it was first
-// admitted.
+// The rate limit is checked after the key: a retry that gets the answer of a
+// running request costs the upstream nothing and must not be refused. A retry
+// after the loss of a router is not limited either, because it was counted when
+// it was first admitted.
 void RequestFlow::RunHere(TimePoint now, Work& work) {
   const request::RequestRecord* record = m_table.Find(work.id);
   const bool admitted_before = record != nullptr && record->may_have_run;
--- a/src/router/flow_attempts.cc
+++ b/src/router/flow_attempts.cc
@@ -46,8 +46,7 @@
   m_work.erase(id);
 }
 
-// An event of an attempt that was given up meanwhile says nothing about the
-// attempt that replaced it.
+// Events of an abandoned attempt must not affect the attempt that replaced it.
 Work* RequestFlow::FindAttempt(RequestId id, core::AttemptId attempt) {
   Work* work = Find(id);
   const bool current = work != nullptr && work->stage == Stage::kAttempt &&
@@ -62,9 +61,9 @@
   }
 }
 
-// Without the engine's own count nobody knows what an attempt used: a silent
-// connection may hide a whole answer. Charging less than was reserved could let
-// the upstreams' total pass what was paid in.
+// Without a count from the engine the usage is unknown: a silent connection may
+// hide a complete answer. Charging less than the reservation could let the
+// total of the upstreams exceed the prepaid tokens.
 void RequestFlow::WriteOff(TimePoint now, Work& work) {
   if (work.reservation.has_value()) {
     m_parts.book.Settle(now, *work.reservation, work.reservation->bound,
@@ -123,8 +122,8 @@
   m_upstreams.OnFirstToken(work->upstream, now - work->dispatched, now);
 }
 
-// An engine that answers without its count may have used all it was allowed.
-// Only a refusal of the request itself (4xx) shows that it generated nothing.
+// An engine that reports no usage may have used the whole reservation. Only a
+// rejection of the request itself (4xx) shows that nothing was generated.
 Tokens RequestFlow::CostOf(const Work& work, const AttemptDone& done) const {
   const bool refused = done.http_status >= kFirstClientError &&
                        done.http_status < kFirstServerError;
@@ -155,7 +154,7 @@
       m_parts.outbox.Alarm(
           {ErrorId::kConservationBroken, work->upstream.value(),
            "used " + std::to_string(settled->uncovered.value()) +
-               " tokens more than it was given"});
+               " tokens more than were reserved"});
     }
   }
   m_table.OnDone(now, work->id, event.answer_size);
@@ -224,8 +223,8 @@
   }
 }
 
-// The table knows whether any attempt may have run, so it, and not the error,
-// decides what the caller is told.
+// The table knows whether an attempt may have run, so it decides the reported
+// run state, not the error.
 void RequestFlow::GiveUp(TimePoint now,
                          Work& work,
                          Error error,
--- a/src/router/log_desk.cc
+++ b/src/router/log_desk.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Each review ranks all live members.
+/// Each review ranks all live members, so reviews are limited to this interval.
 constexpr core::Duration kReviewSnapshotsEvery = std::chrono::seconds(1);
 
-// 53 random bits scaled to [0, 1): all that a double can hold.
+// 53 random bits scaled to [0, 1), the precision of a double.
 logclient::JitterHook JitterFrom(const RouterHooks& hooks) {
   return [random = hooks.random] {
     return static_cast<double>(random() >> 11U) * 0x1.0p-53;
@@ -78,8 +78,8 @@
 
 void LogDesk::FoldEntry(const v1::LoggedEntry& logged) {
   v1::Entry entry;
-  // Every reader folds unreadable bytes as the same empty entry, so that one
-  // faulty writer cannot make the folds of the fleet differ.
+  // Every reader folds invalid bytes as an empty entry, so that a faulty writer
+  // cannot make the folds of the fleet differ.
   if (!entry.ParseFromString(logged.entry())) {
     entry.Clear();
   }
@@ -154,8 +154,8 @@
   if (m_writing) {
     PumpSnapshot(now);
   }
-  // The first entry of an incarnation must be its join: a keep-alive before it
-  // would take sequence 1 and the join would be refused as a gap.
+  // The first entry of an incarnation must be its join. A keep-alive before it
+  // would take sequence 1, and the join would be refused as a gap.
   if (!m_writing) {
     return;
   }
@@ -176,8 +176,8 @@
   }
   const logclient::LogRange range{m_reader.first_retained(),
                                   m_fold.next_offset()};
-  // Only a state at a checkpoint can be compared by every reader, so the next
-  // one is waited for.
+  // Readers can only compare states at a checkpoint, so the snapshot waits for
+  // the next one.
   m_snapshot_wanted = m_snapshots.IsDue(now, range, live);
 }
 
--- a/src/router/order_link.cc
+++ b/src/router/order_link.cc
@@ -48,8 +48,8 @@
 }
 
 void OrderLink::Pump(TimePoint now, const orders::Permit& permit) {
-  // A statement that did not fit the backlog would be lost, and its order would
-  // stay open with a holder that does nothing. So there is room first.
+  // An outcome that does not fit into the backlog would be lost and its order
+  // would stay open with an idle holder, so room is checked first.
   if (m_desk.open() == 0 || !m_log.HasRoomFor(2 * m_desk.open())) {
     return;
   }
--- a/src/router/peer_desk.cc
+++ b/src/router/peer_desk.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// The watch needs no finer time than this; reads of a busy log end far more
-/// often and each look at the members is linear in their number.
+/// A finer resolution is not needed. Reads of a busy log end far more often,
+/// and each check is linear in the members.
 constexpr core::Duration kWatchEvery = std::chrono::milliseconds(500);
 constexpr core::Duration kDefaultFreshness = std::chrono::seconds(8);
 
@@ -132,7 +132,7 @@
   inputs.voters = fold.voters();
   inputs.self_votes = fold.IsVoter(self().id.incarnation);
   inputs.sampled = m_view.Sampled();
-  // Asked for each event: the scan of the members is for outages only.
+  // This runs for each event, so the members are scanned only during outages.
   if (!m_freshness.ReadRecently(now)) {
     inputs.vouchers = m_view.Vouchers(now);
   }
--- a/src/router/session.cc
+++ b/src/router/session.cc
@@ -28,9 +28,9 @@
     case membership::StaleReason::kNewerVersion:
       return "a peer has a newer configuration";
     case membership::StaleReason::kNotVouched:
-      return "the log cannot be read here and no peer vouches";
+      return "the log cannot be read and no peer confirms the configuration";
     case membership::StaleReason::kMinority:
-      return "cut off from the log and from most routers";
+      return "no connection to the log and to most routers";
   }
   return "";
 }
@@ -64,10 +64,10 @@
   return m_outbox.Take();
 }
 
-// Failure: the process is paused for a minute and resumes with requests in its
-// sockets. Symptom: it serves them under rules that were replaced meanwhile.
-// Enough: freshness is judged before the first event after the pause, and again
-// when the event may have brought a newer reading.
+// A process that resumes after a pause of, say, a minute must not serve the
+// requests in its sockets under replaced rules. Freshness is therefore checked
+// before each event, and again after it because the event may contain a newer
+// read.
 void Session::JudgeFreshness(TimePoint now) {
   const auto verdict =
       m_peers.JudgeFreshness(now, m_configured.version(), m_log.fold());
@@ -94,7 +94,7 @@
     case Phase::kEnded:
     case Phase::kStopped:
       return Error{ErrorId::kRetiredInLog, m_settings.router.value(),
-                   "retired in the log, joins again soon"};
+                   "retired in the log; will join again"};
     case Phase::kMember:
       return std::nullopt;
   }
@@ -107,7 +107,7 @@
   }
   if (!m_drain.TakesNew()) {
     return Error{ErrorId::kDraining, m_settings.router.value(),
-                 "ask for the addresses again"};
+                 "draining; request the router addresses again"};
   }
   return m_stale;
 }
@@ -191,7 +191,7 @@
   m_orders.OnSent(now, event);
 }
 
-// ---- The platform ----------------------------------------------------------
+// ---- Platform --------------------------------------------------------------
 
 void Session::On(TimePoint now, const VmListRead& event) {
   (void)now;
@@ -265,8 +265,8 @@
   ConfirmConfiguration();
 }
 
-// The entry itself shows the fleet how far this router has read, which is what
-// a proposal waits for, so it is written at once and not with a later batch.
+// The entry shows how far this router has read. A proposal waits for that, so
+// the entry is written immediately instead of in a later batch.
 void Session::ConfirmConfiguration() {
   if (m_phase != Phase::kMember) {
     return;
@@ -337,7 +337,7 @@
   }
 }
 
-// ---- Time ------------------------------------------------------------------
+// ---- Timers ----------------------------------------------------------------
 
 void Session::On(TimePoint now, const Tick& event) {
   (void)event;
--- a/src/router/session_end.cc
+++ b/src/router/session_end.cc
@@ -13,8 +13,8 @@
   }
   m_phase = Phase::kRetired;
   if (m_log.lost_continuity()) {
-    // Entries with this router's own grants are gone, so its book can no longer
-    // agree with the fold. It leaves by itself and starts anew.
+    // Entries with grants of this router were skipped, so its holdings can no
+    // longer match the fold. It retires and starts a new incarnation.
     AnnounceRetirement();
     m_budgets.book().OnRetired(now);
   }
--- a/src/router/session_peers.cc
+++ b/src/router/session_peers.cc
@@ -47,7 +47,7 @@
 
 void Session::On(TimePoint now, const PeerReceived& event) {
   const v1::PeerMessage& message = event.message;
-  // A message for an earlier incarnation of this router would move tokens or
+  // A message for an earlier incarnation of this router would change tokens or
   // ceilings that this one does not have.
   if (message.to_incarnation() != m_incarnation.value()) {
     return;
--- a/tests/orders/desk_fixture.h
+++ b/tests/orders/desk_fixture.h
@@ -11,8 +11,8 @@
 
 namespace coppervalve::orders {
 
-/// @brief The desks of three routers on one log. What they send is answered by
-/// `reply`; a router in `halted` does nothing.
+/// @brief Three routers on one log. `reply` answers what they send; routers in
+/// `halted` do nothing.
 struct Desks : ledger::TestLog {
   struct Sent {
     size_t router;
--- a/tests/orders/unit-order_desk.cc
+++ b/tests/orders/unit-order_desk.cc
@@ -29,8 +29,9 @@
   LONGS_EQUAL(v1::DONE, run.Outcome("blind"));
 }
 
-// The reply to an order is lost: the engine may have taken it. One that checks
-// fencing numbers is sent the same number again, which changes nothing there.
+// The reply to an order is lost, so the engine may have applied it. An engine
+// that checks fencing numbers gets the same number again, which has no further
+// effect.
 TEST(OrderDesk, a_lost_reply_of_a_checking_engine_is_followed_by_a_resend) {
   Desks run({"e0"});
   run.reply = [&run](const Send&) {
@@ -45,8 +46,8 @@
   LONGS_EQUAL(v1::DONE, run.Outcome("e0"));
 }
 
-// The same at an engine that ignores the numbers: a resend could undo a later
-// order, so there is none, and the operator reads that the outcome is unknown.
+// An engine that ignores fencing numbers gets no resend, which could undo a
+// later order. The operator sees that the outcome is unknown.
 TEST(OrderDesk, a_lost_reply_of_an_ignoring_engine_is_left_to_the_operator) {
   Desks run;
   run.reply = Always(SendOutcome::kUnknown);
@@ -56,8 +57,8 @@
   LONGS_EQUAL(v1::OUTCOME_UNKNOWN, run.Outcome("blind"));
 }
 
-// A first try reached the engine without a reply, the second is refused. That
-// refusal does not say that nothing changed.
+// The first attempt reached the engine without a reply and the second is
+// refused. The refusal does not show that nothing changed.
 TEST(OrderDesk, a_refusal_after_a_lost_reply_is_no_proof_that_nothing_changed) {
   Desks run({"e0"});
   run.reply = [&run](const Send&) {
@@ -79,9 +80,9 @@
   LONGS_EQUAL(v1::NOT_SENT, run.Outcome("blind"));
 }
 
-// The router that sends an order is paused before any reply and retired in the
-// log. An engine that checks gets the same number from another router; for one
-// that does not, nobody may send while the paused one still can.
+// The sender is paused before any reply and retired in the log. An engine that
+// checks fencing numbers gets the same number from another router; for others,
+// no router may send while the paused one still can.
 TEST(OrderDesk, the_order_of_a_retired_sender_goes_on_only_where_it_is_safe) {
   for (const char* upstream : {"e0", "blind"}) {
     Desks run({"e0"});
@@ -99,8 +100,8 @@
   }
 }
 
-// The first in rank cannot show that its configuration is the newest, or is
-// about to leave: the next one takes the order after its head start.
+// The first-ranked router has a stale configuration or drains. The next one
+// takes the order after its delay.
 TEST(OrderDesk, a_stale_or_draining_router_leaves_the_order_to_the_next) {
   Desks probe;
   probe.Issue("blind");
@@ -116,9 +117,9 @@
   }
 }
 
-// A router took an order and could not connect; then it is told to drain. It
-// must not leave with the order: another router sends it at once, without an
-// operator, and the drain waits until that is safe.
+// A router that took an order and could not connect is drained. It must return
+// the order, so that another router sends it at once without an operator, and
+// the drain waits until that is safe.
 TEST(OrderDesk, a_draining_router_hands_an_unsent_order_back) {
   Desks run;
   run.reply = Always(SendOutcome::kNotSent);
@@ -150,8 +151,8 @@
   CHECK(run.sent[2].command.fencing == last);
 }
 
-// A newer order comes into force while the older one is still being sent by the
-// same router. Both at once could arrive in either order, so the newer waits.
+// A newer order is issued while the same router still sends the older one. Sent
+// together they could arrive in either order, so the newer one waits.
 TEST(OrderDesk, an_upstream_gets_one_order_at_a_time) {
   Desks run({"e0"});
   run.halted = {1, 2};
--- a/tests/request/unit-request-table.cc
+++ b/tests/request/unit-request-table.cc
@@ -14,7 +14,7 @@
 const Origin kA{core::RouterId("a"), core::Incarnation(1)};
 const Origin kB{core::RouterId("b"), core::Incarnation(2)};
 
-/// What both routers see of the fleet and of the log.
+/// State of the fleet and of the log, shared by both routers.
 struct Fleet {
   std::map<Origin, PeerState> states{{kA, PeerState::kReachable},
                                      {kB, PeerState::kReachable}};
@@ -88,7 +88,7 @@
     return Make(key, false);
   }
 
-  /// Admits at `table`, and sends it to an upstream.
+  /// Admits the request at `table` and sends it to an upstream.
   core::RequestId Send(RequestTable & table, const Arrival& arrival) {
     Expect<RunHere>(table.OnArrival(m_now, arrival));
     table.OnReserved(m_now, arrival.id, core::UpstreamId("u1"));
@@ -124,9 +124,9 @@
   Expect<RunHere>(m_a.OnArrival(m_now, Hold(BoundTo(kA))));
 }
 
-// The caller sees no answer: the upstream dies after the request was sent. It
-// retries with the same key, at once and after its record has expired. The
-// hold may have been made, so it must never be sent again.
+// The upstream fails after the request was sent, and the caller retries with
+// the same key, at once and after the record expired. The hold may have run, so
+// it must not be sent again.
 TEST(RequestTable, a_hold_with_an_unknown_outcome_is_never_sent_again) {
   const core::RequestId id = Send(m_a, Hold(BoundTo(kA)));
   CHECK_FALSE(m_a.MayRetry(id));
@@ -147,8 +147,8 @@
   CHECK(m_a.RefusalRunState(id) == core::RunState::kNotRun);
 }
 
-// The router gives up on a request whose first attempt is still unaccounted
-// for. Calling that "not run" would invite a second run.
+// A request is given up while the outcome of its first attempt is unknown.
+// Reporting "not run" would cause a second run.
 TEST(RequestTable, a_sent_request_that_is_given_up_on_counts_as_unknown) {
   const core::RequestId id = Send(m_a, Hold(BoundTo(kA)));
   CHECK(m_a.RefusalRunState(id) == core::RunState::kUnknown);
@@ -181,9 +181,9 @@
                 core::RunState::kUnknown);
 }
 
-// Router A runs a hold and is cut off, then retired. The caller retries at B
-// with the same key. B cannot know whether the hold was made: it says so and
-// does not run it; a draft it runs again, for the log bills a key once.
+// Router A runs a hold, is partitioned and then retired, and the caller retries
+// at B. B cannot know whether the hold ran: it reports that and does not run
+// it. It runs a draft again, because the log bills a key once.
 TEST(RequestTable, an_origin_that_is_gone_leaves_a_hold_unknown) {
   Send(m_a, Hold(BoundTo(kA)));
   m_fleet.states[kA] = PeerState::kUnreachable;
@@ -197,17 +197,17 @@
   CHECK(m_b.RefusalRunState(draft.id) == core::RunState::kUnknown);
 }
 
-// Router A restarts within a second, before the log says that its former
-// incarnation is gone. The caller retries at the new one, whose table is empty.
+// Router A restarts before the log shows the end of its former incarnation. The
+// caller retries at the new one, whose table is empty.
 TEST(RequestTable, a_restarted_router_does_not_run_its_predecessors_hold) {
   RequestTable restarted({kA.router, core::Incarnation(9)}, m_fleet.Hooks());
   ExpectRefusal(restarted.OnArrival(m_now, Hold(BoundTo(kA))),
                 core::ErrorId::kOriginGone, core::RunState::kUnknown);
 }
 
-// Two callers' retries of one hold reach A and B while neither sees the other.
-// Both claim the key in the log; A's claim comes first. B's callers are sent
-// to A, or told "unknown" once A is retired, and B never runs it.
+// Retries of one hold reach A and B, which cannot see each other. Both claim
+// the key; A's claim is first. B forwards to A, or reports "unknown" once A is
+// retired, and never runs it.
 TEST(RequestTable, only_the_winner_of_a_claim_runs_the_hold) {
   m_fleet.states = {{kA, PeerState::kUnreachable},
                     {kB, PeerState::kUnreachable}};
@@ -255,8 +255,8 @@
   UNSIGNED_LONGS_EQUAL(0, m_b.size());
 }
 
-// A router drains. The retry of a hold that runs or ran there must still get
-// its answer: "draining, not run" would be false, and invite a second hold.
+// A retry of a hold that ran on a draining router must still get its answer:
+// "draining, not run" would be false and cause a second hold.
 TEST(RequestTable, a_closed_router_refuses_only_what_it_would_have_to_run) {
   const core::RequestId running = Send(m_a, Hold(BoundTo(kA)));
   Arrival retry = Hold(BoundTo(kA));
@@ -284,8 +284,9 @@
   Expect<RunHere>(m_a.OnArrival(m_now, Hold(key)));
 }
 
-// The log is out and the fold is old: another router may have claimed and run
-// the key since. Only with a current fold may the refusal say "not run".
+// With the log unavailable and an outdated fold, another router may have
+// claimed and run the key. Only with a current fold may the refusal say "not
+// run".
 TEST(RequestTable, without_the_log_a_hold_without_prefix_is_refused) {
   m_fleet.owner = kA;
   Arrival arrival = Hold(Key("seat-7"));
@@ -298,8 +299,9 @@
   Expect<RunHere>(m_a.OnArrival(m_now, Hold(BoundTo(kA))));
 }
 
-// A relays a draft to its owner B and the connection dies. Nothing reached the
-// caller: A runs it itself. With half an answer out, it must not.
+// A relays a draft to its owner B and the connection fails. If the caller
+// received nothing, A runs the draft itself; after part of an answer it must
+// not.
 TEST(RequestTable, a_relay_that_died_is_run_here_unless_part_was_relayed) {
   const Arrival whole = Draft(Key("plan-1"));
   Expect<ForwardTo>(m_a.OnArrival(m_now, whole));
@@ -314,7 +316,7 @@
   UNSIGNED_LONGS_EQUAL(1, m_a.open());
 }
 
-// Two relays of one hold end unsent, after B became unreachable. The first
+// Two relays of one hold end unsent because B became unreachable. The first
 // claims the key here; the second must join it, not replace it.
 TEST(RequestTable, relays_of_one_key_that_come_back_run_as_one) {
   const Arrival first = Hold(Key("seat-7"));
--- a/tests/router/fleet_fixture.h
+++ b/tests/router/fleet_fixture.h
@@ -13,7 +13,7 @@
 
 namespace coppervalve::trial {
 
-/// @brief A running fleet with its audit; every test ends with a clean one.
+/// @brief A running fleet that checks all invariants.
 class RunningFleet {
  public:
   explicit RunningFleet(FleetOptions options = {}, LoadOptions load = {})
@@ -28,7 +28,7 @@
     Run(std::chrono::seconds(4));
   }
 
-  /// @brief Lets time pass and checks all invariants on the way.
+  /// @brief Advances time and checks all invariants.
   void Run(core::Duration duration) {
     const core::TimePoint end = fleet.now() + duration;
     while (fleet.now() < end) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /// @brief A seat hold: it must not run twice.
+  /// @brief A non-idempotent request: a seat hold.
   Wish Hold(std::string key) const {
     Wish wish;
     wish.account = core::AccountId("a0");
@@ -54,7 +54,7 @@
     return wish;
   }
 
-  /// @brief A draft that takes `duration` and 300 tokens.
+  /// @brief A model request of `duration` that uses 300 tokens.
   Wish Draft(std::string key, core::Duration duration) const {
     Wish wish;
     wish.account = core::AccountId("a0");
--- a/tests/router/unit-at-most-once.cc
+++ b/tests/router/unit-at-most-once.cc
@@ -9,9 +9,9 @@
 TEST_GROUP(AtMostOnce){};
 // clang-format on
 
-// The caller's first router is cut off from its peers right after the hold ran,
-// and the caller retries at another one. That router cannot know the outcome
-// and must not run the hold again.
+// The first router is partitioned from its peers right after the hold ran, and
+// the caller retries at another one. That router cannot know the outcome and
+// must not run the hold again.
 TEST(AtMostOnce, a_hold_bound_to_a_router_that_is_cut_off_is_not_run_again) {
   RunningFleet run;
   const size_t wish = run.fleet.Wants(run.Hold(run.Prefix(0) + "seat-12"));
@@ -27,8 +27,8 @@
   LONGS_EQUAL(1, run.RunsOf(wish));
 }
 
-// The router dies after the hold ran and before the caller reads the answer.
-// The retry elsewhere, long after the retirement, gets "outcome unknown".
+// The router crashes after the hold ran and before the caller reads the answer.
+// A retry elsewhere, long after the retirement, gets "outcome unknown".
 TEST(AtMostOnce, a_hold_bound_to_a_dead_router_ends_as_unknown) {
   RunningFleet run;
   const size_t wish = run.fleet.Wants(run.Hold(run.Prefix(0) + "seat-13"));
@@ -43,9 +43,8 @@
   LONGS_EQUAL(1, run.RunsOf(wish));
 }
 
-// Two routers that cannot reach each other get the same hold under a key
-// without an origin at the same moment. Both claim it in the log; the first
-// claim in log order runs it, the other router learns that it lost.
+// Two partitioned routers receive the same hold at once under a key without an
+// origin. Both claim it in the log; only the first claim in log order runs it.
 TEST(AtMostOnce, two_routers_cut_off_from_each_other_run_one_hold_once) {
   RunningFleet run;
   const size_t wish = run.fleet.Wants(run.Hold("seat-14"));
@@ -66,9 +65,8 @@
   LONGS_EQUAL(1, whole);
 }
 
-// A hold waits for its claim when the log goes out and stays out. Its caller
-// must not be kept waiting for the log: it gets its answer when the time that
-// the request may wait is over, and the hold has truly not run.
+// The log becomes unavailable while a hold waits for its claim. The caller must
+// get an answer at the queue time limit, and the hold must not have run.
 TEST(AtMostOnce, a_hold_whose_claim_never_returns_is_refused_in_time) {
   RunningFleet run;
   const size_t wish = run.fleet.Wants(run.Hold("seat-18"));
@@ -82,8 +80,8 @@
   LONGS_EQUAL(0, run.RunsOf(wish));
 }
 
-// The log is out, so a key without an origin cannot be claimed: the hold is
-// refused at once and truthfully. A key bound to the router needs no log.
+// With the log unavailable, a key without an origin cannot be claimed and the
+// hold is refused at once as not run. A key bound to the router needs no log.
 TEST(AtMostOnce, with_the_log_out_only_origin_bound_holds_run) {
   RunningFleet run;
   run.fleet.Send(run.fleet.Wants(run.Hold(run.Prefix(2) + "seat-0")), 2);
@@ -102,8 +100,8 @@
   LONGS_EQUAL(0, run.RunsOf(unbound));
 }
 
-// An upstream takes the hold and its connection goes silent. Another attempt
-// could run it twice, so the caller is told that the outcome is unknown.
+// The connection goes silent after the upstream received the hold. Another
+// attempt could run it twice, so the outcome is reported as unknown.
 TEST(AtMostOnce, a_hold_on_a_silent_connection_is_not_tried_again) {
   RunningFleet run;
   run.fleet.SetFate([] { return AttemptFate::kSilent; });
@@ -115,9 +113,8 @@
   LONGS_EQUAL(1, run.RunsOf(wish));
 }
 
-// The caller's connection breaks while the draft is written, and it asks again
-// at another router, then at the first. All get the one answer; it is billed
-// once.
+// The caller loses its connection during a draft and retries at another router,
+// then at the first. All get the same answer, which is billed once.
 TEST(AtMostOnce, a_retried_draft_joins_the_running_one) {
   RunningFleet run;
   const size_t wish =
@@ -134,9 +131,8 @@
   LONGS_EQUAL(300, run.audit.Count().billed);
 }
 
-// The router dies in the middle of a draft; the caller asks another one with
-// the same key and gets a whole draft. Both attempts used tokens, one is
-// billed.
+// The router crashes during a draft and the caller retries elsewhere with the
+// same key. It gets a complete draft. Both attempts used tokens, one is billed.
 TEST(AtMostOnce, a_draft_whose_router_died_is_written_again_and_billed_once) {
   RunningFleet run;
   const size_t wish =
@@ -151,9 +147,8 @@
   LONGS_EQUAL(300, run.audit.Count().billed);
 }
 
-// The account has reached its request limit when the router of an admitted
-// draft dies. The caller's retry elsewhere is not a new request: refusing it
-// would cost an answer that was promised.
+// The router of an admitted draft crashes when the account is at its request
+// limit. The retry is not a new request and must not be refused.
 TEST(AtMostOnce, a_retry_after_a_lost_router_is_not_counted_against_the_limit) {
   RunningFleet run;
   v1::Configuration limited = TrialConfiguration(run.load_options);
@@ -175,8 +170,7 @@
   CHECK(run.StateOf(retry) == Ticket::State::kWhole);
 }
 
-// A key names one request. The same key with another body is refused and runs
-// nothing.
+// The same key with another body is refused and runs nothing.
 TEST(AtMostOnce, a_key_with_another_body_is_refused) {
   RunningFleet run;
   const std::string key = run.Prefix(0) + "plan-3";
--- a/tests/router/unit-fleet.cc
+++ b/tests/router/unit-fleet.cc
@@ -27,9 +27,9 @@
   LONGS_EQUAL(count.used, count.billed);
 }
 
-// Callers go on asking the router that is being shut down; a second SIGTERM
-// comes while it drains. Each request in progress ends with its whole answer,
-// the holdings go back, and then the process ends by itself.
+// A draining router still receives requests and a second SIGTERM. Requests in
+// progress are answered completely, the holdings are returned, and the process
+// exits.
 TEST(Fleet, a_drain_under_load_cuts_off_nothing_and_gives_everything_back) {
   LoadOptions options;
   options.prepaid = 10'000'000;
@@ -57,10 +57,10 @@
   }
 }
 
-// A router is paused in the middle of its work for longer than the fleet waits
-// before it retires it; its witness gives back what it may not spend. On resume
-// it still has requests that it took: it may finish them within its ceiling,
-// must not pass it, and joins again as a new incarnation.
+// A router is paused longer than the retirement timeout, and its witness
+// returns the tokens above its ceiling. After it resumes, it may finish its
+// requests within the ceiling, must not exceed it, and joins as a new
+// incarnation.
 TEST(Fleet, a_router_that_resumes_after_its_retirement_cannot_overspend) {
   LoadOptions options;
   options.prepaid = 40'000;
@@ -82,9 +82,9 @@
   CHECK(run.audit.CheckFolds().empty());
 }
 
-// A router is killed with holdings that it had not spent. Its witness states
-// how far it can have gone, and the rest is spendable again within seconds of
-// the retirement, without an operator.
+// A router crashes with unspent holdings. Its witness reports the ceiling of
+// its spend, and the rest is available again within seconds of the retirement,
+// without an operator.
 TEST(Fleet, a_crash_strands_no_more_than_the_acknowledged_ceiling) {
   LoadOptions options;
   options.prepaid = 1'000'000;
@@ -96,7 +96,7 @@
   const auto status = run.fleet.node(3).core().Status(run.fleet.now());
   CHECK(status.budgets_size() > 0);
   const v1::BudgetStatus& budget = status.budgets(0);
-  // What a crash can strand is a small part of what rides out an outage.
+  // A crash strands a small part of the tokens held for outages.
   CHECK(budget.held() > 4 * (budget.ceiling() - budget.spent()));
   run.fleet.node(3).Kill();
   run.Run(seconds(20));
@@ -105,10 +105,9 @@
   CHECK(folded->quarantined.value() <= budget.ceiling());
 }
 
-// The configuration is published while one router cannot reach the log but its
-// peers can. It must not go on under the old version for longer than the bound:
-// a peer tells it that there is a newer one and it takes no new work. Once the
-// log is back, it follows.
+// A configuration is published while one router cannot reach the log but
+// reaches its peers. A peer tells it of the newer version, so it stops
+// accepting work within the freshness bound and follows once the log is back.
 TEST(Fleet, a_router_cut_off_from_the_log_never_works_under_an_old_version) {
   RunningFleet run;
   run.fleet.log_link(4).up = false;
@@ -129,10 +128,10 @@
   LONGS_EQUAL(2, run.Version(4));
 }
 
-// Four of seven routers are cut off from the log and from the other three, and
-// an operator publishes. The four know of nothing newer and go on under the old
-// version, so the new one may not come into force anywhere until they are back,
-// however long that takes and however many of them the three retire meanwhile.
+// Four of seven routers are partitioned from the log and from the other three
+// when an operator publishes. The four keep working under the old version, so
+// the new one must not come into force anywhere before they return, however
+// long that takes and however many of them are retired.
 TEST(Fleet, a_partition_never_puts_two_configurations_in_force) {
   RunningFleet run;
   for (size_t a = 0; a < 4; ++a) {
@@ -159,8 +158,8 @@
 }
 
 // A router is paused while a configuration comes into force, with requests in
-// its sockets and in its queue. The first thing it does on resume is to handle
-// them; it must not serve a single one under the rules of a minute ago.
+// its sockets and queue. After it resumes, it must not serve any of them under
+// the old rules.
 TEST(Fleet, a_router_that_resumes_serves_nothing_under_the_old_version) {
   RunningFleet run;
   run.fleet.node(2).Pause();
@@ -182,9 +181,10 @@
   LONGS_EQUAL(2, run.Version(2));
 }
 
-// The three that can reach the log are the minority, and one of the four read
-// the proposal before the cut. It came into force without the four; since one
-// of them knows of it, none of the four may go on under the old version.
+// Three routers, a minority, reach the log, and one of the other four read the
+// proposal before the partition. The version comes into force without the four;
+// since one of them knows of it, none of the four may continue under the old
+// version.
 TEST(Fleet, a_majority_that_knows_of_a_newer_version_stops) {
   RunningFleet run;
   run.fleet.Publish(TrialConfiguration(run.load_options));
@@ -208,9 +208,9 @@
   }
 }
 
-// The log is out for everybody for ten minutes. Nobody can have accepted a
-// newer configuration that some router follows, so the fleet goes on from its
-// holdings; nothing is overspent and nothing is lost when the log is back.
+// The log is unavailable to all routers for ten minutes. No router can follow a
+// newer configuration, so the fleet serves from its holdings; nothing is
+// overspent or lost when the log returns.
 TEST(Fleet, the_fleet_rides_out_a_log_outage_on_its_holdings) {
   LoadOptions options;
   options.prepaid = 30'000'000;
@@ -236,9 +236,9 @@
   CHECK(run.audit.CheckFolds().empty());
 }
 
-// The log keeps few entries and a router is paused until its next entry is
-// gone. It finds the gap, starts again from a snapshot as a new incarnation and
-// agrees with the others.
+// The log truncates the next entry of a paused router. The router detects the
+// gap, restarts from a snapshot as a new incarnation and agrees with the
+// others.
 TEST(Fleet, a_router_behind_the_retained_log_starts_from_a_snapshot) {
   FleetOptions fleet_options;
   fleet_options.log_retain = 1200;
@@ -260,9 +260,8 @@
   CHECK(run.audit.CheckFolds().empty());
 }
 
-// An engine answers wholly but does not say how much it used. Billing nothing
-// would let the account use the engine for ever; the bound that was reserved is
-// charged.
+// An engine answers completely but reports no usage. Billing nothing would make
+// the engine free to use, so the reservation is charged.
 TEST(Fleet, an_answer_without_usage_costs_what_was_reserved) {
   RunningFleet run;
   run.fleet.SetReportsUsage(false);
@@ -275,8 +274,8 @@
   CHECK(count.used > 0);
 }
 
-// Every upstream fails for all requests. Callers that wait are refused at once,
-// with when to come back, and the fleet does not multiply the load by retrying.
+// All upstreams fail. Waiting requests are refused at once with a Retry-After,
+// and retries do not multiply the load.
 TEST(Fleet, a_full_outage_of_the_upstreams_is_refused_without_a_retry_storm) {
   LoadOptions options;
   options.prepaid = 10'000'000;
@@ -297,12 +296,13 @@
   const ClassCount total = load.Total();
   CHECK(total.wishes > 400);
   LONGS_EQUAL(total.wishes, total.refused);
-  // Two attempts a request would be a storm; ejection keeps it below one.
+  // Two attempts per request would be a retry storm; ejection keeps it below
+  // one.
   CHECK(attempts < total.wishes);
 }
 
-// The VM list says that an upstream leaves. No dispatch goes there any more,
-// while those in progress end.
+// The VM list marks an upstream as leaving. It gets no new dispatches, and
+// those in progress finish.
 TEST(Fleet, a_leaving_upstream_gets_no_new_work) {
   RunningFleet run;
   v1::VmList vms;
--- a/tests/router/unit-orders.cc
+++ b/tests/router/unit-orders.cc
@@ -42,9 +42,9 @@
   LONGS_EQUAL(v1::DONE, run.audit.fold().FindOrder(kIgnoring)->outcome);
 }
 
-// The sender is paused with the first byte still to go; meanwhile the operator
-// orders something newer and another router delivers it. When the first one
-// resumes, its order arrives late: the engine refuses it and keeps the newer.
+// The sender is paused before its first byte. Meanwhile another router delivers
+// a newer order. After the sender resumes, the engine refuses its order and
+// keeps the newer one.
 TEST(FleetOrders, a_paused_senders_order_is_refused_by_a_checking_engine) {
   RunningFleet run;
   PauseSender pause(run.fleet, kChecking);
@@ -62,9 +62,9 @@
   LONGS_EQUAL(v1::DONE, run.audit.fold().FindOrder(kChecking)->outcome);
 }
 
-// The same at an engine that ignores fencing numbers. It would take the late
-// order, so the newer one is not issued while the sender may still come back,
-// not even after its retirement. Once the operator has seen it end, it is.
+// The same with an engine that ignores fencing numbers and would accept the
+// late order. The newer order is not issued while the sender may return, even
+// after its retirement, until the operator confirms that it has ended.
 TEST(FleetOrders, a_paused_senders_order_to_an_ignoring_engine_comes_first) {
   RunningFleet run;
   PauseSender pause(run.fleet, kIgnoring);
@@ -87,8 +87,8 @@
   CHECK(applied[1] == InForce(run, kIgnoring));
 }
 
-// The router dies right after it took an order. At a checking engine another
-// one sends it once the first is retired; nobody is needed.
+// The router crashes right after it took an order. If the engine checks fencing
+// numbers, another router sends it after the retirement, without an operator.
 TEST(FleetOrders,
      a_dead_senders_order_to_a_checking_engine_is_sent_by_another) {
   RunningFleet run;
