--- a/include/coppervalve/orders/order_desk.h
+++ b/include/coppervalve/orders/order_manager.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ORDERS_ORDER_DESK_H_
-#define COPPERVALVE_ORDERS_ORDER_DESK_H_
+#ifndef COPPERVALVE_ORDERS_ORDER_MANAGER_H_
+#define COPPERVALVE_ORDERS_ORDER_MANAGER_H_
 
 #include <cstddef>   // size_t
 #include <cstdint>   // uint32_t
@@ -18,23 +18,23 @@
 
 namespace coppervalve::orders {
 
-struct OrderDeskOptions {
-  /// Delay between live routers, by rendezvous rank, before the next one tries
-  /// to take the order.
+struct OrderManagerOptions {
+  /// Delay between live routers, by rendezvous rank, before the next one
+  /// attempts to take the order.
   core::Duration stagger = std::chrono::seconds(2);
-  core::Duration first_backoff = std::chrono::seconds(1);
-  core::Duration longest_backoff = std::chrono::seconds(30);
-  uint32_t max_tries = 10;  ///< then the holder reports the outcome
+  core::Duration initial_backoff = std::chrono::seconds(1);
+  core::Duration max_backoff = std::chrono::seconds(30);
+  uint32_t max_attempts = 10;  ///< then the holder reports the outcome
 };
 
 /// @brief Append OrderTaken to take an order.
-struct Take {
+struct TakeOrder {
   core::UpstreamId upstream;
   core::FencingNumber fencing;
 };
 
-/// @brief Send an order that this router has taken, then call OnSent().
-struct Send {
+/// @brief DeliverOrder an order that this router has taken, then call OnSent().
+struct DeliverOrder {
   core::UpstreamId upstream;
   std::string address;
   core::FencingNumber fencing;
@@ -42,13 +42,13 @@
 };
 
 /// @brief Append OrderEnded with the outcome of an order.
-struct State {
+struct EndOrder {
   core::UpstreamId upstream;
   core::FencingNumber fencing;
   v1::OrderOutcome outcome = v1::ORDER_OUTCOME_UNSPECIFIED;
 };
 
-using Command = std::variant<Take, Send, State>;
+using Command = std::variant<TakeOrder, DeliverOrder, EndOrder>;
 
 /// @brief Whether this router may take and send orders.
 struct Permit {
@@ -59,13 +59,14 @@
 /// @brief Decides which orders of the log one router incarnation takes, when it
 /// sends them and which outcomes it reports. No I/O, clock or randomness; not
 /// thread-safe.
-class OrderDesk {
+class OrderManager {
  public:
-  explicit OrderDesk(membership::MemberId self, OrderDeskOptions options = {});
+  explicit OrderManager(membership::MemberId self,
+                        OrderManagerOptions options = {});
 
   /// @brief Updates the open orders after the fold changed.
   /// @complexity linear in the orders; for open ones, also in the members
-  void Follow(core::TimePoint now, const ledger::Fold& fold);
+  void Update(core::TimePoint now, const ledger::Fold& fold);
   /// @brief The fold refused an OrderTaken of this router.
   void OnTakeRefused(core::TimePoint now,
                      const core::UpstreamId& upstream,
@@ -86,27 +87,27 @@
   size_t open() const { return m_open.size(); }
 
  private:
-  /// State of one open order.
+  /// EndOrder of one open order.
   struct Job {
     core::FencingNumber fencing;
     v1::OrderIssued order;
     std::string address;
     bool configured = false;
     bool checks_fencing = false;
-    bool mine = false;           ///< taken by this incarnation in the fold
-    bool available = false;      ///< may be taken
-    bool asked = false;          ///< a record is appended, not yet folded
-    bool maybe_arrived = false;  ///< an attempt ended without a reply
-    uint32_t tries = 0;
+    bool taken_here = false;        ///< taken by this incarnation in the fold
+    bool available = false;         ///< may be taken
+    bool record_pending = false;    ///< a record is appended, not yet folded
+    bool may_have_arrived = false;  ///< an attempt ended without a reply
+    uint32_t attempts = 0;
     core::TimePoint due{};  ///< of the next attempt to take or send
   };
   using Jobs = std::map<core::UpstreamId, Job>;
 
   Job* Find(const core::UpstreamId& upstream, core::FencingNumber fencing);
   void Refresh(core::TimePoint now, const ledger::Fold& fold, Job& job);
-  core::Duration HeadStart(const ledger::Fold& fold,
-                           const core::UpstreamId& upstream) const;
-  core::Duration Backoff(uint32_t tries) const;
+  core::Duration StartDelay(const ledger::Fold& fold,
+                            const core::UpstreamId& upstream) const;
+  core::Duration Backoff(uint32_t attempts) const;
   std::optional<Command> Decide(core::TimePoint now,
                                 const Permit& permit,
                                 const core::UpstreamId& upstream,
@@ -117,9 +118,9 @@
                                    Job& job);
 
   membership::MemberId m_self;
-  OrderDeskOptions m_options;
+  OrderManagerOptions m_options;
   Jobs m_open;
-  std::vector<State> m_results;  ///< outcomes to report
+  std::vector<EndOrder> m_results;  ///< outcomes to report
   /// Sends in progress. Stored apart from the open orders because a newer order
   /// may replace one that is being sent; an upstream never gets two orders at
   /// once.
@@ -128,4 +129,4 @@
 
 }  // namespace coppervalve::orders
 
-#endif  // COPPERVALVE_ORDERS_ORDER_DESK_H_
+#endif  // COPPERVALVE_ORDERS_ORDER_MANAGER_H_
--- a/include/coppervalve/request/forgotten_keys.h
+++ b/include/coppervalve/request/expired_key_filter.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_REQUEST_FORGOTTEN_KEYS_H_
-#define COPPERVALVE_REQUEST_FORGOTTEN_KEYS_H_
+#ifndef COPPERVALVE_REQUEST_EXPIRED_KEY_FILTER_H_
+#define COPPERVALVE_REQUEST_EXPIRED_KEY_FILTER_H_
 
 #include <cstddef>  // size_t
 #include <cstdint>  // uint64_t
@@ -14,9 +14,9 @@
 /// The last `per_generation` keys are always found. With 16 bits and four
 /// probes per key, a new key is reported as known with a probability below 0.5
 /// %.
-class ForgottenKeys {
+class ExpiredKeyFilter {
  public:
-  explicit ForgottenKeys(size_t per_generation);
+  explicit ExpiredKeyFilter(size_t per_generation);
 
   /// @complexity constant, except that one call in `per_generation` clears a
   /// generation
@@ -35,4 +35,4 @@
 
 }  // namespace coppervalve::request
 
-#endif  // COPPERVALVE_REQUEST_FORGOTTEN_KEYS_H_
+#endif  // COPPERVALVE_REQUEST_EXPIRED_KEY_FILTER_H_
--- a/include/coppervalve/request/request_record.h
+++ b/include/coppervalve/request/request_record.h
@@ -40,8 +40,8 @@
   core::Hash128 body_hash;
   Phase phase = Phase::kQueued;
   bool non_idempotent = false;
-  bool forwarded = false;   ///< received from a peer: not forwarded again
-  bool only_there = false;  ///< only the target of the forward may run it
+  bool forwarded = false;         ///< received from a peer: not forwarded again
+  bool exclusive_target = false;  ///< only the target of the forward may run it
   /// An earlier run under this key, on any router, cannot be ruled out.
   bool may_have_run = false;
   bool caller_gone = false;
--- a/include/coppervalve/request/request_table.h
+++ b/include/coppervalve/request/request_table.h
@@ -14,7 +14,7 @@
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/operator.pb.h"
-#include "coppervalve/request/forgotten_keys.h"
+#include "coppervalve/request/expired_key_filter.h"
 #include "coppervalve/request/key_name.h"
 #include "coppervalve/request/request_record.h"
 #include "coppervalve/request/verdict.h"
@@ -30,7 +30,7 @@
   size_t max_tombstones = 65'536;  ///< keyed non-idempotent, open or final
   core::Bytes max_kept_bytes{64LL << 20};
   core::Duration answer_keep = std::chrono::seconds(300);
-  size_t forgotten_per_generation = size_t{1} << 20;
+  size_t expired_keys_per_generation = size_t{1} << 20;
 };
 
 /// @brief Lookups that the table needs. None has side effects.
@@ -74,7 +74,7 @@
 };
 
 /// @brief What to do after a caller disconnects.
-enum class GoneDecision : uint8_t {
+enum class DisconnectDecision : uint8_t {
   kKeepRunning,  ///< others wait, or a retry can get the answer
   kCancel,       ///< no reader is left: cancel, then OnRefused or OnFailed
   kNothing,      ///< it was a joiner, or is final
@@ -148,7 +148,7 @@
   std::optional<KeyVerdict> OnForwardEnded(core::TimePoint now,
                                            core::RequestId id,
                                            const ForwardOutcome& outcome);
-  GoneDecision OnCallerGone(core::TimePoint now, core::RequestId id);
+  DisconnectDecision OnCallerGone(core::TimePoint now, core::RequestId id);
 
   /// @brief Removes expired entries.
   /// @return requests whose answer the shell may drop
@@ -180,7 +180,7 @@
   };
 
   /// Input of the decision about one request.
-  struct Question {
+  struct DecisionInput {
     const RequestRecord& request;
     std::optional<Origin> origin;  // of its key
     bool log_available;
@@ -189,25 +189,26 @@
   /// A verdict and the values to store in the record.
   struct Decision {
     KeyVerdict verdict;
-    bool only_there = false;
+    bool exclusive_target = false;
     bool may_have_run = false;
   };
 
-  Decision Decide(const Question& question) const;
-  Decision DecideUnseen(const Question& question) const;
+  Decision Decide(const DecisionInput& input) const;
+  Decision DecideUnseen(const DecisionInput& input) const;
   Decision DecideAgain(const RequestRecord& request, Decision otherwise) const;
   std::optional<Decision> DecideKnown(const RequestRecord& request,
                                       const RequestRecord& known) const;
   Decision DecideAfterForward(const RequestRecord& request,
                               const ForwardOutcome& outcome) const;
-  Decision DecideOriginBound(const Question& question) const;
-  Decision DecideUnbound(const Question& question) const;
-  Decision ClaimFirst(const Question& question) const;
-  Decision GoTo(const RequestRecord& request, const Origin& place) const;
+  Decision DecideOriginBound(const DecisionInput& input) const;
+  Decision DecideUnbound(const DecisionInput& input) const;
+  Decision RequireClaim(const DecisionInput& input) const;
+  Decision DecideOwnedElsewhere(const RequestRecord& request,
+                                const Origin& place) const;
   Location Locate(const Origin& place) const;
-  std::optional<Refuse> RefuseForRoom(const RequestRecord& request,
-                                      const Decision& decision) const;
-  std::optional<Refuse> RefuseAsClosed(const Arrival& arrival,
+  std::optional<Refuse> RefuseIfFull(const RequestRecord& request,
+                                     const Decision& decision) const;
+  std::optional<Refuse> RefuseIfClosed(const Arrival& arrival,
                                        const Decision& decision) const;
   /// Records the request unless it is refused or the table is full.
   KeyVerdict Admit(core::TimePoint now,
@@ -215,41 +216,44 @@
                    Decision decision);
   void Insert(core::TimePoint now, RequestRecord request);
   /// Removes an open request. Its joiners stay in the table until Admit or
-  /// Abandon.
+  /// RemoveJoiners.
   std::optional<RequestRecord> Extract(core::RequestId id);
-  void Abandon(const Waiters& joiners);
+  void RemoveJoiners(const Waiters& joiners);
   void MoveJoiners(const Waiters& joiners, core::RequestId leader);
 
   void Enter(core::TimePoint now, core::RequestId id, Phase phase);
   void SetPhase(core::TimePoint now, Slot& slot, Phase phase);
-  Waiters End(core::TimePoint now, core::RequestId id, core::ErrorId error);
+  Waiters FinishUnanswered(core::TimePoint now,
+                           core::RequestId id,
+                           core::ErrorId error);
   Waiters Finish(core::TimePoint now,
                  Slot& slot,
                  Phase phase,
                  std::optional<core::ErrorId> error);
   Waiters TakeWaiters(RequestRecord& record);
-  void Keep(Slot& slot);
-  void KeepAnswer(Slot& slot, core::Bytes size);
+  void RetainRecord(Slot& slot);
+  void RetainAnswer(Slot& slot, core::Bytes size);
   void DropAnswer(Slot& slot);
-  void Forget(core::RequestId id);
+  void RemoveRecord(core::RequestId id);
   void ExpireKept(core::TimePoint now);
   void ExpireFrom(std::list<core::RequestId>& kept, core::TimePoint now);
 
   Slot* FindOpen(core::RequestId id);
   const RequestRecord* FindKey(const core::Hash128& key) const;
-  std::optional<ForwardTo> WhomToAsk(const KeyName& key,
-                                     const core::Hash128& identity) const;
+  std::optional<ForwardTo> FindStatusSource(
+      const KeyName& key,
+      const core::Hash128& identity) const;
 
   Origin m_self;
   TableHooks m_hooks;
   TableLimits m_limits;
   std::unordered_map<core::RequestId, Slot> m_records;
   std::unordered_map<core::Hash128, core::RequestId> m_by_key;
-  std::list<core::RequestId> m_forgettable;  // oldest first
-  std::list<core::RequestId> m_protected;    // tombstones, oldest first
-  std::list<core::RequestId> m_answers;      // oldest first
+  std::list<core::RequestId> m_evictable;  // oldest first
+  std::list<core::RequestId> m_protected;  // tombstones, oldest first
+  std::list<core::RequestId> m_answers;    // oldest first
   std::vector<core::RequestId> m_expired;
-  ForgottenKeys m_forgotten;
+  ExpiredKeyFilter m_expired_keys;
   core::Bytes m_kept_bytes;
   size_t m_open = 0;
   size_t m_tombstones = 0;
--- a/include/coppervalve/router/core.h
+++ b/include/coppervalve/router/core.h
@@ -48,7 +48,7 @@
 
   /// @brief Read access for audits in tests and benchmarks.
   const ledger::Fold& fold() const;
-  const budget::Book& book() const;
+  const budget::Book& holding_manager() const;
 
  private:
   struct Session;
--- a/include/coppervalve/router/detail/configured.h
+++ b/include/coppervalve/router/detail/active_configuration.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ROUTER_DETAIL_CONFIGURED_H_
-#define COPPERVALVE_ROUTER_DETAIL_CONFIGURED_H_
+#ifndef COPPERVALVE_ROUTER_DETAIL_ACTIVE_CONFIGURATION_H_
+#define COPPERVALVE_ROUTER_DETAIL_ACTIVE_CONFIGURATION_H_
 
 #include <cstdint>        // uint32_t
 #include <memory>         // shared_ptr
@@ -15,14 +15,14 @@
 namespace coppervalve::router::detail {
 
 /// @brief The configuration in force on this router, compiled.
-class Configured {
+class ActiveConfiguration {
  public:
-  Configured();
+  ActiveConfiguration();
 
   /// @brief Installs the configuration of the fold if it is newer.
   /// @return whether it was installed; dependent components must then be
   /// updated
-  bool Follow(const ledger::Fold& fold);
+  bool Update(const ledger::Fold& fold);
 
   core::ConfigVersion version() const { return m_version; }
   const config::Tables& tables() const { return *m_tables; }
@@ -31,28 +31,28 @@
   /// @brief Maximum cost in tokens of one attempt at any of the candidates.
   /// @param prompt upper bound of the prompt tokens
   /// @complexity linear in the candidates the first time, then constant
-  core::Tokens BoundOf(const config::SharedUpstreamIds& candidates,
-                       core::Tokens prompt,
-                       core::Tokens output);
+  core::Tokens CostBound(const config::SharedUpstreamIds& candidates,
+                         core::Tokens prompt,
+                         core::Tokens output);
   /// @brief Cost of an answered attempt.
   /// @param usage none for a plain service
   core::Tokens CostAt(const core::UpstreamId& upstream,
                       const std::optional<Usage>& usage) const;
 
  private:
-  struct Dearest {
+  struct MaxPrice {
     uint32_t price_permille = 0;
     core::Tokens call_cost;
   };
 
-  const Dearest& DearestOf(const config::SharedUpstreamIds& candidates);
+  const MaxPrice& MaxPriceOf(const config::SharedUpstreamIds& candidates);
 
   core::ConfigVersion m_version;
   std::shared_ptr<const config::Tables> m_tables;
   std::shared_ptr<const rules::RuleSet> m_rules;
-  std::unordered_map<config::SharedUpstreamIds, Dearest> m_dearest;
+  std::unordered_map<config::SharedUpstreamIds, MaxPrice> m_max_prices;
 };
 
 }  // namespace coppervalve::router::detail
 
-#endif  // COPPERVALVE_ROUTER_DETAIL_CONFIGURED_H_
+#endif  // COPPERVALVE_ROUTER_DETAIL_ACTIVE_CONFIGURATION_H_
--- a/include/coppervalve/router/detail/budget_desk.h
+++ b/include/coppervalve/router/detail/budget_manager.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ROUTER_DETAIL_BUDGET_DESK_H_
-#define COPPERVALVE_ROUTER_DETAIL_BUDGET_DESK_H_
+#ifndef COPPERVALVE_ROUTER_DETAIL_BUDGET_MANAGER_H_
+#define COPPERVALVE_ROUTER_DETAIL_BUDGET_MANAGER_H_
 
 #include <optional>  // optional
 #include <vector>    // vector
@@ -11,20 +11,20 @@
 #include "coppervalve/ledger/effects.h"
 #include "coppervalve/peer.pb.h"
 #include "coppervalve/records.pb.h"
-#include "coppervalve/router/detail/log_desk.h"
-#include "coppervalve/router/detail/peer_desk.h"
+#include "coppervalve/router/detail/log_access.h"
+#include "coppervalve/router/detail/peer_manager.h"
 #include "coppervalve/router/settings.h"
 
 namespace coppervalve::router::detail {
 
 /// @brief Connects the holdings of this router to the log and to its peers,
 /// both as a spender and as a witness of others.
-class BudgetDesk {
+class BudgetManager {
  public:
-  BudgetDesk(const RouterSettings& settings,
-             core::Incarnation incarnation,
-             LogDesk& log,
-             PeerDesk& peers);
+  BudgetManager(const RouterSettings& settings,
+                core::Incarnation incarnation,
+                LogAccess& log,
+                PeerManager& peers);
 
   /// @brief Handles the effects of one folded entry.
   void OnFolded(core::TimePoint now,
@@ -41,10 +41,10 @@
   /// @brief Chooses, keeps or replaces the witness.
   void ReviewWitness(core::TimePoint now);
   /// @return whether all holdings are returned or spent, and reported
-  bool Settled() const;
+  bool HoldingsReturned() const;
 
-  budget::Book& book() { return m_book; }
-  const budget::Book& book() const { return m_book; }
+  budget::Book& holding_manager() { return m_holding_manager; }
+  const budget::Book& holding_manager() const { return m_holding_manager; }
 
  private:
   bool IsSelf(const core::RouterId& router,
@@ -52,20 +52,20 @@
   void OnEffect(core::TimePoint now, const ledger::Effect& effect);
   void OnOwnEntry(const v1::Entry& entry);
   void OnRetired(core::TimePoint now, const ledger::Retired& retired);
-  void StateCeilings(const budget::PeerRef& retired);
+  void ReportCeilings(const budget::PeerRef& retired);
   void SendRecords(core::TimePoint now);
   void SendMessages(core::TimePoint now);
   std::optional<budget::BalanceView> BalanceOf(
       const core::BudgetId& budget) const;
 
   budget::PeerRef m_self;
-  LogDesk& m_log;
-  PeerDesk& m_peers;
-  budget::Book m_book;
-  budget::WitnessDesk m_witness_desk;
+  LogAccess& m_log;
+  PeerManager& m_peers;
+  budget::Book m_holding_manager;
+  budget::WitnessDesk m_ceiling_store;
   std::optional<core::TimePoint> m_witness_reviewed;
 };
 
 }  // namespace coppervalve::router::detail
 
-#endif  // COPPERVALVE_ROUTER_DETAIL_BUDGET_DESK_H_
+#endif  // COPPERVALVE_ROUTER_DETAIL_BUDGET_MANAGER_H_
--- a/include/coppervalve/router/detail/log_desk.h
+++ b/include/coppervalve/router/detail/log_access.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ROUTER_DETAIL_LOG_DESK_H_
-#define COPPERVALVE_ROUTER_DETAIL_LOG_DESK_H_
+#ifndef COPPERVALVE_ROUTER_DETAIL_LOG_ACCESS_H_
+#define COPPERVALVE_ROUTER_DETAIL_LOG_ACCESS_H_
 
 #include <functional>  // function
 #include <optional>    // optional
@@ -22,16 +22,16 @@
 
 /// @brief Access to the log for one incarnation: reads and folds entries,
 /// batches and appends records, takes snapshots.
-class LogDesk {
+class LogAccess {
  public:
   /// @brief Called for each folded entry, in log order, with its effects.
   using OnFolded = std::function<void(const v1::Entry& entry,
                                       const std::vector<ledger::Effect>&)>;
 
-  LogDesk(const RouterSettings& settings,
-          core::Incarnation incarnation,
-          const RouterHooks& hooks,
-          Outbox& outbox);
+  LogAccess(const RouterSettings& settings,
+            core::Incarnation incarnation,
+            const RouterHooks& hooks,
+            Outbox& outbox);
 
   void SetOnFolded(OnFolded on_folded) { m_on_folded = std::move(on_folded); }
 
@@ -59,9 +59,9 @@
   }
   /// @return whether a snapshot loaded after this incarnation began to write
   /// has skipped entries
-  bool lost_continuity() const { return m_lost_continuity; }
+  bool has_skipped_entries() const { return m_has_skipped_entries; }
   /// @return whether reads or appends have failed for too long
-  bool IsOut(core::TimePoint now) const;
+  bool IsUnavailable(core::TimePoint now) const;
 
  private:
   void Load(const v1::Snapshot& snapshot);
@@ -79,7 +79,7 @@
   logclient::Writer m_writer;
   logclient::SnapshotPolicy m_snapshots;
   bool m_writing = false;
-  bool m_lost_continuity = false;
+  bool m_has_skipped_entries = false;
   bool m_snapshot_wanted = false;
   core::TimePoint m_next_snapshot_review{};
   std::optional<core::Error> m_failure;
@@ -88,4 +88,4 @@
 
 }  // namespace coppervalve::router::detail
 
-#endif  // COPPERVALVE_ROUTER_DETAIL_LOG_DESK_H_
+#endif  // COPPERVALVE_ROUTER_DETAIL_LOG_ACCESS_H_
--- a/include/coppervalve/router/detail/order_link.h
+++ b/include/coppervalve/router/detail/order_adapter.h
@@ -1,25 +1,25 @@
-#ifndef COPPERVALVE_ROUTER_DETAIL_ORDER_LINK_H_
-#define COPPERVALVE_ROUTER_DETAIL_ORDER_LINK_H_
+#ifndef COPPERVALVE_ROUTER_DETAIL_ORDER_ADAPTER_H_
+#define COPPERVALVE_ROUTER_DETAIL_ORDER_ADAPTER_H_
 
 #include <cstddef>  // size_t
 
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/ledger/effects.h"
-#include "coppervalve/orders/order_desk.h"
-#include "coppervalve/router/detail/log_desk.h"
+#include "coppervalve/orders/order_manager.h"
+#include "coppervalve/router/detail/log_access.h"
 #include "coppervalve/router/detail/outbox.h"
 #include "coppervalve/router/events.h"
 
 namespace coppervalve::router::detail {
 
-/// @brief Connects OrderDesk to the log and to the shell.
-class OrderLink {
+/// @brief Connects OrderManager to the log and to the shell.
+class OrderAdapter {
  public:
-  OrderLink(const core::RouterId& router,
-            core::Incarnation incarnation,
-            LogDesk& log,
-            Outbox& outbox);
+  OrderAdapter(const core::RouterId& router,
+               core::Incarnation incarnation,
+               LogAccess& log,
+               Outbox& outbox);
 
   /// @brief Call after entries were folded or a snapshot was loaded.
   void AfterReading(core::TimePoint now);
@@ -30,20 +30,20 @@
   void Pump(core::TimePoint now, const orders::Permit& permit);
 
   /// @return the number of orders that a drain must wait for
-  size_t busy() const { return m_desk.busy(); }
+  size_t busy() const { return m_manager.busy(); }
 
  private:
-  void Carry(const orders::Take& command);
-  void Carry(const orders::Send& command);
-  void Carry(const orders::State& command);
+  void Execute(const orders::TakeOrder& command);
+  void Execute(const orders::DeliverOrder& command);
+  void Execute(const orders::EndOrder& command);
   void Append(v1::Record record);
 
   core::Incarnation m_incarnation;
-  LogDesk& m_log;
+  LogAccess& m_log;
   Outbox& m_outbox;
-  orders::OrderDesk m_desk;
+  orders::OrderManager m_manager;
 };
 
 }  // namespace coppervalve::router::detail
 
-#endif  // COPPERVALVE_ROUTER_DETAIL_ORDER_LINK_H_
+#endif  // COPPERVALVE_ROUTER_DETAIL_ORDER_ADAPTER_H_
--- a/include/coppervalve/router/detail/peer_desk.h
+++ b/include/coppervalve/router/detail/peer_manager.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ROUTER_DETAIL_PEER_DESK_H_
-#define COPPERVALVE_ROUTER_DETAIL_PEER_DESK_H_
+#ifndef COPPERVALVE_ROUTER_DETAIL_PEER_MANAGER_H_
+#define COPPERVALVE_ROUTER_DETAIL_PEER_MANAGER_H_
 
 #include <optional>  // optional
 #include <vector>    // vector
@@ -24,11 +24,11 @@
 
 /// @brief The other routers: their addresses and reachability, the choice of
 /// the witness, and the routers to retire.
-class PeerDesk {
+class PeerManager {
  public:
-  PeerDesk(const RouterSettings& settings,
-           core::Incarnation incarnation,
-           Outbox& outbox);
+  PeerManager(const RouterSettings& settings,
+              core::Incarnation incarnation,
+              Outbox& outbox);
 
   /// @brief Updates the members after they changed in the fold.
   void SetMembers(const ledger::Fold& fold);
@@ -47,7 +47,7 @@
   /// @brief Sends a heartbeat to all contacts when one is due.
   /// @param make creates the heartbeat; called at most once
   template <typename Make>
-  void Beat(core::TimePoint now, const Make& make);
+  void SendHeartbeatIfDue(core::TimePoint now, const Make& make);
   void OnHeartbeat(core::TimePoint now,
                    const membership::MemberId& from,
                    const v1::Heartbeat& heartbeat);
@@ -55,13 +55,13 @@
 
   /// @return RouterRetired records to append
   std::vector<v1::RouterRetired> TakeRetirements(core::TimePoint now);
-  membership::WitnessVerdict JudgeWitness(
+  membership::WitnessVerdict EvaluateWitness(
       core::TimePoint now,
       const std::optional<budget::PeerRef>& current);
   /// @brief Whether new work may be accepted under this configuration version.
-  membership::FreshnessVerdict JudgeFreshness(core::TimePoint now,
-                                              core::ConfigVersion version,
-                                              const ledger::Fold& fold);
+  membership::FreshnessVerdict EvaluateFreshness(core::TimePoint now,
+                                                 core::ConfigVersion version,
+                                                 const ledger::Fold& fold);
   std::optional<core::Duration> LogAge(core::TimePoint now) const;
 
   /// @brief State and request address of an incarnation, as seen by this
@@ -83,11 +83,11 @@
   membership::Freshness m_freshness;
   membership::RetirementWatch m_retirements;
   membership::WitnessChoice m_witness;
-  std::optional<core::TimePoint> m_watched;
+  std::optional<core::TimePoint> m_last_retirement_check;
 };
 
 template <typename Make>
-void PeerDesk::Beat(core::TimePoint now, const Make& make) {
+void PeerManager::SendHeartbeatIfDue(core::TimePoint now, const Make& make) {
   if (!m_view.HeartbeatDue(now)) {
     return;
   }
@@ -104,4 +104,4 @@
 
 }  // namespace coppervalve::router::detail
 
-#endif  // COPPERVALVE_ROUTER_DETAIL_PEER_DESK_H_
+#endif  // COPPERVALVE_ROUTER_DETAIL_PEER_MANAGER_H_
--- a/include/coppervalve/router/detail/request_flow.h
+++ b/include/coppervalve/router/detail/request_flow.h
@@ -15,10 +15,10 @@
 #include "coppervalve/core/result.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/request/request_table.h"
-#include "coppervalve/router/detail/configured.h"
-#include "coppervalve/router/detail/log_desk.h"
+#include "coppervalve/router/detail/active_configuration.h"
+#include "coppervalve/router/detail/log_access.h"
 #include "coppervalve/router/detail/outbox.h"
-#include "coppervalve/router/detail/peer_desk.h"
+#include "coppervalve/router/detail/peer_manager.h"
 #include "coppervalve/router/detail/work.h"
 #include "coppervalve/router/events.h"
 #include "coppervalve/routing/admission_queue.h"
@@ -30,14 +30,14 @@
 namespace coppervalve::router::detail {
 
 /// @brief Dependencies of RequestFlow; owned by the session.
-struct FlowParts {
+struct FlowDependencies {
   const RouterSettings& settings;
   const RouterHooks& hooks;
   core::Incarnation incarnation;
-  LogDesk& log;
-  PeerDesk& peers;
-  budget::Book& book;
-  Configured& configured;
+  LogAccess& log;
+  PeerManager& peers;
+  budget::Book& holding_manager;
+  ActiveConfiguration& configured;
   Outbox& outbox;
 };
 
@@ -45,7 +45,7 @@
 /// final answer. Every request gets exactly one final answer.
 class RequestFlow {
  public:
-  explicit RequestFlow(FlowParts parts);
+  explicit RequestFlow(FlowDependencies parts);
 
   /// @brief Applies a new configuration.
   void OnConfigured();
@@ -54,8 +54,9 @@
                  const RequestArrived& event,
                  const std::optional<core::Error>& closed);
   /// @brief Refuses a request that arrives before the first read of the log.
-  void RefuseUnread(const RequestArrived& event, const core::Error& closed);
-  void OnStatusAsked(core::TimePoint now, const StatusAsked& event);
+  void RefuseBeforeFirstRead(const RequestArrived& event,
+                             const core::Error& closed);
+  void OnStatusRequested(core::TimePoint now, const StatusRequested& event);
   void OnCallerGone(core::TimePoint now, core::RequestId id);
   void OnForwardEnded(core::TimePoint now, const ForwardEnded& event);
 
@@ -89,29 +90,29 @@
   routing::RateLimiter& limiter() { return m_limiter; }
 
  private:
-  using Pauses = std::multimap<core::TimePoint, core::RequestId>;
+  using Backoffs = std::multimap<core::TimePoint, core::RequestId>;
 
   // Arrival.
   std::optional<Work> Classify(core::TimePoint now,
                                const RequestArrived& event,
                                const std::optional<request::KeyName>& key);
-  void FollowVerdict(core::TimePoint now,
-                     core::RequestId id,
-                     const request::KeyVerdict& verdict);
+  void ApplyVerdict(core::TimePoint now,
+                    core::RequestId id,
+                    const request::KeyVerdict& verdict);
   void RunHere(core::TimePoint now, Work& work);
   void Claim(core::TimePoint now, Work& work, const core::Hash128& key);
   void Relay(Work& work, const request::ForwardTo& to);
   bool FoldIsCurrent(core::TimePoint now) const;
 
   // Admission.
-  void AskForTokens(core::TimePoint now, Work& work);
+  void ReserveTokens(core::TimePoint now, Work& work);
   void WakeWaiters(core::TimePoint now);
   void ExpireWaiters(core::TimePoint now);
   void Enqueue(core::TimePoint now, Work& work);
   void DrainQueue(core::TimePoint now);
   /// @return whether any was refused, so that others may now be first in their
   /// lanes
-  bool RefuseDeadEnds(core::TimePoint now);
+  bool RefuseUnplaceable(core::TimePoint now);
   bool TryStart(core::TimePoint now, const routing::QueueEntry& entry);
   void Start(core::TimePoint now,
              Work& work,
@@ -125,27 +126,27 @@
                    Work& work,
                    routing::AttemptEnd end,
                    const core::Error& error);
-  void FollowRetry(core::TimePoint now,
-                   Work& work,
-                   const routing::RetryDecision& decision);
-  void ResumePaused(core::TimePoint now);
+  void ApplyRetryDecision(core::TimePoint now,
+                          Work& work,
+                          const routing::RetryDecision& decision);
+  void ResumeAfterBackoff(core::TimePoint now);
 
   // Final answers.
   void GiveUp(core::TimePoint now,
               Work& work,
               core::Error error,
               std::optional<core::Duration> retry_after);
-  void RefuseAtOnce(core::RequestId id,
-                    core::Error error,
-                    std::optional<core::Duration> retry_after,
-                    core::RunState run_state = core::RunState::kNotRun);
+  void RefuseImmediately(core::RequestId id,
+                         core::Error error,
+                         std::optional<core::Duration> retry_after,
+                         core::RunState run_state = core::RunState::kNotRun);
   void ReleaseTokens(core::TimePoint now, Work& work);
   void WriteOff(core::TimePoint now, Work& work);
   void Erase(core::RequestId id);
   Work* Find(core::RequestId id);
   void ReplyStatus(core::RequestId id, const v1::RequestStatus& status);
 
-  FlowParts m_parts;
+  FlowDependencies m_dependencies;
   request::RequestTable m_table;
   routing::UpstreamTable m_upstreams;
   routing::Placement m_placement;
@@ -158,11 +159,11 @@
   std::unordered_map<core::Hash128, core::RequestId> m_claims;
   /// Requests that wait for tokens, by budget, in service order.
   std::unordered_map<core::BudgetId, std::deque<core::RequestId>> m_waiting;
-  Pauses m_pauses;
+  Backoffs m_backoffs;
   /// When to give up requests that wait for a claim or for tokens.
   std::multimap<core::TimePoint, core::RequestId> m_deadlines;
   /// Requests at the front of their lanes without a live upstream.
-  std::vector<core::RequestId> m_dead_ends;
+  std::vector<core::RequestId> m_unplaceable;
   std::unordered_map<core::RequestId, v1::RequestStatus> m_status_relays;
   uint64_t m_last_attempt = 0;
 };
--- a/include/coppervalve/router/detail/session.h
+++ b/include/coppervalve/router/detail/session.h
@@ -10,12 +10,12 @@
 #include "coppervalve/membership/address_book.h"
 #include "coppervalve/membership/drain.h"
 #include "coppervalve/operator.pb.h"
-#include "coppervalve/router/detail/budget_desk.h"
-#include "coppervalve/router/detail/configured.h"
-#include "coppervalve/router/detail/log_desk.h"
-#include "coppervalve/router/detail/order_link.h"
+#include "coppervalve/router/detail/active_configuration.h"
+#include "coppervalve/router/detail/budget_manager.h"
+#include "coppervalve/router/detail/log_access.h"
+#include "coppervalve/router/detail/order_adapter.h"
 #include "coppervalve/router/detail/outbox.h"
-#include "coppervalve/router/detail/peer_desk.h"
+#include "coppervalve/router/detail/peer_manager.h"
 #include "coppervalve/router/detail/request_flow.h"
 #include "coppervalve/router/events.h"
 #include "coppervalve/router/settings.h"
@@ -46,15 +46,15 @@
   bool Ready() const;
   core::Incarnation incarnation() const { return m_incarnation; }
   v1::RouterStatus Status(core::TimePoint now) const;
-  const LogDesk& log() const { return m_log; }
-  const BudgetDesk& budgets() const { return m_budgets; }
+  const LogAccess& log() const { return m_log; }
+  const BudgetManager& budgets() const { return m_budgets; }
 
  private:
   // One overload per event type.
   void On(core::TimePoint now, const RequestArrived& event);
-  void On(core::TimePoint now, const AddressesAsked& event);
-  void On(core::TimePoint now, const StatusAsked& event);
-  void On(core::TimePoint now, const OperatorStatusAsked& event);
+  void On(core::TimePoint now, const AddressesRequested& event);
+  void On(core::TimePoint now, const StatusRequested& event);
+  void On(core::TimePoint now, const OperatorStatusRequested& event);
   void On(core::TimePoint now, const AttemptNotSent& event);
   void On(core::TimePoint now, const AttemptDeclined& event);
   void On(core::TimePoint now, const AttemptFirstToken& event);
@@ -71,7 +71,7 @@
   void On(core::TimePoint now, const PeerSendFailed& event);
   void On(core::TimePoint now, const ProbeEnded& event);
   void On(core::TimePoint now, const OrderSent& event);
-  void On(core::TimePoint now, const DrainAsked& event);
+  void On(core::TimePoint now, const DrainRequested& event);
   void On(core::TimePoint now, const Tick& event);
 
   void OnFolded(core::TimePoint now,
@@ -79,21 +79,21 @@
                 const std::vector<ledger::Effect>& effects);
   void OnEffect(core::TimePoint now, const ledger::Effect& effect);
   void AfterReading(core::TimePoint now, bool at_end);
-  void FollowConfiguration();
+  void ApplyConfiguration();
   void ConfirmConfiguration();
   void Join();
   void OnOwnRetirement(core::TimePoint now);
   void AdvanceDrain(core::TimePoint now);
   void AnnounceRetirement();
   void EndIfFinished(core::TimePoint now);
-  void JudgeFreshness(core::TimePoint now);
+  void EvaluateFreshness(core::TimePoint now);
   void Pump(core::TimePoint now);
   v1::Heartbeat MakeHeartbeat(core::TimePoint now);
   void OnPeerHeartbeat(core::TimePoint now, const v1::PeerMessage& message);
   void Append(v1::Record record);
   /// @return why no new work is accepted, if so
-  std::optional<core::Error> WhyClosed() const;
-  std::optional<core::Error> WhyUnfit() const;
+  std::optional<core::Error> ClosedReason() const;
+  std::optional<core::Error> NotServingReason() const;
   bool IsSelf(const core::RouterId& router,
               core::Incarnation incarnation) const;
 
@@ -101,12 +101,12 @@
   core::Incarnation m_incarnation;
   Phase m_phase = Phase::kReading;
   Outbox m_outbox;
-  LogDesk m_log;
-  PeerDesk m_peers;
-  BudgetDesk m_budgets;
-  Configured m_configured;
+  LogAccess m_log;
+  PeerManager m_peers;
+  BudgetManager m_budgets;
+  ActiveConfiguration m_configured;
   RequestFlow m_flow;
-  OrderLink m_orders;
+  OrderAdapter m_orders;
   membership::AddressBook m_addresses;
   membership::Drain m_drain;
 
--- a/include/coppervalve/router/detail/status_report.h
+++ b/include/coppervalve/router/detail/status_report.h
@@ -15,11 +15,11 @@
   Phase phase;
   membership::DrainPhase drain;
   bool stale;
-  const LogDesk& log;
-  const PeerDesk& peers;
-  const BudgetDesk& budgets;
+  const LogAccess& log;
+  const PeerManager& peers;
+  const BudgetManager& budgets;
   const RequestFlow& flow;
-  const Configured& configured;
+  const ActiveConfiguration& configured;
 };
 
 /// @brief Builds the answer of GET /admin/status.
--- a/include/coppervalve/router/detail/work.h
+++ b/include/coppervalve/router/detail/work.h
@@ -22,7 +22,7 @@
   kTokens,     ///< waits for tokens of its budget
   kQueue,      ///< has a reservation, waits for an upstream
   kAttempt,    ///< an attempt is in progress
-  kPause,      ///< backs off before the next attempt
+  kBackoff,    ///< backs off before the next attempt
   kForwarded,  ///< relayed to another router
 };
 
--- a/include/coppervalve/router/events.h
+++ b/include/coppervalve/router/events.h
@@ -28,7 +28,8 @@
   core::RequestId request;  ///< chosen by the shell, unique per incarnation
   std::string method;
   std::string path;
-  std::vector<std::pair<std::string, std::string>> headers;  ///< lower-case names
+  std::vector<std::pair<std::string, std::string>>
+      headers;          ///< lower-case names
   std::string api_key;  ///< as sent; empty when forwarded by a peer
   core::Hash128 body_hash;
   core::Bytes body_size;
@@ -44,13 +45,13 @@
 };
 
 /// @brief A caller requests the router addresses (GET /v1/addresses).
-struct AddressesAsked {
+struct AddressesRequested {
   core::RequestId request;
   std::string api_key;
 };
 
 /// @brief A caller requests the status of a request (GET /v1/requests/{key}).
-struct StatusAsked {
+struct StatusRequested {
   core::RequestId request;
   std::string api_key;
   std::string idempotency_key;
@@ -58,7 +59,7 @@
 };
 
 /// @brief An operator requests this router's state (GET /admin/status).
-struct OperatorStatusAsked {
+struct OperatorStatusRequested {
   core::RequestId request;
 };
 
@@ -168,15 +169,15 @@
 };
 
 /// @brief SIGTERM or a drain by an operator. Repeated events have no effect.
-struct DrainAsked {};
+struct DrainRequested {};
 
 /// @brief Sent by the shell at least every 50 ms.
 struct Tick {};
 
 using Event = std::variant<RequestArrived,
-                           AddressesAsked,
-                           StatusAsked,
-                           OperatorStatusAsked,
+                           AddressesRequested,
+                           StatusRequested,
+                           OperatorStatusRequested,
                            AttemptNotSent,
                            AttemptDeclined,
                            AttemptFirstToken,
@@ -193,7 +194,7 @@
                            PeerSendFailed,
                            ProbeEnded,
                            OrderSent,
-                           DrainAsked,
+                           DrainRequested,
                            Tick>;
 
 // ---- Actions ---------------------------------------------------------------
--- a/src/net/caller_routes.cc
+++ b/src/net/caller_routes.cc
@@ -162,12 +162,12 @@
     return WrongMethod("GET");
   }
   if (addresses) {
-    return CallerRoute{router::AddressesAsked{id, event.api_key}, false};
+    return CallerRoute{router::AddressesRequested{id, event.api_key}, false};
   }
   return CallerRoute{
-      router::StatusAsked{id, event.api_key,
-                          std::string(path.substr(kRequestPrefix.size())),
-                          account},
+      router::StatusRequested{id, event.api_key,
+                              std::string(path.substr(kRequestPrefix.size())),
+                              account},
       false};
 }
 
--- a/src/net/caller_routes.h
+++ b/src/net/caller_routes.h
@@ -17,8 +17,8 @@
 /// @brief What a request on the caller port means.
 struct CallerRoute {
   using Event = std::variant<router::RequestArrived,
-                             router::AddressesAsked,
-                             router::StatusAsked>;
+                             router::AddressesRequested,
+                             router::StatusRequested>;
   Event event;
   bool wants_usage = false;  ///< the caller asked for the usage event
 };
--- a/src/net/shell.cc
+++ b/src/net/shell.cc
@@ -217,7 +217,7 @@
 
   void Drain() {
     if (!draining.exchange(true)) {
-      control.Post(router::DrainAsked{});
+      control.Post(router::DrainRequested{});
     }
   }
 
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -75,7 +75,7 @@
   entry.answer = std::make_shared<Answer>(0);
   Exchange exchange{id, entry.answer};
   m_requests.emplace(id, std::move(entry));
-  m_shared.report(router::OperatorStatusAsked{id});
+  m_shared.report(router::OperatorStatusRequested{id});
   return exchange;
 }
 
--- a/src/orders/order_desk.cc
+++ b/src/orders/order_manager.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/orders/order_desk.h"
+#include "coppervalve/orders/order_manager.h"
 
 #include <algorithm>  // count_if, find_if, min, sort
 #include <set>        // set
@@ -33,7 +33,7 @@
 
 // The loads that the capacity of the weight store admits, oldest first, so that
 // all routers choose the same ones.
-std::set<FencingNumber> LoadsWithRoom(const ledger::Fold& fold) {
+std::set<FencingNumber> AdmittedLoads(const ledger::Fold& fold) {
   std::vector<FencingNumber> waiting;
   for (const ledger::Order* order : fold.Orders()) {
     if (order->open() && order->loads() &&
@@ -48,19 +48,20 @@
 
 // A refusal does not show whether an earlier attempt without a reply had an
 // effect.
-v1::OrderOutcome OutcomeOf(SendOutcome outcome, bool maybe_arrived) {
+v1::OrderOutcome OutcomeOf(SendOutcome outcome, bool may_have_arrived) {
   if (outcome == SendOutcome::kDone) {
     return v1::DONE;
   }
-  return maybe_arrived ? v1::OUTCOME_UNKNOWN : v1::REFUSED;
+  return may_have_arrived ? v1::OUTCOME_UNKNOWN : v1::REFUSED;
 }
 
 }  // namespace
 
-OrderDesk::OrderDesk(membership::MemberId self, OrderDeskOptions options)
+OrderManager::OrderManager(membership::MemberId self,
+                           OrderManagerOptions options)
     : m_self(std::move(self)), m_options(options) {}
 
-void OrderDesk::Follow(TimePoint now, const ledger::Fold& fold) {
+void OrderManager::Update(TimePoint now, const ledger::Fold& fold) {
   std::set<UpstreamId> open;
   for (const ledger::Order* order : fold.Orders()) {
     if (!order->open()) {
@@ -82,7 +83,7 @@
   if (m_open.empty()) {
     return;
   }
-  const std::set<FencingNumber> loads = LoadsWithRoom(fold);
+  const std::set<FencingNumber> loads = AdmittedLoads(fold);
   for (auto& [upstream, job] : m_open) {
     const bool load =
         job.order.has_load_model() || job.order.has_load_adapter();
@@ -90,7 +91,7 @@
   }
 }
 
-void OrderDesk::Refresh(TimePoint now, const ledger::Fold& fold, Job& job) {
+void OrderManager::Refresh(TimePoint now, const ledger::Fold& fold, Job& job) {
   const auto configuration = fold.configuration();
   const v1::Upstream* upstream =
       FindUpstream(*configuration, job.order.upstream());
@@ -100,11 +101,11 @@
 
   const UpstreamId id(job.order.upstream());
   const ledger::Order& order = *fold.FindOrder(id);
-  const bool was_mine = job.mine;
-  job.mine = order.taken() && order.holder == m_self.router &&
-             order.holder_incarnation == m_self.incarnation;
-  if (job.mine != was_mine) {
-    job.asked = false;
+  const bool was_taken_here = job.taken_here;
+  job.taken_here = order.taken() && order.holder == m_self.router &&
+                   order.holder_incarnation == m_self.incarnation;
+  if (job.taken_here != was_taken_here) {
+    job.record_pending = false;
     job.due = now;
   }
   const bool was_available = job.available;
@@ -113,12 +114,12 @@
   // The delay starts when the order becomes available. Otherwise the
   // first-ranked router would have no head start after a holder was retired.
   if (job.available && !was_available) {
-    job.due = now + HeadStart(fold, id);
+    job.due = now + StartDelay(fold, id);
   }
 }
 
-Duration OrderDesk::HeadStart(const ledger::Fold& fold,
-                              const UpstreamId& upstream) const {
+Duration OrderManager::StartDelay(const ledger::Fold& fold,
+                                  const UpstreamId& upstream) const {
   const auto rank = [&upstream](const membership::MemberId& id) {
     return core::RendezvousRank(upstream.value(),
                                 membership::RendezvousName(id));
@@ -133,37 +134,37 @@
   return start;
 }
 
-Duration OrderDesk::Backoff(uint32_t tries) const {
-  Duration delay = m_options.first_backoff;
-  for (uint32_t i = 1; i < tries && delay < m_options.longest_backoff; ++i) {
+Duration OrderManager::Backoff(uint32_t attempts) const {
+  Duration delay = m_options.initial_backoff;
+  for (uint32_t i = 1; i < attempts && delay < m_options.max_backoff; ++i) {
     delay *= 2;
   }
-  return std::min(delay, m_options.longest_backoff);
+  return std::min(delay, m_options.max_backoff);
 }
 
-OrderDesk::Job* OrderDesk::Find(const UpstreamId& upstream,
-                                FencingNumber fencing) {
+OrderManager::Job* OrderManager::Find(const UpstreamId& upstream,
+                                      FencingNumber fencing) {
   const auto found = m_open.find(upstream);
   return found != m_open.end() && found->second.fencing == fencing
              ? &found->second
              : nullptr;
 }
 
-void OrderDesk::OnTakeRefused(TimePoint now,
-                              const UpstreamId& upstream,
-                              FencingNumber fencing) {
+void OrderManager::OnTakeRefused(TimePoint now,
+                                 const UpstreamId& upstream,
+                                 FencingNumber fencing) {
   Job* job = Find(upstream, fencing);
-  if (job == nullptr || job->mine) {
+  if (job == nullptr || job->taken_here) {
     return;
   }
-  job->asked = false;
-  job->due = now + m_options.first_backoff;
+  job->record_pending = false;
+  job->due = now + m_options.initial_backoff;
 }
 
-void OrderDesk::OnSent(TimePoint now,
-                       const UpstreamId& upstream,
-                       FencingNumber fencing,
-                       SendOutcome outcome) {
+void OrderManager::OnSent(TimePoint now,
+                          const UpstreamId& upstream,
+                          FencingNumber fencing,
+                          SendOutcome outcome) {
   const auto sending = m_sending.find(upstream);
   if (sending == m_sending.end() || sending->second != fencing) {
     return;
@@ -173,33 +174,34 @@
   if (job == nullptr) {
     return;  // replaced by a newer order
   }
-  job->due = now + Backoff(job->tries);
+  job->due = now + Backoff(job->attempts);
   if (outcome == SendOutcome::kDone || outcome == SendOutcome::kRefused) {
-    job->asked = true;
+    job->record_pending = true;
     m_results.push_back(
-        {upstream, fencing, OutcomeOf(outcome, job->maybe_arrived)});
+        {upstream, fencing, OutcomeOf(outcome, job->may_have_arrived)});
     return;
   }
-  job->maybe_arrived = job->maybe_arrived || outcome == SendOutcome::kUnknown;
+  job->may_have_arrived =
+      job->may_have_arrived || outcome == SendOutcome::kUnknown;
   // An engine that ignores fencing numbers may have received a later order
   // since, and a resend would silently undo it. The operator has to check.
-  const bool may_resend = job->checks_fencing || !job->maybe_arrived;
-  if (may_resend && job->tries < m_options.max_tries) {
+  const bool may_resend = job->checks_fencing || !job->may_have_arrived;
+  if (may_resend && job->attempts < m_options.max_attempts) {
     return;
   }
-  job->asked = true;
+  job->record_pending = true;
   m_results.push_back(
       {upstream, fencing,
-       job->maybe_arrived ? v1::OUTCOME_UNKNOWN : v1::NOT_SENT});
+       job->may_have_arrived ? v1::OUTCOME_UNKNOWN : v1::NOT_SENT});
 }
 
-std::vector<Command> OrderDesk::Pump(TimePoint now, const Permit& permit) {
+std::vector<Command> OrderManager::Pump(TimePoint now, const Permit& permit) {
   std::vector<Command> commands;
-  for (const State& result : std::exchange(m_results, {})) {
+  for (const EndOrder& result : std::exchange(m_results, {})) {
     commands.push_back(result);
   }
   for (auto& [upstream, job] : m_open) {
-    if (job.asked || m_sending.contains(upstream)) {
+    if (job.record_pending || m_sending.contains(upstream)) {
       continue;
     }
     if (auto command = Decide(now, permit, upstream, job)) {
@@ -209,47 +211,48 @@
   return commands;
 }
 
-std::optional<Command> OrderDesk::Decide(TimePoint now,
-                                         const Permit& permit,
-                                         const UpstreamId& upstream,
-                                         Job& job) {
-  if (job.mine) {
+std::optional<Command> OrderManager::Decide(TimePoint now,
+                                            const Permit& permit,
+                                            const UpstreamId& upstream,
+                                            Job& job) {
+  if (job.taken_here) {
     return DecideOwn(now, permit, upstream, job);
   }
   if (!job.available || !permit.fresh || permit.draining || now < job.due) {
     return std::nullopt;
   }
-  job.asked = true;
-  return Take{upstream, job.fencing};
+  job.record_pending = true;
+  return TakeOrder{upstream, job.fencing};
 }
 
-std::optional<Command> OrderDesk::DecideOwn(TimePoint now,
-                                            const Permit& permit,
-                                            const UpstreamId& upstream,
-                                            Job& job) {
+std::optional<Command> OrderManager::DecideOwn(TimePoint now,
+                                               const Permit& permit,
+                                               const UpstreamId& upstream,
+                                               Job& job) {
   if (permit.draining) {
     // Otherwise the order would wait for the retirement of this router. An
     // order to an engine that ignores fencing numbers would even wait for an
     // operator, although nothing was sent.
-    job.asked = true;
-    return State{upstream, job.fencing,
-                 job.maybe_arrived && !job.checks_fencing ? v1::OUTCOME_UNKNOWN
-                                                          : v1::HANDED_BACK};
+    job.record_pending = true;
+    return EndOrder{upstream, job.fencing,
+                    job.may_have_arrived && !job.checks_fencing
+                        ? v1::OUTCOME_UNKNOWN
+                        : v1::HANDED_BACK};
   }
   if (!permit.fresh || !job.configured || now < job.due) {
     return std::nullopt;
   }
   m_sending.emplace(upstream, job.fencing);
-  ++job.tries;
-  return Send{upstream, job.address, job.fencing, job.order};
+  ++job.attempts;
+  return DeliverOrder{upstream, job.address, job.fencing, job.order};
 }
 
-size_t OrderDesk::busy() const {
-  const auto mine =
+size_t OrderManager::busy() const {
+  const auto taken_here =
       std::count_if(m_open.begin(), m_open.end(), [this](const auto& entry) {
-        return entry.second.mine && !m_sending.contains(entry.first);
+        return entry.second.taken_here && !m_sending.contains(entry.first);
       });
-  return m_sending.size() + static_cast<size_t>(mine);
+  return m_sending.size() + static_cast<size_t>(taken_here);
 }
 
 }  // namespace coppervalve::orders
--- a/src/request/forgotten_keys.cc
+++ b/src/request/expired_key_filter.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/request/forgotten_keys.h"
+#include "coppervalve/request/expired_key_filter.h"
 
 #include <algorithm>  // max
 #include <array>      // array
@@ -24,10 +24,10 @@
 
 }  // namespace
 
-ForgottenKeys::ForgottenKeys(size_t per_generation)
+ExpiredKeyFilter::ExpiredKeyFilter(size_t per_generation)
     : m_per_generation(std::max(per_generation, kWordBits)) {}
 
-void ForgottenKeys::Add(const core::Hash128& key) {
+void ExpiredKeyFilter::Add(const core::Hash128& key) {
   if (m_added == m_per_generation) {
     m_previous = std::exchange(m_current, {});
     m_added = 0;
@@ -42,11 +42,11 @@
   ++m_added;
 }
 
-bool ForgottenKeys::MayContain(const core::Hash128& key) const {
+bool ExpiredKeyFilter::MayContain(const core::Hash128& key) const {
   return Contains(m_current, key) || Contains(m_previous, key);
 }
 
-bool ForgottenKeys::Contains(const Bits& bits, const core::Hash128& key) {
+bool ExpiredKeyFilter::Contains(const Bits& bits, const core::Hash128& key) {
   if (bits.empty()) {
     return false;
   }
--- a/src/request/key_decision.cc
+++ b/src/request/key_decision.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// For temporary causes: an unreachable peer, an unread claim, a full table.
-constexpr core::Duration kSoon = std::chrono::seconds(1);
+constexpr core::Duration kShortRetryAfter = std::chrono::seconds(1);
 
 Refuse RefuseWith(core::ErrorId id,
                   core::RunState run_state,
@@ -28,19 +28,19 @@
 
 }  // namespace
 
-RequestTable::Decision RequestTable::Decide(const Question& question) const {
-  const RequestRecord& request = question.request;
+RequestTable::Decision RequestTable::Decide(const DecisionInput& input) const {
+  const RequestRecord& request = input.request;
   if (!request.key) {
     return {RunHere{}};
   }
   const RequestRecord* known = FindKey(*request.key);
   if (known == nullptr) {
-    return DecideUnseen(question);
+    return DecideUnseen(input);
   }
   if (std::optional<Decision> decision = DecideKnown(request, *known)) {
     return *std::move(decision);
   }
-  Decision decision = DecideUnseen(question);
+  Decision decision = DecideUnseen(input);
   const bool ran_before = RunStateOf(*known) != core::RunState::kNotRun;
   decision.may_have_run |= ran_before && !request.non_idempotent;
   return decision;
@@ -48,16 +48,15 @@
 
 /// For a key without a record here, or with one that was refused.
 RequestTable::Decision RequestTable::DecideUnseen(
-    const Question& question) const {
-  const RequestRecord& request = question.request;
+    const DecisionInput& input) const {
+  const RequestRecord& request = input.request;
   // A retry may arrive after the record of its request has expired. Running it
   // again would, for example, hold a paid seat twice. The filter contains every
   // such key within its generations.
-  if (request.non_idempotent && m_forgotten.MayContain(*request.key)) {
+  if (request.non_idempotent && m_expired_keys.MayContain(*request.key)) {
     return {UnknownOutcome(std::nullopt)};
   }
-  return question.origin ? DecideOriginBound(question)
-                         : DecideUnbound(question);
+  return input.origin ? DecideOriginBound(input) : DecideUnbound(input);
 }
 
 /// For a request that waited for another router. Its key may have a record here
@@ -103,16 +102,16 @@
 }
 
 RequestTable::Decision RequestTable::DecideOriginBound(
-    const Question& question) const {
-  if (*question.origin == m_self) {
+    const DecisionInput& input) const {
+  if (*input.origin == m_self) {
     return {RunHere{}};
   }
-  return GoTo(question.request, *question.origin);
+  return DecideOwnedElsewhere(input.request, *input.origin);
 }
 
 RequestTable::Decision RequestTable::DecideUnbound(
-    const Question& question) const {
-  const RequestRecord& request = question.request;
+    const DecisionInput& input) const {
+  const RequestRecord& request = input.request;
   const std::optional<Origin> claimed = m_hooks.claim_of(*request.key);
   // A claim of this incarnation without a record of a run: the request was
   // refused before it was sent, so it may run without a second claim.
@@ -120,7 +119,7 @@
     return {RunHere{}};
   }
   if (claimed) {
-    return GoTo(request, *claimed);
+    return DecideOwnedElsewhere(request, *claimed);
   }
   const Location owner = m_hooks.owner_of(*request.key);
   const bool elsewhere = owner.origin != m_self;
@@ -129,23 +128,23 @@
                       owner.address}};
   }
   if (request.non_idempotent) {
-    return ClaimFirst(question);
+    return RequireClaim(input);
   }
   return {RunHere{}, false, elsewhere};
 }
 
-RequestTable::Decision RequestTable::ClaimFirst(
-    const Question& question) const {
-  if (question.log_available) {
-    return {NeedClaim{*question.request.key}, false, !question.fold_current};
+RequestTable::Decision RequestTable::RequireClaim(
+    const DecisionInput& input) const {
+  if (input.log_available) {
+    return {NeedClaim{*input.request.key}, false, !input.fold_current};
   }
   // The first attempt may have claimed the key and run on a router that failed
   // since, and this router may not have read that claim. "Not run" is reported
   // only if the claim would have been read.
-  const core::RunState run_state = question.fold_current
-                                       ? core::RunState::kNotRun
-                                       : core::RunState::kUnknown;
-  return {RefuseWith(core::ErrorId::kClaimUnavailable, run_state, kSoon)};
+  const core::RunState run_state =
+      input.fold_current ? core::RunState::kNotRun : core::RunState::kUnknown;
+  return {RefuseWith(core::ErrorId::kClaimUnavailable, run_state,
+                     kShortRetryAfter)};
 }
 
 Location RequestTable::Locate(const Origin& place) const {
@@ -157,8 +156,9 @@
 }
 
 /// For a key that another incarnation has claimed or alone may run.
-RequestTable::Decision RequestTable::GoTo(const RequestRecord& request,
-                                          const Origin& place) const {
+RequestTable::Decision RequestTable::DecideOwnedElsewhere(
+    const RequestRecord& request,
+    const Origin& place) const {
   const Location location = Locate(place);
   const bool gone = location.state == PeerState::kRetired ||
                     location.state == PeerState::kUnknown;
@@ -173,10 +173,10 @@
   if (gone) {
     return {RefuseWith(core::ErrorId::kOriginGone, core::RunState::kUnknown)};
   }
-  return {UnknownOutcome(kSoon)};
+  return {UnknownOutcome(kShortRetryAfter)};
 }
 
-std::optional<Refuse> RequestTable::RefuseForRoom(
+std::optional<Refuse> RequestTable::RefuseIfFull(
     const RequestRecord& request,
     const Decision& decision) const {
   const auto* join = std::get_if<Join>(&decision.verdict);
@@ -187,18 +187,20 @@
   // A full table must not drop the record of a non-idempotent request that ran,
   // because its retry would run it again. A request is therefore admitted only
   // if its record fits for as long as answers are kept.
-  const bool no_tombstone = admits && request.key && request.non_idempotent &&
-                            m_tombstones >= m_limits.max_tombstones;
-  if (m_open < m_limits.max_open && !no_tombstone) {
+  const bool tombstones_full = admits && request.key &&
+                               request.non_idempotent &&
+                               m_tombstones >= m_limits.max_tombstones;
+  if (m_open < m_limits.max_open && !tombstones_full) {
     return std::nullopt;
   }
-  const bool sure = admits && !decision.may_have_run;
-  return RefuseWith(core::ErrorId::kBacklogFull,
-                    sure ? core::RunState::kNotRun : core::RunState::kUnknown,
-                    kSoon);
+  const bool not_run = admits && !decision.may_have_run;
+  return RefuseWith(
+      core::ErrorId::kBacklogFull,
+      not_run ? core::RunState::kNotRun : core::RunState::kUnknown,
+      kShortRetryAfter);
 }
 
-std::optional<Refuse> RequestTable::RefuseAsClosed(
+std::optional<Refuse> RequestTable::RefuseIfClosed(
     const Arrival& arrival,
     const Decision& decision) const {
   if (!arrival.closed || !Admits(decision.verdict)) {
@@ -207,7 +209,7 @@
   const core::RunState run_state = decision.may_have_run
                                        ? core::RunState::kUnknown
                                        : core::RunState::kNotRun;
-  return Refuse{*arrival.closed, run_state, kSoon};
+  return Refuse{*arrival.closed, run_state, kShortRetryAfter};
 }
 
 std::optional<KeyVerdict> RequestTable::OnForwardEnded(
@@ -219,7 +221,7 @@
     return std::nullopt;
   }
   if (outcome.answered) {
-    Abandon(request->joiners);
+    RemoveJoiners(request->joiners);
     return std::nullopt;
   }
   Decision decision = DecideAfterForward(*request, outcome);
@@ -234,16 +236,16 @@
   if (outcome.relayed) {
     return {RefuseWith(core::ErrorId::kAnswerCut, core::RunState::kUnknown)};
   }
-  const bool settled_there = outcome.sent || request.only_there;
+  const bool may_have_run_there = outcome.sent || request.exclusive_target;
   if (!request.non_idempotent) {
-    return DecideAgain(request, {RunHere{}, false, settled_there});
+    return DecideAgain(request, {RunHere{}, false, may_have_run_there});
   }
-  if (settled_there) {
-    return {UnknownOutcome(kSoon)};
+  if (may_have_run_there) {
+    return {UnknownOutcome(kShortRetryAfter)};
   }
-  const Question question{request, std::nullopt, outcome.log_available,
-                          outcome.fold_current};
-  return DecideAgain(request, ClaimFirst(question));
+  const DecisionInput input{request, std::nullopt, outcome.log_available,
+                            outcome.fold_current};
+  return DecideAgain(request, RequireClaim(input));
 }
 
 std::vector<RequestVerdict> RequestTable::OnClaimLost(core::TimePoint now,
@@ -254,9 +256,11 @@
     return {};
   }
   const Waiters joiners = request->joiners;
-  const bool awaited = !request->caller_gone || !joiners.empty();
-  Decision decision = awaited ? DecideAgain(*request, GoTo(*request, winner))
-                              : Decision{UnknownOutcome(std::nullopt)};
+  const bool has_waiters = !request->caller_gone || !joiners.empty();
+  Decision decision =
+      has_waiters
+          ? DecideAgain(*request, DecideOwnedElsewhere(*request, winner))
+          : Decision{UnknownOutcome(std::nullopt)};
   const KeyVerdict verdict =
       Admit(now, *std::move(request), std::move(decision));
   std::vector<RequestVerdict> verdicts = {{id, verdict}};
@@ -276,9 +280,10 @@
     return RunStateOf(*known);
   }
   const bool bound_elsewhere = key.origin() && *key.origin() != m_self;
-  const bool unsure = bound_elsewhere || m_forgotten.MayContain(identity) ||
-                      m_hooks.claim_of(identity).has_value();
-  return unsure ? core::RunState::kUnknown : core::RunState::kNotRun;
+  const bool uncertain = bound_elsewhere ||
+                         m_expired_keys.MayContain(identity) ||
+                         m_hooks.claim_of(identity).has_value();
+  return uncertain ? core::RunState::kUnknown : core::RunState::kNotRun;
 }
 
 StatusLookup RequestTable::StatusOf(core::TimePoint now,
@@ -296,18 +301,18 @@
   }
   status.set_state("unknown");
   status.set_run_state("unknown");
-  if (m_forgotten.MayContain(identity)) {
+  if (m_expired_keys.MayContain(identity)) {
     status.set_error(core::ErrorCode(core::ErrorId::kAnswerExpired));
     return lookup;
   }
   status.set_error(core::ErrorCode(core::ErrorId::kNotFound));
   if (!forwarded) {
-    lookup.ask = WhomToAsk(key, identity);
+    lookup.ask = FindStatusSource(key, identity);
   }
   return lookup;
 }
 
-std::optional<ForwardTo> RequestTable::WhomToAsk(
+std::optional<ForwardTo> RequestTable::FindStatusSource(
     const KeyName& key,
     const core::Hash128& identity) const {
   std::optional<Origin> place = key.origin();
--- a/src/request/request_record.cc
+++ b/src/request/request_record.cc
@@ -6,10 +6,10 @@
   if (record.phase == Phase::kDone) {
     return core::RunState::kRan;
   }
-  const bool unsure = record.sent_attempts > 0 || record.may_have_run ||
-                      record.phase == Phase::kFailed ||
-                      record.phase == Phase::kForwarded;
-  return unsure ? core::RunState::kUnknown : core::RunState::kNotRun;
+  const bool uncertain = record.sent_attempts > 0 || record.may_have_run ||
+                         record.phase == Phase::kFailed ||
+                         record.phase == Phase::kForwarded;
+  return uncertain ? core::RunState::kUnknown : core::RunState::kNotRun;
 }
 
 bool IsTombstone(const RequestRecord& record) {
--- a/src/request/request_table.cc
+++ b/src/request/request_table.cc
@@ -9,7 +9,7 @@
     : m_self(std::move(self)),
       m_hooks(std::move(hooks)),
       m_limits(limits),
-      m_forgotten(limits.forgotten_per_generation) {
+      m_expired_keys(limits.expired_keys_per_generation) {
   m_limits.max_kept = std::max<size_t>(m_limits.max_kept, 1);
 }
 
@@ -35,7 +35,7 @@
   }
   Decision decision =
       Decide({request, origin, arrival.log_available, arrival.fold_current});
-  if (std::optional<Refuse> refusal = RefuseAsClosed(arrival, decision)) {
+  if (std::optional<Refuse> refusal = RefuseIfClosed(arrival, decision)) {
     return *refusal;
   }
   return Admit(now, std::move(request), std::move(decision));
@@ -45,14 +45,14 @@
                                RequestRecord request,
                                Decision decision) {
   if (std::holds_alternative<Refuse>(decision.verdict)) {
-    Abandon(request.joiners);
+    RemoveJoiners(request.joiners);
     return decision.verdict;
   }
-  if (std::optional<Refuse> refusal = RefuseForRoom(request, decision)) {
-    Abandon(request.joiners);
+  if (std::optional<Refuse> refusal = RefuseIfFull(request, decision)) {
+    RemoveJoiners(request.joiners);
     return *refusal;
   }
-  request.only_there = decision.only_there;
+  request.exclusive_target = decision.exclusive_target;
   request.may_have_run = request.may_have_run || decision.may_have_run;
   if (const auto* join = std::get_if<Join>(&decision.verdict)) {
     MoveJoiners(request.joiners, join->leader);
@@ -76,7 +76,7 @@
 }
 
 /// Removes the joiners of a request that ends; they get its answer.
-void RequestTable::Abandon(const Waiters& joiners) {
+void RequestTable::RemoveJoiners(const Waiters& joiners) {
   for (const core::RequestId joiner : joiners) {
     m_records.erase(joiner);
     --m_open;
@@ -86,7 +86,7 @@
 void RequestTable::MoveJoiners(const Waiters& joiners, core::RequestId leader) {
   Slot* slot = FindOpen(leader);
   if (slot == nullptr) {
-    Abandon(joiners);
+    RemoveJoiners(joiners);
     return;
   }
   for (const core::RequestId joiner : joiners) {
@@ -103,7 +103,7 @@
   if (leads) {
     const auto previous = m_by_key.find(*request.key);
     if (previous != m_by_key.end()) {
-      Forget(previous->second);
+      RemoveRecord(previous->second);
     }
     m_by_key[*request.key] = id;
   }
@@ -201,25 +201,25 @@
     m_expired.push_back(id);
     return waiters;
   }
-  KeepAnswer(*slot, answer_size);
+  RetainAnswer(*slot, answer_size);
   return waiters;
 }
 
 Waiters RequestTable::OnFailed(core::TimePoint now,
                                core::RequestId id,
                                core::ErrorId error) {
-  return End(now, id, error);
+  return FinishUnanswered(now, id, error);
 }
 
 Waiters RequestTable::OnRefused(core::TimePoint now,
                                 core::RequestId id,
                                 core::ErrorId error) {
-  return End(now, id, error);
+  return FinishUnanswered(now, id, error);
 }
 
-Waiters RequestTable::End(core::TimePoint now,
-                          core::RequestId id,
-                          core::ErrorId error) {
+Waiters RequestTable::FinishUnanswered(core::TimePoint now,
+                                       core::RequestId id,
+                                       core::ErrorId error) {
   Slot* slot = FindOpen(id);
   if (slot == nullptr) {
     return {};
@@ -231,11 +231,11 @@
   return Finish(now, *slot, sent ? Phase::kFailed : Phase::kRefused, error);
 }
 
-GoneDecision RequestTable::OnCallerGone(core::TimePoint now,
-                                        core::RequestId id) {
+DisconnectDecision RequestTable::OnCallerGone(core::TimePoint now,
+                                              core::RequestId id) {
   Slot* slot = FindOpen(id);
   if (slot == nullptr) {
-    return GoneDecision::kNothing;
+    return DisconnectDecision::kNothing;
   }
   RequestRecord& record = slot->record;
   if (record.leader) {
@@ -243,20 +243,20 @@
         FindOpen(*record.leader)->record.joiners;
     joiners.erase(std::find(joiners.begin(), joiners.end(), id));
     Extract(id);
-    return GoneDecision::kNothing;
+    return DisconnectDecision::kNothing;
   }
   if (record.phase == Phase::kForwarded && record.joiners.empty()) {
     Extract(id);
-    return GoneDecision::kCancel;
+    return DisconnectDecision::kCancel;
   }
   record.caller_gone = true;
   record.changed = now;
   if (record.key) {
-    return GoneDecision::kKeepRunning;
+    return DisconnectDecision::kKeepRunning;
   }
   const bool sent = record.sent_attempts > 0;
-  return record.non_idempotent && sent ? GoneDecision::kKeepRunning
-                                       : GoneDecision::kCancel;
+  return record.non_idempotent && sent ? DisconnectDecision::kKeepRunning
+                                       : DisconnectDecision::kCancel;
 }
 
 std::vector<core::RequestId> RequestTable::TakeExpired(core::TimePoint now) {
@@ -306,7 +306,7 @@
   --m_open;
   Waiters waiters = TakeWaiters(slot.record);
   if (slot.record.key) {
-    Keep(slot);
+    RetainRecord(slot);
   } else {
     m_records.erase(slot.record.id);
   }
@@ -327,16 +327,16 @@
   return waiters;
 }
 
-void RequestTable::Keep(Slot& slot) {
+void RequestTable::RetainRecord(Slot& slot) {
   std::list<core::RequestId>& kept =
-      IsTombstone(slot.record) ? m_protected : m_forgettable;
+      IsTombstone(slot.record) ? m_protected : m_evictable;
   slot.kept_at = kept.insert(kept.end(), slot.record.id);
-  if (m_forgettable.size() > m_limits.max_kept) {
-    Forget(m_forgettable.front());
+  if (m_evictable.size() > m_limits.max_kept) {
+    RemoveRecord(m_evictable.front());
   }
 }
 
-void RequestTable::KeepAnswer(Slot& slot, core::Bytes size) {
+void RequestTable::RetainAnswer(Slot& slot, core::Bytes size) {
   // An answer above the limit would evict all others and itself.
   if (size > m_limits.max_kept_bytes) {
     m_expired.push_back(slot.record.id);
@@ -361,22 +361,22 @@
 }
 
 /// Removes the record of a final keyed request.
-void RequestTable::Forget(core::RequestId id) {
+void RequestTable::RemoveRecord(core::RequestId id) {
   Slot& slot = m_records.at(id);
   DropAnswer(slot);
   if (IsTombstone(slot.record)) {
     --m_tombstones;
-    m_forgotten.Add(*slot.record.key);
+    m_expired_keys.Add(*slot.record.key);
     m_protected.erase(slot.kept_at);
   } else {
-    m_forgettable.erase(slot.kept_at);
+    m_evictable.erase(slot.kept_at);
   }
   m_by_key.erase(*slot.record.key);
   m_records.erase(id);
 }
 
 void RequestTable::ExpireKept(core::TimePoint now) {
-  ExpireFrom(m_forgettable, now);
+  ExpireFrom(m_evictable, now);
   ExpireFrom(m_protected, now);
 }
 
@@ -387,7 +387,7 @@
     if (now - oldest.changed < m_limits.answer_keep) {
       return;
     }
-    Forget(oldest.id);
+    RemoveRecord(oldest.id);
   }
 }
 
--- a/src/router/configured.cc
+++ b/src/router/active_configuration.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/router/detail/configured.h"
+#include "coppervalve/router/detail/active_configuration.h"
 
 #include <algorithm>  // max
 
@@ -17,27 +17,27 @@
 
 }  // namespace
 
-Configured::Configured()
+ActiveConfiguration::ActiveConfiguration()
     : m_tables(config::Compile({})),
       m_rules(std::make_shared<rules::RuleSet>(v1::Configuration{}, m_tables)) {
 }
 
 // A fold rebuilt from an older snapshot passes through earlier versions.
 // Installing one would revert a change that operators were told is in force.
-bool Configured::Follow(const ledger::Fold& fold) {
+bool ActiveConfiguration::Update(const ledger::Fold& fold) {
   if (fold.config_version() <= m_version) {
     return false;
   }
   m_version = fold.config_version();
   m_tables = config::Compile(*fold.configuration());
   m_rules = std::make_shared<rules::RuleSet>(*fold.configuration(), m_tables);
-  m_dearest.clear();
+  m_max_prices.clear();
   return true;
 }
 
-const Configured::Dearest& Configured::DearestOf(
+const ActiveConfiguration::MaxPrice& ActiveConfiguration::MaxPriceOf(
     const config::SharedUpstreamIds& candidates) {
-  const auto [entry, is_new] = m_dearest.try_emplace(candidates);
+  const auto [entry, is_new] = m_max_prices.try_emplace(candidates);
   if (!is_new) {
     return entry->second;
   }
@@ -46,23 +46,25 @@
     if (upstream == nullptr) {
       continue;
     }
-    Dearest& dearest = entry->second;
-    dearest.price_permille =
-        std::max(dearest.price_permille, upstream->price_permille);
-    dearest.call_cost = std::max(dearest.call_cost, upstream->call_cost);
+    MaxPrice& max_price = entry->second;
+    max_price.price_permille =
+        std::max(max_price.price_permille, upstream->price_permille);
+    max_price.call_cost = std::max(max_price.call_cost, upstream->call_cost);
   }
   return entry->second;
 }
 
-Tokens Configured::BoundOf(const config::SharedUpstreamIds& candidates,
-                           Tokens prompt,
-                           Tokens output) {
-  const Dearest& dearest = DearestOf(candidates);
-  return Priced(prompt + output, dearest.price_permille) + dearest.call_cost;
+Tokens ActiveConfiguration::CostBound(
+    const config::SharedUpstreamIds& candidates,
+    Tokens prompt,
+    Tokens output) {
+  const MaxPrice& max_price = MaxPriceOf(candidates);
+  return Priced(prompt + output, max_price.price_permille) +
+         max_price.call_cost;
 }
 
-Tokens Configured::CostAt(const core::UpstreamId& id,
-                          const std::optional<Usage>& usage) const {
+Tokens ActiveConfiguration::CostAt(const core::UpstreamId& id,
+                                   const std::optional<Usage>& usage) const {
   const config::Upstream* upstream = m_tables->FindUpstream(id);
   if (upstream == nullptr) {
     return Tokens(0);
--- a/src/router/budget_desk.cc
+++ b/src/router/budget_manager.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/router/detail/budget_desk.h"
+#include "coppervalve/router/detail/budget_manager.h"
 
 #include <algorithm>  // all_of
 #include <utility>    // move
@@ -13,7 +13,8 @@
 
 namespace {
 
-constexpr core::Duration kReviewWitnessEvery = std::chrono::milliseconds(250);
+constexpr core::Duration kWitnessReviewInterval =
+    std::chrono::milliseconds(250);
 
 template <typename... Cases>
 struct Overloaded : Cases... {
@@ -41,23 +42,24 @@
 
 }  // namespace
 
-BudgetDesk::BudgetDesk(const RouterSettings& settings,
-                       core::Incarnation incarnation,
-                       LogDesk& log,
-                       PeerDesk& peers)
+BudgetManager::BudgetManager(const RouterSettings& settings,
+                             core::Incarnation incarnation,
+                             LogAccess& log,
+                             PeerManager& peers)
     : m_self{settings.router, incarnation},
       m_log(log),
       m_peers(peers),
-      m_book(m_self, settings.sizing, [this](const core::BudgetId& budget) {
-        return BalanceOf(budget);
-      }) {}
+      m_holding_manager(
+          m_self,
+          settings.sizing,
+          [this](const core::BudgetId& budget) { return BalanceOf(budget); }) {}
 
-bool BudgetDesk::IsSelf(const core::RouterId& router,
-                        core::Incarnation incarnation) const {
+bool BudgetManager::IsSelf(const core::RouterId& router,
+                           core::Incarnation incarnation) const {
   return router == m_self.router && incarnation == m_self.incarnation;
 }
 
-std::optional<budget::BalanceView> BudgetDesk::BalanceOf(
+std::optional<budget::BalanceView> BudgetManager::BalanceOf(
     const core::BudgetId& id) const {
   const ledger::Budget* budget = m_log.fold().FindBudget(id);
   if (budget == nullptr) {
@@ -74,9 +76,9 @@
   return view;
 }
 
-void BudgetDesk::OnFolded(TimePoint now,
-                          const v1::Entry& entry,
-                          const std::vector<ledger::Effect>& effects) {
+void BudgetManager::OnFolded(TimePoint now,
+                             const v1::Entry& entry,
+                             const std::vector<ledger::Effect>& effects) {
   for (const ledger::Effect& effect : effects) {
     OnEffect(now, effect);
   }
@@ -87,25 +89,27 @@
   }
 }
 
-void BudgetDesk::OnEffect(TimePoint now, const ledger::Effect& effect) {
+void BudgetManager::OnEffect(TimePoint now, const ledger::Effect& effect) {
   const Overloaded cases{
       [&](const ledger::Granted& e) {
         if (IsSelf(e.router, e.incarnation)) {
-          m_book.OnGranted(now, e.budget, e.tokens, e.sequence);
+          m_holding_manager.OnGranted(now, e.budget, e.tokens, e.sequence);
         }
-        m_book.OnBalanceChanged(now, e.budget);
+        m_holding_manager.OnBalanceChanged(now, e.budget);
       },
       [&](const ledger::Denied& e) {
         if (IsSelf(e.router, e.incarnation)) {
-          m_book.OnDenied(now, e.budget, e.sequence);
+          m_holding_manager.OnDenied(now, e.budget, e.sequence);
         }
       },
-      [&](const ledger::PaidIn& e) { m_book.OnBalanceChanged(now, e.budget); },
+      [&](const ledger::PaidIn& e) {
+        m_holding_manager.OnBalanceChanged(now, e.budget);
+      },
       [&](const ledger::Returned& e) {
-        m_book.OnBalanceChanged(now, e.budget);
+        m_holding_manager.OnBalanceChanged(now, e.budget);
       },
       [&](const ledger::QuarantineChanged& e) {
-        m_book.OnBalanceChanged(now, e.budget);
+        m_holding_manager.OnBalanceChanged(now, e.budget);
       },
       [&](const ledger::Retired& e) { OnRetired(now, e); },
       [&](const ledger::WitnessInForce& e) {
@@ -116,11 +120,12 @@
         if (!e.witness.empty()) {
           witness = PeerRef{e.witness, e.witness_incarnation};
         }
-        m_book.OnWitnessInForce(witness);
+        m_holding_manager.OnWitnessInForce(witness);
       },
       [&](const ledger::WitnessRefused& e) {
         if (IsSelf(e.router, e.incarnation)) {
-          m_book.OnWitnessRefused({e.witness, e.witness_incarnation});
+          m_holding_manager.OnWitnessRefused(
+              {e.witness, e.witness_incarnation});
         }
       },
       [&](const ledger::TransferFolded& e) {
@@ -134,7 +139,7 @@
         transfer.set_tokens(e.tokens.value());
         if (IsSelf(e.from, e.from_incarnation) ||
             IsSelf(e.to, e.to_incarnation)) {
-          m_book.OnTransferFolded(now, transfer);
+          m_holding_manager.OnTransferFolded(now, transfer);
         }
       },
       [](const auto&) {},
@@ -142,68 +147,69 @@
   std::visit(cases, effect);
 }
 
-void BudgetDesk::OnOwnEntry(const v1::Entry& entry) {
+void BudgetManager::OnOwnEntry(const v1::Entry& entry) {
   for (const v1::Record& record : entry.records()) {
     if (!record.has_spend_reported()) {
       continue;
     }
     const v1::SpendReported& report = record.spend_reported();
-    m_book.OnSpendFolded(core::BudgetId(report.budget()),
-                         Tokens(report.spent()));
+    m_holding_manager.OnSpendFolded(core::BudgetId(report.budget()),
+                                    Tokens(report.spent()));
   }
 }
 
-void BudgetDesk::OnRetired(TimePoint now, const ledger::Retired& retired) {
+void BudgetManager::OnRetired(TimePoint now, const ledger::Retired& retired) {
   const PeerRef peer{retired.router, retired.incarnation};
   if (peer == m_self) {
-    m_book.OnRetired(now);
+    m_holding_manager.OnRetired(now);
     return;
   }
   // Close before the report: a raise that arrived in between would let the
   // retired router commit tokens that the report has just returned to the
   // balance.
-  m_witness_desk.Close(peer);
-  StateCeilings(peer);
+  m_ceiling_store.Close(peer);
+  ReportCeilings(peer);
 }
 
-void BudgetDesk::StateCeilings(const PeerRef& retired) {
+void BudgetManager::ReportCeilings(const PeerRef& retired) {
   const ledger::Member* member =
       m_log.fold().FindMember(retired.router, retired.incarnation);
   const bool is_witness = member != nullptr &&
                           member->witness == m_self.router &&
                           member->witness_incarnation == m_self.incarnation;
-  if (!is_witness || m_book.Retired()) {
+  if (!is_witness || m_holding_manager.Retired()) {
     return;
   }
-  const auto statement = m_witness_desk.StatementFor(retired);
-  if (!statement.has_value()) {
+  const auto narrowed = m_ceiling_store.StatementFor(retired);
+  if (!narrowed.has_value()) {
     return;
   }
   v1::Record record;
-  *record.mutable_quarantine_narrowed() = *statement;
+  *record.mutable_quarantine_narrowed() = *narrowed;
   if (core::IsOk(m_log.Add(std::move(record), Urgency::kUrgent))) {
-    m_witness_desk.ForgetCeilings(retired);
+    m_ceiling_store.ForgetCeilings(retired);
   }
 }
 
-bool BudgetDesk::OnPeerMessage(TimePoint now, const v1::PeerMessage& message) {
+bool BudgetManager::OnPeerMessage(TimePoint now,
+                                  const v1::PeerMessage& message) {
   const PeerRef from = SenderOf(message);
   v1::PeerMessage reply;
   switch (message.body_case()) {
     case v1::PeerMessage::kCeilingRaise:
       *reply.mutable_ceiling_ack() =
-          m_witness_desk.OnCeilingRaise(from, message.ceiling_raise());
+          m_ceiling_store.OnCeilingRaise(from, message.ceiling_raise());
       m_peers.Send(now, from, std::move(reply));
       return true;
     case v1::PeerMessage::kCeilingAck:
-      m_book.OnCeilingAck(now, from, message.ceiling_ack());
+      m_holding_manager.OnCeilingAck(now, from, message.ceiling_ack());
       return true;
     case v1::PeerMessage::kTransferAsk:
-      m_book.OnTransferAsk(now, from, message.transfer_ask());
+      m_holding_manager.OnTransferAsk(now, from, message.transfer_ask());
       return true;
     case v1::PeerMessage::kTransferSend: {
       const auto ack =
-          m_book.OnTransferSend(now, from, message.transfer_send());
+          m_holding_manager.OnTransferSend(now, from, message.transfer_send());
       if (ack.has_value()) {
         *reply.mutable_transfer_ack() = *ack;
         m_peers.Send(now, from, std::move(reply));
@@ -211,71 +217,77 @@
       return true;
     }
     case v1::PeerMessage::kTransferAck:
-      m_book.OnTransferAck(from, message.transfer_ack());
+      m_holding_manager.OnTransferAck(from, message.transfer_ack());
       return true;
     default:
       return false;
   }
 }
 
-void BudgetDesk::ReviewWitness(TimePoint now) {
-  if (m_book.Retired() || (m_witness_reviewed.has_value() &&
-                           now - *m_witness_reviewed < kReviewWitnessEvery)) {
+void BudgetManager::ReviewWitness(TimePoint now) {
+  if (m_holding_manager.Retired() ||
+      (m_witness_reviewed.has_value() &&
+       now - *m_witness_reviewed < kWitnessReviewInterval)) {
     return;
   }
   m_witness_reviewed = now;
-  const auto verdict = m_peers.JudgeWitness(now, m_book.WitnessInForce());
+  const auto verdict =
+      m_peers.EvaluateWitness(now, m_holding_manager.WitnessInForce());
   if (const auto* choose = std::get_if<membership::ChooseWitness>(&verdict)) {
-    m_book.ChooseWitness(
+    m_holding_manager.ChooseWitness(
         now, PeerRef{choose->witness.router, choose->witness.incarnation});
   }
   if (std::holds_alternative<membership::ChooseNone>(verdict)) {
-    m_book.ChooseWitness(now, std::nullopt);
+    m_holding_manager.ChooseWitness(now, std::nullopt);
   }
 }
 
-void BudgetDesk::Tick(TimePoint now) {
-  m_book.OnLogState(m_log.IsOut(now));
-  m_book.OnFleet(static_cast<uint32_t>(m_peers.view().live_members()));
-  m_book.OnTick(now);
+void BudgetManager::Tick(TimePoint now) {
+  m_holding_manager.OnLogState(m_log.IsUnavailable(now));
+  m_holding_manager.OnFleet(
+      static_cast<uint32_t>(m_peers.view().live_members()));
+  m_holding_manager.OnTick(now);
 }
 
-void BudgetDesk::Send(TimePoint now) {
+void BudgetManager::Send(TimePoint now) {
   SendRecords(now);
   SendMessages(now);
 }
 
 // A record taken from the holdings exists nowhere else, so records are taken
 // only if the backlog has room for all of them.
-void BudgetDesk::SendRecords(TimePoint now) {
+void BudgetManager::SendRecords(TimePoint now) {
   if (!m_log.HasRoomFor(budget::kMaxRecordsPerTake)) {
     return;
   }
-  for (v1::Record& record : m_book.TakeRecords(now)) {
+  for (v1::Record& record : m_holding_manager.TakeRecords(now)) {
     const Urgency urgency = UrgencyOf(record);
     m_log.Add(std::move(record), urgency);
   }
 }
 
-void BudgetDesk::SendMessages(TimePoint now) {
-  for (const budget::CeilingRaiseTo& raise : m_book.TakeCeilingRaises(now)) {
+void BudgetManager::SendMessages(TimePoint now) {
+  for (const budget::CeilingRaiseTo& raise :
+       m_holding_manager.TakeCeilingRaises(now)) {
     v1::PeerMessage message;
     *message.mutable_ceiling_raise() = raise.raise;
     m_peers.Send(now, raise.to, std::move(message));
   }
-  for (const budget::TransferAskTo& ask : m_book.TakeTransferAsks(now)) {
+  for (const budget::TransferAskTo& ask :
+       m_holding_manager.TakeTransferAsks(now)) {
     v1::PeerMessage message;
     *message.mutable_transfer_ask() = ask.ask;
     m_peers.Send(now, ask.to, std::move(message));
   }
-  for (const budget::TransferSendTo& send : m_book.TakeTransferSends(now)) {
+  for (const budget::TransferSendTo& send :
+       m_holding_manager.TakeTransferSends(now)) {
     v1::PeerMessage message;
     *message.mutable_transfer_send() = send.send;
     m_peers.Send(now, send.to, std::move(message));
   }
 }
 
-bool BudgetDesk::Settled() const {
+bool BudgetManager::HoldingsReturned() const {
   const ledger::Member* self =
       m_log.fold().FindMember(m_self.router, m_self.incarnation);
   if (self == nullptr) {
--- a/src/router/core.cc
+++ b/src/router/core.cc
@@ -77,8 +77,8 @@
   return m_session->log().fold();
 }
 
-const budget::Book& RouterCore::book() const {
-  return m_session->budgets().book();
+const budget::Book& RouterCore::holding_manager() const {
+  return m_session->budgets().holding_manager();
 }
 
 }  // namespace coppervalve::router
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -40,11 +40,11 @@
 // Tokens are reserved before a request is queued, so a queued request can
 // always start and an account short of tokens never blocks the queue for
 // others.
-void RequestFlow::AskForTokens(TimePoint now, Work& work) {
-  const Tokens bound = m_parts.configured.BoundOf(
+void RequestFlow::ReserveTokens(TimePoint now, Work& work) {
+  const Tokens bound = m_dependencies.configured.CostBound(
       work.route.candidates, work.prompt_bound, work.max_output);
-  const budget::ReserveResult result =
-      m_parts.book.Reserve(now, work.budget, bound, work.route.admission_class);
+  const budget::ReserveResult result = m_dependencies.holding_manager.Reserve(
+      now, work.budget, bound, work.route.admission_class);
   if (const auto* reserved = std::get_if<budget::Reservation>(&result)) {
     work.reservation = *reserved;
     Enqueue(now, work);
@@ -74,7 +74,8 @@
 }
 
 void RequestFlow::WakeWaiters(TimePoint now) {
-  for (const core::BudgetId& budget : m_parts.book.TakeWoken()) {
+  for (const core::BudgetId& budget :
+       m_dependencies.holding_manager.TakeWoken()) {
     const auto found = m_waiting.find(budget);
     if (found == m_waiting.end()) {
       continue;
@@ -87,7 +88,7 @@
       if (work == nullptr || work->stage != Stage::kTokens) {
         continue;
       }
-      AskForTokens(now, *work);
+      ReserveTokens(now, *work);
     }
   }
 }
@@ -144,12 +145,12 @@
     m_queue.Drain(now, [this, now](const routing::QueueEntry& entry) {
       return TryStart(now, entry);
     });
-  } while (RefuseDeadEnds(now));
+  } while (RefuseUnplaceable(now));
 }
 
-bool RequestFlow::RefuseDeadEnds(TimePoint now) {
-  const std::vector<RequestId> dead_ends = std::exchange(m_dead_ends, {});
-  for (const RequestId id : dead_ends) {
+bool RequestFlow::RefuseUnplaceable(TimePoint now) {
+  const std::vector<RequestId> unplaceable = std::exchange(m_unplaceable, {});
+  for (const RequestId id : unplaceable) {
     if (Work* work = Find(id)) {
       GiveUp(now, *work,
              {ErrorId::kNoUpstream, work->route.rule.value(),
@@ -157,7 +158,7 @@
              kRetryAfterOutage);
     }
   }
-  return !dead_ends.empty();
+  return !unplaceable.empty();
 }
 
 bool RequestFlow::TryStart(TimePoint now, const routing::QueueEntry& entry) {
@@ -177,14 +178,14 @@
     Start(now, *work, decision);
     return true;
   }
-  const bool dead = decision.why == routing::PlacementWhy::kNoneAlive ||
-                    decision.why == routing::PlacementWhy::kNoCandidate;
+  const bool no_upstream = decision.why == routing::PlacementWhy::kNoneAlive ||
+                           decision.why == routing::PlacementWhy::kNoCandidate;
   // BATCH work may wait for an upstream to recover; other classes are refused.
   // They are refused after this pass and not reported as started, because
   // starts measure the drain rate and would make the Retry-After of others too
   // short.
-  if (dead && work->route.admission_class != v1::BATCH) {
-    m_dead_ends.push_back(work->id);
+  if (no_upstream && work->route.admission_class != v1::BATCH) {
+    m_unplaceable.push_back(work->id);
   }
   return false;
 }
@@ -205,7 +206,8 @@
   m_table.OnSent(now, work.id);
   m_upstreams.OnDispatch(work.upstream);
 
-  const config::LimitsView& limits = m_parts.configured.tables().limits();
+  const config::LimitsView& limits =
+      m_dependencies.configured.tables().limits();
   Dispatch dispatch;
   dispatch.request = work.id;
   dispatch.attempt = work.attempt;
@@ -217,7 +219,7 @@
   dispatch.priority = PriorityOf(work.route.admission_class);
   dispatch.first_token_timeout = limits.first_token_timeout;
   dispatch.inter_token_timeout = limits.inter_token_timeout;
-  m_parts.outbox.Info(
+  m_dependencies.outbox.Info(
       "routed",
       {{"request", std::to_string(work.id.value())},
        {"account", work.account.value()},
@@ -227,7 +229,7 @@
        {"why", std::string(routing::ToString(decision.why))},
        {"attempt", std::to_string(work.attempts)},
        {"candidates", routing::DescribeFacts(decision, m_upstreams)}});
-  m_parts.outbox.Add(std::move(dispatch));
+  m_dependencies.outbox.Add(std::move(dispatch));
 }
 
 void RequestFlow::ExpireQueue(TimePoint now) {
@@ -242,16 +244,16 @@
   m_now = now;
   WakeWaiters(now);
   ExpireWaiters(now);
-  ResumePaused(now);
+  ResumeAfterBackoff(now);
   ExpireQueue(now);
   if (may_start) {
     DrainQueue(now);
   }
   for (const routing::ProbeDue& probe : m_upstreams.TakeProbesDue(now)) {
-    m_parts.outbox.Add(ProbeUpstream{probe.upstream, probe.address});
+    m_dependencies.outbox.Add(ProbeUpstream{probe.upstream, probe.address});
   }
   for (const RequestId id : m_table.TakeExpired(now)) {
-    m_parts.outbox.Add(ForgetAnswer{id});
+    m_dependencies.outbox.Add(ForgetAnswer{id});
   }
 }
 
--- a/src/router/flow_arrival.cc
+++ b/src/router/flow_arrival.cc
@@ -22,24 +22,26 @@
 
 /// Maximum age of the last read to the end of the log for the fold to count as
 /// current.
-constexpr core::Duration kFoldCurrentFor = std::chrono::seconds(3);
+constexpr core::Duration kMaxFoldAge = std::chrono::seconds(3);
 
 constexpr core::Duration kRetryElsewhere = std::chrono::milliseconds(100);
 
 }  // namespace
 
-RequestFlow::RequestFlow(FlowParts parts)
-    : m_parts(parts),
+RequestFlow::RequestFlow(FlowDependencies parts)
+    : m_dependencies(parts),
       m_table(
           {parts.settings.router, parts.incarnation},
           {[this](const request::Origin& origin) {
-             return m_parts.peers.Locate(m_now, origin, m_parts.log.fold());
+             return m_dependencies.peers.Locate(m_now, origin,
+                                                m_dependencies.log.fold());
            },
            [this](const core::Hash128& key) {
-             return m_parts.peers.OwnerOf(m_now, key);
+             return m_dependencies.peers.OwnerOf(m_now, key);
            },
            [this](const core::Hash128& key) -> std::optional<request::Origin> {
-             const ledger::Claim* claim = m_parts.log.fold().FindClaim(key);
+             const ledger::Claim* claim =
+                 m_dependencies.log.fold().FindClaim(key);
              if (claim == nullptr) {
                return std::nullopt;
              }
@@ -54,7 +56,7 @@
       m_retries({}, parts.hooks.random) {}
 
 void RequestFlow::OnConfigured() {
-  const config::Tables& tables = m_parts.configured.tables();
+  const config::Tables& tables = m_dependencies.configured.tables();
   std::vector<routing::UpstreamInfo> upstreams;
   std::vector<core::UpstreamId> ids;
   for (const config::Upstream& from : tables.upstreams()) {
@@ -78,7 +80,7 @@
 core::Result<const config::Account*> RequestFlow::Authenticate(
     const std::string& api_key,
     const std::optional<core::AccountId>& forwarded) const {
-  const config::Tables& tables = m_parts.configured.tables();
+  const config::Tables& tables = m_dependencies.configured.tables();
   const config::Account* account =
       forwarded.has_value() ? tables.FindAccount(*forwarded)
                             : tables.FindAccountByKey(core::Sha256Hex(api_key));
@@ -90,8 +92,8 @@
 }
 
 bool RequestFlow::FoldIsCurrent(TimePoint now) const {
-  const auto read = m_parts.log.last_read_to_end();
-  return read.has_value() && now - *read <= kFoldCurrentFor;
+  const auto read = m_dependencies.log.last_read_to_end();
+  return read.has_value() && now - *read <= kMaxFoldAge;
 }
 
 void RequestFlow::OnArrived(TimePoint now,
@@ -102,7 +104,7 @@
   if (!event.idempotency_key.empty()) {
     const auto parsed = request::KeyName::Parse(event.idempotency_key);
     if (!core::IsOk(parsed)) {
-      RefuseAtOnce(event.request, core::Failure(parsed), std::nullopt);
+      RefuseImmediately(event.request, core::Failure(parsed), std::nullopt);
       return;
     }
     key = core::Value(parsed);
@@ -122,23 +124,24 @@
   arrival.non_idempotent = work->route.non_idempotent;
   arrival.admission_class = work->route.admission_class;
   arrival.forwarded = event.forwarded_account.has_value();
-  arrival.log_available = !m_parts.log.IsOut(now);
+  arrival.log_available = !m_dependencies.log.IsUnavailable(now);
   arrival.fold_current = FoldIsCurrent(now);
   arrival.closed = closed;
 
   m_work.emplace(event.request, std::move(*work));
-  FollowVerdict(now, event.request, m_table.OnArrival(now, arrival));
+  ApplyVerdict(now, event.request, m_table.OnArrival(now, arrival));
 }
 
 // A retry of a request that ran elsewhere may reach a router that has not read
 // the log yet. "Not run" could be wrong, so a keyed request gets an unknown
 // outcome and a Retry-After.
-void RequestFlow::RefuseUnread(const RequestArrived& event,
-                               const Error& closed) {
+void RequestFlow::RefuseBeforeFirstRead(const RequestArrived& event,
+                                        const Error& closed) {
   const core::RunState run_state = event.idempotency_key.empty()
                                        ? core::RunState::kNotRun
                                        : core::RunState::kUnknown;
-  m_parts.outbox.Add(Refuse{event.request, closed, run_state, kRetryElsewhere});
+  m_dependencies.outbox.Add(
+      Refuse{event.request, closed, run_state, kRetryElsewhere});
 }
 
 std::optional<Work> RequestFlow::Classify(
@@ -147,10 +150,11 @@
     const std::optional<request::KeyName>& key) {
   const auto account = Authenticate(event.api_key, event.forwarded_account);
   if (!core::IsOk(account)) {
-    RefuseAtOnce(event.request, core::Failure(account), std::nullopt);
+    RefuseImmediately(event.request, core::Failure(account), std::nullopt);
     return std::nullopt;
   }
-  const config::LimitsView& limits = m_parts.configured.tables().limits();
+  const config::LimitsView& limits =
+      m_dependencies.configured.tables().limits();
   rules::RequestFacts facts;
   facts.account = core::Value(account)->id;
   facts.model = core::ModelId(event.model);
@@ -160,14 +164,15 @@
   facts.headers = event.headers;
   facts.prompt = event.body_size;
   facts.max_output_tokens = event.max_output_tokens;
-  facts.minute_of_day = m_parts.hooks.minute_of_day(now);
+  facts.minute_of_day = m_dependencies.hooks.minute_of_day(now);
 
   const core::RunState run_state =
       key.has_value() ? m_table.RunStateOfKey(facts.account, *key)
                       : core::RunState::kNotRun;
-  const rules::Decision decision = m_parts.configured.rules().Match(facts);
+  const rules::Decision decision =
+      m_dependencies.configured.rules().Match(facts);
   if (const auto* refused = std::get_if<rules::Refused>(&decision)) {
-    RefuseAtOnce(
+    RefuseImmediately(
         event.request,
         {ErrorId::kRefusedByRule, refused->rule.value(), refused->reason},
         refused->retry_after);
@@ -175,16 +180,18 @@
   }
   const auto* route = std::get_if<rules::Route>(&decision);
   if (route == nullptr) {
-    RefuseAtOnce(event.request,
-                 {ErrorId::kNoRuleMatches, facts.account.value(), event.path},
-                 std::nullopt, run_state);
+    RefuseImmediately(
+        event.request,
+        {ErrorId::kNoRuleMatches, facts.account.value(), event.path},
+        std::nullopt, run_state);
     return std::nullopt;
   }
   if (route->candidates->empty()) {
-    RefuseAtOnce(event.request,
-                 {ErrorId::kNoUpstream, route->rule.value(),
-                  "no upstream serves " + event.model + event.service.value()},
-                 std::nullopt, run_state);
+    RefuseImmediately(
+        event.request,
+        {ErrorId::kNoUpstream, route->rule.value(),
+         "no upstream serves " + event.model + event.service.value()},
+        std::nullopt, run_state);
     return std::nullopt;
   }
 
@@ -211,12 +218,12 @@
   return work;
 }
 
-void RequestFlow::FollowVerdict(TimePoint now,
-                                RequestId id,
-                                const request::KeyVerdict& verdict) {
+void RequestFlow::ApplyVerdict(TimePoint now,
+                               RequestId id,
+                               const request::KeyVerdict& verdict) {
   Work* work = Find(id);
   if (const auto* refuse = std::get_if<request::Refuse>(&verdict)) {
-    m_parts.outbox.Add(
+    m_dependencies.outbox.Add(
         Refuse{id, refuse->error, refuse->run_state, refuse->retry_after});
     Erase(id);
     return;
@@ -229,7 +236,7 @@
   } else if (const auto* claim = std::get_if<request::NeedClaim>(&verdict)) {
     Claim(now, *work, claim->key);
   } else if (const auto* join = std::get_if<request::Join>(&verdict)) {
-    m_parts.outbox.Add(JoinAnswer{id, join->leader});
+    m_dependencies.outbox.Add(JoinAnswer{id, join->leader});
     Erase(id);
   } else if (const auto* to = std::get_if<request::ForwardTo>(&verdict)) {
     Relay(*work, *to);
@@ -249,14 +256,14 @@
     GiveUp(now, work, limited->error, limited->retry_after);
     return;
   }
-  AskForTokens(now, work);
+  ReserveTokens(now, work);
 }
 
 void RequestFlow::Claim(TimePoint now, Work& work, const core::Hash128& key) {
   v1::Record record;
   record.mutable_key_claimed()->set_key_hash(key.ToBytes());
   const core::Status added =
-      m_parts.log.Add(std::move(record), logclient::Urgency::kUrgent);
+      m_dependencies.log.Add(std::move(record), logclient::Urgency::kUrgent);
   if (!core::IsOk(added)) {
     GiveUp(now, work, core::Failure(added), std::nullopt);
     return;
@@ -280,7 +287,8 @@
   if (work == nullptr) {
     return;
   }
-  const request::Origin self{m_parts.settings.router, m_parts.incarnation};
+  const request::Origin self{m_dependencies.settings.router,
+                             m_dependencies.incarnation};
   if (owner == self) {
     m_table.OnClaimWon(now, id);
     RunHere(now, *work);
@@ -288,17 +296,17 @@
   }
   for (const request::RequestVerdict& next :
        m_table.OnClaimLost(now, id, owner)) {
-    FollowVerdict(now, next.request, next.verdict);
+    ApplyVerdict(now, next.request, next.verdict);
   }
 }
 
 void RequestFlow::Relay(Work& work, const request::ForwardTo& to) {
   work.stage = Stage::kForwarded;
-  m_parts.outbox.Info("forwarded",
-                      {{"request", std::to_string(work.id.value())},
-                       {"account", work.account.value()},
-                       {"router", to.router.value()}});
-  m_parts.outbox.Add(
+  m_dependencies.outbox.Info("forwarded",
+                             {{"request", std::to_string(work.id.value())},
+                              {"account", work.account.value()},
+                              {"router", to.router.value()}});
+  m_dependencies.outbox.Add(
       Forward{work.id, to.router, to.incarnation, to.address, work.account});
 }
 
@@ -315,26 +323,27 @@
   outcome.answered = event.answered;
   outcome.sent = event.sent;
   outcome.relayed = event.relayed;
-  outcome.log_available = !m_parts.log.IsOut(now);
+  outcome.log_available = !m_dependencies.log.IsUnavailable(now);
   outcome.fold_current = FoldIsCurrent(now);
   const auto verdict = m_table.OnForwardEnded(now, event.request, outcome);
   if (!verdict.has_value()) {
     Erase(event.request);
     return;
   }
-  FollowVerdict(now, event.request, *verdict);
+  ApplyVerdict(now, event.request, *verdict);
 }
 
-void RequestFlow::OnStatusAsked(TimePoint now, const StatusAsked& event) {
+void RequestFlow::OnStatusRequested(TimePoint now,
+                                    const StatusRequested& event) {
   m_now = now;
   const auto account = Authenticate(event.api_key, event.forwarded_account);
   if (!core::IsOk(account)) {
-    RefuseAtOnce(event.request, core::Failure(account), std::nullopt);
+    RefuseImmediately(event.request, core::Failure(account), std::nullopt);
     return;
   }
   const auto key = request::KeyName::Parse(event.idempotency_key);
   if (!core::IsOk(key)) {
-    RefuseAtOnce(event.request, core::Failure(key), std::nullopt);
+    RefuseImmediately(event.request, core::Failure(key), std::nullopt);
     return;
   }
   const core::AccountId& id = core::Value(account)->id;
@@ -345,12 +354,13 @@
     return;
   }
   m_status_relays.emplace(event.request, lookup.status);
-  m_parts.outbox.Add(Forward{event.request, lookup.ask->router,
-                             lookup.ask->incarnation, lookup.ask->address, id});
+  m_dependencies.outbox.Add(Forward{event.request, lookup.ask->router,
+                                    lookup.ask->incarnation,
+                                    lookup.ask->address, id});
 }
 
 void RequestFlow::ReplyStatus(RequestId id, const v1::RequestStatus& status) {
-  m_parts.outbox.Add(ReplyJson{id, kHttpOk, JsonOf(status)});
+  m_dependencies.outbox.Add(ReplyJson{id, kHttpOk, JsonOf(status)});
 }
 
 }  // namespace coppervalve::router::detail
--- a/src/router/flow_attempts.cc
+++ b/src/router/flow_attempts.cc
@@ -56,7 +56,7 @@
 
 void RequestFlow::ReleaseTokens(TimePoint now, Work& work) {
   if (work.reservation.has_value()) {
-    m_parts.book.Cancel(now, *work.reservation);
+    m_dependencies.holding_manager.Cancel(now, *work.reservation);
     work.reservation.reset();
   }
 }
@@ -66,8 +66,8 @@
 // total of the upstreams exceed the prepaid tokens.
 void RequestFlow::WriteOff(TimePoint now, Work& work) {
   if (work.reservation.has_value()) {
-    m_parts.book.Settle(now, *work.reservation, work.reservation->bound,
-                        budget::WrittenOff{});
+    m_dependencies.holding_manager.Settle(
+        now, *work.reservation, work.reservation->bound, budget::WrittenOff{});
     work.reservation.reset();
   }
 }
@@ -110,7 +110,7 @@
   failed.max_attempts = work.route.max_attempts;
   failed.tried = work.tried;
   failed.deadline = work.start_by;
-  FollowRetry(now, work, m_retries.Decide(failed, now));
+  ApplyRetryDecision(now, work, m_retries.Decide(failed, now));
 }
 
 void RequestFlow::OnFirstToken(TimePoint now, const AttemptFirstToken& event) {
@@ -131,7 +131,7 @@
   if (uncounted && work.reservation.has_value()) {
     return work.reservation->bound;
   }
-  return m_parts.configured.CostAt(work.upstream, done.usage);
+  return m_dependencies.configured.CostAt(work.upstream, done.usage);
 }
 
 void RequestFlow::OnDone(TimePoint now, const AttemptDone& event) {
@@ -148,22 +148,22 @@
     charge = budget::Bill{*work->key, work->account};
   }
   if (work->reservation.has_value()) {
-    const auto settled =
-        m_parts.book.Settle(now, *work->reservation, cost, charge);
+    const auto settled = m_dependencies.holding_manager.Settle(
+        now, *work->reservation, cost, charge);
     if (settled.has_value() && settled->uncovered > Tokens(0)) {
-      m_parts.outbox.Alarm(
+      m_dependencies.outbox.Alarm(
           {ErrorId::kConservationBroken, work->upstream.value(),
            "used " + std::to_string(settled->uncovered.value()) +
-               " tokens more than were reserved"});
+               " tokens not covered by the holding"});
     }
   }
   m_table.OnDone(now, work->id, event.answer_size);
-  m_parts.outbox.Info("answered",
-                      {{"request", std::to_string(work->id.value())},
-                       {"account", work->account.value()},
-                       {"upstream", work->upstream.value()},
-                       {"status", std::to_string(event.http_status)},
-                       {"tokens", std::to_string(cost.value())}});
+  m_dependencies.outbox.Info("answered",
+                             {{"request", std::to_string(work->id.value())},
+                              {"account", work->account.value()},
+                              {"upstream", work->upstream.value()},
+                              {"status", std::to_string(event.http_status)},
+                              {"tokens", std::to_string(cost.value())}});
   Erase(event.request);
 }
 
@@ -185,17 +185,17 @@
   failed.attempts = work->attempts;
   failed.max_attempts = work->route.max_attempts;
   failed.tried = work->tried;
-  FollowRetry(now, *work, m_retries.Decide(failed, now));
+  ApplyRetryDecision(now, *work, m_retries.Decide(failed, now));
 }
 
-void RequestFlow::FollowRetry(TimePoint now,
-                              Work& work,
-                              const routing::RetryDecision& decision) {
+void RequestFlow::ApplyRetryDecision(TimePoint now,
+                                     Work& work,
+                                     const routing::RetryDecision& decision) {
   const auto* retry = std::get_if<routing::Retry>(&decision);
   if (retry != nullptr && m_table.MayRetry(work.id)) {
-    work.stage = Stage::kPause;
+    work.stage = Stage::kBackoff;
     work.tried = retry->exclude;
-    m_pauses.emplace(now + retry->after, work.id);
+    m_backoffs.emplace(now + retry->after, work.id);
     return;
   }
   const auto* give_up = std::get_if<routing::GiveUp>(&decision);
@@ -207,18 +207,18 @@
   GiveUp(now, work, give_up->error, give_up->retry_after);
 }
 
-void RequestFlow::ResumePaused(TimePoint now) {
-  while (!m_pauses.empty() && m_pauses.begin()->first <= now) {
-    const RequestId id = m_pauses.begin()->second;
-    m_pauses.erase(m_pauses.begin());
+void RequestFlow::ResumeAfterBackoff(TimePoint now) {
+  while (!m_backoffs.empty() && m_backoffs.begin()->first <= now) {
+    const RequestId id = m_backoffs.begin()->second;
+    m_backoffs.erase(m_backoffs.begin());
     Work* work = Find(id);
-    if (work == nullptr || work->stage != Stage::kPause) {
+    if (work == nullptr || work->stage != Stage::kBackoff) {
       continue;
     }
     if (work->reservation.has_value()) {
       Enqueue(now, *work);
     } else {
-      AskForTokens(now, *work);
+      ReserveTokens(now, *work);
     }
   }
 }
@@ -236,41 +236,44 @@
   const request::Waiters waiters = run_state == core::RunState::kNotRun
                                        ? m_table.OnRefused(now, id, error.id)
                                        : m_table.OnFailed(now, id, error.id);
-  m_parts.outbox.Info("refused", {{"request", std::to_string(id.value())},
-                                  {"account", work.account.value()},
-                                  {"rule", work.route.rule.value()},
-                                  {"error", core::ErrorCode(error.id)},
-                                  {"detail", error.detail}});
+  m_dependencies.outbox.Info("refused",
+                             {{"request", std::to_string(id.value())},
+                              {"account", work.account.value()},
+                              {"rule", work.route.rule.value()},
+                              {"error", core::ErrorCode(error.id)},
+                              {"detail", error.detail}});
   for (const RequestId waiter : waiters) {
-    m_parts.outbox.Add(Refuse{waiter, error, run_state, retry_after});
+    m_dependencies.outbox.Add(Refuse{waiter, error, run_state, retry_after});
   }
   if (waiters.empty()) {
-    m_parts.outbox.Add(ForgetAnswer{id});
+    m_dependencies.outbox.Add(ForgetAnswer{id});
   }
   Erase(id);
 }
 
-void RequestFlow::RefuseAtOnce(RequestId id,
-                               Error error,
-                               std::optional<core::Duration> retry_after,
-                               core::RunState run_state) {
-  m_parts.outbox.Info("refused", {{"request", std::to_string(id.value())},
-                                  {"error", core::ErrorCode(error.id)},
-                                  {"detail", error.detail}});
-  m_parts.outbox.Add(Refuse{id, std::move(error), run_state, retry_after});
+void RequestFlow::RefuseImmediately(RequestId id,
+                                    Error error,
+                                    std::optional<core::Duration> retry_after,
+                                    core::RunState run_state) {
+  m_dependencies.outbox.Info("refused",
+                             {{"request", std::to_string(id.value())},
+                              {"error", core::ErrorCode(error.id)},
+                              {"detail", error.detail}});
+  m_dependencies.outbox.Add(
+      Refuse{id, std::move(error), run_state, retry_after});
 }
 
 void RequestFlow::OnCallerGone(TimePoint now, RequestId id) {
   m_now = now;
   m_status_relays.erase(id);
-  const request::GoneDecision decision = m_table.OnCallerGone(now, id);
+  const request::DisconnectDecision decision = m_table.OnCallerGone(now, id);
   Work* work = Find(id);
-  if (decision != request::GoneDecision::kCancel || work == nullptr) {
+  if (decision != request::DisconnectDecision::kCancel || work == nullptr) {
     return;
   }
   const bool sent = work->stage == Stage::kAttempt;
   if (sent || work->stage == Stage::kForwarded) {
-    m_parts.outbox.Add(
+    m_dependencies.outbox.Add(
         CancelAttempt{id, sent ? work->attempt : core::AttemptId(0)});
   }
   if (sent) {
--- a/src/router/log_desk.cc
+++ b/src/router/log_access.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/router/detail/log_desk.h"
+#include "coppervalve/router/detail/log_access.h"
 
 #include <utility>  // move
 #include <vector>   // vector
@@ -11,7 +11,7 @@
 namespace {
 
 /// Each review ranks all live members, so reviews are limited to this interval.
-constexpr core::Duration kReviewSnapshotsEvery = std::chrono::seconds(1);
+constexpr core::Duration kSnapshotReviewInterval = std::chrono::seconds(1);
 
 // 53 random bits scaled to [0, 1), the precision of a double.
 logclient::JitterHook JitterFrom(const RouterHooks& hooks) {
@@ -22,10 +22,10 @@
 
 }  // namespace
 
-LogDesk::LogDesk(const RouterSettings& settings,
-                 core::Incarnation incarnation,
-                 const RouterHooks& hooks,
-                 Outbox& outbox)
+LogAccess::LogAccess(const RouterSettings& settings,
+                     core::Incarnation incarnation,
+                     const RouterHooks& hooks,
+                     Outbox& outbox)
     : m_settings(settings),
       m_incarnation(incarnation),
       m_outbox(outbox),
@@ -37,7 +37,7 @@
                JitterFrom(hooks)),
       m_snapshots(settings.router, settings.snapshots) {}
 
-bool LogDesk::OnRead(TimePoint now, const v1::ReadReply& reply) {
+bool LogAccess::OnRead(TimePoint now, const v1::ReadReply& reply) {
   core::Result<logclient::ReadOutcome> result = m_reader.OnRead(now, reply);
   if (!core::IsOk(result)) {
     m_outbox.Alarm(core::Failure(result));
@@ -61,7 +61,7 @@
          m_reader.next_offset() == m_reader.end();
 }
 
-void LogDesk::Load(const v1::Snapshot& snapshot) {
+void LogAccess::Load(const v1::Snapshot& snapshot) {
   core::Result<ledger::Fold> loaded =
       ledger::Fold::FromState(snapshot.state(), m_settings.fold);
   if (!core::IsOk(loaded)) {
@@ -70,13 +70,13 @@
     return;
   }
   m_fold = core::TakeValue(std::move(loaded));
-  m_lost_continuity = m_writing;
+  m_has_skipped_entries = m_writing;
   m_snapshots.OnSnapshotSeen(LogOffset(snapshot.offset()));
   m_outbox.Info("snapshot_loaded",
                 {{"offset", std::to_string(snapshot.offset())}});
 }
 
-void LogDesk::FoldEntry(const v1::LoggedEntry& logged) {
+void LogAccess::FoldEntry(const v1::LoggedEntry& logged) {
   v1::Entry entry;
   // Every reader folds invalid bytes as an empty entry, so that a faulty writer
   // cannot make the folds of the fleet differ.
@@ -107,7 +107,7 @@
   }
 }
 
-void LogDesk::Fail(const core::Error& error) {
+void LogAccess::Fail(const core::Error& error) {
   if (m_failure.has_value()) {
     return;
   }
@@ -115,39 +115,39 @@
   m_outbox.Alarm(error);
 }
 
-void LogDesk::OnReadFailed(TimePoint now) {
+void LogAccess::OnReadFailed(TimePoint now) {
   m_reader.OnFailed(now);
   if (!m_read_failing_since.has_value()) {
     m_read_failing_since = now;
   }
 }
 
-void LogDesk::OnAppended(TimePoint now, LogOffset offset) {
+void LogAccess::OnAppended(TimePoint now, LogOffset offset) {
   m_writer.OnAppended(now, offset);
 }
 
-void LogDesk::OnAppendFailed(TimePoint now) {
+void LogAccess::OnAppendFailed(TimePoint now) {
   m_writer.OnFailed(now);
 }
 
-bool LogDesk::IsOut(TimePoint now) const {
+bool LogAccess::IsUnavailable(TimePoint now) const {
   const bool reads_fail =
       m_read_failing_since.has_value() &&
       now - *m_read_failing_since >= m_settings.writer.outage_after;
   return reads_fail || m_writer.LogIsOut(now);
 }
 
-core::Status LogDesk::Add(v1::Record record, logclient::Urgency urgency) {
+core::Status LogAccess::Add(v1::Record record, logclient::Urgency urgency) {
   m_writing = true;
   return m_writer.Add(std::move(record), urgency);
 }
 
-bool LogDesk::HasRoomFor(size_t records) const {
+bool LogAccess::HasRoomFor(size_t records) const {
   return m_writer.backlog_records() + records <=
          m_settings.writer.max_backlog_records;
 }
 
-void LogDesk::Pump(TimePoint now) {
+void LogAccess::Pump(TimePoint now) {
   if (const auto read = m_reader.NextRead(now)) {
     m_outbox.Add(ReadLog{read->from, read->wait});
   }
@@ -164,12 +164,12 @@
   }
 }
 
-void LogDesk::PumpSnapshot(TimePoint now) {
+void LogAccess::PumpSnapshot(TimePoint now) {
   if (m_snapshot_wanted || m_reader.is_scanning() ||
       now < m_next_snapshot_review) {
     return;
   }
-  m_next_snapshot_review = now + kReviewSnapshotsEvery;
+  m_next_snapshot_review = now + kSnapshotReviewInterval;
   std::vector<core::RouterId> live;
   for (const ledger::Member* member : m_fold.LiveMembers()) {
     live.push_back(member->id);
@@ -181,7 +181,7 @@
   m_snapshot_wanted = m_snapshots.IsDue(now, range, live);
 }
 
-void LogDesk::CaptureSnapshot() {
+void LogAccess::CaptureSnapshot() {
   m_snapshot_wanted = false;
   v1::Record record;
   v1::Snapshot& snapshot = *record.mutable_snapshot();
--- a/src/router/order_link.cc
+++ b/src/router/order_adapter.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/router/detail/order_link.h"
+#include "coppervalve/router/detail/order_adapter.h"
 
 #include <string>   // to_string
 #include <utility>  // move
@@ -18,23 +18,23 @@
 
 }  // namespace
 
-OrderLink::OrderLink(const core::RouterId& router,
-                     core::Incarnation incarnation,
-                     LogDesk& log,
-                     Outbox& outbox)
+OrderAdapter::OrderAdapter(const core::RouterId& router,
+                           core::Incarnation incarnation,
+                           LogAccess& log,
+                           Outbox& outbox)
     : m_incarnation(incarnation),
       m_log(log),
       m_outbox(outbox),
-      m_desk({router, incarnation}) {}
+      m_manager({router, incarnation}) {}
 
-void OrderLink::AfterReading(TimePoint now) {
-  m_desk.Follow(now, m_log.fold());
+void OrderAdapter::AfterReading(TimePoint now) {
+  m_manager.Update(now, m_log.fold());
 }
 
-void OrderLink::OnEffect(TimePoint now, const ledger::Effect& effect) {
+void OrderAdapter::OnEffect(TimePoint now, const ledger::Effect& effect) {
   if (const auto* refused = std::get_if<ledger::OrderTakeRefused>(&effect)) {
     if (refused->incarnation == m_incarnation) {
-      m_desk.OnTakeRefused(now, refused->upstream, refused->fencing);
+      m_manager.OnTakeRefused(now, refused->upstream, refused->fencing);
     }
   } else if (const auto* ended = std::get_if<ledger::OrderEnded>(&effect)) {
     LogFields fields = FieldsOf(ended->upstream, ended->fencing);
@@ -43,22 +43,22 @@
   }
 }
 
-void OrderLink::OnSent(TimePoint now, const OrderSent& event) {
-  m_desk.OnSent(now, event.upstream, event.fencing, event.outcome);
+void OrderAdapter::OnSent(TimePoint now, const OrderSent& event) {
+  m_manager.OnSent(now, event.upstream, event.fencing, event.outcome);
 }
 
-void OrderLink::Pump(TimePoint now, const orders::Permit& permit) {
+void OrderAdapter::Pump(TimePoint now, const orders::Permit& permit) {
   // An outcome that does not fit into the backlog would be lost and its order
   // would stay open with an idle holder, so room is checked first.
-  if (m_desk.open() == 0 || !m_log.HasRoomFor(2 * m_desk.open())) {
+  if (m_manager.open() == 0 || !m_log.HasRoomFor(2 * m_manager.open())) {
     return;
   }
-  for (const orders::Command& command : m_desk.Pump(now, permit)) {
-    std::visit([this](const auto& c) { Carry(c); }, command);
+  for (const orders::Command& command : m_manager.Pump(now, permit)) {
+    std::visit([this](const auto& c) { Execute(c); }, command);
   }
 }
 
-void OrderLink::Carry(const orders::Take& command) {
+void OrderAdapter::Execute(const orders::TakeOrder& command) {
   v1::Record record;
   v1::OrderTaken& taken = *record.mutable_order_taken();
   taken.set_upstream(command.upstream.value());
@@ -66,13 +66,13 @@
   Append(std::move(record));
 }
 
-void OrderLink::Carry(const orders::Send& command) {
+void OrderAdapter::Execute(const orders::DeliverOrder& command) {
   m_outbox.Info("order_sent", FieldsOf(command.upstream, command.fencing));
   m_outbox.Add(SendOrder{command.upstream, command.address, command.fencing,
                          command.order});
 }
 
-void OrderLink::Carry(const orders::State& command) {
+void OrderAdapter::Execute(const orders::EndOrder& command) {
   v1::Record record;
   v1::OrderEnded& ended = *record.mutable_order_ended();
   ended.set_upstream(command.upstream.value());
@@ -81,7 +81,7 @@
   Append(std::move(record));
 }
 
-void OrderLink::Append(v1::Record record) {
+void OrderAdapter::Append(v1::Record record) {
   const core::Status added =
       m_log.Add(std::move(record), logclient::Urgency::kUrgent);
   if (!core::IsOk(added)) {
--- a/src/router/peer_desk.cc
+++ b/src/router/peer_manager.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/router/detail/peer_desk.h"
+#include "coppervalve/router/detail/peer_manager.h"
 
 #include <chrono>   // milliseconds, seconds
 #include <utility>  // move
@@ -13,7 +13,8 @@
 
 /// A finer resolution is not needed. Reads of a busy log end far more often,
 /// and each check is linear in the members.
-constexpr core::Duration kWatchEvery = std::chrono::milliseconds(500);
+constexpr core::Duration kRetirementCheckInterval =
+    std::chrono::milliseconds(500);
 constexpr core::Duration kDefaultFreshness = std::chrono::seconds(8);
 
 Member SelfOf(const RouterSettings& settings, core::Incarnation incarnation) {
@@ -55,37 +56,38 @@
   return member;
 }
 
-PeerDesk::PeerDesk(const RouterSettings& settings,
-                   core::Incarnation incarnation,
-                   Outbox& outbox)
+PeerManager::PeerManager(const RouterSettings& settings,
+                         core::Incarnation incarnation,
+                         Outbox& outbox)
     : m_outbox(outbox),
       m_view(SelfOf(settings, incarnation)),
       m_freshness(kDefaultFreshness),
       m_retirements(m_view.self().id),
       m_witness(m_view.self()) {}
 
-void PeerDesk::SetMembers(const ledger::Fold& fold) {
+void PeerManager::SetMembers(const ledger::Fold& fold) {
   m_view.SetMembers(MembersOf(fold));
 }
 
-void PeerDesk::OnReadToEnd(TimePoint now,
-                           TimePoint issued,
-                           const ledger::Fold& fold) {
+void PeerManager::OnReadToEnd(TimePoint now,
+                              TimePoint issued,
+                              const ledger::Fold& fold) {
   m_freshness.OnReadToEnd(issued);
-  if (m_watched.has_value() && now - *m_watched < kWatchEvery) {
+  if (m_last_retirement_check.has_value() &&
+      now - *m_last_retirement_check < kRetirementCheckInterval) {
     return;
   }
-  m_watched = now;
+  m_last_retirement_check = now;
   m_retirements.OnReadToEnd(issued, MembersOf(fold));
 }
 
-void PeerDesk::SetRetireAfter(core::Duration bound) {
+void PeerManager::SetRetireAfter(core::Duration bound) {
   m_retirements.SetRetireAfter(bound);
 }
 
-void PeerDesk::Send(TimePoint now,
-                    const budget::PeerRef& to,
-                    v1::PeerMessage message) {
+void PeerManager::Send(TimePoint now,
+                       const budget::PeerRef& to,
+                       v1::PeerMessage message) {
   const auto peer = m_view.Find(now, {to.router, to.incarnation});
   if (!peer.has_value()) {
     return;
@@ -97,21 +99,21 @@
       SendPeer{to.router, peer->member.peer_address, std::move(message)});
 }
 
-void PeerDesk::OnHeartbeat(TimePoint now,
-                           const MemberId& from,
-                           const v1::Heartbeat& heartbeat) {
+void PeerManager::OnHeartbeat(TimePoint now,
+                              const MemberId& from,
+                              const v1::Heartbeat& heartbeat) {
   m_view.OnHeartbeat(now, from, heartbeat);
 }
 
-void PeerDesk::OnSendFailed(TimePoint now, const core::RouterId& router) {
+void PeerManager::OnSendFailed(TimePoint now, const core::RouterId& router) {
   m_view.OnSendFailed(now, router);
 }
 
-std::vector<v1::RouterRetired> PeerDesk::TakeRetirements(TimePoint now) {
+std::vector<v1::RouterRetired> PeerManager::TakeRetirements(TimePoint now) {
   return m_retirements.TakeDue(now);
 }
 
-membership::WitnessVerdict PeerDesk::JudgeWitness(
+membership::WitnessVerdict PeerManager::EvaluateWitness(
     TimePoint now,
     const std::optional<budget::PeerRef>& current) {
   std::optional<MemberId> witness;
@@ -122,7 +124,7 @@
   return m_witness.Judge(now, witness, m_view.Peers(now));
 }
 
-membership::FreshnessVerdict PeerDesk::JudgeFreshness(
+membership::FreshnessVerdict PeerManager::EvaluateFreshness(
     TimePoint now,
     core::ConfigVersion version,
     const ledger::Fold& fold) {
@@ -139,13 +141,13 @@
   return m_freshness.Judge(now, inputs);
 }
 
-std::optional<core::Duration> PeerDesk::LogAge(TimePoint now) const {
+std::optional<core::Duration> PeerManager::LogAge(TimePoint now) const {
   return m_freshness.LogAge(now);
 }
 
-request::Location PeerDesk::Locate(TimePoint now,
-                                   const request::Origin& origin,
-                                   const ledger::Fold& fold) const {
+request::Location PeerManager::Locate(TimePoint now,
+                                      const request::Origin& origin,
+                                      const ledger::Fold& fold) const {
   request::Location location;
   location.origin = origin;
   const ledger::Member* member =
@@ -165,8 +167,8 @@
   return location;
 }
 
-request::Location PeerDesk::OwnerOf(TimePoint now,
-                                    const core::Hash128& key) const {
+request::Location PeerManager::OwnerOf(TimePoint now,
+                                       const core::Hash128& key) const {
   const Member& owner = m_view.OwnerOf(key);
   const bool here = owner.id == self().id;
   request::Location location;
--- a/src/router/session.cc
+++ b/src/router/session.cc
@@ -45,8 +45,8 @@
       m_log(settings, incarnation, hooks, m_outbox),
       m_peers(settings, incarnation, m_outbox),
       m_budgets(settings, incarnation, m_log, m_peers),
-      m_flow({settings, hooks, incarnation, m_log, m_peers, m_budgets.book(),
-              m_configured, m_outbox}),
+      m_flow({settings, hooks, incarnation, m_log, m_peers,
+              m_budgets.holding_manager(), m_configured, m_outbox}),
       m_orders(settings.router, incarnation, m_log, m_outbox),
       m_addresses(m_peers.self(), PrefixOf) {
   m_log.SetOnFolded([this](const v1::Entry& entry,
@@ -57,9 +57,9 @@
 
 std::vector<Action> Session::Handle(TimePoint now, const Event& event) {
   m_now = now;
-  JudgeFreshness(now);
+  EvaluateFreshness(now);
   std::visit([&](const auto& e) { On(now, e); }, event);
-  JudgeFreshness(now);
+  EvaluateFreshness(now);
   Pump(now);
   return m_outbox.Take();
 }
@@ -68,9 +68,9 @@
 // requests in its sockets under replaced rules. Freshness is therefore checked
 // before each event, and again after it because the event may contain a newer
 // read.
-void Session::JudgeFreshness(TimePoint now) {
+void Session::EvaluateFreshness(TimePoint now) {
   const auto verdict =
-      m_peers.JudgeFreshness(now, m_configured.version(), m_log.fold());
+      m_peers.EvaluateFreshness(now, m_configured.version(), m_log.fold());
   const auto* stale = std::get_if<membership::Stale>(&verdict);
   m_stale.reset();
   if (stale != nullptr) {
@@ -81,7 +81,7 @@
 
 // ---- Callers ---------------------------------------------------------------
 
-std::optional<Error> Session::WhyUnfit() const {
+std::optional<Error> Session::NotServingReason() const {
   if (m_log.failure().has_value()) {
     return *m_log.failure();
   }
@@ -101,9 +101,9 @@
   return std::nullopt;
 }
 
-std::optional<Error> Session::WhyClosed() const {
-  if (auto unfit = WhyUnfit()) {
-    return unfit;
+std::optional<Error> Session::ClosedReason() const {
+  if (auto not_serving = NotServingReason()) {
+    return not_serving;
   }
   if (!m_drain.TakesNew()) {
     return Error{ErrorId::kDraining, m_settings.router.value(),
@@ -113,7 +113,7 @@
 }
 
 bool Session::Ready() const {
-  return !WhyClosed().has_value() && m_drain.Listed();
+  return !ClosedReason().has_value() && m_drain.Listed();
 }
 
 bool Session::draining() const {
@@ -121,15 +121,15 @@
 }
 
 void Session::On(TimePoint now, const RequestArrived& event) {
-  const std::optional<Error> closed = WhyClosed();
+  const std::optional<Error> closed = ClosedReason();
   if (closed.has_value() && m_phase == Phase::kReading) {
-    m_flow.RefuseUnread(event, *closed);
+    m_flow.RefuseBeforeFirstRead(event, *closed);
     return;
   }
   m_flow.OnArrived(now, event, closed);
 }
 
-void Session::On(TimePoint now, const AddressesAsked& event) {
+void Session::On(TimePoint now, const AddressesRequested& event) {
   const auto account = m_flow.Authenticate(event.api_key, std::nullopt);
   if (!core::IsOk(account)) {
     m_outbox.Add(Refuse{event.request, core::Failure(account),
@@ -145,11 +145,11 @@
   m_outbox.Add(ReplyJson{event.request, kHttpOk, JsonOf(list)});
 }
 
-void Session::On(TimePoint now, const StatusAsked& event) {
-  m_flow.OnStatusAsked(now, event);
+void Session::On(TimePoint now, const StatusRequested& event) {
+  m_flow.OnStatusRequested(now, event);
 }
 
-void Session::On(TimePoint now, const OperatorStatusAsked& event) {
+void Session::On(TimePoint now, const OperatorStatusRequested& event) {
   m_outbox.Add(ReplyJson{event.request, kHttpOk, JsonOf(Status(now))});
 }
 
@@ -217,14 +217,14 @@
 }
 
 void Session::AfterReading(TimePoint now, bool at_end) {
-  FollowConfiguration();
+  ApplyConfiguration();
   m_orders.AfterReading(now);
   if (std::exchange(m_members_changed, false)) {
     m_peers.SetMembers(m_log.fold());
     m_flow.limiter().SetRouters(
         static_cast<uint32_t>(m_peers.view().live_members()));
   }
-  if (m_log.lost_continuity() && m_phase == Phase::kMember) {
+  if (m_log.has_skipped_entries() && m_phase == Phase::kMember) {
     OnOwnRetirement(now);
   }
   if (!at_end) {
@@ -249,8 +249,8 @@
   Append(std::move(record));
 }
 
-void Session::FollowConfiguration() {
-  if (!m_configured.Follow(m_log.fold())) {
+void Session::ApplyConfiguration() {
+  if (!m_configured.Update(m_log.fold())) {
     return;
   }
   m_flow.OnConfigured();
@@ -359,7 +359,7 @@
     if (m_phase == Phase::kMember) {
       m_orders.Pump(now, {!m_stale.has_value(), draining()});
     }
-    m_peers.Beat(now, [&] { return MakeHeartbeat(now); });
+    m_peers.SendHeartbeatIfDue(now, [&] { return MakeHeartbeat(now); });
   }
   if (m_phase != Phase::kEnded) {
     m_log.Pump(now);
--- a/src/router/session_end.cc
+++ b/src/router/session_end.cc
@@ -12,11 +12,11 @@
     return;
   }
   m_phase = Phase::kRetired;
-  if (m_log.lost_continuity()) {
+  if (m_log.has_skipped_entries()) {
     // Entries with grants of this router were skipped, so its holdings can no
     // longer match the fold. It retires and starts a new incarnation.
     AnnounceRetirement();
-    m_budgets.book().OnRetired(now);
+    m_budgets.holding_manager().OnRetired(now);
   }
 }
 
@@ -36,13 +36,14 @@
 void Session::EndIfFinished(TimePoint now) {
   (void)now;
   if (m_phase != Phase::kRetired || m_flow.in_progress() > 0 ||
-      !m_budgets.book().Finalized() || m_log.writer().backlog_records() > 0) {
+      !m_budgets.holding_manager().Finalized() ||
+      m_log.writer().backlog_records() > 0) {
     return;
   }
   m_phase = Phase::kEnded;
 }
 
-void Session::On(TimePoint now, const DrainAsked& event) {
+void Session::On(TimePoint now, const DrainRequested& event) {
   (void)event;
   if (!m_drain.Ask(now)) {
     return;
@@ -63,23 +64,22 @@
   inputs.announced = m_drain_announced;
   inputs.in_progress = m_flow.in_progress() + m_orders.busy();
   inputs.queued = m_flow.queued();
-  inputs.holdings_settled = m_budgets.Settled();
+  inputs.holdings_settled = m_budgets.HoldingsReturned();
   inputs.finalized = m_phase == Phase::kEnded || m_phase == Phase::kReading ||
                      m_phase == Phase::kJoining;
   const membership::DrainPhase phase = m_drain.Advance(now, inputs);
   if (phase >= membership::DrainPhase::kReturning &&
       !m_returning_since.has_value()) {
     m_returning_since = now;
-    m_budgets.book().StartDrain(now);
+    m_budgets.holding_manager().StartDrain(now);
   }
   if (phase == membership::DrainPhase::kFinalising &&
       m_phase == Phase::kMember) {
     AnnounceRetirement();
   }
-  const bool patience_over =
-      m_returning_since.has_value() &&
-      now - *m_returning_since >= m_settings.drain_patience;
-  if (phase == membership::DrainPhase::kExit || patience_over) {
+  const bool timed_out = m_returning_since.has_value() &&
+                         now - *m_returning_since >= m_settings.drain_patience;
+  if (phase == membership::DrainPhase::kExit || timed_out) {
     m_outbox.Add(Exit{});
   }
 }
--- a/src/router/session_peers.cc
+++ b/src/router/session_peers.cc
@@ -29,7 +29,7 @@
   heartbeat.set_draining(draining());
   heartbeat.set_in_progress(static_cast<uint32_t>(m_flow.in_progress()));
   heartbeat.set_queued(static_cast<uint32_t>(m_flow.queued()));
-  for (v1::Spare& spare : m_budgets.book().TakeSpares(now)) {
+  for (v1::Spare& spare : m_budgets.holding_manager().TakeSpares(now)) {
     *heartbeat.add_spares() = std::move(spare);
   }
   for (const routing::AccountDemand& demand :
@@ -64,7 +64,7 @@
   const core::Incarnation incarnation(message.from_incarnation());
   const v1::Heartbeat& heartbeat = message.heartbeat();
   m_peers.OnHeartbeat(now, {router, incarnation}, heartbeat);
-  m_budgets.book().OnPeerSpares(
+  m_budgets.holding_manager().OnPeerSpares(
       now, {router, incarnation},
       {heartbeat.spares().begin(), heartbeat.spares().end()});
   std::vector<routing::AccountDemand> demands;
--- a/src/trial/audit.cc
+++ b/src/trial/audit.cc
@@ -109,7 +109,7 @@
     if (!node.alive()) {
       continue;
     }
-    const core::Status status = node.core().book().CheckInvariants();
+    const core::Status status = node.core().holding_manager().CheckInvariants();
     if (!core::IsOk(status)) {
       found.push_back({"I1", core::ToString(core::Failure(status))});
     }
--- a/src/trial/node.cc
+++ b/src/trial/node.cc
@@ -93,7 +93,7 @@
 }
 
 void Node::Drain() {
-  Deliver(router::DrainAsked{});
+  Deliver(router::DrainRequested{});
 }
 
 void Node::Later(Duration delay, std::function<void()> action) {
--- a/tests/net/unit-forward.cc
+++ b/tests/net/unit-forward.cc
@@ -216,7 +216,7 @@
       [&message](const std::string& address) -> TestShell::Decide {
     return
         [&message, address](const router::Event& event) -> TestShell::Actions {
-          if (std::holds_alternative<router::AddressesAsked>(event)) {
+          if (std::holds_alternative<router::AddressesRequested>(event)) {
             return {router::SendPeer{core::RouterId("r2"), address, message}};
           }
           return {};
--- a/tests/net/unit-platform.cc
+++ b/tests/net/unit-platform.cc
@@ -35,7 +35,8 @@
 // Does this once, at the first request of a caller.
 TestShell::Decide OnRequest(TestShell::Actions actions) {
   return [actions = std::move(actions)](const router::Event& event) {
-    const bool arrived = std::holds_alternative<router::AddressesAsked>(event);
+    const bool arrived =
+        std::holds_alternative<router::AddressesRequested>(event);
     return arrived ? actions : TestShell::Actions();
   };
 }
--- a/tests/net/unit-shell.cc
+++ b/tests/net/unit-shell.cc
@@ -29,7 +29,7 @@
 TestShell::Decide WithPhase(std::string phase) {
   return [phase = std::move(phase)](
              const router::Event& event) -> TestShell::Actions {
-    if (const auto* e = std::get_if<router::OperatorStatusAsked>(&event)) {
+    if (const auto* e = std::get_if<router::OperatorStatusRequested>(&event)) {
       return {
           router::ReplyJson{e->request, 200, "{\"phase\":\"" + phase + "\"}"}};
     }
@@ -41,7 +41,7 @@
 TestShell::Decide ExitOnDrain(const std::string& upstream) {
   return [decide = SendTo(upstream)](
              const router::Event& event) -> TestShell::Actions {
-    if (std::holds_alternative<router::DrainAsked>(event)) {
+    if (std::holds_alternative<router::DrainRequested>(event)) {
       return {router::Exit{}};
     }
     return decide(event);
@@ -69,7 +69,7 @@
   CHECK(Has(AskOperator(shell, "POST /admin/drain",
                         "Authorization: Bearer guess\r\n"),
             "CV-305"));
-  LONGS_EQUAL(0, shell.Count<router::DrainAsked>());
+  LONGS_EQUAL(0, shell.Count<router::DrainRequested>());
   CHECK(Has(AskOperator(shell, "GET /admin/status", kToken), "active"));
 }
 
@@ -92,7 +92,7 @@
             .starts_with("HTTP/1.1 202"));
   shell.shell().Drain();
   CHECK(Has(AskOperator(shell, "GET /admin/status", kToken), "draining"));
-  LONGS_EQUAL(1, shell.Count<router::DrainAsked>());
+  LONGS_EQUAL(1, shell.Count<router::DrainRequested>());
 }
 
 TEST(Shell, an_answer_on_its_way_out_is_not_cut_off_by_the_end) {
--- a/tests/orders/desk_fixture.h
+++ b/tests/orders/order_fixture.h
@@ -1,5 +1,5 @@
-#ifndef TESTS_ORDERS_DESK_FIXTURE_H_
-#define TESTS_ORDERS_DESK_FIXTURE_H_
+#ifndef TESTS_ORDERS_ORDER_FIXTURE_H_
+#define TESTS_ORDERS_ORDER_FIXTURE_H_
 
 #include <functional>  // function
 #include <set>         // set
@@ -7,19 +7,19 @@
 #include <vector>      // vector
 
 #include "../ledger/test_log.h"
-#include "coppervalve/orders/order_desk.h"
+#include "coppervalve/orders/order_manager.h"
 
 namespace coppervalve::orders {
 
 /// @brief Three routers on one log. `reply` answers what they send; routers in
 /// `halted` do nothing.
-struct Desks : ledger::TestLog {
+struct OrderFleet : ledger::TestLog {
   struct Sent {
     size_t router;
-    Send command;
+    DeliverOrder command;
   };
 
-  explicit Desks(const std::vector<std::string>& checking = {}) {
+  explicit OrderFleet(const std::vector<std::string>& checking = {}) {
     v1::Record record = ledger::Publish(0, 1000, "c1");
     v1::Configuration& configuration =
         *record.mutable_config_published()->mutable_configuration();
@@ -33,7 +33,7 @@
     Write(alice, record);
     for (ledger::Writer& router : routers) {
       Write(router, ledger::Join());
-      desks.emplace_back(membership::MemberId{
+      managers.emplace_back(membership::MemberId{
           core::RouterId(router.id), core::Incarnation(router.incarnation)});
     }
   }
@@ -47,7 +47,7 @@
   void Run(core::Duration duration) {
     const core::TimePoint end = now + duration;
     for (; now < end; now += std::chrono::milliseconds(100)) {
-      for (size_t router = 0; router < desks.size(); ++router) {
+      for (size_t router = 0; router < managers.size(); ++router) {
         Step(router);
       }
     }
@@ -57,27 +57,27 @@
     if (halted.contains(router)) {
       return;
     }
-    desks[router].Follow(now, fold());
+    managers[router].Update(now, fold());
     Permit permit{!stale.contains(router), draining.contains(router)};
-    for (const Command& command : desks[router].Pump(now, permit)) {
-      if (const auto* send = std::get_if<Send>(&command)) {
+    for (const Command& command : managers[router].Pump(now, permit)) {
+      if (const auto* send = std::get_if<DeliverOrder>(&command)) {
         sent.push_back({router, *send});
         if (reply) {
-          desks[router].OnSent(now, send->upstream, send->fencing,
-                               reply(*send));
+          managers[router].OnSent(now, send->upstream, send->fencing,
+                                  reply(*send));
         }
         continue;
       }
-      Carry(router, command);
+      Execute(router, command);
     }
   }
 
-  void Carry(size_t router, const Command& command) {
+  void Execute(size_t router, const Command& command) {
     v1::Record record;
-    if (const auto* take = std::get_if<Take>(&command)) {
+    if (const auto* take = std::get_if<TakeOrder>(&command)) {
       record.mutable_order_taken()->set_upstream(take->upstream.value());
       record.mutable_order_taken()->set_fencing_number(take->fencing.value());
-    } else if (const auto* state = std::get_if<State>(&command)) {
+    } else if (const auto* state = std::get_if<EndOrder>(&command)) {
       v1::OrderEnded& ended = *record.mutable_order_ended();
       ended.set_upstream(state->upstream.value());
       ended.set_fencing_number(state->fencing.value());
@@ -85,7 +85,7 @@
     }
     const auto effects = Write(routers[router], record);
     if (const auto* no = ledger::Find<ledger::OrderTakeRefused>(effects)) {
-      desks[router].OnTakeRefused(now, no->upstream, no->fencing);
+      managers[router].OnTakeRefused(now, no->upstream, no->fencing);
     }
   }
 
@@ -99,8 +99,8 @@
 
   ledger::Writer alice{"operator:alice", 11};
   std::vector<ledger::Writer> routers{{"r1", 1}, {"r2", 2}, {"r3", 3}};
-  std::vector<OrderDesk> desks;
-  std::function<SendOutcome(const Send&)> reply;
+  std::vector<OrderManager> managers;
+  std::function<SendOutcome(const DeliverOrder&)> reply;
   std::set<size_t> halted;
   std::set<size_t> stale;
   std::set<size_t> draining;
@@ -110,4 +110,4 @@
 
 }  // namespace coppervalve::orders
 
-#endif  // TESTS_ORDERS_DESK_FIXTURE_H_
+#endif  // TESTS_ORDERS_ORDER_FIXTURE_H_
--- a/tests/request/unit-key-name.cc
+++ b/tests/request/unit-key-name.cc
@@ -1,6 +1,6 @@
 #include <CppUTest/TestHarness.h>
 
-#include "coppervalve/request/forgotten_keys.h"
+#include "coppervalve/request/expired_key_filter.h"
 #include "coppervalve/request/key_name.h"
 
 using namespace coppervalve;
@@ -58,7 +58,7 @@
 
 TEST(KeyName, a_forgotten_key_is_found_for_a_whole_generation) {
   constexpr size_t kPerGeneration = 64;
-  request::ForgottenKeys forgotten(kPerGeneration);
+  request::ExpiredKeyFilter forgotten(kPerGeneration);
   for (size_t i = 0; i < 2 * kPerGeneration; ++i) {
     forgotten.Add(core::HashOf("old-" + std::to_string(i)));
   }
