--- a/apps/coppervalved/daemon.cc
+++ b/apps/coppervalved/daemon.cc
@@ -48,7 +48,7 @@
   result.failure_domain = core::FailureDomainId(settings.failure_domain);
   result.region = settings.region;
   result.version = kVersion;
-  result.drain_patience = settings.drain_patience;
+  result.drain_timeout = settings.drain_timeout;
   return result;
 }
 
--- a/apps/coppervalved/setting_table.cc
+++ b/apps/coppervalved/setting_table.cc
@@ -269,7 +269,7 @@
   add(
       "drain-patience-ms", "30000",
       "For returning budgets at the end when the log is out",
-      [](Settings & s) -> auto& { return s.drain_patience; });
+      [](Settings & s) -> auto& { return s.drain_timeout; });
   add(
       "close-patience-ms", "10000", "For open connections to end at the end",
       [](Settings & s) -> auto& { return s.shell.close_patience; });
--- a/apps/coppervalved/settings.h
+++ b/apps/coppervalved/settings.h
@@ -19,7 +19,7 @@
   std::string operator_advertise;
   std::string operator_token_file;
   std::string peer_secret_file;
-  std::chrono::milliseconds drain_patience{30'000};
+  std::chrono::milliseconds drain_timeout{30'000};
   router::LogLine::Level log_level = router::LogLine::Level::kInfo;
   net::ShellSettings shell;
 };
--- a/bench/capacity/changes.cc
+++ b/bench/capacity/changes.cc
@@ -92,11 +92,11 @@
 }
 
 void ReportStranded(Figures& figures, const CoreDriver& driver) {
-  const budget::Book& book = driver.core().book();
+  const budget::Book& holding_manager = driver.core().holding_manager();
   int64_t ahead = 0;
   int64_t held = 0;
   v1::QuarantineNarrowed narrowed;
-  for (const v1::BudgetStatus& status : book.Statuses()) {
+  for (const v1::BudgetStatus& status : holding_manager.Statuses()) {
     ahead += std::max<int64_t>(status.ceiling() - status.spent(), 0);
     held += status.held();
     if (status.ceiling() <= 0) {
@@ -106,7 +106,7 @@
     ceiling.set_budget(status.id());
     ceiling.set_tokens(status.ceiling());
   }
-  const budget::BookTotals& totals = book.Totals();
+  const budget::BookTotals& totals = holding_manager.Totals();
   figures.Inform("crash_strands_with_witness", static_cast<double>(ahead),
                  "tokens");
   figures.Inform("crash_strands_in_progress",
--- a/include/coppervalve/orders/order_manager.h
+++ b/include/coppervalve/orders/order_manager.h
@@ -33,7 +33,7 @@
   core::FencingNumber fencing;
 };
 
-/// @brief DeliverOrder an order that this router has taken, then call OnSent().
+/// @brief Sends an order that this router has taken; answered by OnSent().
 struct DeliverOrder {
   core::UpstreamId upstream;
   std::string address;
@@ -87,7 +87,7 @@
   size_t open() const { return m_open.size(); }
 
  private:
-  /// EndOrder of one open order.
+  /// Data of one open order.
   struct Job {
     core::FencingNumber fencing;
     v1::OrderIssued order;
--- a/include/coppervalve/request/expired_key_filter.h
+++ b/include/coppervalve/request/expired_key_filter.h
@@ -11,9 +11,9 @@
 
 /// @brief Remembers the keys of dropped records of requests that ran, in a
 /// Bloom filter of two generations.
+///
 /// The last `per_generation` keys are always found. With 16 bits and four
-/// probes per key, a new key is reported as known with a probability below 0.5
-/// %.
+/// probes per key, fewer than 0.5 % of new keys are reported as known.
 class ExpiredKeyFilter {
  public:
   explicit ExpiredKeyFilter(size_t per_generation);
--- a/include/coppervalve/request/request_record.h
+++ b/include/coppervalve/request/request_record.h
@@ -44,7 +44,7 @@
   bool exclusive_target = false;  ///< only the target of the forward may run it
   /// An earlier run under this key, on any router, cannot be ruled out.
   bool may_have_run = false;
-  bool caller_gone = false;
+  bool caller_disconnected = false;
   v1::AdmissionClass admission_class = v1::ADMISSION_CLASS_UNSPECIFIED;
   uint32_t attempts = 0;
   uint32_t sent_attempts = 0;  ///< minus those that provably did not run
--- a/include/coppervalve/request/request_table.h
+++ b/include/coppervalve/request/request_table.h
@@ -148,7 +148,8 @@
   std::optional<KeyVerdict> OnForwardEnded(core::TimePoint now,
                                            core::RequestId id,
                                            const ForwardOutcome& outcome);
-  DisconnectDecision OnCallerGone(core::TimePoint now, core::RequestId id);
+  DisconnectDecision OnCallerDisconnected(core::TimePoint now,
+                                          core::RequestId id);
 
   /// @brief Removes expired entries.
   /// @return requests whose answer the shell may drop
--- a/include/coppervalve/request/verdict.h
+++ b/include/coppervalve/request/verdict.h
@@ -16,7 +16,7 @@
 
 /// @brief State of an incarnation, as seen by this router.
 enum class PeerState : uint8_t {
-  kReachable,    ///< a live member that is not suspected
+  kReachable,    ///< live, answers heartbeats or is not suspected
   kUnreachable,  ///< a live member that is suspected
   kRetired,      ///< retired in the log, or replaced by a newer incarnation
   kUnknown,      ///< no join in the log read so far
--- a/include/coppervalve/router/detail/request_flow.h
+++ b/include/coppervalve/router/detail/request_flow.h
@@ -45,7 +45,7 @@
 /// final answer. Every request gets exactly one final answer.
 class RequestFlow {
  public:
-  explicit RequestFlow(FlowDependencies parts);
+  explicit RequestFlow(FlowDependencies dependencies);
 
   /// @brief Applies a new configuration.
   void OnConfigured();
@@ -57,7 +57,7 @@
   void RefuseBeforeFirstRead(const RequestArrived& event,
                              const core::Error& closed);
   void OnStatusRequested(core::TimePoint now, const StatusRequested& event);
-  void OnCallerGone(core::TimePoint now, core::RequestId id);
+  void OnCallerDisconnected(core::TimePoint now, core::RequestId id);
   void OnForwardEnded(core::TimePoint now, const ForwardEnded& event);
 
   void OnNotSent(core::TimePoint now, const AttemptNotSent& event);
--- a/include/coppervalve/router/detail/session.h
+++ b/include/coppervalve/router/detail/session.h
@@ -60,7 +60,7 @@
   void On(core::TimePoint now, const AttemptFirstToken& event);
   void On(core::TimePoint now, const AttemptDone& event);
   void On(core::TimePoint now, const AttemptFailed& event);
-  void On(core::TimePoint now, const CallerGone& event);
+  void On(core::TimePoint now, const CallerDisconnected& event);
   void On(core::TimePoint now, const ForwardEnded& event);
   void On(core::TimePoint now, const LogRead& event);
   void On(core::TimePoint now, const LogReadFailed& event);
--- a/include/coppervalve/router/events.h
+++ b/include/coppervalve/router/events.h
@@ -117,7 +117,7 @@
 
 /// @brief The caller closed its connection or stopped waiting for a joined
 /// answer.
-struct CallerGone {
+struct CallerDisconnected {
   core::RequestId request;
 };
 
@@ -183,7 +183,7 @@
                            AttemptFirstToken,
                            AttemptDone,
                            AttemptFailed,
-                           CallerGone,
+                           CallerDisconnected,
                            ForwardEnded,
                            LogRead,
                            LogReadFailed,
--- a/include/coppervalve/router/settings.h
+++ b/include/coppervalve/router/settings.h
@@ -34,7 +34,7 @@
   budget::SizingPolicy sizing = budget::DefaultSizing();
   /// A draining router that cannot return its holdings because the log is
   /// unavailable exits after this time. Its holdings are then quarantined.
-  core::Duration drain_patience = std::chrono::seconds(30);
+  core::Duration drain_timeout = std::chrono::seconds(30);
 };
 
 /// @brief Sources of randomness and of the time of day.
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -94,7 +94,7 @@
 }
 
 void TrafficWorker::OnCallerGone(core::RequestId request) {
-  m_shared.report(router::CallerGone{request});
+  m_shared.report(router::CallerDisconnected{request});
   Entry* entry = Find(request);
   if (!entry) {
     return;
--- a/src/request/key_decision.cc
+++ b/src/request/key_decision.cc
@@ -256,7 +256,7 @@
     return {};
   }
   const Waiters joiners = request->joiners;
-  const bool has_waiters = !request->caller_gone || !joiners.empty();
+  const bool has_waiters = !request->caller_disconnected || !joiners.empty();
   Decision decision =
       has_waiters
           ? DecideAgain(*request, DecideOwnedElsewhere(*request, winner))
--- a/src/request/request_table.cc
+++ b/src/request/request_table.cc
@@ -231,8 +231,8 @@
   return Finish(now, *slot, sent ? Phase::kFailed : Phase::kRefused, error);
 }
 
-DisconnectDecision RequestTable::OnCallerGone(core::TimePoint now,
-                                              core::RequestId id) {
+DisconnectDecision RequestTable::OnCallerDisconnected(core::TimePoint now,
+                                                      core::RequestId id) {
   Slot* slot = FindOpen(id);
   if (slot == nullptr) {
     return DisconnectDecision::kNothing;
@@ -249,7 +249,7 @@
     Extract(id);
     return DisconnectDecision::kCancel;
   }
-  record.caller_gone = true;
+  record.caller_disconnected = true;
   record.changed = now;
   if (record.key) {
     return DisconnectDecision::kKeepRunning;
@@ -315,7 +315,7 @@
 
 Waiters RequestTable::TakeWaiters(RequestRecord& record) {
   Waiters waiters;
-  if (!record.caller_gone) {
+  if (!record.caller_disconnected) {
     waiters.push_back(record.id);
   }
   for (const core::RequestId joiner : record.joiners) {
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -180,10 +180,10 @@
   }
   const bool no_upstream = decision.why == routing::PlacementWhy::kNoneAlive ||
                            decision.why == routing::PlacementWhy::kNoCandidate;
-  // BATCH work may wait for an upstream to recover; other classes are refused.
-  // They are refused after this pass and not reported as started, because
-  // starts measure the drain rate and would make the Retry-After of others too
-  // short.
+  // BATCH work may wait for an upstream to recover; in other classes a person
+  // waits, so they are refused. This happens after this pass and is not
+  // reported as a start, because starts measure the drain rate and would make
+  // the Retry-After of other callers too short.
   if (no_upstream && work->route.admission_class != v1::BATCH) {
     m_unplaceable.push_back(work->id);
   }
--- a/src/router/flow_arrival.cc
+++ b/src/router/flow_arrival.cc
@@ -28,10 +28,10 @@
 
 }  // namespace
 
-RequestFlow::RequestFlow(FlowDependencies parts)
-    : m_dependencies(parts),
+RequestFlow::RequestFlow(FlowDependencies dependencies)
+    : m_dependencies(dependencies),
       m_table(
-          {parts.settings.router, parts.incarnation},
+          {dependencies.settings.router, dependencies.incarnation},
           {[this](const request::Origin& origin) {
              return m_dependencies.peers.Locate(m_now, origin,
                                                 m_dependencies.log.fold());
@@ -47,13 +47,13 @@
              }
              return request::Origin{claim->router, claim->incarnation};
            }}),
-      m_upstreams({}, parts.hooks.random),
+      m_upstreams({}, dependencies.hooks.random),
       m_placement({},
-                  routing::DefaultPolicy(parts.hooks.random),
-                  parts.hooks.random,
-                  parts.settings.failure_domain),
-      m_queue({}, parts.hooks.random),
-      m_retries({}, parts.hooks.random) {}
+                  routing::DefaultPolicy(dependencies.hooks.random),
+                  dependencies.hooks.random,
+                  dependencies.settings.failure_domain),
+      m_queue({}, dependencies.hooks.random),
+      m_retries({}, dependencies.hooks.random) {}
 
 void RequestFlow::OnConfigured() {
   const config::Tables& tables = m_dependencies.configured.tables();
--- a/src/router/flow_attempts.cc
+++ b/src/router/flow_attempts.cc
@@ -263,10 +263,11 @@
       Refuse{id, std::move(error), run_state, retry_after});
 }
 
-void RequestFlow::OnCallerGone(TimePoint now, RequestId id) {
+void RequestFlow::OnCallerDisconnected(TimePoint now, RequestId id) {
   m_now = now;
   m_status_relays.erase(id);
-  const request::DisconnectDecision decision = m_table.OnCallerGone(now, id);
+  const request::DisconnectDecision decision =
+      m_table.OnCallerDisconnected(now, id);
   Work* work = Find(id);
   if (decision != request::DisconnectDecision::kCancel || work == nullptr) {
     return;
--- a/src/router/log_access.cc
+++ b/src/router/log_access.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Each review ranks all live members, so reviews are limited to this interval.
+/// Each review ranks all live members, so it runs at this interval only.
 constexpr core::Duration kSnapshotReviewInterval = std::chrono::seconds(1);
 
 // 53 random bits scaled to [0, 1), the precision of a double.
--- a/src/router/session.cc
+++ b/src/router/session.cc
@@ -153,8 +153,8 @@
   m_outbox.Add(ReplyJson{event.request, kHttpOk, JsonOf(Status(now))});
 }
 
-void Session::On(TimePoint now, const CallerGone& event) {
-  m_flow.OnCallerGone(now, event.request);
+void Session::On(TimePoint now, const CallerDisconnected& event) {
+  m_flow.OnCallerDisconnected(now, event.request);
 }
 
 void Session::On(TimePoint now, const ForwardEnded& event) {
--- a/src/router/session_end.cc
+++ b/src/router/session_end.cc
@@ -78,7 +78,7 @@
     AnnounceRetirement();
   }
   const bool timed_out = m_returning_since.has_value() &&
-                         now - *m_returning_since >= m_settings.drain_patience;
+                         now - *m_returning_since >= m_settings.drain_timeout;
   if (phase == membership::DrainPhase::kExit || timed_out) {
     m_outbox.Add(Exit{});
   }
--- a/src/telemetry/router_metrics.cc
+++ b/src/telemetry/router_metrics.cc
@@ -96,7 +96,7 @@
     EndAttempt(now, event.attempt, "failed");
     Count(failures, {{"error", core::ErrorCode(event.error.id)}});
   }
-  void On(core::TimePoint /*now*/, const router::CallerGone& event) {
+  void On(core::TimePoint /*now*/, const router::CallerDisconnected& event) {
     Count(answers, {{"outcome", "caller_gone"}});
     EndRequest(event.request);
   }
--- a/src/trial/node.cc
+++ b/src/trial/node.cc
@@ -171,7 +171,7 @@
 void Node::Hang(size_t ticket) {
   const auto found = m_by_ticket.find(ticket);
   if (found != m_by_ticket.end()) {
-    Deliver(router::CallerGone{found->second});
+    Deliver(router::CallerDisconnected{found->second});
   }
 }
 
@@ -434,7 +434,7 @@
   // A relay that is given up resets its stream: the peer's caller is gone.
   Later(kForwardTimeout, [=] {
     if (!relay->ended && relay->there.has_value()) {
-      peer->Deliver(router::CallerGone{*relay->there});
+      peer->Deliver(router::CallerDisconnected{*relay->there});
     }
     end({false, true, {}});
   });
--- a/tests/net/unit-forward.cc
+++ b/tests/net/unit-forward.cc
@@ -182,7 +182,7 @@
   {
     TestShell owner(
         [&engine](const router::Event& event) -> TestShell::Actions {
-          if (const auto* e = std::get_if<router::CallerGone>(&event)) {
+          if (const auto* e = std::get_if<router::CallerDisconnected>(&event)) {
             return {router::CancelAttempt{e->request,
                                           core::AttemptId(e->request.value())}};
           }
@@ -192,7 +192,7 @@
     TestShell entry(
         [address = PeerAddress(owner)](
             const router::Event& event) -> TestShell::Actions {
-          if (const auto* e = std::get_if<router::CallerGone>(&event)) {
+          if (const auto* e = std::get_if<router::CallerDisconnected>(&event)) {
             return {router::CancelAttempt{e->request, core::AttemptId()}};
           }
           return ForwardTo(address)(event);
@@ -202,8 +202,8 @@
     caller.Send(ModelPost("x"));
     CHECK(owner.WaitFor<router::RequestArrived>().has_value());
     caller.Close();
-    CHECK(entry.WaitFor<router::CallerGone>().has_value());
-    CHECK(owner.WaitFor<router::CallerGone>().has_value());
+    CHECK(entry.WaitFor<router::CallerDisconnected>().has_value());
+    CHECK(owner.WaitFor<router::CallerDisconnected>().has_value());
   }
 }
 
--- a/tests/net/unit-upstream.cc
+++ b/tests/net/unit-upstream.cc
@@ -309,7 +309,7 @@
   {
     TestShell shell([address = engine.address()](
                         const router::Event& event) -> TestShell::Actions {
-      if (const auto* e = std::get_if<router::CallerGone>(&event)) {
+      if (const auto* e = std::get_if<router::CallerDisconnected>(&event)) {
         return {router::CancelAttempt{e->request,
                                       core::AttemptId(e->request.value())}};
       }
@@ -319,7 +319,7 @@
     caller.Send(ModelPost("x"));
     CHECK(shell.WaitFor<router::RequestArrived>().has_value());
     caller.Close();
-    CHECK(shell.WaitFor<router::CallerGone>().has_value());
+    CHECK(shell.WaitFor<router::CallerDisconnected>().has_value());
     while (!closed) {
       std::this_thread::yield();
     }
--- a/tests/orders/unit-order-manager.cc
+++ b/tests/orders/unit-order-manager.cc
@@ -19,7 +19,7 @@
 TEST_GROUP(OrderManager){};
 // clang-format on
 
-TEST(OrderManager, one_router_sends_an_order_once_and_states_that_it_is_done) {
+TEST(OrderManager, one_router_sends_an_order_once_and_reports_that_it_is_done) {
   OrderFleet run;
   run.reply = Always(SendOutcome::kDone);
   const core::FencingNumber fencing = run.Issue("blind");
--- a/tests/router/unit-at-most-once.cc
+++ b/tests/router/unit-at-most-once.cc
@@ -67,7 +67,7 @@
 
 // The log becomes unavailable while a hold waits for its claim. The caller must
 // get an answer at the queue time limit, and the hold must not have run.
-TEST(AtMostOnce, a_hold_whose_claim_never_returns_is_refused_in_time) {
+TEST(AtMostOnce, a_hold_whose_claim_is_never_confirmed_is_refused_in_time) {
   RunningFleet run;
   const size_t wish = run.fleet.Wants(run.Hold("seat-18"));
   for (size_t i = 0; i < run.fleet.size(); ++i) {
--- a/tests/router/unit-fleet.cc
+++ b/tests/router/unit-fleet.cc
@@ -9,7 +9,7 @@
 TEST_GROUP(Fleet){};
 // clang-format on
 
-TEST(Fleet, a_calm_fleet_answers_everything_and_bills_it_once) {
+TEST(Fleet, a_healthy_fleet_answers_everything_and_bills_it_once) {
   LoadOptions options;
   options.prepaid = 10'000'000;
   RunningFleet run({}, options);
@@ -30,7 +30,7 @@
 // A draining router still receives requests and a second SIGTERM. Requests in
 // progress are answered completely, the holdings are returned, and the process
 // exits.
-TEST(Fleet, a_drain_under_load_cuts_off_nothing_and_gives_everything_back) {
+TEST(Fleet, a_drain_under_load_completes_all_requests_and_returns_all_tokens) {
   LoadOptions options;
   options.prepaid = 10'000'000;
   RunningFleet run({}, options);
@@ -211,7 +211,7 @@
 // The log is unavailable to all routers for ten minutes. No router can follow a
 // newer configuration, so the fleet serves from its holdings; nothing is
 // overspent or lost when the log returns.
-TEST(Fleet, the_fleet_rides_out_a_log_outage_on_its_holdings) {
+TEST(Fleet, the_fleet_serves_from_its_holdings_during_a_log_outage) {
   LoadOptions options;
   options.prepaid = 30'000'000;
   options.per_second = 10;
