--- a/include/coppervalve/router/detail/peer_desk.h
+++ b/include/coppervalve/router/detail/peer_manager.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_ROUTER_DETAIL_PEER_DESK_H_
-#define COPPERVALVE_ROUTER_DETAIL_PEER_DESK_H_
+#ifndef COPPERVALVE_ROUTER_DETAIL_PEER_MANAGER_H_
+#define COPPERVALVE_ROUTER_DETAIL_PEER_MANAGER_H_
 
 #include <optional>  // optional
 #include <vector>    // vector
@@ -22,15 +22,15 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief The other routers: who they are, whether they answer, which of them
-/// is this router's witness, and which must be retired.
-class PeerDesk {
+/// @brief The other routers: their addresses and reachability, the choice of
+/// the witness, and the routers to retire.
+class PeerManager {
  public:
-  PeerDesk(const RouterSettings& settings,
+  PeerManager(const RouterSettings& settings,
            core::Incarnation incarnation,
            Outbox& outbox);
 
-  /// @brief Takes the members of the fold after they changed.
+  /// @brief Updates the members after they changed in the fold.
   void SetMembers(const ledger::Fold& fold);
   /// @brief A read reached the end of the log.
   /// @complexity linear in the members, at most every 500 ms
@@ -45,9 +45,9 @@
             const budget::PeerRef& to,
             v1::PeerMessage message);
   /// @brief Sends a heartbeat to all contacts when one is due.
-  /// @param make called once if so
+  /// @param make creates the heartbeat; called at most once
   template <typename Make>
-  void Beat(core::TimePoint now, const Make& make);
+  void SendHeartbeatIfDue(core::TimePoint now, const Make& make);
   void OnHeartbeat(core::TimePoint now,
                    const membership::MemberId& from,
                    const v1::Heartbeat& heartbeat);
@@ -55,20 +55,21 @@
 
   /// @return RouterRetired records to append
   std::vector<v1::RouterRetired> TakeRetirements(core::TimePoint now);
-  membership::WitnessVerdict JudgeWitness(
+  membership::WitnessVerdict EvaluateWitness(
       core::TimePoint now,
       const std::optional<budget::PeerRef>& current);
-  /// @brief Whether new work may be taken under this configuration version.
-  membership::FreshnessVerdict JudgeFreshness(core::TimePoint now,
+  /// @brief Whether new work may be accepted under this configuration version.
+  membership::FreshnessVerdict EvaluateFreshness(core::TimePoint now,
                                               core::ConfigVersion version,
                                               const ledger::Fold& fold);
   std::optional<core::Duration> LogAge(core::TimePoint now) const;
 
-  /// @brief How this router sees an incarnation and where it takes work.
+  /// @brief State and request address of an incarnation, as seen by this
+  /// router.
   request::Location Locate(core::TimePoint now,
                            const request::Origin& origin,
                            const ledger::Fold& fold) const;
-  /// @brief The live router that rendezvous hashing picks for a key.
+  /// @brief The live router chosen by rendezvous hashing for a key.
   request::Location OwnerOf(core::TimePoint now,
                             const core::Hash128& key) const;
 
@@ -82,11 +83,11 @@
   membership::Freshness m_freshness;
   membership::SilentMemberDetector m_retirements;
   membership::WitnessSelector m_witness;
-  std::optional<core::TimePoint> m_watched;
+  std::optional<core::TimePoint> m_last_retirement_check;
 };
 
 template <typename Make>
-void PeerDesk::Beat(core::TimePoint now, const Make& make) {
+void PeerManager::SendHeartbeatIfDue(core::TimePoint now, const Make& make) {
   if (!m_view.HeartbeatDue(now)) {
     return;
   }
@@ -98,9 +99,9 @@
   }
 }
 
-/// @brief The fold's member in the form that membership works with.
+/// @brief Converts a member of the fold to the type used by membership.
 membership::Member ToMember(const ledger::Member& member);
 
 }  // namespace coppervalve::router::detail
 
-#endif  // COPPERVALVE_ROUTER_DETAIL_PEER_DESK_H_
+#endif  // COPPERVALVE_ROUTER_DETAIL_PEER_MANAGER_H_
--- a/include/coppervalve/router/detail/request_flow.h
+++ b/include/coppervalve/router/detail/request_flow.h
@@ -15,10 +15,10 @@
 #include "coppervalve/core/result.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/request/request_table.h"
-#include "coppervalve/router/detail/configured.h"
-#include "coppervalve/router/detail/log_desk.h"
+#include "coppervalve/router/detail/active_configuration.h"
+#include "coppervalve/router/detail/log_access.h"
 #include "coppervalve/router/detail/outbox.h"
-#include "coppervalve/router/detail/peer_desk.h"
+#include "coppervalve/router/detail/peer_manager.h"
 #include "coppervalve/router/detail/work.h"
 #include "coppervalve/router/events.h"
 #include "coppervalve/routing/admission_queue.h"
@@ -29,34 +29,34 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief What the flow of requests works with; owned by the session.
-struct FlowParts {
+/// @brief Dependencies of RequestFlow; owned by the session.
+struct FlowDependencies {
   const RouterSettings& settings;
   const RouterHooks& hooks;
   core::Incarnation incarnation;
-  LogDesk& log;
-  PeerDesk& peers;
-  budget::HoldingManager& book;
-  Configured& configured;
+  LogAccess& log;
+  PeerManager& peers;
+  budget::HoldingManager& holding_manager;
+  ActiveConfiguration& configured;
   Outbox& outbox;
 };
 
-/// @brief The way of each request: account, rule, key, tokens, queue, attempts,
-/// final answer. Every request that enters gets exactly one final answer.
+/// @brief Processes each request: account, rule, key, tokens, queue, attempts,
+/// final answer. Every request gets exactly one final answer.
 class RequestFlow {
  public:
-  explicit RequestFlow(FlowParts parts);
+  explicit RequestFlow(FlowDependencies dependencies);
 
-  /// @brief Installs what depends on the configuration.
+  /// @brief Applies a new configuration.
   void OnConfigured();
-  /// @param closed why no new work is taken; none when it is
+  /// @param closed why no new work is accepted, if so
   void OnArrived(core::TimePoint now,
                  const RequestArrived& event,
                  const std::optional<core::Error>& closed);
-  /// @brief Refuses a request before the log was read for the first time.
-  void RefuseUnread(const RequestArrived& event, const core::Error& closed);
-  void OnStatusAsked(core::TimePoint now, const StatusAsked& event);
-  void OnCallerGone(core::TimePoint now, core::RequestId id);
+  /// @brief Refuses a request that arrives before the first read of the log.
+  void RefuseBeforeFirstRead(const RequestArrived& event, const core::Error& closed);
+  void OnStatusRequested(core::TimePoint now, const StatusRequested& event);
+  void OnCallerDisconnected(core::TimePoint now, core::RequestId id);
   void OnForwardEnded(core::TimePoint now, const ForwardEnded& event);
 
   void OnNotSent(core::TimePoint now, const AttemptNotSent& event);
@@ -71,11 +71,12 @@
                const request::Origin& owner);
   void OnVmList(const v1::VmList& vms);
 
-  /// @brief Moves on what can move: tokens, queue, pauses, probes, expiry.
+  /// @brief Advances requests that wait for tokens, an upstream or a retry;
+  /// sends probes and expires entries.
   /// @param may_start whether attempts may be started now
   void Pump(core::TimePoint now, bool may_start);
 
-  /// @brief The account of a caller.
+  /// @brief Finds the account of a caller.
   /// @error kUnauthorized
   core::Result<const config::Account*> Authenticate(
       const std::string& api_key,
@@ -88,13 +89,13 @@
   routing::RateLimiter& limiter() { return m_limiter; }
 
  private:
-  using Pauses = std::multimap<core::TimePoint, core::RequestId>;
+  using Backoffs = std::multimap<core::TimePoint, core::RequestId>;
 
   // Arrival.
   std::optional<Work> Classify(core::TimePoint now,
                                const RequestArrived& event,
                                const std::optional<request::KeyName>& key);
-  void FollowVerdict(core::TimePoint now,
+  void ApplyVerdict(core::TimePoint now,
                      core::RequestId id,
                      const request::KeyVerdict& verdict);
   void RunHere(core::TimePoint now, Work& work);
@@ -103,13 +104,14 @@
   bool FoldIsCurrent(core::TimePoint now) const;
 
   // Admission.
-  void AskForTokens(core::TimePoint now, Work& work);
+  void ReserveTokens(core::TimePoint now, Work& work);
   void WakeWaiters(core::TimePoint now);
   void ExpireWaiters(core::TimePoint now);
   void Enqueue(core::TimePoint now, Work& work);
   void DrainQueue(core::TimePoint now);
-  /// @return whether there were any, so that others may be at the front now
-  bool RefuseDeadEnds(core::TimePoint now);
+  /// @return whether any was refused, so that others may now be first in their
+  /// lanes
+  bool RefuseUnplaceable(core::TimePoint now);
   bool TryStart(core::TimePoint now, const routing::QueueEntry& entry);
   void Start(core::TimePoint now,
              Work& work,
@@ -123,17 +125,17 @@
                    Work& work,
                    routing::AttemptEnd end,
                    const core::Error& error);
-  void FollowRetry(core::TimePoint now,
+  void ApplyRetryDecision(core::TimePoint now,
                    Work& work,
                    const routing::RetryDecision& decision);
-  void ResumePaused(core::TimePoint now);
+  void ResumeAfterBackoff(core::TimePoint now);
 
   // Final answers.
   void GiveUp(core::TimePoint now,
               Work& work,
               core::Error error,
               std::optional<core::Duration> retry_after);
-  void RefuseAtOnce(core::RequestId id,
+  void RefuseImmediately(core::RequestId id,
                     core::Error error,
                     std::optional<core::Duration> retry_after,
                     core::RunState run_state = core::RunState::kNotRun);
@@ -143,7 +145,7 @@
   Work* Find(core::RequestId id);
   void ReplyStatus(core::RequestId id, const v1::RequestStatus& status);
 
-  FlowParts m_parts;
+  FlowDependencies m_dependencies;
   request::RequestTable m_table;
   routing::UpstreamTable m_upstreams;
   routing::Placement m_placement;
@@ -154,13 +156,13 @@
   core::TimePoint m_now{};  ///< of the current event, for the table's hooks
   std::unordered_map<core::RequestId, Work> m_work;
   std::unordered_map<core::Hash128, core::RequestId> m_claims;
-  /// Requests that wait for tokens, by budget, in the order they are served.
+  /// Requests that wait for tokens, by budget, in service order.
   std::unordered_map<core::BudgetId, std::deque<core::RequestId>> m_waiting;
-  Pauses m_pauses;
-  /// When requests that wait for a claim or for tokens are given up.
+  Backoffs m_backoffs;
+  /// When to give up requests that wait for a claim or for tokens.
   std::multimap<core::TimePoint, core::RequestId> m_deadlines;
-  /// Entries at the front of their lanes with no upstream alive.
-  std::vector<core::RequestId> m_dead_ends;
+  /// Requests at the front of their lanes without a live upstream.
+  std::vector<core::RequestId> m_unplaceable;
   std::unordered_map<core::RequestId, v1::RequestStatus> m_status_relays;
   uint64_t m_last_attempt = 0;
 };
--- a/include/coppervalve/router/detail/status_report.h
+++ b/include/coppervalve/router/detail/status_report.h
@@ -8,22 +8,22 @@
 
 namespace coppervalve::router::detail {
 
-/// @brief What a status report is made from.
+/// @brief Inputs of a status report.
 struct StatusSources {
   const RouterSettings& settings;
   core::Incarnation incarnation;
   Phase phase;
   membership::DrainPhase drain;
   bool stale;
-  const LogDesk& log;
-  const PeerDesk& peers;
-  const BudgetDesk& budgets;
+  const LogAccess& log;
+  const PeerManager& peers;
+  const BudgetManager& budgets;
   const RequestFlow& flow;
-  const Configured& configured;
+  const ActiveConfiguration& configured;
 };
 
-/// @brief The answer of GET /admin/status.
-/// @complexity linear in upstreams, peers and the budgets touched here
+/// @brief Builds the answer of GET /admin/status.
+/// @complexity linear in the upstreams, the peers and the budgets used here
 v1::RouterStatus ReportStatus(core::TimePoint now,
                               const StatusSources& sources);
 
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -75,7 +75,7 @@
   entry.answer = std::make_shared<Answer>(0);
   Exchange exchange{id, entry.answer};
   m_requests.emplace(id, std::move(entry));
-  m_shared.report(router::OperatorStatusAsked{id});
+  m_shared.report(router::OperatorStatusRequested{id});
   return exchange;
 }
 
@@ -94,7 +94,7 @@
 }
 
 void TrafficWorker::OnCallerGone(core::RequestId request) {
-  m_shared.report(router::CallerGone{request});
+  m_shared.report(router::CallerDisconnected{request});
   Entry* entry = Find(request);
   if (!entry) {
     return;
--- a/src/request/key_decision.cc
+++ b/src/request/key_decision.cc
@@ -6,9 +6,8 @@
 
 namespace {
 
-/// For refusals whose cause passes by itself: the peer answers again, the
-/// claim is read, an entry expires.
-constexpr core::Duration kSoon = std::chrono::seconds(1);
+/// For temporary causes: an unreachable peer, an unread claim, a full table.
+constexpr core::Duration kShortRetryAfter = std::chrono::seconds(1);
 
 Refuse RefuseWith(core::ErrorId id,
                   core::RunState run_state,
@@ -29,40 +28,40 @@
 
 }  // namespace
 
-RequestTable::Decision RequestTable::Decide(const Question& question) const {
-  const RequestRecord& request = question.request;
+RequestTable::Decision RequestTable::Decide(const DecisionInput& input) const {
+  const RequestRecord& request = input.request;
   if (!request.key) {
     return {RunHere{}};
   }
   const RequestRecord* known = FindKey(*request.key);
   if (known == nullptr) {
-    return DecideUnseen(question);
+    return DecideUnseen(input);
   }
   if (std::optional<Decision> decision = DecideKnown(request, *known)) {
     return *std::move(decision);
   }
-  Decision decision = DecideUnseen(question);
+  Decision decision = DecideUnseen(input);
   const bool ran_before = RunStateOf(*known) != core::RunState::kNotRun;
   decision.may_have_run |= ran_before && !request.non_idempotent;
   return decision;
 }
 
-/// For a key that has no record here, or only one of a refusal.
+/// For a key without a record here, or with one that was refused.
 RequestTable::Decision RequestTable::DecideUnseen(
-    const Question& question) const {
-  const RequestRecord& request = question.request;
-  // Failure: a caller retries a seat hold after its record has expired.
-  // Symptom: a second hold of a paid seat. Enough: every such key is in the
-  // filter, which misses none within its generations.
-  if (request.non_idempotent && m_forgotten.MayContain(*request.key)) {
+    const DecisionInput& input) const {
+  const RequestRecord& request = input.request;
+  // A retry may arrive after the record of its request has expired. Running it
+  // again would, for example, hold a paid seat twice. The filter contains every
+  // such key within its generations.
+  if (request.non_idempotent && m_expired_keys.MayContain(*request.key)) {
     return {UnknownOutcome(std::nullopt)};
   }
-  return question.origin ? DecideOriginBound(question)
-                         : DecideUnbound(question);
+  return input.origin ? DecideOriginBound(input)
+                         : DecideUnbound(input);
 }
 
-/// For a request that was waiting for another router: by now its key may have
-/// a record here.
+/// For a request that waited for another router. Its key may have a record here
+/// by now.
 RequestTable::Decision RequestTable::DecideAgain(const RequestRecord& request,
                                                  Decision otherwise) const {
   const RequestRecord* known = FindKey(*request.key);
@@ -75,8 +74,8 @@
 std::optional<RequestTable::Decision> RequestTable::DecideKnown(
     const RequestRecord& request,
     const RequestRecord& known) const {
-  // The identity is no cryptographic hash. Should two accounts ever collide,
-  // the second is refused and never shown the first one's answer.
+  // The identity is not a cryptographic hash. If two accounts collide, the
+  // second is refused, so that it never gets the answer of the first.
   if (known.account != request.account) {
     return Decision{
         RefuseWith(core::ErrorId::kBadRequest, core::RunState::kNotRun)};
@@ -104,24 +103,24 @@
 }
 
 RequestTable::Decision RequestTable::DecideOriginBound(
-    const Question& question) const {
-  if (*question.origin == m_self) {
+    const DecisionInput& input) const {
+  if (*input.origin == m_self) {
     return {RunHere{}};
   }
-  return GoTo(question.request, *question.origin);
+  return DecideOwnedElsewhere(input.request, *input.origin);
 }
 
 RequestTable::Decision RequestTable::DecideUnbound(
-    const Question& question) const {
-  const RequestRecord& request = question.request;
+    const DecisionInput& input) const {
+  const RequestRecord& request = input.request;
   const std::optional<Origin> claimed = m_hooks.claim_of(*request.key);
-  // A claim of this incarnation without a record of a run: it was refused
-  // before it was sent, so it may run now without a second claim.
+  // A claim of this incarnation without a record of a run: the request was
+  // refused before it was sent, so it may run without a second claim.
   if (claimed && *claimed == m_self) {
     return {RunHere{}};
   }
   if (claimed) {
-    return GoTo(request, *claimed);
+    return DecideOwnedElsewhere(request, *claimed);
   }
   const Location owner = m_hooks.owner_of(*request.key);
   const bool elsewhere = owner.origin != m_self;
@@ -130,41 +129,41 @@
                       owner.address}};
   }
   if (request.non_idempotent) {
-    return ClaimFirst(question);
+    return RequireClaim(input);
   }
   return {RunHere{}, false, elsewhere};
 }
 
-RequestTable::Decision RequestTable::ClaimFirst(
-    const Question& question) const {
-  if (question.log_available) {
-    return {NeedClaim{*question.request.key}, false, !question.fold_current};
-  }
-  // Failure: the first try claimed and ran at a router that then died, and
-  // this one has not read that claim. Symptom: "not run" of a hold that was
-  // made. Enough: "not run" is said only when the claim would have been read.
-  const core::RunState run_state = question.fold_current
+RequestTable::Decision RequestTable::RequireClaim(
+    const DecisionInput& input) const {
+  if (input.log_available) {
+    return {NeedClaim{*input.request.key}, false, !input.fold_current};
+  }
+  // The first attempt may have claimed the key and run on a router that failed
+  // since, and this router may not have read that claim. "Not run" is reported
+  // only if the claim would have been read.
+  const core::RunState run_state = input.fold_current
                                        ? core::RunState::kNotRun
                                        : core::RunState::kUnknown;
-  return {RefuseWith(core::ErrorId::kClaimUnavailable, run_state, kSoon)};
+  return {RefuseWith(core::ErrorId::kClaimUnavailable, run_state, kShortRetryAfter)};
 }
 
 Location RequestTable::Locate(const Origin& place) const {
-  // Another incarnation of this very router has ended: this one replaced it.
+  // Another incarnation of this router has ended: this one replaced it.
   if (place.router == m_self.router) {
     return {place, PeerState::kRetired, {}};
   }
   return m_hooks.locate(place);
 }
 
-/// For a key that one other incarnation has, or alone may run.
-RequestTable::Decision RequestTable::GoTo(const RequestRecord& request,
+/// For a key that another incarnation has claimed or alone may run.
+RequestTable::Decision RequestTable::DecideOwnedElsewhere(const RequestRecord& request,
                                           const Origin& place) const {
   const Location location = Locate(place);
   const bool gone = location.state == PeerState::kRetired ||
                     location.state == PeerState::kUnknown;
-  // Routers whose views differ could send a request round in circles; one that
-  // a peer forwarded therefore ends here.
+  // Routers with different views could forward a request in a loop, so a
+  // forwarded request is not forwarded again.
   if (location.state == PeerState::kReachable && !request.forwarded) {
     return {ForwardTo{place.router, place.incarnation, location.address}, true};
   }
@@ -174,10 +173,10 @@
   if (gone) {
     return {RefuseWith(core::ErrorId::kOriginGone, core::RunState::kUnknown)};
   }
-  return {UnknownOutcome(kSoon)};
+  return {UnknownOutcome(kShortRetryAfter)};
 }
 
-std::optional<Refuse> RequestTable::RefuseForRoom(
+std::optional<Refuse> RequestTable::RefuseIfFull(
     const RequestRecord& request,
     const Decision& decision) const {
   const auto* join = std::get_if<Join>(&decision.verdict);
@@ -185,21 +184,21 @@
     return std::nullopt;
   }
   const bool admits = Admits(decision.verdict);
-  // Failure: a full table drops the record of a hold that ran, and its retry
-  // runs it again. Symptom: a doubled seat hold. Enough: a request enters only
-  // while its own record is sure to fit for as long as answers are kept.
-  const bool no_tombstone = admits && request.key && request.non_idempotent &&
+  // A full table must not drop the record of a non-idempotent request that ran,
+  // because its retry would run it again. A request is therefore admitted only
+  // if its record fits for as long as answers are kept.
+  const bool tombstones_full = admits && request.key && request.non_idempotent &&
                             m_tombstones >= m_limits.max_tombstones;
-  if (m_open < m_limits.max_open && !no_tombstone) {
+  if (m_open < m_limits.max_open && !tombstones_full) {
     return std::nullopt;
   }
-  const bool sure = admits && !decision.may_have_run;
+  const bool not_run = admits && !decision.may_have_run;
   return RefuseWith(core::ErrorId::kBacklogFull,
-                    sure ? core::RunState::kNotRun : core::RunState::kUnknown,
-                    kSoon);
+                    not_run ? core::RunState::kNotRun : core::RunState::kUnknown,
+                    kShortRetryAfter);
 }
 
-std::optional<Refuse> RequestTable::RefuseAsClosed(
+std::optional<Refuse> RequestTable::RefuseIfClosed(
     const Arrival& arrival,
     const Decision& decision) const {
   if (!arrival.closed || !Admits(decision.verdict)) {
@@ -208,7 +207,7 @@
   const core::RunState run_state = decision.may_have_run
                                        ? core::RunState::kUnknown
                                        : core::RunState::kNotRun;
-  return Refuse{*arrival.closed, run_state, kSoon};
+  return Refuse{*arrival.closed, run_state, kShortRetryAfter};
 }
 
 std::optional<KeyVerdict> RequestTable::OnForwardEnded(
@@ -220,7 +219,7 @@
     return std::nullopt;
   }
   if (outcome.answered) {
-    Abandon(request->joiners);
+    RemoveJoiners(request->joiners);
     return std::nullopt;
   }
   Decision decision = DecideAfterForward(*request, outcome);
@@ -230,20 +229,21 @@
 RequestTable::Decision RequestTable::DecideAfterForward(
     const RequestRecord& request,
     const ForwardOutcome& outcome) const {
-  // A second run would append its answer to the part that the caller has.
+  // A second run would append its answer to the part already sent to the
+  // caller.
   if (outcome.relayed) {
     return {RefuseWith(core::ErrorId::kAnswerCut, core::RunState::kUnknown)};
   }
-  const bool settled_there = outcome.sent || request.only_there;
+  const bool may_have_run_there = outcome.sent || request.exclusive_target;
   if (!request.non_idempotent) {
-    return DecideAgain(request, {RunHere{}, false, settled_there});
+    return DecideAgain(request, {RunHere{}, false, may_have_run_there});
   }
-  if (settled_there) {
-    return {UnknownOutcome(kSoon)};
+  if (may_have_run_there) {
+    return {UnknownOutcome(kShortRetryAfter)};
   }
-  const Question question{request, std::nullopt, outcome.log_available,
+  const DecisionInput input{request, std::nullopt, outcome.log_available,
                           outcome.fold_current};
-  return DecideAgain(request, ClaimFirst(question));
+  return DecideAgain(request, RequireClaim(input));
 }
 
 std::vector<RequestVerdict> RequestTable::OnClaimLost(core::TimePoint now,
@@ -254,8 +254,8 @@
     return {};
   }
   const Waiters joiners = request->joiners;
-  const bool awaited = !request->caller_gone || !joiners.empty();
-  Decision decision = awaited ? DecideAgain(*request, GoTo(*request, winner))
+  const bool has_waiters = !request->caller_disconnected || !joiners.empty();
+  Decision decision = has_waiters ? DecideAgain(*request, DecideOwnedElsewhere(*request, winner))
                               : Decision{UnknownOutcome(std::nullopt)};
   const KeyVerdict verdict =
       Admit(now, *std::move(request), std::move(decision));
@@ -276,9 +276,9 @@
     return RunStateOf(*known);
   }
   const bool bound_elsewhere = key.origin() && *key.origin() != m_self;
-  const bool unsure = bound_elsewhere || m_forgotten.MayContain(identity) ||
+  const bool uncertain = bound_elsewhere || m_expired_keys.MayContain(identity) ||
                       m_hooks.claim_of(identity).has_value();
-  return unsure ? core::RunState::kUnknown : core::RunState::kNotRun;
+  return uncertain ? core::RunState::kUnknown : core::RunState::kNotRun;
 }
 
 StatusLookup RequestTable::StatusOf(core::TimePoint now,
@@ -296,18 +296,18 @@
   }
   status.set_state("unknown");
   status.set_run_state("unknown");
-  if (m_forgotten.MayContain(identity)) {
+  if (m_expired_keys.MayContain(identity)) {
     status.set_error(core::ErrorCode(core::ErrorId::kAnswerExpired));
     return lookup;
   }
   status.set_error(core::ErrorCode(core::ErrorId::kNotFound));
   if (!forwarded) {
-    lookup.ask = WhomToAsk(key, identity);
+    lookup.ask = FindStatusSource(key, identity);
   }
   return lookup;
 }
 
-std::optional<ForwardTo> RequestTable::WhomToAsk(
+std::optional<ForwardTo> RequestTable::FindStatusSource(
     const KeyName& key,
     const core::Hash128& identity) const {
   std::optional<Origin> place = key.origin();
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -14,9 +14,9 @@
 
 namespace {
 
-/// A top-up is in force within seconds of being published.
+/// A published top-up takes effect within seconds.
 constexpr core::Duration kRetryAfterTopUp = std::chrono::seconds(10);
-/// Tokens that other routers hold come back within about this time.
+/// Tokens held by other routers are returned within about this time.
 constexpr core::Duration kRetryWhenBusy = std::chrono::seconds(1);
 constexpr core::Duration kRetryAfterOutage = std::chrono::seconds(2);
 
@@ -37,13 +37,14 @@
 
 }  // namespace
 
-// Tokens first, upstream second: an entry of the queue can then always start,
-// and an account whose budget is short never blocks the queue for others.
-void RequestFlow::AskForTokens(TimePoint now, Work& work) {
-  const Tokens bound = m_parts.configured.BoundOf(
+// Tokens are reserved before a request is queued, so a queued request can
+// always start and an account short of tokens never blocks the queue for
+// others.
+void RequestFlow::ReserveTokens(TimePoint now, Work& work) {
+  const Tokens bound = m_dependencies.configured.CostBound(
       work.route.candidates, work.prompt_bound, work.max_output);
   const budget::ReserveResult result =
-      m_parts.book.Reserve(now, work.budget, bound, work.route.admission_class);
+      m_dependencies.holding_manager.Reserve(now, work.budget, bound, work.route.admission_class);
   if (const auto* reserved = std::get_if<budget::Reservation>(&result)) {
     work.reservation = *reserved;
     Enqueue(now, work);
@@ -60,7 +61,7 @@
   if (waits_already) {
     return;
   }
-  // GATE work is served before the rest, each in the order of arrival.
+  // GATE work goes first; each class is in order of arrival.
   const auto later = std::upper_bound(
       waiting.begin(), waiting.end(), PriorityOf(work.route.admission_class),
       [this](uint32_t priority, RequestId other) {
@@ -73,12 +74,12 @@
 }
 
 void RequestFlow::WakeWaiters(TimePoint now) {
-  for (const core::BudgetId& budget : m_parts.book.TakeWokenBudgets()) {
+  for (const core::BudgetId& budget : m_dependencies.holding_manager.TakeWokenBudgets()) {
     const auto found = m_waiting.find(budget);
     if (found == m_waiting.end()) {
       continue;
     }
-    // Each waiter is tried once; those that still have to wait stay in order.
+    // Each waiting request is tried once; the rest keep their order.
     std::deque<RequestId> trying = std::move(found->second);
     m_waiting.erase(found);
     for (const RequestId id : trying) {
@@ -86,7 +87,7 @@
       if (work == nullptr || work->stage != Stage::kTokens) {
         continue;
       }
-      AskForTokens(now, *work);
+      ReserveTokens(now, *work);
     }
   }
 }
@@ -102,14 +103,14 @@
     if (work->stage == Stage::kTokens) {
       GiveUp(now, *work,
              {ErrorId::kBudgetBusy, work->budget.value(),
-              "no tokens became free in the time the request may wait"},
+              "no tokens became available within the queue time limit"},
              kRetryWhenBusy);
     } else if (work->stage == Stage::kClaim) {
       // The claim may still win later. It then names this incarnation, where
-      // the key is known as not run, so a retry may run it here and only here.
+      // the key is known as not run, so only this router may run a retry.
       GiveUp(now, *work,
              {ErrorId::kClaimUnavailable, work->account.value(),
-              "the log did not answer in the time the request may wait"},
+              "the claim was not confirmed within the queue time limit"},
              kRetryAfterOutage);
     }
   }
@@ -143,12 +144,12 @@
     m_queue.Drain(now, [this, now](const routing::QueueEntry& entry) {
       return TryStart(now, entry);
     });
-  } while (RefuseDeadEnds(now));
+  } while (RefuseUnplaceable(now));
 }
 
-bool RequestFlow::RefuseDeadEnds(TimePoint now) {
-  const std::vector<RequestId> dead_ends = std::exchange(m_dead_ends, {});
-  for (const RequestId id : dead_ends) {
+bool RequestFlow::RefuseUnplaceable(TimePoint now) {
+  const std::vector<RequestId> unplaceable = std::exchange(m_unplaceable, {});
+  for (const RequestId id : unplaceable) {
     if (Work* work = Find(id)) {
       GiveUp(now, *work,
              {ErrorId::kNoUpstream, work->route.rule.value(),
@@ -156,7 +157,7 @@
              kRetryAfterOutage);
     }
   }
-  return !dead_ends.empty();
+  return !unplaceable.empty();
 }
 
 bool RequestFlow::TryStart(TimePoint now, const routing::QueueEntry& entry) {
@@ -176,13 +177,14 @@
     Start(now, *work, decision);
     return true;
   }
-  const bool dead = decision.reason == routing::ChoiceReason::kNoneAlive ||
+  const bool no_upstream = decision.reason == routing::ChoiceReason::kNoneAlive ||
                     decision.reason == routing::ChoiceReason::kNoCandidate;
-  // BATCH work may wait for an upstream to return; a person would wait in vain.
-  // It is refused after this round and not reported as a start: starts measure
-  // the drain rate, and callers would be told to come back too early.
-  if (dead && work->route.admission_class != v1::BATCH) {
-    m_dead_ends.push_back(work->id);
+  // BATCH work may wait for an upstream to recover; in other classes a person
+  // waits, so they are refused. This happens after this pass and is not
+  // reported as a start, because starts measure the drain rate and would make
+  // the Retry-After of other callers too short.
+  if (no_upstream && work->route.admission_class != v1::BATCH) {
+    m_unplaceable.push_back(work->id);
   }
   return false;
 }
@@ -203,7 +205,7 @@
   m_table.OnSent(now, work.id);
   m_upstreams.OnDispatch(work.upstream);
 
-  const config::LimitsView& limits = m_parts.configured.tables().limits();
+  const config::LimitsView& limits = m_dependencies.configured.tables().limits();
   Dispatch dispatch;
   dispatch.request = work.id;
   dispatch.attempt = work.attempt;
@@ -215,7 +217,7 @@
   dispatch.priority = PriorityOf(work.route.admission_class);
   dispatch.first_token_timeout = limits.first_token_timeout;
   dispatch.inter_token_timeout = limits.inter_token_timeout;
-  m_parts.outbox.Info(
+  m_dependencies.outbox.Info(
       "routed",
       {{"request", std::to_string(work.id.value())},
        {"account", work.account.value()},
@@ -225,7 +227,7 @@
        {"why", std::string(routing::ToString(decision.reason))},
        {"attempt", std::to_string(work.attempts)},
        {"candidates", routing::DescribeFacts(decision, m_upstreams)}});
-  m_parts.outbox.Add(std::move(dispatch));
+  m_dependencies.outbox.Add(std::move(dispatch));
 }
 
 void RequestFlow::ExpireQueue(TimePoint now) {
@@ -240,16 +242,16 @@
   m_now = now;
   WakeWaiters(now);
   ExpireWaiters(now);
-  ResumePaused(now);
+  ResumeAfterBackoff(now);
   ExpireQueue(now);
   if (may_start) {
     DrainQueue(now);
   }
   for (const routing::ProbeDue& probe : m_upstreams.TakeProbesDue(now)) {
-    m_parts.outbox.Add(ProbeUpstream{probe.upstream, probe.address});
+    m_dependencies.outbox.Add(ProbeUpstream{probe.upstream, probe.address});
   }
   for (const RequestId id : m_table.TakeExpired(now)) {
-    m_parts.outbox.Add(ForgetAnswer{id});
+    m_dependencies.outbox.Add(ForgetAnswer{id});
   }
 }
 
--- a/src/router/flow_attempts.cc
+++ b/src/router/flow_attempts.cc
@@ -46,8 +46,7 @@
   m_work.erase(id);
 }
 
-// An event of an attempt that was given up meanwhile says nothing about the
-// attempt that replaced it.
+// Events of an abandoned attempt must not affect the attempt that replaced it.
 Work* RequestFlow::FindAttempt(RequestId id, core::AttemptId attempt) {
   Work* work = Find(id);
   const bool current = work != nullptr && work->stage == Stage::kAttempt &&
@@ -57,17 +56,17 @@
 
 void RequestFlow::ReleaseTokens(TimePoint now, Work& work) {
   if (work.reservation.has_value()) {
-    m_parts.book.Cancel(now, *work.reservation);
+    m_dependencies.holding_manager.Cancel(now, *work.reservation);
     work.reservation.reset();
   }
 }
 
-// Without the engine's own count nobody knows what an attempt used: a silent
-// connection may hide a whole answer. Charging less than was reserved could let
-// the upstreams' total pass what was paid in.
+// Without a count from the engine the usage is unknown: a silent connection may
+// hide a complete answer. Charging less than the reservation could let the
+// total of the upstreams exceed the prepaid tokens.
 void RequestFlow::WriteOff(TimePoint now, Work& work) {
   if (work.reservation.has_value()) {
-    m_parts.book.Settle(now, *work.reservation, work.reservation->bound,
+    m_dependencies.holding_manager.Settle(now, *work.reservation, work.reservation->bound,
                         budget::WrittenOff{});
     work.reservation.reset();
   }
@@ -111,7 +110,7 @@
   failed.max_attempts = work.route.max_attempts;
   failed.tried = work.tried;
   failed.deadline = work.start_by;
-  FollowRetry(now, work, m_retries.Decide(failed, now));
+  ApplyRetryDecision(now, work, m_retries.Decide(failed, now));
 }
 
 void RequestFlow::OnFirstToken(TimePoint now, const AttemptFirstToken& event) {
@@ -123,8 +122,8 @@
   m_upstreams.OnFirstToken(work->upstream, now - work->dispatched, now);
 }
 
-// An engine that answers without its count may have used all it was allowed.
-// Only a refusal of the request itself (4xx) shows that it generated nothing.
+// An engine that reports no usage may have used the whole reservation. Only a
+// rejection of the request itself (4xx) shows that nothing was generated.
 Tokens RequestFlow::CostOf(const Work& work, const AttemptDone& done) const {
   const bool refused = done.http_status >= kFirstClientError &&
                        done.http_status < kFirstServerError;
@@ -132,7 +131,7 @@
   if (uncounted && work.reservation.has_value()) {
     return work.reservation->bound;
   }
-  return m_parts.configured.CostAt(work.upstream, done.usage);
+  return m_dependencies.configured.CostAt(work.upstream, done.usage);
 }
 
 void RequestFlow::OnDone(TimePoint now, const AttemptDone& event) {
@@ -150,16 +149,16 @@
   }
   if (work->reservation.has_value()) {
     const auto settled =
-        m_parts.book.Settle(now, *work->reservation, cost, charge);
+        m_dependencies.holding_manager.Settle(now, *work->reservation, cost, charge);
     if (settled.has_value() && settled->uncovered > Tokens(0)) {
-      m_parts.outbox.Alarm(
+      m_dependencies.outbox.Alarm(
           {ErrorId::kConservationBroken, work->upstream.value(),
            "used " + std::to_string(settled->uncovered.value()) +
-               " tokens more than it was given"});
+               " tokens not covered by the holding"});
     }
   }
   m_table.OnDone(now, work->id, event.answer_size);
-  m_parts.outbox.Info("answered",
+  m_dependencies.outbox.Info("answered",
                       {{"request", std::to_string(work->id.value())},
                        {"account", work->account.value()},
                        {"upstream", work->upstream.value()},
@@ -186,17 +185,17 @@
   failed.attempts = work->attempts;
   failed.max_attempts = work->route.max_attempts;
   failed.tried = work->tried;
-  FollowRetry(now, *work, m_retries.Decide(failed, now));
+  ApplyRetryDecision(now, *work, m_retries.Decide(failed, now));
 }
 
-void RequestFlow::FollowRetry(TimePoint now,
+void RequestFlow::ApplyRetryDecision(TimePoint now,
                               Work& work,
                               const routing::RetryDecision& decision) {
   const auto* retry = std::get_if<routing::Retry>(&decision);
   if (retry != nullptr && m_table.MayRetry(work.id)) {
-    work.stage = Stage::kPause;
+    work.stage = Stage::kBackoff;
     work.tried = retry->exclude;
-    m_pauses.emplace(now + retry->after, work.id);
+    m_backoffs.emplace(now + retry->after, work.id);
     return;
   }
   const auto* give_up = std::get_if<routing::GiveUp>(&decision);
@@ -208,24 +207,24 @@
   GiveUp(now, work, give_up->error, give_up->retry_after);
 }
 
-void RequestFlow::ResumePaused(TimePoint now) {
-  while (!m_pauses.empty() && m_pauses.begin()->first <= now) {
-    const RequestId id = m_pauses.begin()->second;
-    m_pauses.erase(m_pauses.begin());
+void RequestFlow::ResumeAfterBackoff(TimePoint now) {
+  while (!m_backoffs.empty() && m_backoffs.begin()->first <= now) {
+    const RequestId id = m_backoffs.begin()->second;
+    m_backoffs.erase(m_backoffs.begin());
     Work* work = Find(id);
-    if (work == nullptr || work->stage != Stage::kPause) {
+    if (work == nullptr || work->stage != Stage::kBackoff) {
       continue;
     }
     if (work->reservation.has_value()) {
       Enqueue(now, *work);
     } else {
-      AskForTokens(now, *work);
+      ReserveTokens(now, *work);
     }
   }
 }
 
-// The table knows whether any attempt may have run, so it, and not the error,
-// decides what the caller is told.
+// The table knows whether an attempt may have run, so it decides the reported
+// run state, not the error.
 void RequestFlow::GiveUp(TimePoint now,
                          Work& work,
                          Error error,
@@ -237,41 +236,41 @@
   const request::Waiters waiters = run_state == core::RunState::kNotRun
                                        ? m_table.OnRefused(now, id, error.id)
                                        : m_table.OnFailed(now, id, error.id);
-  m_parts.outbox.Info("refused", {{"request", std::to_string(id.value())},
+  m_dependencies.outbox.Info("refused", {{"request", std::to_string(id.value())},
                                   {"account", work.account.value()},
                                   {"rule", work.route.rule.value()},
                                   {"error", core::ErrorCode(error.id)},
                                   {"detail", error.detail}});
   for (const RequestId waiter : waiters) {
-    m_parts.outbox.Add(Refuse{waiter, error, run_state, retry_after});
+    m_dependencies.outbox.Add(Refuse{waiter, error, run_state, retry_after});
   }
   if (waiters.empty()) {
-    m_parts.outbox.Add(ForgetAnswer{id});
+    m_dependencies.outbox.Add(ForgetAnswer{id});
   }
   Erase(id);
 }
 
-void RequestFlow::RefuseAtOnce(RequestId id,
+void RequestFlow::RefuseImmediately(RequestId id,
                                Error error,
                                std::optional<core::Duration> retry_after,
                                core::RunState run_state) {
-  m_parts.outbox.Info("refused", {{"request", std::to_string(id.value())},
+  m_dependencies.outbox.Info("refused", {{"request", std::to_string(id.value())},
                                   {"error", core::ErrorCode(error.id)},
                                   {"detail", error.detail}});
-  m_parts.outbox.Add(Refuse{id, std::move(error), run_state, retry_after});
+  m_dependencies.outbox.Add(Refuse{id, std::move(error), run_state, retry_after});
 }
 
-void RequestFlow::OnCallerGone(TimePoint now, RequestId id) {
+void RequestFlow::OnCallerDisconnected(TimePoint now, RequestId id) {
   m_now = now;
   m_status_relays.erase(id);
-  const request::GoneDecision decision = m_table.OnCallerGone(now, id);
+  const request::DisconnectDecision decision = m_table.OnCallerDisconnected(now, id);
   Work* work = Find(id);
-  if (decision != request::GoneDecision::kCancel || work == nullptr) {
+  if (decision != request::DisconnectDecision::kCancel || work == nullptr) {
     return;
   }
   const bool sent = work->stage == Stage::kAttempt;
   if (sent || work->stage == Stage::kForwarded) {
-    m_parts.outbox.Add(
+    m_dependencies.outbox.Add(
         CancelAttempt{id, sent ? work->attempt : core::AttemptId(0)});
   }
   if (sent) {
--- a/src/router/peer_desk.cc
+++ b/src/router/peer_manager.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/router/detail/peer_desk.h"
+#include "coppervalve/router/detail/peer_manager.h"
 
 #include <chrono>   // milliseconds, seconds
 #include <utility>  // move
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// The watch needs no finer time than this; reads of a busy log end far more
-/// often and each look at the members is linear in their number.
-constexpr core::Duration kWatchEvery = std::chrono::milliseconds(500);
+/// A finer resolution is not needed. Reads of a busy log end far more often,
+/// and each check is linear in the members.
+constexpr core::Duration kRetirementCheckInterval = std::chrono::milliseconds(500);
 constexpr core::Duration kDefaultFreshness = std::chrono::seconds(8);
 
 Member SelfOf(const RouterSettings& settings, core::Incarnation incarnation) {
@@ -55,7 +55,7 @@
   return member;
 }
 
-PeerDesk::PeerDesk(const RouterSettings& settings,
+PeerManager::PeerManager(const RouterSettings& settings,
                    core::Incarnation incarnation,
                    Outbox& outbox)
     : m_outbox(outbox),
@@ -64,26 +64,26 @@
       m_retirements(m_view.self().id),
       m_witness(m_view.self()) {}
 
-void PeerDesk::SetMembers(const ledger::Fold& fold) {
+void PeerManager::SetMembers(const ledger::Fold& fold) {
   m_view.SetMembers(MembersOf(fold));
 }
 
-void PeerDesk::OnReadToEnd(TimePoint now,
+void PeerManager::OnReadToEnd(TimePoint now,
                            TimePoint issued,
                            const ledger::Fold& fold) {
   m_freshness.OnReadToEnd(issued);
-  if (m_watched.has_value() && now - *m_watched < kWatchEvery) {
+  if (m_last_retirement_check.has_value() && now - *m_last_retirement_check < kRetirementCheckInterval) {
     return;
   }
-  m_watched = now;
+  m_last_retirement_check = now;
   m_retirements.OnReadToEnd(issued, MembersOf(fold));
 }
 
-void PeerDesk::SetRetireAfter(core::Duration bound) {
+void PeerManager::SetRetireAfter(core::Duration bound) {
   m_retirements.SetRetireAfter(bound);
 }
 
-void PeerDesk::Send(TimePoint now,
+void PeerManager::Send(TimePoint now,
                     const budget::PeerRef& to,
                     v1::PeerMessage message) {
   const auto peer = m_view.Find(now, {to.router, to.incarnation});
@@ -97,21 +97,21 @@
       SendPeer{to.router, peer->member.peer_address, std::move(message)});
 }
 
-void PeerDesk::OnHeartbeat(TimePoint now,
+void PeerManager::OnHeartbeat(TimePoint now,
                            const MemberId& from,
                            const v1::Heartbeat& heartbeat) {
   m_view.OnHeartbeat(now, from, heartbeat);
 }
 
-void PeerDesk::OnSendFailed(TimePoint now, const core::RouterId& router) {
+void PeerManager::OnSendFailed(TimePoint now, const core::RouterId& router) {
   m_view.OnSendFailed(now, router);
 }
 
-std::vector<v1::RouterRetired> PeerDesk::TakeRetirements(TimePoint now) {
+std::vector<v1::RouterRetired> PeerManager::TakeRetirements(TimePoint now) {
   return m_retirements.TakeDue(now);
 }
 
-membership::WitnessVerdict PeerDesk::JudgeWitness(
+membership::WitnessVerdict PeerManager::EvaluateWitness(
     TimePoint now,
     const std::optional<budget::PeerRef>& current) {
   std::optional<MemberId> witness;
@@ -122,7 +122,7 @@
   return m_witness.Evaluate(now, witness, m_view.Peers(now));
 }
 
-membership::FreshnessVerdict PeerDesk::JudgeFreshness(
+membership::FreshnessVerdict PeerManager::EvaluateFreshness(
     TimePoint now,
     core::ConfigVersion version,
     const ledger::Fold& fold) {
@@ -132,18 +132,18 @@
   inputs.voters = fold.voters();
   inputs.self_votes = fold.IsVoter(self().id.incarnation);
   inputs.sampled = m_view.Sampled();
-  // Asked for each event: the scan of the members is for outages only.
+  // This runs for each event, so the members are scanned only during outages.
   if (!m_freshness.ReadRecently(now)) {
     inputs.log_reports = m_view.LogReports(now);
   }
   return m_freshness.Evaluate(now, inputs);
 }
 
-std::optional<core::Duration> PeerDesk::LogAge(TimePoint now) const {
+std::optional<core::Duration> PeerManager::LogAge(TimePoint now) const {
   return m_freshness.LogAge(now);
 }
 
-request::Location PeerDesk::Locate(TimePoint now,
+request::Location PeerManager::Locate(TimePoint now,
                                    const request::Origin& origin,
                                    const ledger::Fold& fold) const {
   request::Location location;
@@ -165,7 +165,7 @@
   return location;
 }
 
-request::Location PeerDesk::OwnerOf(TimePoint now,
+request::Location PeerManager::OwnerOf(TimePoint now,
                                     const core::Hash128& key) const {
   const Member& owner = m_view.OwnerOf(key);
   const bool here = owner.id == self().id;
--- a/src/router/session.cc
+++ b/src/router/session.cc
@@ -28,9 +28,9 @@
     case membership::StaleReason::kNewerVersion:
       return "a peer has a newer configuration";
     case membership::StaleReason::kNotConfirmed:
-      return "the log cannot be read here and no peer vouches";
+      return "the log cannot be read and no peer confirms the configuration";
     case membership::StaleReason::kMinority:
-      return "cut off from the log and from most routers";
+      return "no connection to the log and to most routers";
   }
   return "";
 }
@@ -45,7 +45,7 @@
       m_log(settings, incarnation, hooks, m_outbox),
       m_peers(settings, incarnation, m_outbox),
       m_budgets(settings, incarnation, m_log, m_peers),
-      m_flow({settings, hooks, incarnation, m_log, m_peers, m_budgets.book(),
+      m_flow({settings, hooks, incarnation, m_log, m_peers, m_budgets.holding_manager(),
               m_configured, m_outbox}),
       m_orders(settings.router, incarnation, m_log, m_outbox),
       m_addresses(m_peers.self(), PrefixOf) {
@@ -57,20 +57,20 @@
 
 std::vector<Action> Session::Handle(TimePoint now, const Event& event) {
   m_now = now;
-  JudgeFreshness(now);
+  EvaluateFreshness(now);
   std::visit([&](const auto& e) { On(now, e); }, event);
-  JudgeFreshness(now);
+  EvaluateFreshness(now);
   Pump(now);
   return m_outbox.Take();
 }
 
-// Failure: the process is paused for a minute and resumes with requests in its
-// sockets. Symptom: it serves them under rules that were replaced meanwhile.
-// Enough: freshness is judged before the first event after the pause, and again
-// when the event may have brought a newer reading.
-void Session::JudgeFreshness(TimePoint now) {
+// A process that resumes after a pause of, say, a minute must not serve the
+// requests in its sockets under replaced rules. Freshness is therefore checked
+// before each event, and again after it because the event may contain a newer
+// read.
+void Session::EvaluateFreshness(TimePoint now) {
   const auto verdict =
-      m_peers.JudgeFreshness(now, m_configured.version(), m_log.fold());
+      m_peers.EvaluateFreshness(now, m_configured.version(), m_log.fold());
   const auto* stale = std::get_if<membership::Stale>(&verdict);
   m_stale.reset();
   if (stale != nullptr) {
@@ -81,7 +81,7 @@
 
 // ---- Callers ---------------------------------------------------------------
 
-std::optional<Error> Session::WhyUnfit() const {
+std::optional<Error> Session::NotServingReason() const {
   if (m_log.failure().has_value()) {
     return *m_log.failure();
   }
@@ -94,26 +94,26 @@
     case Phase::kEnded:
     case Phase::kStopped:
       return Error{ErrorId::kRetiredInLog, m_settings.router.value(),
-                   "retired in the log, joins again soon"};
+                   "retired in the log; will join again"};
     case Phase::kMember:
       return std::nullopt;
   }
   return std::nullopt;
 }
 
-std::optional<Error> Session::WhyClosed() const {
-  if (auto unfit = WhyUnfit()) {
-    return unfit;
+std::optional<Error> Session::ClosedReason() const {
+  if (auto not_serving = NotServingReason()) {
+    return not_serving;
   }
   if (!m_drain.AcceptsNewRequests()) {
     return Error{ErrorId::kDraining, m_settings.router.value(),
-                 "ask for the addresses again"};
+                 "draining; request the router addresses again"};
   }
   return m_stale;
 }
 
 bool Session::Ready() const {
-  return !WhyClosed().has_value() && m_drain.Listed();
+  return !ClosedReason().has_value() && m_drain.Listed();
 }
 
 bool Session::draining() const {
@@ -121,15 +121,15 @@
 }
 
 void Session::On(TimePoint now, const RequestArrived& event) {
-  const std::optional<Error> closed = WhyClosed();
+  const std::optional<Error> closed = ClosedReason();
   if (closed.has_value() && m_phase == Phase::kReading) {
-    m_flow.RefuseUnread(event, *closed);
+    m_flow.RefuseBeforeFirstRead(event, *closed);
     return;
   }
   m_flow.OnArrived(now, event, closed);
 }
 
-void Session::On(TimePoint now, const AddressesAsked& event) {
+void Session::On(TimePoint now, const AddressesRequested& event) {
   const auto account = m_flow.Authenticate(event.api_key, std::nullopt);
   if (!core::IsOk(account)) {
     m_outbox.Add(Refuse{event.request, core::Failure(account),
@@ -145,16 +145,16 @@
   m_outbox.Add(ReplyJson{event.request, kHttpOk, JsonOf(list)});
 }
 
-void Session::On(TimePoint now, const StatusAsked& event) {
-  m_flow.OnStatusAsked(now, event);
+void Session::On(TimePoint now, const StatusRequested& event) {
+  m_flow.OnStatusRequested(now, event);
 }
 
-void Session::On(TimePoint now, const OperatorStatusAsked& event) {
+void Session::On(TimePoint now, const OperatorStatusRequested& event) {
   m_outbox.Add(ReplyJson{event.request, kHttpOk, JsonOf(Status(now))});
 }
 
-void Session::On(TimePoint now, const CallerGone& event) {
-  m_flow.OnCallerGone(now, event.request);
+void Session::On(TimePoint now, const CallerDisconnected& event) {
+  m_flow.OnCallerDisconnected(now, event.request);
 }
 
 void Session::On(TimePoint now, const ForwardEnded& event) {
@@ -191,7 +191,7 @@
   m_orders.OnSent(now, event);
 }
 
-// ---- The platform ----------------------------------------------------------
+// ---- Platform --------------------------------------------------------------
 
 void Session::On(TimePoint now, const VmListRead& event) {
   (void)now;
@@ -217,14 +217,14 @@
 }
 
 void Session::AfterReading(TimePoint now, bool at_end) {
-  FollowConfiguration();
+  ApplyConfiguration();
   m_orders.AfterReading(now);
   if (std::exchange(m_members_changed, false)) {
     m_peers.SetMembers(m_log.fold());
     m_flow.limiter().SetRouters(
         static_cast<uint32_t>(m_peers.view().live_members()));
   }
-  if (m_log.lost_continuity() && m_phase == Phase::kMember) {
+  if (m_log.has_skipped_entries() && m_phase == Phase::kMember) {
     OnOwnRetirement(now);
   }
   if (!at_end) {
@@ -249,8 +249,8 @@
   Append(std::move(record));
 }
 
-void Session::FollowConfiguration() {
-  if (!m_configured.Follow(m_log.fold())) {
+void Session::ApplyConfiguration() {
+  if (!m_configured.Update(m_log.fold())) {
     return;
   }
   m_flow.OnConfigured();
@@ -265,8 +265,8 @@
   ConfirmConfiguration();
 }
 
-// The entry itself shows the fleet how far this router has read, which is what
-// a proposal waits for, so it is written at once and not with a later batch.
+// The entry shows how far this router has read. A proposal waits for that, so
+// the entry is written immediately instead of in a later batch.
 void Session::ConfirmConfiguration() {
   if (m_phase != Phase::kMember) {
     return;
@@ -337,7 +337,7 @@
   }
 }
 
-// ---- Time ------------------------------------------------------------------
+// ---- Timers ----------------------------------------------------------------
 
 void Session::On(TimePoint now, const Tick& event) {
   (void)event;
@@ -359,7 +359,7 @@
     if (m_phase == Phase::kMember) {
       m_orders.Pump(now, {!m_stale.has_value(), draining()});
     }
-    m_peers.Beat(now, [&] { return MakeHeartbeat(now); });
+    m_peers.SendHeartbeatIfDue(now, [&] { return MakeHeartbeat(now); });
   }
   if (m_phase != Phase::kEnded) {
     m_log.Pump(now);
--- a/tests/orders/unit-order_desk.cc
+++ b/tests/orders/unit-order-manager.cc
@@ -1,6 +1,6 @@
 #include <CppUTest/TestHarness.h>
 
-#include "desk_fixture.h"
+#include "order_fixture.h"
 
 namespace coppervalve::orders {
 
@@ -9,18 +9,18 @@
 
 namespace {
 
-std::function<SendOutcome(const Send&)> Always(SendOutcome outcome) {
-  return [outcome](const Send&) { return outcome; };
+std::function<SendOutcome(const DeliverOrder&)> Always(SendOutcome outcome) {
+  return [outcome](const DeliverOrder&) { return outcome; };
 }
 
 }  // namespace
 
 // clang-format off
-TEST_GROUP(OrderDesk){};
+TEST_GROUP(OrderManager){};
 // clang-format on
 
-TEST(OrderDesk, one_router_sends_an_order_once_and_states_that_it_is_done) {
-  Desks run;
+TEST(OrderManager, one_router_sends_an_order_once_and_reports_that_it_is_done) {
+  OrderFleet run;
   run.reply = Always(SendOutcome::kDone);
   const core::FencingNumber fencing = run.Issue("blind");
   run.Run(minutes(1));
@@ -29,26 +29,27 @@
   LONGS_EQUAL(v1::DONE, run.Outcome("blind"));
 }
 
-// The reply to an order is lost: the engine may have taken it. One that checks
-// fencing numbers is sent the same number again, which changes nothing there.
-TEST(OrderDesk, a_lost_reply_of_a_checking_engine_is_followed_by_a_resend) {
-  Desks run({"e0"});
-  run.reply = [&run](const Send&) {
+// The reply to an order is lost, so the engine may have applied it. An engine
+// that checks fencing numbers gets the same number again, which has no further
+// effect.
+TEST(OrderManager, a_lost_reply_of_a_checking_engine_is_followed_by_a_resend) {
+  OrderFleet run({"e0"});
+  run.reply = [&run](const DeliverOrder&) {
     return run.sent.size() < 3 ? SendOutcome::kUnknown : SendOutcome::kDone;
   };
   const core::FencingNumber fencing = run.Issue("e0");
   run.Run(minutes(1));
   LONGS_EQUAL(3, run.sent.size());
-  for (const Desks::Sent& sent : run.sent) {
+  for (const OrderFleet::Sent& sent : run.sent) {
     CHECK(sent.command.fencing == fencing);
   }
   LONGS_EQUAL(v1::DONE, run.Outcome("e0"));
 }
 
-// The same at an engine that ignores the numbers: a resend could undo a later
-// order, so there is none, and the operator reads that the outcome is unknown.
-TEST(OrderDesk, a_lost_reply_of_an_ignoring_engine_is_left_to_the_operator) {
-  Desks run;
+// An engine that ignores fencing numbers gets no resend, which could undo a
+// later order. The operator sees that the outcome is unknown.
+TEST(OrderManager, a_lost_reply_of_an_ignoring_engine_is_left_to_the_operator) {
+  OrderFleet run;
   run.reply = Always(SendOutcome::kUnknown);
   run.Issue("blind");
   run.Run(minutes(10));
@@ -56,11 +57,11 @@
   LONGS_EQUAL(v1::OUTCOME_UNKNOWN, run.Outcome("blind"));
 }
 
-// A first try reached the engine without a reply, the second is refused. That
-// refusal does not say that nothing changed.
-TEST(OrderDesk, a_refusal_after_a_lost_reply_is_no_proof_that_nothing_changed) {
-  Desks run({"e0"});
-  run.reply = [&run](const Send&) {
+// The first attempt reached the engine without a reply and the second is
+// refused. The refusal does not show that nothing changed.
+TEST(OrderManager, a_refusal_after_a_lost_reply_is_no_proof_that_nothing_changed) {
+  OrderFleet run({"e0"});
+  run.reply = [&run](const DeliverOrder&) {
     return run.sent.size() == 1 ? SendOutcome::kUnknown : SendOutcome::kRefused;
   };
   run.Issue("e0");
@@ -68,23 +69,23 @@
   LONGS_EQUAL(v1::OUTCOME_UNKNOWN, run.Outcome("e0"));
 }
 
-TEST(OrderDesk, an_order_that_never_leaves_is_tried_again_and_then_given_up) {
-  Desks run;
+TEST(OrderManager, an_order_that_never_leaves_is_tried_again_and_then_given_up) {
+  OrderFleet run;
   run.reply = Always(SendOutcome::kNotSent);
   run.Issue("blind");
   run.Run(seconds(5));
   CHECK(run.sent.size() >= 2);
   run.Run(minutes(10));
-  LONGS_EQUAL(OrderDeskOptions{}.max_tries, run.sent.size());
+  LONGS_EQUAL(OrderManagerOptions{}.max_attempts, run.sent.size());
   LONGS_EQUAL(v1::NOT_SENT, run.Outcome("blind"));
 }
 
-// The router that sends an order is paused before any reply and retired in the
-// log. An engine that checks gets the same number from another router; for one
-// that does not, nobody may send while the paused one still can.
-TEST(OrderDesk, the_order_of_a_retired_sender_goes_on_only_where_it_is_safe) {
+// The sender is paused before any reply and retired in the log. An engine that
+// checks fencing numbers gets the same number from another router; for others,
+// no router may send while the paused one still can.
+TEST(OrderManager, the_order_of_a_retired_sender_goes_on_only_where_it_is_safe) {
   for (const char* upstream : {"e0", "blind"}) {
-    Desks run({"e0"});
+    OrderFleet run({"e0"});
     run.Issue(upstream);
     run.Run(seconds(10));
     LONGS_EQUAL(1, run.sent.size());
@@ -99,15 +100,15 @@
   }
 }
 
-// The first in rank cannot show that its configuration is the newest, or is
-// about to leave: the next one takes the order after its head start.
-TEST(OrderDesk, a_stale_or_draining_router_leaves_the_order_to_the_next) {
-  Desks probe;
+// The first-ranked router has a stale configuration or drains. The next one
+// takes the order after its delay.
+TEST(OrderManager, a_stale_or_draining_router_leaves_the_order_to_the_next) {
+  OrderFleet probe;
   probe.Issue("blind");
   probe.Run(seconds(10));
   const size_t first = probe.sent.at(0).router;
   for (const bool drains : {false, true}) {
-    Desks run;
+    OrderFleet run;
     (drains ? run.draining : run.stale).insert(first);
     run.Issue("blind");
     run.Run(seconds(10));
@@ -116,53 +117,53 @@
   }
 }
 
-// A router took an order and could not connect; then it is told to drain. It
-// must not leave with the order: another router sends it at once, without an
-// operator, and the drain waits until that is safe.
-TEST(OrderDesk, a_draining_router_hands_an_unsent_order_back) {
-  Desks run;
+// A router that took an order and could not connect is drained. It must return
+// the order, so that another router sends it at once without an operator, and
+// the drain waits until that is safe.
+TEST(OrderManager, a_draining_router_hands_an_unsent_order_back) {
+  OrderFleet run;
   run.reply = Always(SendOutcome::kNotSent);
   run.Issue("blind");
   run.Run(seconds(2));
   const size_t first = run.sent.at(0).router;
-  LONGS_EQUAL(1, run.desks[first].busy());
+  LONGS_EQUAL(1, run.managers[first].busy());
   run.draining.insert(first);
   run.reply = Always(SendOutcome::kDone);
   run.Run(seconds(10));
-  LONGS_EQUAL(0, run.desks[first].busy());
+  LONGS_EQUAL(0, run.managers[first].busy());
   CHECK(run.sent.back().router != first);
   LONGS_EQUAL(v1::DONE, run.Outcome("blind"));
 }
 
-TEST(OrderDesk, two_loads_at_once_and_the_third_when_one_has_ended) {
-  Desks run({"e0", "e1", "e2"});
+TEST(OrderManager, two_loads_at_once_and_the_third_when_one_has_ended) {
+  OrderFleet run({"e0", "e1", "e2"});
   run.Issue("e0");
   run.Issue("e1");
   const core::FencingNumber last = run.Issue("e2");
   run.Run(seconds(20));
   LONGS_EQUAL(2, run.sent.size());
-  const Desks::Sent ended = run.sent[0];
+  const OrderFleet::Sent ended = run.sent[0];
   CHECK(ended.command.fencing < last);
-  run.desks[ended.router].OnSent(run.now, ended.command.upstream,
+  run.managers[ended.router].OnSent(run.now, ended.command.upstream,
                                  ended.command.fencing, SendOutcome::kDone);
   run.Run(seconds(10));
   LONGS_EQUAL(3, run.sent.size());
   CHECK(run.sent[2].command.fencing == last);
 }
 
-// A newer order comes into force while the older one is still being sent by the
-// same router. Both at once could arrive in either order, so the newer waits.
-TEST(OrderDesk, an_upstream_gets_one_order_at_a_time) {
-  Desks run({"e0"});
+// A newer order is issued while the same router still sends the older one. Sent
+// together they could arrive in either order, so the newer one waits.
+TEST(OrderManager, an_upstream_gets_one_order_at_a_time) {
+  OrderFleet run({"e0"});
   run.halted = {1, 2};
   run.Issue("e0");
   run.Run(seconds(10));
   LONGS_EQUAL(1, run.sent.size());
-  const Send first = run.sent[0].command;
+  const DeliverOrder first = run.sent[0].command;
   const core::FencingNumber second = run.Issue("e0");
   run.Run(seconds(10));
   LONGS_EQUAL(1, run.sent.size());
-  run.desks[0].OnSent(run.now, first.upstream, first.fencing,
+  run.managers[0].OnSent(run.now, first.upstream, first.fencing,
                       SendOutcome::kDone);
   run.Run(seconds(10));
   LONGS_EQUAL(2, run.sent.size());
