--- a/include/coppervalve/net/answer.h
+++ b/include/coppervalve/net/answer.h
@@ -14,54 +14,55 @@
 
 namespace coppervalve::net {
 
-/// @brief The answer of one request while it is written and read. One writer
-/// and any number of readers, each on its own thread.
+/// @brief Buffers the answer of one request between one writer and any number
+/// of readers, each on its own thread.
 class Answer {
  public:
   enum class State { kOpen, kWhole, kFailed };
   using Wake = std::function<void()>;
   using ReaderId = size_t;
 
-  /// @brief What a reader gets next.
+  /// @brief The next part of the answer for a reader.
   struct Piece {
     bool started = false;
     bool stream = false;
-    State state = State::kOpen;    ///< as of after `bytes`
-    std::optional<HttpHead> head;  ///< once, with a reader's first piece
+    State state = State::kOpen;    ///< state after `bytes`
+    std::optional<HttpHead> head;  ///< only in a reader's first piece
     std::string bytes;
     std::optional<Refusal> refusal;
   };
 
-  /// @param keep_limit bytes kept for later readers; 0 keeps nothing that all
-  /// readers have read
+  /// @param keep_limit bytes kept for later readers; with 0, bytes that all
+  /// readers have read are dropped
   explicit Answer(size_t keep_limit) : m_keep_limit(keep_limit) {}
 
-  /// @brief Begins the answer. @param stream readers may relay it piecewise
+  /// @brief Begins the answer.
+  /// @param stream readers may relay it before it is complete
   void Start(HttpHead head, bool stream);
   void Append(std::string_view bytes);
-  /// @brief The answer came to its proper end.
+  /// @brief Marks the answer as complete.
   void Finish();
-  /// @brief Ends an answer that cannot be completed; no effect once ended.
+  /// @brief Ends an answer that cannot be completed; no effect once it has
+  /// ended.
   void Fail(Refusal refusal);
-  /// @brief Sends all readers to another answer.
+  /// @brief Makes all readers read another answer instead.
   void RedirectTo(std::shared_ptr<Answer> leader);
 
   /// @return the answer that readers shall read instead, if any
   std::shared_ptr<Answer> Redirect() const;
-  /// @return no reader, when the beginning is no longer kept
   /// @param wake called from any thread whenever there may be something to read
+  /// @return empty when the beginning of the answer is no longer kept
   std::optional<ReaderId> Subscribe(Wake wake);
   void Unsubscribe(ReaderId reader);
   Piece Read(ReaderId reader, size_t max_bytes);
 
   bool started() const;
   State state() const;
-  /// @return bytes that the reader furthest behind has still to read; 0 without
-  /// readers
+  /// @return unread bytes of the slowest reader; 0 without readers
   size_t Lag() const;
   /// @return bytes held in memory
   size_t HeldBytes() const;
-  /// @param wake called from any thread after a reader took bytes
+  /// @param wake called from any thread after a reader has read bytes
   void OnTaken(Wake wake);
 
  private:
--- a/include/coppervalve/net/answer_reader.h
+++ b/include/coppervalve/net/answer_reader.h
@@ -8,11 +8,11 @@
 
 namespace coppervalve::net {
 
-/// @brief Reads the answer of one caller, following it when the caller joins
-/// another request. Belongs to one thread.
+/// @brief Reads the answer for one caller and follows its redirect to the
+/// answer of another request. Not thread-safe.
 class AnswerReader {
  public:
-  /// @param wake called from any thread whenever Next() may bring something
+  /// @param wake called from any thread whenever Next() may return new data
   AnswerReader(std::shared_ptr<Answer> own, Answer::Wake wake);
   AnswerReader(const AnswerReader&) = delete;
   AnswerReader& operator=(const AnswerReader&) = delete;
--- a/include/coppervalve/net/answer_store.h
+++ b/include/coppervalve/net/answer_store.h
@@ -11,18 +11,20 @@
 
 namespace coppervalve::net {
 
-/// @brief The answers of keyed requests, for callers that join them later.
+/// @brief Stores the answers of requests with an idempotency key, so that later
+/// callers with the same key can read them.
 /// Thread-safe.
 class AnswerStore {
  public:
   /// @param answer_limit most bytes kept of one answer
-  /// @param total_limit most bytes kept of all; past it new answers are
-  /// relayed, not kept
+  /// @param total_limit most bytes kept in total; beyond it new answers are
+  /// relayed without being stored
   AnswerStore(size_t answer_limit, size_t total_limit);
 
-  /// @brief Creates the answer of a request. @param keyed keep it
+  /// @brief Creates the answer of a request.
+  /// @param keyed the request has an idempotency key; its answer is kept
   std::shared_ptr<Answer> Create(core::RequestId request, bool keyed);
-  /// @return the kept answer; null when there is none
+  /// @return the stored answer; null when there is none
   std::shared_ptr<Answer> Find(core::RequestId request) const;
   void Forget(core::RequestId request);
   /// @complexity linear in the number of answers kept
--- a/include/coppervalve/net/caller_server.h
+++ b/include/coppervalve/net/caller_server.h
@@ -16,7 +16,7 @@
 
 namespace coppervalve::net {
 
-/// @brief Bounds of what a caller may send, and how slowly.
+/// @brief Size limits and timeouts for caller connections.
 struct CallerLimits {
   size_t max_header_bytes = size_t{16} * 1024;
   size_t max_body_bytes = size_t{1024} * 1024;
@@ -27,28 +27,28 @@
   std::chrono::milliseconds write_timeout{30'000};   ///< without any progress
 };
 
-/// @brief A request that was taken in, and where its answer will be.
+/// @brief An accepted request and the object that receives its answer.
 struct Exchange {
   core::RequestId request;
   std::shared_ptr<Answer> answer;
 };
 
-/// @brief What a server asks of whoever handles its requests. All are called
-/// on the traffic thread that they are told.
+/// @brief Callbacks that handle the requests of a server. Those with a `thread`
+/// parameter are called on the traffic thread of that index.
 struct CallerHooks {
   std::function<Exchange(size_t thread, HttpRequest request)> accept;
-  /// The caller closed its connection before it had its whole answer.
+  /// The caller closed its connection before it received the complete answer.
   std::function<void(size_t thread, core::RequestId request)> gone;
-  /// The caller has all it will get.
+  /// Everything that the caller will receive has been sent.
   std::function<void(size_t thread, core::RequestId request)> served;
-  /// A request that was refused before it was whole.
+  /// A request was rejected before it was received completely.
   std::function<void(const core::Error& error)> rejected;
-  /// Whether callers are to be told to connect elsewhere next time.
+  /// Whether answers ask callers to close the connection and reconnect.
   std::function<bool()> draining;
 };
 
-/// @brief An HTTP/1.1 server on one port; its connections are spread over the
-/// traffic threads.
+/// @brief An HTTP/1.1 server on one port; its connections are distributed over
+/// the traffic threads.
 class CallerServer {
  public:
   CallerServer(IoPool& pool, CallerHooks hooks, CallerLimits limits);
@@ -57,15 +57,15 @@
   ~CallerServer();
 
   /// @param address "ip:port"; port 0 picks a free one
-  /// @return kSettingBadValue when it can't be listened on
+  /// @return kSettingBadValue when listening on the address fails
   core::Status Listen(const std::string& address);
   /// @return the port in use; 0 before Listen()
   uint16_t port() const;
 
-  /// @brief Takes no new connection; open ones end after the request in
+  /// @brief Stops accepting; open connections close after the request in
   /// progress.
   void Close();
-  /// @return connections that are still open
+  /// @return number of open connections
   size_t OpenConnections() const;
 
  private:
--- a/include/coppervalve/net/clock.h
+++ b/include/coppervalve/net/clock.h
@@ -10,8 +10,8 @@
 /// @brief The decision clock of the daemon (CLOCK_BOOTTIME).
 core::TimePoint BootNow();
 
-/// @brief Names the boot whose clock BootNow() reads: another after each start
-/// of the VM. @return empty when it can't be told
+/// @brief Identifies the boot that BootNow() counts from; changes with each
+/// start of the VM. @return empty when it cannot be read
 std::string BootId();
 
 }  // namespace coppervalve::net
--- a/include/coppervalve/net/control_loop.h
+++ b/include/coppervalve/net/control_loop.h
@@ -10,18 +10,17 @@
 
 namespace coppervalve::net {
 
-/// @brief The decision core as the shell sees it. Only the control thread calls
-/// it.
+/// @brief Interface of the decision core. Called only on the control thread.
 using Handler =
     std::function<std::vector<router::Action>(core::TimePoint,
                                               const router::Event&)>;
-/// @brief Takes an event from any thread.
+/// @brief Accepts an event. Thread-safe.
 using EventSink = std::function<void(router::Event)>;
-/// @brief Takes the core's actions on the control thread, in order.
+/// @brief Receives the core's actions in order, on the control thread.
 using ActionSink = std::function<void(router::Action)>;
 
-/// @brief The control thread: feeds events and ticks to the handler, one at a
-/// time.
+/// @brief Runs the control thread, which passes events and ticks to the handler
+/// one at a time.
 class ControlLoop {
  public:
   ControlLoop(Handler handler, ActionSink sink);
@@ -30,9 +29,9 @@
   ~ControlLoop();
 
   void Start();
-  /// @brief Queues an event; from any thread.
+  /// @brief Queues an event. Thread-safe.
   void Post(router::Event event);
-  /// @brief Ends the control thread; events still queued are dropped.
+  /// @brief Stops the control thread; queued events are dropped.
   void Stop();
 
  private:
--- a/include/coppervalve/net/http_types.h
+++ b/include/coppervalve/net/http_types.h
@@ -6,13 +6,14 @@
 #include <utility>      // pair
 #include <vector>       // vector
 
-/// Plain HTTP values, so that only a few sources need the HTTP library.
+/// HTTP types without a dependency on the HTTP library, so that only a few
+/// sources include it.
 namespace coppervalve::net {
 
 /// @brief Header names (lower case) with their values, in the order sent.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// @brief A whole HTTP request.
+/// @brief A complete HTTP request.
 struct HttpRequest {
   std::string method;
   std::string target;  ///< path with query, as sent
--- a/include/coppervalve/net/io_pool.h
+++ b/include/coppervalve/net/io_pool.h
@@ -11,8 +11,8 @@
 
 namespace coppervalve::net {
 
-/// @brief The traffic threads, each with an event loop of its own: whatever
-/// belongs to one of them needs no lock.
+/// @brief The traffic threads, each with its own event loop. Objects that
+/// belong to one thread need no lock.
 class IoPool {
  public:
   explicit IoPool(size_t threads);
@@ -22,12 +22,13 @@
 
   size_t size() const;
   boost::asio::io_context& Context(size_t index);
-  /// @brief Queues a task for one thread; from any thread, in order.
+  /// @brief Queues a task for one thread; tasks run in order. Thread-safe.
   void Post(size_t index, std::function<void()> task);
   void Start();
-  /// @brief Ends the threads; tasks still queued are dropped.
+  /// @brief Stops the threads; queued tasks do not run.
   void Stop();
-  /// @brief Runs the tasks that were left or queued since. @pre stopped
+  /// @brief Runs the tasks that are still queued, on the calling thread.
+  /// @pre stopped
   void Settle();
 
  private:
--- a/include/coppervalve/net/peer_auth.h
+++ b/include/coppervalve/net/peer_auth.h
@@ -14,21 +14,21 @@
 
 namespace coppervalve::net {
 
-/// @brief Seconds since 1970 by the machine's wall clock.
+/// @brief Wall-clock time in seconds since 1970.
 using UnixSeconds = std::chrono::seconds;
 
-/// @brief Makes the proof that one stream carries:
+/// @brief Creates the authentication proof of a stream:
 /// `<unix seconds>.<nonce>.<hex HMAC-SHA256>`.
 class PeerSigner {
  public:
   explicit PeerSigner(std::string secret);
 
-  /// @param signed_text everything that the proof vouches for
-  /// @return kPeerProtocol when the machine gives no random bytes
+  /// @param signed_text the text that the HMAC covers
+  /// @return kPeerProtocol when the system provides no random bytes
   core::Result<std::string> Sign(std::string_view signed_text,
                                  UnixSeconds now) const;
 
-  /// @brief What an answer carries to prove that its sender has the secret too.
+  /// @brief The proof in an answer that its sender has the secret too.
   /// @param proof the proof of the request that is answered
   std::string ReplyProof(std::string_view proof) const;
 
@@ -36,13 +36,14 @@
   std::string m_secret;
 };
 
-/// @brief Judges proofs and remembers their nonces, so that none counts twice.
-/// Safe to call from several threads.
+/// @brief Verifies proofs and records their nonces, so that a replayed proof is
+/// rejected. Thread-safe.
 class PeerVerifier {
  public:
-  /// How far the clocks of two routers may differ.
+  /// Largest accepted difference between the clocks of two routers.
   static constexpr UnixSeconds kMaxSkew{60};
-  /// Nonces kept of one period of 2 * kMaxSkew; about 8,700 streams a second.
+  /// Nonces recorded per period of 2 * kMaxSkew; allows about 8,700 streams a
+  /// second.
   static constexpr size_t kMaxNonces = size_t{1} << 20U;
 
   explicit PeerVerifier(std::string secret);
--- a/include/coppervalve/net/peer_server.h
+++ b/include/coppervalve/net/peer_server.h
@@ -14,12 +14,11 @@
 
 namespace coppervalve::net {
 
-/// @brief The answer to one forward, written by whoever runs the request.
+/// @brief Writes the answer to one forward.
 ///
-/// Calls may come from any thread; they take effect in the order of the calls
-/// of one thread. Dropping the last reference before End() aborts: an answer
-/// that its writer forgot is never taken for a whole one. Must not outlive the
-/// io_context.
+/// Thread-safe; the calls of one thread take effect in their order. Dropping
+/// the last reference before End() aborts the stream, so that an unfinished
+/// answer never looks complete. Must not outlive the io_context.
 class ForwardReply {
  public:
   struct Impl;
@@ -29,32 +28,32 @@
   ForwardReply(const ForwardReply&) = delete;
   ForwardReply& operator=(const ForwardReply&) = delete;
 
-  /// @brief Sends status (200 to 599) and headers. First and once.
+  /// @brief Sends status (200 to 599) and headers. Must be called first, once.
   void Head(ReplyHead head);
 
   /// @brief Sends a part of the body.
-  /// @param on_writable called once when more should be sent, at once or after
-  /// the reader caught up; never after the stream ended. May be empty.
+  /// @param on_writable called once when more may be sent: immediately, or when
+  /// the reader has caught up; never after the stream has ended. May be empty.
   void Body(std::string bytes, std::function<void()> on_writable);
 
-  /// @brief The answer is whole.
+  /// @brief Completes the answer.
   void End();
 
-  /// @brief Ends with RST_STREAM: the other side learns that the answer is not
-  /// whole. Does nothing after End().
+  /// @brief Ends with RST_STREAM, which tells the other side that the answer is
+  /// incomplete. Does nothing after End().
   void Abort(core::Error error);
 
-  /// @brief Sets what to call when the stream ends before End() or Abort():
-  /// cancelled by the other side, or its connection lost. Called at once if
-  /// that has happened already.
+  /// @brief Sets the callback for a stream that ends before End() or Abort():
+  /// cancelled by the other side, or connection lost. Called immediately if
+  /// that has already happened.
   void OnCancelled(std::function<void()> callback);
 
  private:
   std::shared_ptr<Impl> m_impl;
 };
 
-/// @brief What a server hands over; called on threads of the io_context, one
-/// at a time per connection.
+/// @brief Callbacks of a server, called on threads of the io_context, one at a
+/// time per connection.
 struct PeerServerCallbacks {
   /// Must return quickly: the sender's confirmation waits for it.
   std::function<void(v1::PeerMessage message)> on_message;
@@ -62,16 +61,16 @@
                      std::string body,
                      std::shared_ptr<ForwardReply> reply)>
       on_forward;
-  /// A stream that was refused, or aborted by this side, for the log. May be
+  /// Reports a stream that this side refused or aborted, for logging. May be
   /// empty.
   std::function<void(core::Error error)> on_refused;
 };
 
-/// @brief The accepting side of the links. Nothing of a stream is handed over
-/// before it has proved the shared secret (see peer_auth.h).
+/// @brief The accepting side of the links. No data of a stream is delivered
+/// before the stream is authenticated (see peer_auth.h).
 class PeerServer {
  public:
-  /// @param address IP number to listen on
+  /// @param address IP address to listen on
   /// @param port 0 picks a free one
   PeerServer(boost::asio::io_context& io,
              std::string address,
@@ -79,7 +78,7 @@
              std::string shared_secret,
              PeerServerCallbacks callbacks,
              PeerSettings settings = {});
-  /// Closes all connections at once; unfinished forwards are cancelled.
+  /// Closes all connections immediately; unfinished forwards are cancelled.
   ~PeerServer();
   PeerServer(const PeerServer&) = delete;
   PeerServer& operator=(const PeerServer&) = delete;
@@ -92,7 +91,7 @@
   /// @return the port in use; 0 before Listen()
   uint16_t port() const;
 
-  /// @brief Stops accepting, sends GOAWAY, finishes the streams in progress.
+  /// @brief Stops accepting, sends GOAWAY and finishes the streams in progress.
   /// @param on_closed called once when no connection is left
   void Close(std::function<void()> on_closed);
 
--- a/include/coppervalve/net/peer_types.h
+++ b/include/coppervalve/net/peer_types.h
@@ -14,14 +14,16 @@
 
 namespace coppervalve::net {
 
-/// @brief Header fields of a caller's request or answer, names lowered.
+/// @brief Header fields of a caller's request or answer; names in lower
+/// case.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// @brief A caller's request as one router hands it to another.
+/// @brief Metadata of a caller's request that is forwarded to another router.
 struct ForwardHead {
   core::AccountId account;  ///< authenticated by the sending router
-  /// The incarnation that is meant. A receiver of another one must refuse: a
-  /// stale or replayed forward never runs at the wrong process.
+  /// The incarnation that the forward is addressed to. A receiver with another
+  /// incarnation must refuse, so that a stale or replayed forward never runs in
+  /// the wrong process.
   core::Incarnation to_incarnation;
   std::string method;           ///< of the caller's request
   std::string path;             ///< of the caller's request, with its query
@@ -29,46 +31,49 @@
   HeaderList headers;
 };
 
-/// @brief The first part of the answer to a forward.
+/// @brief Status and headers of the answer to a forward.
 struct ReplyHead {
   uint32_t status = 200;
   HeaderList headers;
 };
 
-/// @brief How a forward ended at the side that started it.
+/// @brief Result of a forward, as seen by the sending router.
 struct ForwardOutcome {
-  /// The peer ended the answer properly and all of it was handed over.
+  /// The peer completed the answer, and all of it was delivered.
   bool whole = false;
   /// Bytes of the request reached the kernel, so the peer may have run it.
-  /// False also when the peer proved that it did not take the request
-  /// (REFUSED_STREAM, GOAWAY below it, a refusal of the link itself).
+  /// Also false when the peer stated that it did not process the request
+  /// (REFUSED_STREAM, GOAWAY with a lower stream id, refusal by the link).
   bool sent = false;
   /// Meaningful only when not whole.
   core::Error error{core::ErrorId::kOutcomeUnknown, {}, {}};
 };
 
-/// @brief What the starter of a forward is told, in order, never concurrently:
+/// @brief Callbacks of a forward, called in order and never concurrently:
 /// on_head at most once, on_body any number of times, on_end exactly once.
 struct ForwardCallbacks {
   std::function<void(ReplyHead head)> on_head;
-  /// `consumed` is to be called, from any thread, when the bytes were relayed;
-  /// until then they fill the stream's window and the peer stops sending.
+  /// Call `consumed`, from any thread, when the bytes have been relayed. Until
+  /// then they count against the stream's flow-control window, and a full
+  /// window stops the peer from sending.
   std::function<void(std::string bytes, std::function<void()> consumed)>
       on_body;
   std::function<void(ForwardOutcome outcome)> on_end;
 };
 
-/// @brief Limits and deadlines of the links; the defaults suit one region.
+/// @brief Limits and timeouts of the links; the defaults suit routers in one
+/// region.
 struct PeerSettings {
-  /// Silence after which a PING is sent.
+  /// Time without received data after which a PING is sent.
   std::chrono::milliseconds ping_interval{2000};
-  /// Silence after which the connection is closed; above ping_interval.
+  /// Time without received data after which the connection is closed; must
+  /// exceed ping_interval.
   std::chrono::milliseconds silence_deadline{3000};
   std::chrono::milliseconds connect_timeout{1000};
-  /// Pause after a failed connect, doubled up to the maximum.
+  /// Delay after a failed connect, doubled up to the maximum.
   std::chrono::milliseconds backoff_min{50};
   std::chrono::milliseconds backoff_max{1000};
-  /// Between the notice of a shutdown and the final GOAWAY.
+  /// Delay between the shutdown notice and the final GOAWAY.
   std::chrono::milliseconds goaway_grace{200};
   size_t max_message_bytes = 1U << 20U;
   size_t max_forward_body_bytes = 16U << 20U;
@@ -77,10 +82,10 @@
   size_t max_queued_messages = 256;
   /// Unfinished forwards per peer; further ones fail at once.
   size_t max_forwards = 1024;
-  /// Connections that a server holds open; further ones are closed.
+  /// Open connections of a server; further ones are closed.
   size_t max_connections = 256;
   /// Bytes of an answer that a server buffers for a slow reader; beyond it the
-  /// forward is aborted. Those who wait for `on_writable` stay far below.
+  /// forward is aborted. Writers that wait for `on_writable` stay far below.
   size_t max_reply_buffer_bytes = 8U << 20U;
 };
 
--- a/include/coppervalve/net/refusal.h
+++ b/include/coppervalve/net/refusal.h
@@ -11,14 +11,14 @@
 
 namespace coppervalve::net {
 
-/// @brief A typed failure as a caller gets it.
+/// @brief An error as it is reported to a caller.
 struct Refusal {
   core::Error error;
   core::RunState run_state = core::RunState::kNotRun;
   std::optional<core::Duration> retry_after;
 };
 
-/// @brief A refusal with the run state of the catalogue.
+/// @brief Creates a refusal with the run state that the error catalogue gives.
 Refusal RefusalOf(core::Error error);
 
 /// @brief Status and headers of the error answer.
@@ -27,7 +27,7 @@
 /// @brief The JSON document of the error answer.
 std::string RefusalJson(const Refusal& refusal);
 
-/// @brief The event that ends a stream whose answer could not be completed.
+/// @brief The error event that ends a stream whose answer is incomplete.
 std::string RefusalEvent(const Refusal& refusal);
 
 }  // namespace coppervalve::net
--- a/include/coppervalve/net/shell.h
+++ b/include/coppervalve/net/shell.h
@@ -14,7 +14,7 @@
 
 namespace coppervalve::net {
 
-/// @brief What surrounds the shell. Only `handler` is needed.
+/// @brief Callbacks of the shell. Only `handler` is required.
 struct ShellHooks {
   Handler handler;
   /// Called on the control thread, before the handler and before the action.
@@ -24,28 +24,27 @@
   std::function<void(const router::LogLine&)> log;
   std::function<void(const core::Error&)> on_rejected;
   std::function<std::string()> metrics_text;
-  /// The incarnation that forwards must be meant for; any, when not set.
+  /// The incarnation that forwards must be addressed to; any when not set.
   std::function<core::Incarnation()> incarnation;
 };
 
-/// @brief Everything of a router process but its decisions: ports, threads,
-/// connections, the clock.
+/// @brief The I/O layer of a router process: ports, threads, connections,
+/// clock. The decisions are made by the handler.
 class Shell {
  public:
   Shell(ShellSettings settings, ShellHooks hooks);
   Shell(const Shell&) = delete;
   Shell& operator=(const Shell&) = delete;
-  /// Ends at once.
+  /// Stops immediately, without a drain.
   ~Shell();
 
   /// @brief Opens the ports and starts the threads.
-  /// @return kSettingBadValue for an address that can't be listened on
+  /// @return kSettingBadValue for an address that cannot be listened on
   core::Status Start();
-  /// @brief Asks the core to drain; from any thread. A second call changes
-  /// nothing.
+  /// @brief Asks the core to drain. Thread-safe and idempotent.
   void Drain();
-  /// @brief Waits until the core has carried its drain through, then ends the
-  /// open connections.
+  /// @brief Waits until the core has completed its drain, then closes the open
+  /// connections.
   void WaitForExit();
 
   uint16_t caller_port() const;
--- a/include/coppervalve/net/shell_settings.h
+++ b/include/coppervalve/net/shell_settings.h
@@ -9,33 +9,34 @@
 
 namespace coppervalve::net {
 
-/// @brief What the shell must be told; all addresses are "ip:port".
+/// @brief Settings of the shell; all addresses are "ip:port".
 struct ShellSettings {
   std::string router_id;
   std::string caller_listen;
   std::string operator_listen;
-  std::string peer_listen;  ///< empty: no links to other routers
+  std::string peer_listen;  ///< empty: peer links are disabled
   std::string log_address;
-  std::string vm_list_address;  ///< empty: not asked
+  std::string vm_list_address;  ///< empty: the VM list is not polled
   std::string operator_token;
   std::string peer_secret;
   size_t traffic_threads = 2;
   CallerLimits caller;
 
-  /// Bound of an answer that comes in one piece.
+  /// Limit for an answer that is not streamed.
   size_t max_answer_bytes = size_t{8} * 1024 * 1024;
-  /// Bounds of the answers kept for callers that come again.
+  /// Limits for answers stored for repeated requests: one answer, and all.
   size_t max_kept_answer_bytes = size_t{1} * 1024 * 1024;
   size_t max_kept_bytes = size_t{128} * 1024 * 1024;
 
   std::chrono::milliseconds connect_timeout{1'000};
-  /// Beyond the wait that the log service was asked for.
+  /// Added to the wait that was requested from the log service.
   std::chrono::milliseconds log_timeout{3'000};
   std::chrono::milliseconds probe_timeout{1'000};
-  /// For an engine to acknowledge an order; after it the outcome is unknown.
+  /// For an engine to acknowledge an order; after a timeout the outcome is
+  /// unknown.
   std::chrono::milliseconds order_timeout{30'000};
   std::chrono::milliseconds vm_list_interval{2'000};
-  /// How long open connections may take to end once the drain is complete.
+  /// Time for open connections to close after the drain is complete.
   std::chrono::milliseconds close_patience{10'000};
 };
 
--- a/include/coppervalve/net/sse_reader.h
+++ b/include/coppervalve/net/sse_reader.h
@@ -12,19 +12,19 @@
 
 /// @brief One server-sent event.
 struct SseEvent {
-  std::string raw;   ///< as received, with its closing blank line
+  std::string raw;   ///< as received, including the final blank line
   std::string data;  ///< joined data lines; empty for comments
 };
 
-/// @brief Cuts a stream of bytes into server-sent events.
+/// @brief Splits a byte stream into server-sent events.
 class SseReader {
  public:
   using OnEvent = std::function<core::Status(const SseEvent&)>;
 
-  /// @param max_event_bytes bound of what is held of an unfinished event
+  /// @param max_event_bytes limit for the buffered part of an unfinished event
   explicit SseReader(size_t max_event_bytes) : m_max(max_event_bytes) {}
 
-  /// @return kUpstreamProtocol for an event past the bound, or the error of
+  /// @return kUpstreamProtocol for an event above the limit, or the error of
   /// `on_event`
   core::Status Feed(std::string_view bytes, const OnEvent& on_event);
   /// @return whether an event has begun and not ended
--- a/include/coppervalve/net/stream_relay.h
+++ b/include/coppervalve/net/stream_relay.h
@@ -15,17 +15,18 @@
 namespace coppervalve::net {
 
 /// @brief Relays an engine's token stream into an answer, event by event, and
-/// tells a whole stream from a cut one.
+/// detects a truncated stream.
 class StreamRelay {
  public:
   /// @param relay_usage the caller asked for the usage event
   StreamRelay(std::shared_ptr<Answer> answer, HttpHead head, bool relay_usage);
 
-  /// @return kUpstreamProtocol or kUpstreamFailed; the stream is then unusable
+  /// @return kUpstreamProtocol or kUpstreamFailed; the stream must not be used
+  /// afterwards
   core::Status Feed(std::string_view bytes);
-  /// @brief The message ended properly (final chunk or full length).
-  /// @return kAnswerCut unless the closing event came before; on success the
-  /// answer is finished
+  /// @brief Handles the end of the message (final chunk or full length).
+  /// @return kAnswerCut if the closing event is missing; on success the answer
+  /// is finished
   core::Status Finish();
 
   core::Tokens output_seen() const { return m_output_seen; }
@@ -40,7 +41,7 @@
   HttpHead m_head;
   bool m_relay_usage;
   SseReader m_reader;
-  std::string m_closing;  // the closing event, held back until the final chunk
+  std::string m_closing;  // the closing event, delayed until the final chunk
   core::Tokens m_output_seen;
   core::Bytes m_relayed;
   std::optional<router::Usage> m_usage;
--- a/src/net/caller_reader.cc
+++ b/src/net/caller_reader.cc
@@ -35,7 +35,7 @@
   if (e == http::error::body_limit) {
     return core::Error{ErrorId::kBodyTooLarge, "body", ""};
   }
-  // The caller closed, between two requests or in the middle of one.
+  // The caller closed the connection, between two requests or during one.
   if (e == http::error::end_of_stream || e == http::error::partial_message) {
     return std::nullopt;
   }
@@ -84,8 +84,8 @@
     parser.emplace();
     parser->header_limit(static_cast<uint32_t>(limits.max_header_bytes));
     parser->body_limit(limits.max_body_bytes);
-    // One bound for the whole header: a sender that drips a byte now and then
-    // would otherwise hold the connection for ever.
+    // One timeout for the whole header: otherwise a sender of occasional single
+    // bytes could hold the connection forever.
     Arm(limits.header_timeout);
     http::async_read_header(
         socket, buffer, *parser,
--- a/src/net/detail/peer_channel.cc
+++ b/src/net/detail/peer_channel.cc
@@ -110,8 +110,8 @@
   }
   const bool opening = m_current || m_connecting;
   if (!opening && Clock::now() < m_not_before) {
-    // Failing now lets the caller choose another peer; waiting for the next
-    // attempt would only hide that this one is gone.
+    // Failing immediately lets the caller choose another peer; waiting for the
+    // next attempt would hide that this peer is unreachable.
     call->End(ForwardOutcome{false, false, Unreachable("backing off")});
     return;
   }
@@ -130,7 +130,7 @@
       return;
     }
   }
-  // A call that waits stays in the list and is passed over when its turn comes.
+  // A waiting call stays in the list and is skipped when the list is processed.
   call.End(ForwardOutcome{
       false, false,
       core::Error{core::ErrorId::kOutcomeUnknown, m_address, "cancelled"}});
@@ -164,11 +164,11 @@
       });
 }
 
-// Failure: the kernel of a peer that hangs still accepts connections, and what
-// was written to one would have to count as "may have run". Calls wait until
-// the peer's SETTINGS show that its process answers, so that they fail as "not
-// sent" and the caller may safely go elsewhere. It costs one round trip of each
-// new connection.
+// The kernel of a hung peer still accepts connections, and a request written to
+// one would have to count as "may have run". Calls therefore wait for the
+// peer's SETTINGS, which show that its process responds. Otherwise they fail as
+// "not sent", and the caller can safely use another peer. This costs one round
+// trip per new connection.
 void PeerChannel::OnConnected(tcp::socket socket) {
   PeerClientConnection::Hooks hooks;
   const auto weak = weak_from_this();
@@ -203,8 +203,8 @@
   m_connect_timer.cancel();
   const auto waiting = std::exchange(m_waiting, {});
   for (const auto& call : waiting) {
-    // A failed submission may have retired the connection: then the rest wait
-    // for the next one.
+    // A failed submission may have retired the connection; the remaining calls
+    // then wait for the next one.
     Dispatch(call);
   }
   DrainIfClosing();
--- a/src/net/detail/peer_channel.h
+++ b/src/net/detail/peer_channel.h
@@ -18,9 +18,9 @@
 
 namespace coppervalve::net::detail {
 
-/// @brief The way to one peer address: one current connection, opened on
-/// demand, and earlier ones that only finish their calls. The public functions
-/// may be called from any thread; the rest runs on the channel's strand.
+/// @brief Manages the connections to one peer address: the current one, opened
+/// on demand, and earlier ones that only finish their calls. The public
+/// functions are thread-safe; the rest runs on the channel's strand.
 class PeerChannel : public std::enable_shared_from_this<PeerChannel> {
  public:
   PeerChannel(boost::asio::io_context& io,
@@ -35,7 +35,7 @@
   /// @brief Finishes the calls, then calls `on_closed`. Start() must not
   /// follow.
   void Close(std::function<void()> on_closed);
-  /// @brief Fails all calls at once.
+  /// @brief Fails all calls immediately.
   void Abort();
 
  private:
--- a/src/net/detail/peer_client_connection.cc
+++ b/src/net/detail/peer_client_connection.cc
@@ -51,7 +51,7 @@
   m_connection->Start();
 }
 
-// The session calls these only while the connection runs, and the connection
+// The session calls these only while the connection is open, and the connection
 // keeps this object alive until on_closed.
 SessionHooks PeerClientConnection::MakeSessionHooks() {
   SessionHooks hooks;
@@ -125,7 +125,8 @@
   }
   const auto id = m_connection->session().SubmitRequest(fields);
   if (!core::IsOk(id)) {
-    // nghttp2 refuses when the connection is going away or its ids are used up.
+    // nghttp2 fails when the connection is closing or its stream ids are used
+    // up.
     call->End(ForwardOutcome{
         false, false, Failed(core::ErrorId::kPeerUnreachable, "going away")});
     Drain();
@@ -152,7 +153,7 @@
   if (!std::exchange(m_draining, true)) {
     m_hooks.on_draining();
   }
-  // A session that has said GOAWAY is done when its last stream has ended.
+  // A session that has sent GOAWAY is finished when its last stream has ended.
   m_connection->session().SubmitGoaway();
   m_connection->Flush();
 }
@@ -183,8 +184,8 @@
   if (stream == nullptr || stream->head_seen) {
     return;
   }
-  // Failure: the peer's VM was replaced and another process answers at its
-  // address. Without this check its answer would reach a caller.
+  // If the peer's VM was replaced, another process may answer at its address.
+  // Without this check its answer would reach a caller.
   if (!Proved(*stream)) {
     Abandon(id, core::ErrorId::kPeerProtocol,
             "refused, or answered without the shared secret");
@@ -192,7 +193,7 @@
   }
   const std::string_view refusal = Find(stream->fields, kRefusedField);
   if (!refusal.empty()) {
-    // The peer reads no further, so what is left of the body must be given up.
+    // The peer stops reading, so the rest of the body must be discarded.
     m_connection->session().Reset(id, NGHTTP2_CANCEL);
     Fail(id, false,
          Failed(core::ErrorId::kPeerProtocol,
@@ -326,9 +327,9 @@
   if (stream == nullptr) {
     return;
   }
-  // The connection goes on, so bytes that wait for the kernel will reach it:
-  // here a request counts as sent once it is in the output at all. A request
-  // that nghttp2 still queues is dropped by the reset.
+  // The connection stays open, so buffered bytes will still be sent: a request
+  // counts as sent once it is in the output buffer. A request that nghttp2
+  // still queues is dropped by the reset.
   const bool sent = stream->starts_at.has_value();
   m_connection->session().Reset(id, NGHTTP2_CANCEL);
   m_connection->Flush();
--- a/src/net/detail/peer_client_connection.h
+++ b/src/net/detail/peer_client_connection.h
@@ -19,7 +19,7 @@
 
 namespace coppervalve::net::detail {
 
-/// @brief One request of this side, message or forward.
+/// @brief One outgoing request: a message or a forward.
 struct PeerCall {
   std::string path;
   HeaderList fields;
@@ -27,19 +27,20 @@
   ForwardCallbacks callbacks;
   bool ended = false;  ///< on_end was called; on the channel's strand only
 
-  /// @brief Reports the end unless that has happened.
+  /// @brief Calls on_end unless it was called before.
   void End(ForwardOutcome outcome);
 };
 
-/// @brief One outgoing connection with the calls that run on it. Lives on its
-/// channel's strand.
+/// @brief One outgoing connection and its calls. Used only on the channel's
+/// strand.
 class PeerClientConnection
     : public std::enable_shared_from_this<PeerClientConnection> {
  public:
   struct Hooks {
-    std::function<void()> on_ready;     ///< the peer speaks HTTP/2 with us
+    std::function<void()> on_ready;     ///< the peer's SETTINGS arrived
     std::function<void()> on_draining;  ///< no new calls on this connection
-    std::function<void(core::Error)> on_closed;  ///< after its calls failed
+    std::function<void(core::Error)>
+        on_closed;  ///< after its calls have failed
   };
 
   PeerClientConnection(std::string address,
@@ -49,9 +50,9 @@
   void SetHooks(Hooks hooks) { m_hooks = std::move(hooks); }
   void Start(boost::asio::ip::tcp::socket socket);
   void Submit(const std::shared_ptr<PeerCall>& call);
-  /// @return whether the call was one of this connection
+  /// @return whether the call belongs to this connection
   bool Cancel(const PeerCall& call);
-  /// @brief Ends the connection when its calls have ended.
+  /// @brief Closes the connection when its calls have ended.
   void Drain();
   void Close(core::Error error);
 
@@ -63,7 +64,8 @@
     size_t field_bytes = 0;
     size_t body_read = 0;
     bool head_seen = false;
-    /// Where the request begins in the connection's output; none before.
+    /// Offset of the request in the connection's output; empty until it is
+    /// written there.
     std::optional<uint64_t> starts_at;
   };
 
--- a/src/net/detail/peer_connection.cc
+++ b/src/net/detail/peer_connection.cc
@@ -14,7 +14,7 @@
 using boost::system::error_code;
 
 constexpr size_t kWriteBatch = 64U << 10U;
-// After so many reads the other connections of the thread get their turn.
+// Reads in a row before the other connections of the thread are served.
 constexpr int kReadsPerTurn = 16;
 constexpr std::chrono::milliseconds kShortestTick{10};
 
@@ -119,9 +119,9 @@
   }
 }
 
-// Writes are made here and now instead of by an asynchronous operation, so
-// that the count of bytes that the kernel has is exact whenever the connection
-// fails: it decides between "not run" and "unknown".
+// Writes synchronously, so that the count of bytes accepted by the kernel is
+// exact whenever the connection fails: it decides between "not run" and
+// "unknown".
 void PeerConnection::Write() {
   while (m_open && !m_awaiting_writable && FillOut()) {
     error_code error;
@@ -173,10 +173,10 @@
   });
 }
 
-// Failure: closing a socket while bytes of the other side lie unread makes the
-// kernel send RST, which can destroy the end of an answer on its way; the other
-// side sees a cut answer. So only the sending half is closed here, and the rest
-// when the other side has closed too or the silence deadline has passed.
+// Closing a socket with unread received bytes makes the kernel send RST, which
+// can destroy the end of an answer in transit, so that the other side sees a
+// truncated answer. Therefore only the sending half is closed here; the rest is
+// closed when the other side has closed too or the silence deadline has passed.
 void PeerConnection::FinishIfDone() {
   if (!m_open || m_finishing || m_awaiting_writable || !m_session.Done()) {
     return;
@@ -203,11 +203,12 @@
   });
 }
 
-// Failure: a middle box loses track of the connection and both ends wait for
-// ever, while new connections work. Each end judges by itself whether it hears
-// anything at all; the close fails the streams, and the next call opens a new
-// connection. When this process was paused, bytes may wait in the kernel: they
-// are read before the judgement, and a PING gets its full grace to be answered.
+// A middlebox can drop the state of the connection: both ends would wait
+// forever, although new connections work. So each end checks on its own whether
+// it receives any data. Closing fails the streams, and the next call opens a
+// new connection. After a pause of this process, received bytes may still be in
+// the kernel: they are read before the check, and a PING gets its full time to
+// be answered.
 void PeerConnection::JudgeSilence() {
   ReadAvailable();
   if (!m_open) {
--- a/src/net/detail/peer_connection.h
+++ b/src/net/detail/peer_connection.h
@@ -18,8 +18,9 @@
 
 namespace coppervalve::net::detail {
 
-/// @brief One connection: moves bytes between socket and session and closes the
-/// connection when it has gone silent. Everything runs on the socket's strand.
+/// @brief Transfers bytes between a socket and a session, and closes the
+/// connection when nothing is received for too long. Runs on the socket's
+/// strand.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
  public:
   using OnClosed = std::function<void(core::Error)>;
@@ -31,17 +32,17 @@
                  OnClosed on_closed);
 
   void Start();
-  /// @brief Writes soon what the session has to say.
+  /// @brief Schedules a write of the session's pending output.
   void Flush();
-  /// @brief Closes at once. on_closed follows, from a call of its own.
+  /// @brief Closes immediately. on_closed is called later, asynchronously.
   void Close(core::Error error);
 
   PeerSession& session() { return m_session; }
   bool open() const { return m_open; }
   boost::asio::any_io_executor executor() { return m_socket.executor(); }
-  /// @return bytes that the kernel took so far
+  /// @return bytes that the kernel has accepted so far
   uint64_t written() const { return m_written; }
-  /// @return bytes that the session produced so far
+  /// @return bytes that the session has produced so far
   uint64_t produced() const {
     return m_written + (m_out.size() - m_out_written);
   }
--- a/src/net/detail/peer_fields.cc
+++ b/src/net/detail/peer_fields.cc
@@ -16,8 +16,9 @@
 constexpr std::string_view kMethodField = "x-peer-method";
 constexpr std::string_view kTargetField = "x-peer-path";
 constexpr std::string_view kKeyField = "x-peer-key";
-// The caller's fields travel under a prefix: none of them can pass for a field
-// of the link, and those that HTTP/2 forbids (connection, host) can be carried.
+// Prefix for the caller's fields, so that none of them can be mistaken for a
+// field of the link, and fields that HTTP/2 forbids (connection, host) can be
+// carried.
 constexpr std::string_view kForwardedPrefix = "x-fwd-";
 
 constexpr size_t kFieldOverhead = 32;  // RFC 9113, 6.5.2
--- a/src/net/detail/peer_fields.h
+++ b/src/net/detail/peer_fields.h
@@ -10,7 +10,7 @@
 #include "coppervalve/core/result.h"
 #include "coppervalve/net/peer_types.h"
 
-/// How forwards, answers and proofs are written as HTTP/2 header fields.
+/// Encoding of forwards, answers and proofs as HTTP/2 header fields.
 namespace coppervalve::net::detail {
 
 constexpr std::string_view kMessagePath = "/peer/message";
@@ -18,7 +18,7 @@
 constexpr std::string_view kAuthField = "x-peer-auth";
 constexpr std::string_view kReplyProofField = "x-peer-proof";
 constexpr std::string_view kBodyDigestField = "x-peer-body-sha256";
-/// Present when the link itself refused the stream and delivered nothing.
+/// Present when the link refused the stream without delivering anything.
 constexpr std::string_view kRefusedField = "x-peer-refused";
 constexpr std::string_view kStatusField = ":status";
 constexpr std::string_view kPathField = ":path";
@@ -26,23 +26,23 @@
 /// @return the value of the first field of that name; empty when there is none
 std::string_view Find(const HeaderList& fields, std::string_view name);
 
-/// @return the size of a list as HTTP/2 counts it, 32 bytes a field on top
+/// @return the size of a list as HTTP/2 defines it: 32 extra bytes per field
 size_t FieldBytes(std::string_view name, std::string_view value);
 
 /// @brief Checks that HTTP/2 can carry the fields.
-/// @return kBadRequest for a name or value that it cannot, kHeaderTooLarge
+/// @return kBadRequest for an invalid name or value, kHeaderTooLarge
 core::Status CheckFields(const HeaderList& fields, size_t max_bytes);
 
 HeaderList EncodeForward(const ForwardHead& head);
-/// @return nothing when a field that every forward has is missing
+/// @return empty when a required field is missing
 std::optional<ForwardHead> DecodeForward(const HeaderList& fields);
 
 HeaderList EncodeReply(const ReplyHead& head);
-/// @return nothing when the status is missing or not a final one
+/// @return empty when the status is missing or not a final one
 std::optional<ReplyHead> DecodeReply(const HeaderList& fields);
 
-/// @brief The text that the proof of a request vouches for: all its fields in
-/// order but the proof itself and those that the transport adds.
+/// @brief The text that the proof of a request covers: all its fields in order,
+/// except the proof itself and those that the transport adds.
 std::string SignedText(const HeaderList& fields);
 
 }  // namespace coppervalve::net::detail
--- a/src/net/detail/peer_forward_reply.cc
+++ b/src/net/detail/peer_forward_reply.cc
@@ -8,8 +8,8 @@
 
 using detail::PeerServerConnection;
 
-// Replies are always posted, also from the strand itself: callbacks of the
-// session may call them, and the session must not be entered twice.
+// Replies are always posted, even from the strand itself: session callbacks may
+// call them, and the session is not reentrant.
 template <typename Step>
 void PostStep(const std::shared_ptr<ForwardReply::Impl>& impl, Step step) {
   boost::asio::post(impl->executor, [impl, step = std::move(step)]() mutable {
--- a/src/net/detail/peer_forward_reply.h
+++ b/src/net/detail/peer_forward_reply.h
@@ -9,8 +9,8 @@
 
 namespace coppervalve::net {
 
-/// @brief Names the stream that a reply belongs to, without keeping its
-/// connection alive.
+/// @brief Identifies the stream of a reply without keeping its connection
+/// alive.
 struct ForwardReply::Impl {
   boost::asio::any_io_executor executor;
   std::weak_ptr<detail::PeerServerConnection> connection;
--- a/src/net/detail/peer_reply_buffer.h
+++ b/src/net/detail/peer_reply_buffer.h
@@ -12,7 +12,7 @@
 
 namespace coppervalve::net::detail {
 
-/// @brief Bytes of an answer between its writer and the stream's window.
+/// @brief Buffers an answer until the stream's window allows sending it.
 class PeerReplyBuffer {
  public:
   /// Below this the writer is asked for more.
@@ -22,7 +22,7 @@
   void Push(std::string bytes, std::function<void()> on_writable);
   void End() { m_ended = true; }
 
-  /// @brief Moves bytes into a frame and wakes writers that wait.
+  /// @brief Moves bytes into a frame and notifies waiting writers.
   BodyPart Take(std::span<char> frame);
 
   size_t size() const { return m_size; }
@@ -32,7 +32,7 @@
   void WakeWriters();
 
   std::deque<std::string> m_chunks;
-  size_t m_taken = 0;  ///< of the first chunk
+  size_t m_taken = 0;  ///< bytes already read from the first chunk
   size_t m_size = 0;
   bool m_ended = false;
   std::vector<std::function<void()>> m_writers;
--- a/src/net/detail/peer_server_connection.cc
+++ b/src/net/detail/peer_server_connection.cc
@@ -65,7 +65,7 @@
   m_connection->Start();
 }
 
-// The session calls these only while the connection runs, and the connection
+// The session calls these only while the connection is open, and the connection
 // keeps this object alive until on_closed.
 SessionHooks PeerServerConnection::MakeSessionHooks() {
   SessionHooks hooks;
@@ -120,8 +120,9 @@
   return true;
 }
 
-// The proof is judged before the first byte of the body is kept, so strangers
-// cannot fill the memory; the digest that it vouches for is judged at the end.
+// The proof is verified before any byte of the body is stored, so that
+// unauthenticated clients cannot exhaust the memory. The body digest, which the
+// proof covers, is verified at the end.
 void PeerServerConnection::OnHeaders(StreamId id) {
   Stream* stream = Lookup(id);
   if (stream == nullptr || stream->state != State::kHeaders) {
@@ -220,14 +221,13 @@
   HeaderList fields{
       {std::string(kStatusField), std::string(RefusalStatus(error.id))},
       {std::string(kRefusedField), core::ErrorCode(error.id)}};
-  // A stranger gets no proof: it would vouch for a request that was not made
-  // with the secret.
+  // An unauthenticated request gets no reply proof: it would confirm a request
+  // that was not made with the secret.
   if (error.id != core::ErrorId::kPeerProtocol) {
     fields = ProvedReply(stream, std::move(fields));
   }
-  // No reset follows: nghttp2 would drop the answer that it still holds. What
-  // is left of the body stops at the stream's window, which is not opened
-  // again.
+  // The stream is not reset: nghttp2 would drop the queued answer. The rest of
+  // the body is limited by the stream's window, which is not extended.
   m_connection->session().SubmitReply(id, fields, false);
 }
 
@@ -263,10 +263,10 @@
   });
 }
 
-// Failure: a GOAWAY that names the last stream at once refuses the streams that
-// are on their way. The notice comes first and names none, so that the client
-// opens no more here while those under way are still answered; the final GOAWAY
-// follows after a pause that is long beside a round trip.
+// A GOAWAY that states the last stream immediately would refuse streams in
+// transit. So a notice without a last stream is sent first: the client opens no
+// new streams, and those in transit are still answered. The final GOAWAY
+// follows after a delay much longer than a round trip.
 void PeerServerConnection::StartDrain() {
   if (m_draining || !m_connection->open()) {
     return;
--- a/src/net/detail/peer_server_connection.h
+++ b/src/net/detail/peer_server_connection.h
@@ -21,7 +21,7 @@
 
 namespace coppervalve::net::detail {
 
-/// @brief What all connections of a server share.
+/// @brief State shared by all connections of a server.
 struct PeerServerShared {
   PeerServerShared(std::string secret,
                    PeerServerCallbacks server_callbacks,
@@ -39,7 +39,7 @@
   const PeerSettings settings;
 };
 
-/// @brief One accepted connection with its streams. Lives on its strand.
+/// @brief One accepted connection and its streams. Runs on its strand.
 class PeerServerConnection
     : public std::enable_shared_from_this<PeerServerConnection> {
  public:
@@ -48,30 +48,30 @@
   PeerServerConnection(std::shared_ptr<PeerServerShared> shared,
                        boost::asio::any_io_executor strand);
 
-  /// @brief Serves a socket of the strand. From any thread, once.
+  /// @brief Starts serving a socket of the strand. Thread-safe; call once.
   void Start(boost::asio::ip::tcp::socket socket, OnClosed on_closed);
-  /// @brief Finishes the streams in progress. From any thread.
+  /// @brief Finishes the streams in progress, then closes. Thread-safe.
   void Drain();
-  /// @brief Closes at once. From any thread.
+  /// @brief Closes immediately. Thread-safe.
   void Abort();
 
-  // The writing side of ForwardReply; on the strand.
+  // Implementation of ForwardReply; called on the strand.
   void ReplyHeadOf(StreamId id, const ReplyHead& head);
   void ReplyBodyOf(StreamId id,
                    std::string bytes,
                    std::function<void()> on_writable);
   void EndReply(StreamId id);
   void AbortReply(StreamId id, const core::Error& error);
-  /// @brief Nobody is left to write the answer.
+  /// @brief Handles the loss of the last reference to the reply.
   void DropReply(StreamId id);
   void SetCancelled(StreamId id, std::function<void()> callback);
 
  private:
   enum class State : uint8_t {
     kHeaders,    ///< the request's fields arrive
-    kBody,       ///< proved; the body arrives
+    kBody,       ///< authenticated; the body arrives
     kDelivered,  ///< a forward that is being answered
-    kFinished,   ///< answered or refused; what still comes is ignored
+    kFinished,   ///< answered or refused; further data is ignored
   };
   struct Stream {
     State state = State::kHeaders;
--- a/src/net/detail/peer_server_replies.cc
+++ b/src/net/detail/peer_server_replies.cc
@@ -7,7 +7,7 @@
 #include "peer_fields.h"
 #include "peer_server_connection.h"
 
-// The writing side of the answers to forwards.
+// Writing of the answers to forwards.
 namespace coppervalve::net::detail {
 namespace {
 
@@ -88,8 +88,8 @@
   m_connection->Flush();
 }
 
-// Failure: an answer breaks off in its middle. Ended in the ordinary way it
-// would look whole to the other router and its caller; a reset cannot.
+// An incomplete answer that ended normally would look complete to the other
+// router and its caller; a reset does not.
 void PeerServerConnection::AbortReply(StreamId id, const core::Error& error) {
   Stream* stream = LookupWritable(id);
   if (stream == nullptr) {
--- a/src/net/detail/peer_session.cc
+++ b/src/net/detail/peer_session.cc
@@ -10,11 +10,11 @@
 namespace coppervalve::net::detail {
 namespace {
 
-// A reader that stalls holds at most this much per stream; at a millisecond of
-// round trip it still lets 64 MB/s through.
+// Limits the bytes buffered per stream for a stalled reader; with a round trip
+// of one millisecond it still allows 64 MB/s.
 constexpr int32_t kStreamWindow = 64 << 10;
-// The connection's window is opened as soon as bytes arrive, so that one
-// stalled reader never stops the other streams.
+// The connection's window is extended as soon as bytes arrive, so that a
+// stalled reader never blocks the other streams.
 constexpr int32_t kConnectionWindow = 1 << 20;
 
 core::Error SessionError(int code) {
@@ -73,8 +73,8 @@
     return taken ? 0 : NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
   }
 
-  // By default nghttp2 drops a malformed field and goes on; a request that
-  // lost a field must not be taken for the one that was sent.
+  // By default nghttp2 drops a malformed field and continues; a request without
+  // that field must not be accepted as the one that was sent.
   static int OnInvalidHeader(nghttp2_session* /*session*/,
                              const nghttp2_frame* /*frame*/,
                              const uint8_t* /*name*/,
--- a/src/net/detail/peer_session.h
+++ b/src/net/detail/peer_session.h
@@ -20,27 +20,28 @@
 
 enum class PeerRole : uint8_t { kClient, kServer };
 
-/// @brief What a body source gave for one DATA frame.
+/// @brief Result of a body source for one DATA frame.
 struct BodyPart {
   enum class State : uint8_t {
     kMore,    ///< more may follow
     kEnd,     ///< these are the last bytes
-    kWait,    ///< nothing now; Resume() when there is
-    kBroken,  ///< the stream is to be reset
+    kWait,    ///< no data yet; call Resume() when there is
+    kBroken,  ///< the stream must be reset
   };
   size_t bytes = 0;
   State state = State::kMore;
 };
 
-/// @brief What a session reports. Called from inside Receive() and Fill(), from
-/// where only the Submit..., Reset, Resume and Consume calls are allowed.
+/// @brief Callbacks of a session, called inside Receive() and Fill(). They may
+/// call only the Submit..., Reset, Resume and Consume functions.
 struct SessionHooks {
   std::function<void(StreamId)> on_opened;  ///< servers: a request begins
   /// Returns false to reset the stream.
   std::function<bool(StreamId, std::string_view, std::string_view)> on_header;
   std::function<void(StreamId)> on_headers;  ///< the header list is complete
   std::function<void(StreamId, std::string_view)> on_data;
-  std::function<void(StreamId)> on_end;  ///< the other side ended properly
+  std::function<void(StreamId)>
+      on_end;  ///< the other side completed the stream
   std::function<void(StreamId, uint32_t error_code)> on_closed;
   /// Clients: the request follows in the bytes that Fill() returns next.
   std::function<void(StreamId)> on_request_starts;
@@ -50,7 +51,8 @@
   std::function<void()> on_goaway;
 };
 
-/// @brief One HTTP/2 session of nghttp2: bytes in, bytes out, no socket.
+/// @brief An HTTP/2 session of nghttp2 that converts between bytes and frames,
+/// without a socket.
 class PeerSession {
  public:
   PeerSession(PeerRole role, const PeerSettings& settings, SessionHooks hooks);
@@ -68,16 +70,17 @@
                            const HeaderList& fields,
                            bool has_body);
   void Reset(StreamId stream, uint32_t error_code);
-  /// @brief A body source that waited has bytes again.
+  /// @brief Continues a stream whose body source returned kWait.
   void Resume(StreamId stream);
-  /// @brief Opens the stream's window again by bytes that were handed on.
+  /// @brief Extends the stream's window by bytes that were passed on.
   void Consume(StreamId stream, size_t bytes);
   void Ping();
-  /// @brief Tells a client to open no further streams; those under way count.
+  /// @brief Tells a client to open no more streams; those in transit are still
+  /// accepted.
   void SubmitShutdownNotice();
-  /// @brief Refuses streams that come later; those in progress go on.
+  /// @brief Refuses later streams; those in progress continue.
   void SubmitGoaway();
-  /// @return whether neither side has anything left to say
+  /// @return whether neither side has more to send or receive
   bool Done() const;
 
  private:
--- a/src/net/detail/peer_socket.cc
+++ b/src/net/detail/peer_socket.cc
@@ -19,10 +19,10 @@
 
 PeerSocket::PeerSocket(tcp::socket socket) : m_socket(std::move(socket)) {}
 
-// Failure: something between the two ends forgets the connection, and bytes
-// vanish without an error. PINGs judge the path both ways; TCP_USER_TIMEOUT
-// lets the kernel give up unacknowledged bytes at the same deadline instead of
-// after 15 minutes, keepalive covers the time before the first PING.
+// If a middlebox drops the state of the connection, bytes are lost without an
+// error. PINGs check the path in both directions. TCP_USER_TIMEOUT makes the
+// kernel give up on unacknowledged bytes at the same deadline instead of after
+// 15 minutes. Keepalive covers the time before the first PING.
 boost::system::error_code PeerSocket::Configure(
     std::chrono::milliseconds user_timeout) {
   boost::system::error_code error;
--- a/src/net/detail/peer_socket.h
+++ b/src/net/detail/peer_socket.h
@@ -11,8 +11,8 @@
 
 namespace coppervalve::net::detail {
 
-/// @brief A connected TCP socket in non-blocking mode. The only file that
-/// touches the byte stream: TLS would go in here.
+/// @brief A connected TCP socket in non-blocking mode. The only code that
+/// accesses the byte stream, so TLS would be added here.
 class PeerSocket {
  public:
   using Waiter = std::function<void(boost::system::error_code)>;
@@ -22,9 +22,9 @@
   /// @brief Sets non-blocking mode and the TCP options.
   boost::system::error_code Configure(std::chrono::milliseconds user_timeout);
 
-  /// @return bytes read; `error` is would_block when there are none now
+  /// @return bytes read; `error` is would_block when none are available
   size_t ReadSome(std::span<char> buffer, boost::system::error_code& error);
-  /// @return bytes taken by the kernel; `error` is would_block when none fit
+  /// @return bytes accepted by the kernel; `error` is would_block when none fit
   size_t WriteSome(std::string_view bytes, boost::system::error_code& error);
 
   void WaitReadable(Waiter waiter);
--- a/src/net/forward_relay.cc
+++ b/src/net/forward_relay.cc
@@ -10,7 +10,8 @@
 
 using Consumed = std::function<void()>;
 
-// Unread bytes of the caller at which the peer is no longer asked for more.
+// Bytes unread by the caller at which the relay stops requesting more from the
+// peer.
 constexpr size_t kHighWater = size_t{256} * 1024;
 
 class Relay : public std::enable_shared_from_this<Relay> {
@@ -92,7 +93,8 @@
   bool m_stream = false;
   bool m_too_large = false;
   std::string m_body;
-  std::mutex m_mutex;  // the caller's thread releases what the peer's adds
+  std::mutex
+      m_mutex;  // the peer's thread adds callbacks, the caller's removes them
   std::vector<Consumed> m_waiting;
 };
 
--- a/src/net/peer_client.cc
+++ b/src/net/peer_client.cc
@@ -19,8 +19,8 @@
 using detail::PeerCall;
 using detail::PeerChannel;
 
-/// One peer address with the counts that bound it. The counts are taken in the
-/// calling thread, so that a full queue fails at once and never grows.
+/// One peer address with its counts of pending calls. They are updated in the
+/// calling thread, so that a call fails immediately when the queue is full.
 struct Peer {
   std::shared_ptr<PeerChannel> channel;
   std::atomic<size_t> messages{0};
@@ -105,10 +105,10 @@
   }
 }
 
-// One stream a message instead of one long stream for all: each message gets
-// its own confirmation or failure, a lost one does not end the others, and the
-// repeated header fields are a few bytes each with HPACK. The price is that
-// messages may overtake each other, which their serials and ids allow for.
+// Uses one stream per message instead of one long stream for all: each message
+// gets its own confirmation or failure, a lost one does not affect the others,
+// and HPACK reduces the repeated header fields to a few bytes each. Messages
+// may therefore arrive out of order, which their serials and ids allow for.
 void PeerClient::SendMessage(
     const std::string& address,
     const v1::PeerMessage& message,
--- a/src/net/peer_server.cc
+++ b/src/net/peer_server.cc
@@ -21,7 +21,8 @@
 using detail::PeerServerShared;
 using tcp = boost::asio::ip::tcp;
 
-// When accepting fails (out of descriptors), trying at once again would spin.
+// Delay after a failed accept (e.g. out of file descriptors); an immediate
+// retry would busy-loop.
 constexpr std::chrono::milliseconds kAcceptPause{100};
 
 }  // namespace
@@ -60,7 +61,7 @@
   uint16_t bound_port = 0;
   const std::shared_ptr<PeerServerShared> shared;
 
-  std::mutex mutex;  // guards what follows
+  std::mutex mutex;  // guards the members below
   bool closing = false;
   std::vector<std::shared_ptr<PeerServerConnection>> connections;
   std::vector<std::function<void()>> on_closed;
@@ -196,8 +197,9 @@
 }
 
 core::Status PeerServer::Listen() {
-  // Failure: the setting was forgotten, and anybody can make a proof with the
-  // empty secret. It would show only when a stranger's message takes effect.
+  // With a missing setting, anybody could create a valid proof with the empty
+  // secret, and the error would go unnoticed until a forged message took
+  // effect.
   if (m_impl->shared->secret_missing) {
     return core::Error{core::ErrorId::kSettingBadValue, "shared secret",
                        "empty"};
--- a/src/net/socket_util.h
+++ b/src/net/socket_util.h
@@ -11,15 +11,15 @@
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(
     std::string_view address);
 
-/// @brief Sets the options that all our connections have: no delay, and giving
-/// up on a peer that has gone silent.
+/// @brief Sets the options of all connections: no delay, and a timeout for an
+/// unresponsive peer.
 void ConfigureSocket(boost::asio::ip::tcp::socket& socket);
 
 /// @return whether the other side has closed the connection
 bool IsClosedByPeer(boost::asio::ip::tcp::socket& socket);
 
-/// @return whether an idle connection can't carry another request: closed, or
-/// bytes came that nobody asked for
+/// @return whether an idle connection cannot be reused: it is closed or has
+/// received unsolicited bytes
 bool IsIdleUnusable(boost::asio::ip::tcp::socket& socket);
 
 }  // namespace coppervalve::net
--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr size_t kMaxIdlePerAddress = 32;
-// Shorter than the idle timeouts of common servers, which otherwise close the
-// connection at the moment that it is used again.
+// Shorter than the idle timeouts of common servers, which could otherwise close
+// the connection just as it is reused.
 constexpr std::chrono::seconds kMaxIdle{15};
 
 }  // namespace
