--- a/apps/coppervalved/setting_table.cc
+++ b/apps/coppervalved/setting_table.cc
@@ -272,7 +272,7 @@
       [](Settings & s) -> auto& { return s.drain_patience; });
   add(
       "close-patience-ms", "10000", "For open connections to end at the end",
-      [](Settings & s) -> auto& { return s.shell.close_patience; });
+      [](Settings & s) -> auto& { return s.shell.close_timeout; });
 }
 
 std::vector<SettingSpec> MakeTable() {
--- a/include/coppervalve/net/answer.h
+++ b/include/coppervalve/net/answer.h
@@ -18,7 +18,7 @@
 /// of readers, each on its own thread.
 class Answer {
  public:
-  enum class State { kOpen, kWhole, kFailed };
+  enum class State { kOpen, kComplete, kFailed };
   using Wake = std::function<void()>;
   using ReaderId = size_t;
 
@@ -59,11 +59,11 @@
   bool started() const;
   State state() const;
   /// @return unread bytes of the slowest reader; 0 without readers
-  size_t Lag() const;
+  size_t UnreadBytes() const;
   /// @return bytes held in memory
-  size_t HeldBytes() const;
+  size_t BufferedBytes() const;
   /// @param wake called from any thread after a reader has read bytes
-  void OnTaken(Wake wake);
+  void SetReadCallback(Wake wake);
 
  private:
   struct Reader {
@@ -88,7 +88,7 @@
   std::shared_ptr<Answer> m_redirect;
   std::map<ReaderId, Reader> m_readers;
   ReaderId m_next_reader = 1;
-  Wake m_taken;
+  Wake m_on_read;
 };
 
 }  // namespace coppervalve::net
--- a/include/coppervalve/net/answer_store.h
+++ b/include/coppervalve/net/answer_store.h
@@ -26,12 +26,12 @@
   std::shared_ptr<Answer> Create(core::RequestId request, bool keyed);
   /// @return the stored answer; null when there is none
   std::shared_ptr<Answer> Find(core::RequestId request) const;
-  void Forget(core::RequestId request);
+  void Remove(core::RequestId request);
   /// @complexity linear in the number of answers kept
-  size_t HeldBytes() const;
+  size_t BufferedBytes() const;
 
  private:
-  size_t HeldBytesLocked() const;
+  size_t BufferedBytesLocked() const;
 
   const size_t m_answer_limit;
   const size_t m_total_limit;
--- a/include/coppervalve/net/caller_server.h
+++ b/include/coppervalve/net/caller_server.h
@@ -38,9 +38,9 @@
 struct CallerHooks {
   std::function<Exchange(size_t thread, HttpRequest request)> accept;
   /// The caller closed its connection before it received the complete answer.
-  std::function<void(size_t thread, core::RequestId request)> gone;
+  std::function<void(size_t thread, core::RequestId request)> disconnected;
   /// Everything that the caller will receive has been sent.
-  std::function<void(size_t thread, core::RequestId request)> served;
+  std::function<void(size_t thread, core::RequestId request)> answered;
   /// A request was rejected before it was received completely.
   std::function<void(const core::Error& error)> rejected;
   /// Whether answers ask callers to close the connection and reconnect.
--- a/include/coppervalve/net/io_pool.h
+++ b/include/coppervalve/net/io_pool.h
@@ -29,7 +29,7 @@
   void Stop();
   /// @brief Runs the tasks that are still queued, on the calling thread.
   /// @pre stopped
-  void Settle();
+  void RunRemainingTasks();
 
  private:
   struct Impl;
--- a/include/coppervalve/net/peer_auth.h
+++ b/include/coppervalve/net/peer_auth.h
@@ -55,7 +55,7 @@
                      UnixSeconds now);
 
  private:
-  bool Remember(std::string_view nonce, UnixSeconds now);
+  bool RecordNonce(std::string_view nonce, UnixSeconds now);
 
   std::string m_secret;
   std::mutex m_mutex;
--- a/include/coppervalve/net/peer_types.h
+++ b/include/coppervalve/net/peer_types.h
@@ -40,7 +40,7 @@
 /// @brief Result of a forward, as seen by the sending router.
 struct ForwardOutcome {
   /// The peer completed the answer, and all of it was delivered.
-  bool whole = false;
+  bool complete = false;
   /// Bytes of the request reached the kernel, so the peer may have run it.
   /// Also false when the peer stated that it did not process the request
   /// (REFUSED_STREAM, GOAWAY with a lower stream id, refusal by the link).
--- a/include/coppervalve/net/shell_settings.h
+++ b/include/coppervalve/net/shell_settings.h
@@ -37,7 +37,7 @@
   std::chrono::milliseconds order_timeout{30'000};
   std::chrono::milliseconds vm_list_interval{2'000};
   /// Time for open connections to close after the drain is complete.
-  std::chrono::milliseconds close_patience{10'000};
+  std::chrono::milliseconds close_timeout{10'000};
 };
 
 }  // namespace coppervalve::net
--- a/src/net/action_router.cc
+++ b/src/net/action_router.cc
@@ -7,54 +7,55 @@
 namespace {
 
 /// One overload for each owner.
-class Carrier {
+class ActionExecutor {
  public:
-  explicit Carrier(const ActionOwners& owners) : m_owners(owners) {}
+  explicit ActionExecutor(const ActionTargets& targets) : m_targets(targets) {}
 
   void operator()(router::ReadLog& action) const {
-    m_owners.pool->Post(kPlatformThread,
-                        [log = m_owners.log, action] { log->Read(action); });
+    m_targets.pool->Post(kPlatformThread,
+                         [log = m_targets.log, action] { log->Read(action); });
   }
   void operator()(router::AppendLog& action) const {
-    m_owners.pool->Post(kPlatformThread,
-                        [log = m_owners.log, action = std::move(action)] {
-                          log->Append(action);
-                        });
+    m_targets.pool->Post(kPlatformThread,
+                         [log = m_targets.log, action = std::move(action)] {
+                           log->Append(action);
+                         });
   }
   void operator()(router::ProbeUpstream& action) const {
-    m_owners.pool->Post(kPlatformThread, [platform = m_owners.platform,
-                                          action] { platform->Probe(action); });
+    m_targets.pool->Post(
+        kPlatformThread,
+        [platform = m_targets.platform, action] { platform->Probe(action); });
   }
   void operator()(router::SendOrder& action) const {
-    m_owners.pool->Post(kPlatformThread, [platform = m_owners.platform,
-                                          action] { platform->Send(action); });
+    m_targets.pool->Post(kPlatformThread, [platform = m_targets.platform,
+                                           action] { platform->Send(action); });
   }
   void operator()(router::SendPeer& action) const {
-    const auto failed = [report = m_owners.report,
+    const auto failed = [report = m_targets.report,
                          router = action.router](const core::Error&) {
       report(router::PeerSendFailed{router});
     };
-    if (!m_owners.peers) {
+    if (!m_targets.peers) {
       failed({});
       return;
     }
-    m_owners.peers->SendMessage(action.address, action.message, failed);
+    m_targets.peers->SendMessage(action.address, action.message, failed);
   }
   void operator()(router::LogLine& action) const {
-    if (m_owners.log_line) {
-      m_owners.log_line(action);
+    if (m_targets.log_line) {
+      m_targets.log_line(action);
     }
   }
-  void operator()(router::Exit&) const { m_owners.exit(); }
+  void operator()(router::Exit&) const { m_targets.exit(); }
 
   void operator()(router::JoinAnswer& action) const {
     // Looked up here, in the order of the core's decisions: on its way to
     // another thread it might be overtaken by the end of what it joins.
-    std::shared_ptr<Answer> leader = m_owners.answers->Find(action.leader);
+    std::shared_ptr<Answer> leader = m_targets.answers->Find(action.leader);
     const size_t thread = OwnerOf(action.request);
-    m_owners.pool->Post(thread, [worker = WorkerOf(thread), action,
-                                 leader = std::move(leader)] {
-      worker->Carry(action, leader);
+    m_targets.pool->Post(thread, [worker = WorkerOf(thread), action,
+                                  leader = std::move(leader)] {
+      worker->Execute(action, leader);
     });
   }
 
@@ -62,29 +63,30 @@
   template <typename OfRequest>
   void operator()(OfRequest& action) const {
     const size_t thread = OwnerOf(action.request);
-    m_owners.pool->Post(
+    m_targets.pool->Post(
         thread, [worker = WorkerOf(thread), action = std::move(action)] {
-          worker->Carry(action);
+          worker->Execute(action);
         });
   }
 
  private:
   size_t OwnerOf(core::RequestId request) const {
-    return TrafficWorker::OwnerOf(request, m_owners.pool->size());
+    return TrafficWorker::OwnerOf(request, m_targets.pool->size());
   }
   TrafficWorker* WorkerOf(size_t thread) const {
-    return (*m_owners.workers)[thread].get();
+    return (*m_targets.workers)[thread].get();
   }
 
-  const ActionOwners& m_owners;
+  const ActionTargets& m_targets;
 };
 
 }  // namespace
 
-ActionRouter::ActionRouter(ActionOwners owners) : m_owners(std::move(owners)) {}
+ActionRouter::ActionRouter(ActionTargets targets)
+    : m_targets(std::move(targets)) {}
 
-void ActionRouter::Carry(router::Action action) const {
-  std::visit(Carrier(m_owners), action);
+void ActionRouter::Execute(router::Action action) const {
+  std::visit(ActionExecutor(m_targets), action);
 }
 
 }  // namespace coppervalve::net
--- a/src/net/action_router.h
+++ b/src/net/action_router.h
@@ -10,18 +10,18 @@
 #include "coppervalve/net/peer_client.h"
 #include "coppervalve/router/events.h"
 #include "log_transport.h"
-#include "platform_watch.h"
+#include "platform_client.h"
 #include "traffic_worker.h"
 
 namespace coppervalve::net {
 
 /// @brief Those who carry out actions; outlive the router.
-struct ActionOwners {
+struct ActionTargets {
   IoPool* pool = nullptr;
   std::vector<std::unique_ptr<TrafficWorker>>* workers = nullptr;
-  LogTransport* log = nullptr;        ///< of the platform thread
-  PlatformWatch* platform = nullptr;  ///< of the platform thread
-  PeerClient* peers = nullptr;        ///< null without a peer link
+  LogTransport* log = nullptr;         ///< of the platform thread
+  PlatformClient* platform = nullptr;  ///< of the platform thread
+  PeerClient* peers = nullptr;         ///< null without a peer link
   AnswerStore* answers = nullptr;
   EventSink report;
   std::function<void(const router::LogLine&)> log_line;
@@ -35,13 +35,13 @@
 /// on one request arrive in the order of the calls.
 class ActionRouter {
  public:
-  explicit ActionRouter(ActionOwners owners);
+  explicit ActionRouter(ActionTargets targets);
 
   /// @brief Called on the control thread.
-  void Carry(router::Action action) const;
+  void Execute(router::Action action) const;
 
  private:
-  ActionOwners m_owners;
+  ActionTargets m_targets;
 };
 
 }  // namespace coppervalve::net
--- a/src/net/answer.cc
+++ b/src/net/answer.cc
@@ -40,7 +40,7 @@
   if (m_state != State::kOpen) {
     return;
   }
-  m_state = State::kWhole;
+  m_state = State::kComplete;
   WakeReaders(std::move(lock));
 }
 
@@ -79,10 +79,10 @@
   std::unique_lock lock(m_mutex);
   m_readers.erase(reader);
   Trim();
-  const Wake taken = m_taken;
+  const Wake on_read = m_on_read;
   lock.unlock();
-  if (taken) {
-    taken();
+  if (on_read) {
+    on_read();
   }
 }
 
@@ -110,10 +110,10 @@
     piece.refusal = m_refusal;
   }
   Trim();
-  const Wake taken = size > 0 ? m_taken : Wake();
+  const Wake on_read = size > 0 ? m_on_read : Wake();
   lock.unlock();
-  if (taken) {
-    taken();
+  if (on_read) {
+    on_read();
   }
   return piece;
 }
@@ -128,7 +128,7 @@
   return m_state;
 }
 
-size_t Answer::Lag() const {
+size_t Answer::UnreadBytes() const {
   const std::scoped_lock lock(m_mutex);
   size_t lag = 0;
   for (const auto& [id, reader] : m_readers) {
@@ -137,14 +137,14 @@
   return lag;
 }
 
-size_t Answer::HeldBytes() const {
+size_t Answer::BufferedBytes() const {
   const std::scoped_lock lock(m_mutex);
   return m_bytes.size();
 }
 
-void Answer::OnTaken(Wake wake) {
+void Answer::SetReadCallback(Wake wake) {
   const std::scoped_lock lock(m_mutex);
-  m_taken = std::move(wake);
+  m_on_read = std::move(wake);
 }
 
 void Answer::WakeReaders(std::unique_lock<std::mutex> lock) {
--- a/src/net/answer_store.cc
+++ b/src/net/answer_store.cc
@@ -11,7 +11,7 @@
     return std::make_shared<Answer>(0);
   }
   const std::scoped_lock lock(m_mutex);
-  const bool room = HeldBytesLocked() < m_total_limit;
+  const bool room = BufferedBytesLocked() < m_total_limit;
   auto answer = std::make_shared<Answer>(room ? m_answer_limit : 0);
   m_answers[request] = answer;
   return answer;
@@ -23,20 +23,20 @@
   return found == m_answers.end() ? nullptr : found->second;
 }
 
-void AnswerStore::Forget(core::RequestId request) {
+void AnswerStore::Remove(core::RequestId request) {
   const std::scoped_lock lock(m_mutex);
   m_answers.erase(request);
 }
 
-size_t AnswerStore::HeldBytes() const {
+size_t AnswerStore::BufferedBytes() const {
   const std::scoped_lock lock(m_mutex);
-  return HeldBytesLocked();
+  return BufferedBytesLocked();
 }
 
-size_t AnswerStore::HeldBytesLocked() const {
+size_t AnswerStore::BufferedBytesLocked() const {
   size_t sum = 0;
   for (const auto& [request, answer] : m_answers) {
-    sum += answer->HeldBytes();
+    sum += answer->BufferedBytes();
   }
   return sum;
 }
--- a/src/net/caller_reader.cc
+++ b/src/net/caller_reader.cc
@@ -125,11 +125,11 @@
                          self->End(ErrorToAnswer(e, self->deadline.expired()));
                          return;
                        }
-                       self->EndWhole();
+                       self->EndRequest();
                      });
   }
 
-  void EndWhole() {
+  void EndRequest() {
     auto& message = parser->get();
     HttpRequest request;
     request.method = std::string(message.method_string());
--- a/src/net/caller_session.cc
+++ b/src/net/caller_session.cc
@@ -15,7 +15,7 @@
 
 constexpr size_t kPieceBytes = size_t{64} * 1024;
 // How long a refused sender may go on sending before the connection is reset.
-constexpr std::chrono::milliseconds kLinger{2000};
+constexpr std::chrono::milliseconds kLingerTimeout{2000};
 
 }  // namespace
 
@@ -71,8 +71,8 @@
   HttpRequest request = core::TakeValue(std::move(result));
   m_busy = true;
   m_head_sent = false;
-  m_last = false;
-  m_cut = false;
+  m_ends_exchange = false;
+  m_truncated = false;
   m_body.clear();
   m_http_1_0 = request.http_1_0;
   m_options.omit_body = request.method == "HEAD";
@@ -89,7 +89,7 @@
         });
       });
   WatchForClose();
-  Pump();
+  SendAvailable();
 }
 
 void CallerSession::Reject(const core::Error& error) {
@@ -98,7 +98,7 @@
   m_busy = true;
   m_options = {.close = true, .omit_body = false};
   m_answer = nullptr;
-  WriteWhole(RefusalHead(refusal), RefusalJson(refusal));
+  WriteResponse(RefusalHead(refusal), RefusalJson(refusal));
 }
 
 // ---- While a request is in progress ----------------------------------------
@@ -121,20 +121,20 @@
   // Bytes instead of the end: the next request, sent early. It is read after
   // this one is answered; until then a failing write tells of a caller's end.
   if (m_busy && m_answer && IsClosedByPeer(m_socket)) {
-    LoseCaller();
+    HandleDisconnect();
   }
 }
 
 void CallerSession::Wake() {
   if (m_busy && m_answer && !m_writing) {
-    Pump();
+    SendAvailable();
   }
 }
 
-void CallerSession::Pump() {
+void CallerSession::SendAvailable() {
   while (m_busy && m_answer && !m_writing) {
     const Answer::Piece piece = m_answer->Next(kPieceBytes);
-    if (!m_head_sent && !PumpHead(piece)) {
+    if (!m_head_sent && !SendHead(piece)) {
       const bool more = !piece.bytes.empty();
       if (more) {
         continue;
@@ -144,7 +144,7 @@
     if (m_writing) {
       return;
     }
-    PumpStream(piece);
+    SendStream(piece);
     if (!m_writing) {
       return;
     }
@@ -152,13 +152,13 @@
 }
 
 // @return whether the answer is a stream that `piece` is to be relayed of
-bool CallerSession::PumpHead(const Answer::Piece& piece) {
+bool CallerSession::SendHead(const Answer::Piece& piece) {
   if (piece.head) {
     m_head = *piece.head;
   }
   if (piece.state == Answer::State::kFailed) {
     m_options.close = m_options.close || m_hooks->draining();
-    WriteWhole(RefusalHead(*piece.refusal), RefusalJson(*piece.refusal));
+    WriteResponse(RefusalHead(*piece.refusal), RefusalJson(*piece.refusal));
     return false;
   }
   if (!piece.started) {
@@ -170,40 +170,41 @@
   // Nothing of an answer in one piece is relayed before all of it is here: a
   // part would be taken for the whole.
   m_body += piece.bytes;
-  if (piece.state == Answer::State::kWhole) {
-    WriteWhole(m_head, m_body);
+  if (piece.state == Answer::State::kComplete) {
+    WriteResponse(m_head, m_body);
   }
   return false;
 }
 
-void CallerSession::PumpStream(const Answer::Piece& piece) {
+void CallerSession::SendStream(const Answer::Piece& piece) {
   std::string out;
   if (!m_head_sent) {
     m_head_sent = true;
-    out += WireStreamHead(m_head, m_options);
+    out += SerializeStreamHead(m_head, m_options);
   }
   if (!piece.bytes.empty()) {
-    out += WireChunk(piece.bytes);
+    out += SerializeChunk(piece.bytes);
   }
-  if (piece.state == Answer::State::kWhole) {
-    out += WireLastChunk();
-    m_last = true;
+  if (piece.state == Answer::State::kComplete) {
+    out += SerializeLastChunk();
+    m_ends_exchange = true;
   }
   if (piece.state == Answer::State::kFailed) {
     // The caller has a part already. Only a missing end shows it that the
     // answer is not whole, so there is no last chunk after the error event.
-    out += WireChunk(RefusalEvent(*piece.refusal));
-    m_last = true;
-    m_cut = true;
+    out += SerializeChunk(RefusalEvent(*piece.refusal));
+    m_ends_exchange = true;
+    m_truncated = true;
   }
   if (!out.empty()) {
     Write(std::move(out));
   }
 }
 
-void CallerSession::WriteWhole(const HttpHead& head, const std::string& body) {
-  m_last = true;
-  Write(WireResponse(head, body, m_options));
+void CallerSession::WriteResponse(const HttpHead& head,
+                                  const std::string& body) {
+  m_ends_exchange = true;
+  Write(SerializeResponse(head, body, m_options));
 }
 
 void CallerSession::Write(std::string bytes) {
@@ -229,14 +230,14 @@
     return;
   }
   if (error) {
-    LoseCaller();
+    HandleDisconnect();
     return;
   }
-  if (m_last) {
+  if (m_ends_exchange) {
     EndExchange();
     return;
   }
-  Pump();
+  SendAvailable();
 }
 
 void CallerSession::EndExchange() {
@@ -244,34 +245,34 @@
   const bool had_request = m_answer != nullptr;
   m_answer = nullptr;
   if (had_request) {
-    m_hooks->served(m_thread, m_request);
+    m_hooks->answered(m_thread, m_request);
   }
-  if (m_options.close || m_cut || m_closing) {
-    CloseGently();
+  if (m_options.close || m_truncated || m_closing) {
+    CloseGracefully();
     return;
   }
   Run();
 }
 
-void CallerSession::LoseCaller() {
+void CallerSession::HandleDisconnect() {
   m_busy = false;
   const bool had_request = m_answer != nullptr;
   m_answer = nullptr;
   if (had_request) {
-    m_hooks->gone(m_thread, m_request);
+    m_hooks->disconnected(m_thread, m_request);
   }
   Close();
 }
 
 // ---- The end of the connection ---------------------------------------------
 
-void CallerSession::CloseGently() {
+void CallerSession::CloseGracefully() {
   // Closing while the caller still sends makes the kernel reset the
   // connection, and the caller may lose the answer that says why. So its input
   // is discarded until it closes too, or for a while.
   ErrorCode ignored;
   m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-  m_deadline.Arm(kLinger, [weak = weak_from_this()] {
+  m_deadline.Arm(kLingerTimeout, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->Close();
     }
--- a/src/net/caller_session.h
+++ b/src/net/caller_session.h
@@ -12,7 +12,7 @@
 #include "coppervalve/net/answer_reader.h"
 #include "coppervalve/net/caller_server.h"
 #include "deadline.h"
-#include "wire.h"
+#include "http_serializer.h"
 
 namespace coppervalve::net {
 
@@ -45,16 +45,16 @@
   void WatchForClose();
   void OnReadable();
   void Wake();
-  void Pump();
-  bool PumpHead(const Answer::Piece& piece);
-  void PumpStream(const Answer::Piece& piece);
-  void WriteWhole(const HttpHead& head, const std::string& body);
+  void SendAvailable();
+  bool SendHead(const Answer::Piece& piece);
+  void SendStream(const Answer::Piece& piece);
+  void WriteResponse(const HttpHead& head, const std::string& body);
   void Write(std::string bytes);
   void OnWritten(const ErrorCode& error);
   void EndExchange();
-  void LoseCaller();
+  void HandleDisconnect();
 
-  void CloseGently();
+  void CloseGracefully();
   void DiscardInput();
   void Close();
 
@@ -71,13 +71,13 @@
   bool m_busy = false;
   core::RequestId m_request;
   std::unique_ptr<AnswerReader> m_answer;
-  WireOptions m_options;
+  ResponseOptions m_options;
   bool m_http_1_0 = false;
   bool m_head_sent = false;
   HttpHead m_head;
   std::string m_body;
-  bool m_last = false;  // what is being written ends the exchange
-  bool m_cut = false;   // ... without a proper end
+  bool m_ends_exchange = false;  // what is being written ends the exchange
+  bool m_truncated = false;      // ... without a proper end
   bool m_writing = false;
   std::string m_out;
 
--- a/src/net/deadline.cc
+++ b/src/net/deadline.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kRepeat{20};
+constexpr std::chrono::milliseconds kRepeatInterval{20};
 /// A timer that fires this late shows that the process itself stood still.
-constexpr std::chrono::milliseconds kStoodStill{250};
-constexpr std::chrono::milliseconds kGrace{1000};
+constexpr std::chrono::milliseconds kPauseThreshold{250};
+constexpr std::chrono::milliseconds kGraceAfterPause{1000};
 
 }  // namespace
 
@@ -19,11 +19,11 @@
 
   void Wait(std::chrono::microseconds after) {
     timer.expires_after(after);
-    timer.async_wait([self = shared_from_this(),
-                      armed = round](const boost::system::error_code& error) {
-      // A timer that has already expired can't be cancelled any more; the round
-      // tells that its callback is meant for an earlier step.
-      if (error || armed != self->round) {
+    timer.async_wait([self = shared_from_this(), armed = generation](
+                         const boost::system::error_code& error) {
+      // A timer that has already expired can't be cancelled any more; the
+      // generation tells that its callback is meant for an earlier step.
+      if (error || armed != self->generation) {
         return;
       }
       // Failure: the process is paused past its deadlines and resumes. Symptom:
@@ -31,21 +31,21 @@
       // every ready socket within the grace, and each read arms its deadline
       // anew; a peer that is really silent is found a little later.
       const auto late = std::chrono::steady_clock::now() - self->timer.expiry();
-      if (!self->expired && late > kStoodStill) {
-        self->Wait(kGrace);
+      if (!self->expired && late > kPauseThreshold) {
+        self->Wait(kGraceAfterPause);
         return;
       }
       self->expired = true;
       // Cancelling a composed read between two of its own reads has no effect,
       // so the cancel is repeated until the step has really ended.
-      self->Wait(kRepeat);
+      self->Wait(kRepeatInterval);
       const std::function<void()> action = self->on_expired;
       action();
     });
   }
 
   boost::asio::steady_timer timer;
-  uint64_t round = 0;
+  uint64_t generation = 0;
   bool expired = false;
   std::function<void()> on_expired;
 };
@@ -59,14 +59,14 @@
 
 void Deadline::Arm(std::chrono::microseconds after,
                    std::function<void()> on_expired) {
-  ++m_state->round;
+  ++m_state->generation;
   m_state->expired = false;
   m_state->on_expired = std::move(on_expired);
   m_state->Wait(after);
 }
 
 void Deadline::Disarm() {
-  ++m_state->round;
+  ++m_state->generation;
   m_state->on_expired = nullptr;
   m_state->timer.cancel();
 }
--- a/src/net/detail/peer_client_connection.cc
+++ b/src/net/detail/peer_client_connection.cc
@@ -186,7 +186,7 @@
   }
   // If the peer's VM was replaced, another process may answer at its address.
   // Without this check its answer would reach a caller.
-  if (!Proved(*stream)) {
+  if (!HasValidProof(*stream)) {
     Abandon(id, core::ErrorId::kPeerProtocol,
             "refused, or answered without the shared secret");
     return;
@@ -295,7 +295,7 @@
   return {bytes, BodyPart::State::kEnd};
 }
 
-bool PeerClientConnection::Proved(const Stream& stream) const {
+bool PeerClientConnection::HasValidProof(const Stream& stream) const {
   return core::EqualSecrets(Find(stream.fields, kReplyProofField),
                             m_signer->ReplyProof(stream.proof));
 }
--- a/src/net/detail/peer_client_connection.h
+++ b/src/net/detail/peer_client_connection.h
@@ -77,7 +77,7 @@
   void OnStreamClosed(StreamId id, uint32_t error_code);
   void OnConnectionClosed(const core::Error& error);
   BodyPart ReadBody(StreamId id, std::span<char> buffer);
-  bool Proved(const Stream& stream) const;
+  bool HasValidProof(const Stream& stream) const;
   bool Sent(const Stream& stream) const;
   core::Error Failed(core::ErrorId id, std::string detail) const;
   /// @brief Removes the stream and reports its end.
--- a/src/net/detail/peer_connection.cc
+++ b/src/net/detail/peer_connection.cc
@@ -16,7 +16,7 @@
 constexpr size_t kWriteBatch = 64U << 10U;
 // Reads in a row before the other connections of the thread are served.
 constexpr int kReadsPerTurn = 16;
-constexpr std::chrono::milliseconds kShortestTick{10};
+constexpr std::chrono::milliseconds kMinTick{10};
 
 core::Error Unreachable(std::string detail) {
   return core::Error{core::ErrorId::kPeerUnreachable, "connection",
@@ -35,7 +35,7 @@
       m_session(role, settings, std::move(hooks)),
       m_on_closed(std::move(on_closed)),
       m_timer(m_socket.executor()),
-      m_last_heard(Clock::now()) {}
+      m_last_received(Clock::now()) {}
 
 void PeerConnection::Start() {
   const error_code error = m_socket.Configure(m_settings.silence_deadline);
@@ -101,13 +101,13 @@
       Close(Unreachable(error.message()));
       return;
     }
-    Heard(bytes);
+    OnReceived(bytes);
   }
   Write();
 }
 
-void PeerConnection::Heard(size_t bytes) {
-  m_last_heard = Clock::now();
+void PeerConnection::OnReceived(size_t bytes) {
+  m_last_received = Clock::now();
   m_ping_sent.reset();
   if (m_finishing) {
     return;
@@ -182,21 +182,21 @@
     return;
   }
   m_finishing = true;
-  m_last_heard = Clock::now();
+  m_last_received = Clock::now();
   m_socket.ShutdownSend();
 }
 
 void PeerConnection::ArmTimer() {
   const auto grace = m_settings.silence_deadline - m_settings.ping_interval;
   const auto tick =
-      std::max(kShortestTick, std::min(grace, m_settings.ping_interval) / 2);
+      std::max(kMinTick, std::min(grace, m_settings.ping_interval) / 2);
   m_timer.expires_after(tick);
   m_timer.async_wait([weak = weak_from_this()](error_code error) {
     const auto self = weak.lock();
     if (error || !self || !self->m_open) {
       return;
     }
-    self->JudgeSilence();
+    self->CheckSilence();
     if (self->m_open) {
       self->ArmTimer();
     }
@@ -209,13 +209,13 @@
 // new connection. After a pause of this process, received bytes may still be in
 // the kernel: they are read before the check, and a PING gets its full time to
 // be answered.
-void PeerConnection::JudgeSilence() {
+void PeerConnection::CheckSilence() {
   ReadAvailable();
   if (!m_open) {
     return;
   }
   const Clock::time_point now = Clock::now();
-  const auto silence = now - m_last_heard;
+  const auto silence = now - m_last_received;
   if (silence < m_settings.ping_interval) {
     return;
   }
--- a/src/net/detail/peer_connection.h
+++ b/src/net/detail/peer_connection.h
@@ -52,13 +52,13 @@
 
   void AwaitReadable();
   void ReadAvailable();
-  void Heard(size_t bytes);
+  void OnReceived(size_t bytes);
   void Write();
   bool FillOut();
   void AwaitWritable();
   void FinishIfDone();
   void ArmTimer();
-  void JudgeSilence();
+  void CheckSilence();
 
   PeerSocket m_socket;
   const PeerSettings m_settings;
@@ -69,7 +69,7 @@
   std::string m_out;
   size_t m_out_written = 0;
   uint64_t m_written = 0;
-  Clock::time_point m_last_heard;
+  Clock::time_point m_last_received;
   std::optional<Clock::time_point> m_ping_sent;
   bool m_open = true;
   bool m_finishing = false;
--- a/src/net/detail/peer_reply_buffer.cc
+++ b/src/net/detail/peer_reply_buffer.cc
@@ -21,13 +21,14 @@
   size_t filled = 0;
   while (filled < frame.size() && !m_chunks.empty()) {
     const std::string& chunk = m_chunks.front();
-    const size_t part = std::min(frame.size() - filled, chunk.size() - m_taken);
-    std::copy_n(chunk.data() + m_taken, part, frame.data() + filled);
+    const size_t part =
+        std::min(frame.size() - filled, chunk.size() - m_first_chunk_read);
+    std::copy_n(chunk.data() + m_first_chunk_read, part, frame.data() + filled);
     filled += part;
-    m_taken += part;
-    if (m_taken == chunk.size()) {
+    m_first_chunk_read += part;
+    if (m_first_chunk_read == chunk.size()) {
       m_chunks.pop_front();
-      m_taken = 0;
+      m_first_chunk_read = 0;
     }
   }
   m_size -= filled;
--- a/src/net/detail/peer_reply_buffer.h
+++ b/src/net/detail/peer_reply_buffer.h
@@ -32,7 +32,7 @@
   void WakeWriters();
 
   std::deque<std::string> m_chunks;
-  size_t m_taken = 0;  ///< bytes already read from the first chunk
+  size_t m_first_chunk_read = 0;  ///< bytes already read from the first chunk
   size_t m_size = 0;
   bool m_ended = false;
   std::vector<std::function<void()>> m_writers;
--- a/src/net/detail/peer_server_connection.cc
+++ b/src/net/detail/peer_server_connection.cc
@@ -128,11 +128,11 @@
   if (stream == nullptr || stream->state != State::kHeaders) {
     return;
   }
-  const core::Status proved =
+  const core::Status verified =
       m_shared->verifier.Check(Find(stream->fields, kAuthField),
                                SignedText(stream->fields), WallClock());
-  if (!core::IsOk(proved)) {
-    Refuse(id, *stream, core::Failure(proved));
+  if (!core::IsOk(verified)) {
+    Refuse(id, *stream, core::Failure(verified));
     return;
   }
   const std::string_view path = Find(stream->fields, kPathField);
@@ -191,7 +191,7 @@
   }
   HeaderList fields{{std::string(kStatusField), std::string(kStatusDelivered)}};
   m_connection->session().SubmitReply(
-      id, ProvedReply(stream, std::move(fields)), false);
+      id, WithReplyProof(stream, std::move(fields)), false);
 }
 
 void PeerServerConnection::DeliverForward(StreamId id, Stream& stream) {
@@ -224,7 +224,7 @@
   // An unauthenticated request gets no reply proof: it would confirm a request
   // that was not made with the secret.
   if (error.id != core::ErrorId::kPeerProtocol) {
-    fields = ProvedReply(stream, std::move(fields));
+    fields = WithReplyProof(stream, std::move(fields));
   }
   // The stream is not reset: nghttp2 would drop the queued answer. The rest of
   // the body is limited by the stream's window, which is not extended.
--- a/src/net/detail/peer_server_connection.h
+++ b/src/net/detail/peer_server_connection.h
@@ -97,7 +97,7 @@
   void DeliverMessage(StreamId id, Stream& stream);
   void DeliverForward(StreamId id, Stream& stream);
   void Refuse(StreamId id, Stream& stream, const core::Error& error);
-  HeaderList ProvedReply(const Stream& stream, HeaderList fields) const;
+  HeaderList WithReplyProof(const Stream& stream, HeaderList fields) const;
   void FailReply(StreamId id, const core::Error& error);
   void OnStart(boost::asio::ip::tcp::socket socket);
   void StartDrain();
--- a/src/net/detail/peer_server_replies.cc
+++ b/src/net/detail/peer_server_replies.cc
@@ -24,8 +24,8 @@
   return stream != nullptr && !stream->reply.ended() ? stream : nullptr;
 }
 
-HeaderList PeerServerConnection::ProvedReply(const Stream& stream,
-                                             HeaderList fields) const {
+HeaderList PeerServerConnection::WithReplyProof(const Stream& stream,
+                                                HeaderList fields) const {
   fields.emplace_back(kReplyProofField, m_shared->signer.ReplyProof(
                                             Find(stream.fields, kAuthField)));
   return fields;
@@ -36,7 +36,7 @@
   if (stream == nullptr || stream->head_sent) {
     return;
   }
-  const HeaderList fields = ProvedReply(*stream, EncodeReply(head));
+  const HeaderList fields = WithReplyProof(*stream, EncodeReply(head));
   const core::Status fits =
       CheckFields(fields, m_shared->settings.max_header_bytes);
   if (!core::IsOk(fits)) {
--- a/src/net/forward_relay.cc
+++ b/src/net/forward_relay.cc
@@ -29,7 +29,7 @@
     m_stream = HeaderValue(m_head.headers, "content-type")
                    .starts_with("text/event-stream");
     if (m_stream) {
-      m_answer->OnTaken([weak = weak_from_this()] {
+      m_answer->SetReadCallback([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
           self->ReleaseConsumed();
         }
@@ -57,13 +57,13 @@
   }
 
   void OnEnd(ForwardOutcome outcome) {
-    m_answer->OnTaken(nullptr);
-    if (outcome.whole && m_too_large) {
-      outcome.whole = false;
+    m_answer->SetReadCallback(nullptr);
+    if (outcome.complete && m_too_large) {
+      outcome.complete = false;
       outcome.error = {core::ErrorId::kPeerProtocol, "forward",
                        "the answer exceeds its bound"};
     }
-    if (outcome.whole) {
+    if (outcome.complete) {
       m_answer->Start(m_head, m_stream);
       m_answer->Append(m_body);
       m_answer->Finish();
@@ -73,7 +73,7 @@
 
  private:
   void ReleaseConsumed() {
-    if (m_answer->Lag() > kHighWater) {
+    if (m_answer->UnreadBytes() > kHighWater) {
       return;
     }
     std::vector<Consumed> ready;
--- a/src/net/forward_writer.cc
+++ b/src/net/forward_writer.cc
@@ -28,19 +28,19 @@
     m_reply->OnCancelled([self = shared_from_this()] {
       boost::asio::post(self->m_context, [self] { self->End(true); });
     });
-    Pump();
+    SendAvailable();
   }
 
  private:
   static void Post(boost::asio::io_context& io, std::weak_ptr<Writer> weak) {
     boost::asio::post(io, [weak = std::move(weak)] {
       if (const auto self = weak.lock()) {
-        self->Pump();
+        self->SendAvailable();
       }
     });
   }
 
-  void Pump() {
+  void SendAvailable() {
     while (m_answer && !m_waiting) {
       const Answer::Piece piece = m_answer->Next(kPieceBytes);
       if (piece.head) {
@@ -54,7 +54,7 @@
         return;
       }
       Relay(piece);
-      if (piece.state == Answer::State::kWhole) {
+      if (piece.state == Answer::State::kComplete) {
         m_reply->End();
         End(false);
         return;
@@ -72,7 +72,7 @@
     if (piece.bytes.empty()) {
       return;
     }
-    if (piece.state == Answer::State::kWhole) {
+    if (piece.state == Answer::State::kComplete) {
       m_reply->Body(piece.bytes, nullptr);
       return;
     }
@@ -81,7 +81,7 @@
       boost::asio::post(io, [weak] {
         if (const auto self = weak.lock()) {
           self->m_waiting = false;
-          self->Pump();
+          self->SendAvailable();
         }
       });
     });
--- a/src/net/http_channel.cc
+++ b/src/net/http_channel.cc
@@ -10,8 +10,8 @@
 #include "beast_parser.h"
 #include "beast_util.h"
 #include "deadline.h"
+#include "http_serializer.h"
 #include "socket_util.h"
-#include "wire.h"
 
 namespace coppervalve::net {
 
@@ -37,7 +37,7 @@
              Done a_done) {
     done = std::move(a_done);
     sent = false;
-    wire = WireRequest(request, address);
+    wire = SerializeRequest(request, address);
     deadline.Arm(timeout, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
         self->Close();
--- a/src/net/wire.cc
+++ b/src/net/http_serializer.cc
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "http_serializer.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/buffers_to_string.hpp>
@@ -26,7 +26,7 @@
 }
 
 http::response_header<> MakeHead(const HttpHead& head,
-                                 const WireOptions& options) {
+                                 const ResponseOptions& options) {
   http::response_header<> result;
   result.version(kHttp11);
   result.result(head.status);
@@ -43,7 +43,8 @@
 
 }  // namespace
 
-std::string WireRequest(const HttpRequest& request, std::string_view host) {
+std::string SerializeRequest(const HttpRequest& request,
+                             std::string_view host) {
   http::request_header<> head;
   head.version(kHttp11);
   head.method_string(request.method);
@@ -61,9 +62,9 @@
   return ToText(head) + request.body;
 }
 
-std::string WireResponse(const HttpHead& head,
-                         std::string_view body,
-                         const WireOptions& options) {
+std::string SerializeResponse(const HttpHead& head,
+                              std::string_view body,
+                              const ResponseOptions& options) {
   http::response_header<> result = MakeHead(head, options);
   const bool bodiless =
       head.status == kNoContent || head.status == kNotModified;
@@ -77,18 +78,19 @@
   return text;
 }
 
-std::string WireStreamHead(const HttpHead& head, const WireOptions& options) {
+std::string SerializeStreamHead(const HttpHead& head,
+                                const ResponseOptions& options) {
   http::response_header<> result = MakeHead(head, options);
   result.set(http::field::transfer_encoding, "chunked");
   return ToText(result);
 }
 
-std::string WireChunk(std::string_view bytes) {
+std::string SerializeChunk(std::string_view bytes) {
   return boost::beast::buffers_to_string(
       http::make_chunk(boost::asio::const_buffer(bytes.data(), bytes.size())));
 }
 
-std::string WireLastChunk() {
+std::string SerializeLastChunk() {
   return boost::beast::buffers_to_string(http::make_chunk_last());
 }
 
--- a/src/net/io_pool.cc
+++ b/src/net/io_pool.cc
@@ -63,7 +63,7 @@
   }
 }
 
-void IoPool::Settle() {
+void IoPool::RunRemainingTasks() {
   for (const auto& loop : m_impl->loops) {
     loop->context.restart();
     loop->context.poll();
--- a/src/net/model_json.cc
+++ b/src/net/model_json.cc
@@ -13,7 +13,7 @@
 // Nested deeper than any real request; bounds the parser's stack.
 constexpr size_t kMaxDepth = 32;
 
-core::Error Bad(std::string field, std::string detail) {
+core::Error BadRequest(std::string field, std::string detail) {
   return {core::ErrorId::kBadRequest, std::move(field), std::move(detail)};
 }
 
@@ -62,24 +62,24 @@
   if (const json::value* prompt = body.if_contains("prompt")) {
     const json::array* list = prompt->if_array();
     if (!prompt->is_string() && !list) {
-      return Bad("prompt", "must be a string or one list of token ids");
+      return BadRequest("prompt", "must be a string or one list of token ids");
     }
     // Several prompts in one request each produce output up to the cap: the
     // reservation, which counts one, would be overspent.
     if (list && list->size() > 1 && !list->front().is_number()) {
-      return Bad("prompt", "only one prompt a request");
+      return BadRequest("prompt", "only one prompt a request");
     }
     AppendContent(prefix, *prompt);
     return core::Ok();
   }
   const json::value* messages = body.if_contains("messages");
   if (!messages || !messages->is_array()) {
-    return Bad("messages", "a list of messages or a prompt is needed");
+    return BadRequest("messages", "a list of messages or a prompt is needed");
   }
   for (const json::value& message : messages->get_array()) {
     const json::object* fields = message.if_object();
     if (!fields) {
-      return Bad("messages", "each must be an object");
+      return BadRequest("messages", "each must be an object");
     }
     if (const json::value* content = fields->if_contains("content")) {
       AppendContent(prefix, *content);
@@ -96,7 +96,7 @@
     }
     const auto number = Integer(*value);
     if (!number || *number < 1) {
-      return Bad(field, "must be a whole number of at least 1");
+      return BadRequest(field, "must be a whole number of at least 1");
     }
     cap = core::Tokens(*number);
   }
@@ -104,7 +104,7 @@
   for (const char* field : {"n", "best_of"}) {
     const json::value* value = body.if_contains(field);
     if (value && !value->is_null() && Integer(*value) != 1) {
-      return Bad(field, "only 1 is served");
+      return BadRequest(field, "only 1 is served");
     }
   }
   return core::Ok();
@@ -116,7 +116,7 @@
     return core::Ok();
   }
   if (!stream->is_bool()) {
-    return Bad("stream", "must be true or false");
+    return BadRequest("stream", "must be true or false");
   }
   request.stream = stream->get_bool();
   const json::value* options = body.if_contains("stream_options");
@@ -157,7 +157,7 @@
   const json::object& fields = document->get_object();
   const json::value* model = fields.if_contains("model");
   if (!model || !model->is_string() || model->get_string().empty()) {
-    return Bad("model", "must be a non-empty string");
+    return BadRequest("model", "must be a non-empty string");
   }
   ModelRequest request;
   request.model = std::string(model->get_string());
--- a/src/net/operator_routes.cc
+++ b/src/net/operator_routes.cc
@@ -18,11 +18,11 @@
   return {status, {{"content-type", std::move(type)}}};
 }
 
-Exchange RouteAdmin(const OperatorDesk& desk,
+Exchange RouteAdmin(const OperatorContext& context,
                     TrafficWorker& worker,
                     const HttpRequest& request) {
   const std::string_view given = BearerToken(request.headers);
-  if (desk.token.empty() || !core::EqualSecrets(given, desk.token)) {
+  if (context.token.empty() || !core::EqualSecrets(given, context.token)) {
     return worker.RefuseNow(
         {ErrorId::kUnauthorized, "authorization", "the operator token"});
   }
@@ -39,14 +39,14 @@
   if (status) {
     return worker.AskStatus(false);
   }
-  desk.drain();
+  context.drain();
   return worker.AnswerNow(Head(kAccepted, "application/json"),
                           R"({"draining":true})");
 }
 
 }  // namespace
 
-Exchange RouteOperator(const OperatorDesk& desk,
+Exchange RouteOperator(const OperatorContext& context,
                        TrafficWorker& worker,
                        const HttpRequest& request) {
   const std::string_view path = PathOf(request.target);
@@ -58,10 +58,10 @@
   }
   if (path == "/metrics") {
     return worker.AnswerNow(Head(kOk, "text/plain; version=0.0.4"),
-                            desk.metrics_text ? desk.metrics_text() : "");
+                            context.metrics_text ? context.metrics_text() : "");
   }
   if (path.starts_with("/admin/")) {
-    return RouteAdmin(desk, worker, request);
+    return RouteAdmin(context, worker, request);
   }
   return worker.RefuseNow({ErrorId::kNotFound, std::string(path), ""});
 }
--- a/src/net/operator_routes.h
+++ b/src/net/operator_routes.h
@@ -11,14 +11,14 @@
 namespace coppervalve::net {
 
 /// @brief What the operator port may do.
-struct OperatorDesk {
+struct OperatorContext {
   std::string token;  ///< empty: /admin is closed
   std::function<void()> drain;
   std::function<std::string()> metrics_text;  ///< may be empty
 };
 
 /// @brief Answers a request on the operator port.
-Exchange RouteOperator(const OperatorDesk& desk,
+Exchange RouteOperator(const OperatorContext& context,
                        TrafficWorker& worker,
                        const HttpRequest& request);
 
--- a/src/net/outgoing.cc
+++ b/src/net/outgoing_request.cc
@@ -1,4 +1,4 @@
-#include "outgoing.h"
+#include "outgoing_request.h"
 
 #include <algorithm>    // max
 #include <chrono>       // milliseconds
@@ -8,7 +8,7 @@
 #include "caller_routes.h"
 #include "coppervalve/net/clock.h"
 #include "coppervalve/net/model_json.h"
-#include "wire.h"
+#include "http_serializer.h"
 
 namespace coppervalve::net {
 
@@ -19,7 +19,7 @@
 constexpr std::string_view kDeadlineHeader = "x-deadline-ms";
 // An answer in one piece shows nothing until its last token. A dead connection
 // is noticed by the kernel's probes; this bounds a hung engine.
-constexpr milliseconds kSlowestToken{100};
+constexpr milliseconds kMaxTimePerToken{100};
 
 HeaderList UpstreamHeaders(const HttpRequest& request,
                            const router::Dispatch& action,
@@ -66,7 +66,7 @@
   plan.request = action.request;
   plan.attempt = action.attempt;
   plan.address = action.address;
-  plan.wire = WireRequest(sent, action.address);
+  plan.wire = SerializeRequest(sent, action.address);
   plan.head_request = sent.method == "HEAD";
   plan.model_work = action.model_work;
   plan.stream = request.stream;
@@ -74,8 +74,9 @@
   plan.connect_timeout = settings.connect_timeout;
   plan.first_token_timeout = action.first_token_timeout;
   plan.inter_token_timeout = action.inter_token_timeout;
-  plan.whole_timeout = action.first_token_timeout +
-                       kSlowestToken * action.max_output_tokens.value();
+  plan.complete_answer_timeout =
+      action.first_token_timeout +
+      kMaxTimePerToken * action.max_output_tokens.value();
   plan.max_answer_bytes = settings.max_answer_bytes;
   return plan;
 }
--- a/src/net/outgoing.h
+++ b/src/net/outgoing_request.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_SRC_NET_OUTGOING_H_
-#define COPPERVALVE_SRC_NET_OUTGOING_H_
+#ifndef COPPERVALVE_SRC_NET_OUTGOING_REQUEST_H_
+#define COPPERVALVE_SRC_NET_OUTGOING_REQUEST_H_
 
 #include <optional>  // optional
 #include <string>    // string
@@ -36,4 +36,4 @@
 
 }  // namespace coppervalve::net
 
-#endif  // COPPERVALVE_SRC_NET_OUTGOING_H_
+#endif  // COPPERVALVE_SRC_NET_OUTGOING_REQUEST_H_
--- a/src/net/peer_auth.cc
+++ b/src/net/peer_auth.cc
@@ -86,7 +86,7 @@
   return UnixSeconds(seconds);
 }
 
-core::Error Refused(std::string detail) {
+core::Error AuthError(std::string detail) {
   return core::Error{core::ErrorId::kPeerProtocol, "x-peer-auth",
                      std::move(detail)};
 }
@@ -99,7 +99,7 @@
                                            UnixSeconds now) const {
   std::array<unsigned char, kNonceBytes> random{};
   if (RAND_bytes(random.data(), kNonceBytes) != 1) {
-    return Refused("no random bytes for the nonce");
+    return AuthError("no random bytes for the nonce");
   }
   const std::string time = std::to_string(now.count());
   const std::string nonce = ToHex(random);
@@ -122,29 +122,29 @@
                                  UnixSeconds now) {
   const std::optional<ProofParts> parts = Split(proof);
   if (!parts) {
-    return Refused("malformed");
+    return AuthError("malformed");
   }
   const std::optional<UnixSeconds> time = ParseTime(parts->time);
   if (!time) {
-    return Refused("malformed time");
+    return AuthError("malformed time");
   }
   // The MAC is judged first: strangers learn nothing of our clock and cannot
   // fill the memory of nonces.
   const std::string expected =
       ProofMac(m_secret, parts->time, parts->nonce, signed_text);
   if (!core::EqualSecrets(expected, parts->mac)) {
-    return Refused("made with another secret or for another request");
+    return AuthError("made with another secret or for another request");
   }
   if (*time > now + kMaxSkew || *time < now - kMaxSkew) {
-    return Refused("the clocks differ by more than 60 s");
+    return AuthError("the clocks differ by more than 60 s");
   }
-  if (!Remember(parts->nonce, now)) {
-    return Refused("nonce seen before, or too many nonces");
+  if (!RecordNonce(parts->nonce, now)) {
+    return AuthError("nonce seen before, or too many nonces");
   }
   return core::Ok();
 }
 
-bool PeerVerifier::Remember(std::string_view nonce, UnixSeconds now) {
+bool PeerVerifier::RecordNonce(std::string_view nonce, UnixSeconds now) {
   // Failure: a recorded stream is sent again and a message or request counts
   // twice. A proof is acceptable during at most 2 * kMaxSkew of our clock, and
   // a nonce is kept for at least that long: the sets rotate no sooner, and a
--- a/src/net/peer_client.cc
+++ b/src/net/peer_client.cc
@@ -27,7 +27,7 @@
   std::atomic<size_t> forwards{0};
 };
 
-bool Enter(std::atomic<size_t>& count, size_t limit) {
+bool TryIncrement(std::atomic<size_t>& count, size_t limit) {
   if (count.fetch_add(1) < limit) {
     return true;
   }
@@ -118,7 +118,7 @@
   call->path = detail::kMessagePath;
   call->body = message.SerializeAsString();
   call->callbacks.on_end = [on_failed](const ForwardOutcome& outcome) {
-    if (!outcome.whole && on_failed) {
+    if (!outcome.complete && on_failed) {
       on_failed(outcome.error);
     }
   };
@@ -128,7 +128,7 @@
     return;
   }
   if (m_impl->closing ||
-      !Enter(peer->messages, m_impl->settings.max_queued_messages)) {
+      !TryIncrement(peer->messages, m_impl->settings.max_queued_messages)) {
     peer->channel->Reject(
         call, Failed(core::ErrorId::kPeerUnreachable, address,
                      m_impl->closing ? "closing" : "message queue full"));
@@ -164,7 +164,7 @@
         call, Failed(core::ErrorId::kPeerUnreachable, address, "closing"));
     return handle;
   }
-  if (!Enter(peer->forwards, m_impl->settings.max_forwards)) {
+  if (!TryIncrement(peer->forwards, m_impl->settings.max_forwards)) {
     peer->channel->Reject(
         call, Failed(core::ErrorId::kQueueFull, address, "too many forwards"));
     return handle;
@@ -187,10 +187,10 @@
     boost::asio::post(m_impl->io, std::move(on_closed));
     return;
   }
-  const auto left = std::make_shared<std::atomic<size_t>>(peers.size());
+  const auto remaining = std::make_shared<std::atomic<size_t>>(peers.size());
   for (const auto& peer : peers) {
-    peer->channel->Close([left, on_closed] {
-      if (left->fetch_sub(1) == 1) {
+    peer->channel->Close([remaining, on_closed] {
+      if (remaining->fetch_sub(1) == 1) {
         on_closed();
       }
     });
--- a/src/net/platform_watch.cc
+++ b/src/net/platform_client.cc
@@ -1,4 +1,4 @@
-#include "platform_watch.h"
+#include "platform_client.h"
 
 #include <google/protobuf/util/json_util.h>
 
@@ -84,7 +84,8 @@
 
 }  // namespace
 
-struct PlatformWatch::Impl : std::enable_shared_from_this<PlatformWatch::Impl> {
+struct PlatformClient::Impl
+    : std::enable_shared_from_this<PlatformClient::Impl> {
   Impl(boost::asio::io_context& a_context,
        const ShellSettings& a_settings,
        EventSink a_report)
@@ -151,20 +152,20 @@
   std::unordered_map<size_t, std::unique_ptr<HttpChannel>> calls;
 };
 
-PlatformWatch::PlatformWatch(boost::asio::io_context& context,
-                             const ShellSettings& settings,
-                             EventSink report)
+PlatformClient::PlatformClient(boost::asio::io_context& context,
+                               const ShellSettings& settings,
+                               EventSink report)
     : m_impl(std::make_shared<Impl>(context, settings, std::move(report))) {}
 
-PlatformWatch::~PlatformWatch() = default;
+PlatformClient::~PlatformClient() = default;
 
-void PlatformWatch::Start() {
+void PlatformClient::Start() {
   if (!m_impl->settings.vm_list_address.empty()) {
     m_impl->AskForList();
   }
 }
 
-void PlatformWatch::Probe(const router::ProbeUpstream& action) {
+void PlatformClient::Probe(const router::ProbeUpstream& action) {
   // A connection of its own for each probe: a kept one might be dead in the
   // middle while new ones work, and the probe is to judge the upstream.
   const size_t id = m_impl->next_call++;
@@ -181,7 +182,7 @@
       });
 }
 
-void PlatformWatch::Send(const router::SendOrder& action) {
+void PlatformClient::Send(const router::SendOrder& action) {
   const size_t id = m_impl->next_call++;
   auto& channel = m_impl->calls[id];
   channel = std::make_unique<HttpChannel>(m_impl->context, action.address,
--- a/src/net/platform_watch.h
+++ b/src/net/platform_client.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_SRC_NET_PLATFORM_WATCH_H_
-#define COPPERVALVE_SRC_NET_PLATFORM_WATCH_H_
+#ifndef COPPERVALVE_SRC_NET_PLATFORM_CLIENT_H_
+#define COPPERVALVE_SRC_NET_PLATFORM_CLIENT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <memory>  // shared_ptr
@@ -12,14 +12,14 @@
 
 /// @brief Asks for the VM list again and again, probes upstreams and gives them
 /// orders. Belongs to one thread; answers by VmListRead, ProbeEnded, OrderSent.
-class PlatformWatch {
+class PlatformClient {
  public:
-  PlatformWatch(boost::asio::io_context& context,
-                const ShellSettings& settings,
-                EventSink report);
-  PlatformWatch(const PlatformWatch&) = delete;
-  PlatformWatch& operator=(const PlatformWatch&) = delete;
-  ~PlatformWatch();
+  PlatformClient(boost::asio::io_context& context,
+                 const ShellSettings& settings,
+                 EventSink report);
+  PlatformClient(const PlatformClient&) = delete;
+  PlatformClient& operator=(const PlatformClient&) = delete;
+  ~PlatformClient();
 
   /// @brief Begins to ask for the VM list, if there is an address for it.
   void Start();
@@ -33,4 +33,4 @@
 
 }  // namespace coppervalve::net
 
-#endif  // COPPERVALVE_SRC_NET_PLATFORM_WATCH_H_
+#endif  // COPPERVALVE_SRC_NET_PLATFORM_CLIENT_H_
--- a/src/net/shell.cc
+++ b/src/net/shell.cc
@@ -16,7 +16,7 @@
 #include "forward_writer.h"
 #include "log_transport.h"
 #include "operator_routes.h"
-#include "platform_watch.h"
+#include "platform_client.h"
 #include "socket_util.h"
 #include "traffic_worker.h"
 
@@ -48,7 +48,7 @@
             [this](core::TimePoint now, const router::Event& event) {
               return Handle(now, event);
             },
-            [this](router::Action action) { Carry(std::move(action)); }),
+            [this](router::Action action) { Execute(std::move(action)); }),
         platform(pool.Context(kPlatformThread), settings, Sink()),
         log(pool.Context(kPlatformThread), settings, Sink()),
         callers(pool, CallerPort(), settings.caller),
@@ -64,9 +64,10 @@
           pool.Context(thread), thread, pool.size(), shared));
     }
     actions = std::make_unique<ActionRouter>(
-        ActionOwners{&pool, &workers, &log, &platform, peers.get(), &answers,
-                     Sink(), hooks.log, [this] { OnExit(); }});
-    desk = {settings.operator_token, [this] { Drain(); }, hooks.metrics_text};
+        ActionTargets{&pool, &workers, &log, &platform, peers.get(), &answers,
+                      Sink(), hooks.log, [this] { OnExit(); }});
+    operator_context = {settings.operator_token, [this] { Drain(); },
+                        hooks.metrics_text};
   }
 
   ~Impl() {
@@ -75,7 +76,7 @@
     shared.peers = nullptr;
     peer_server.reset();
     peers.reset();
-    pool.Settle();
+    pool.RunRemainingTasks();
   }
 
   EventSink Sink() {
@@ -92,21 +93,21 @@
     return hooks.handler(now, event);
   }
 
-  void Carry(router::Action action) {
+  void Execute(router::Action action) {
     if (hooks.on_action) {
       hooks.on_action(BootNow(), action);
     }
-    actions->Carry(std::move(action));
+    actions->Execute(std::move(action));
   }
 
   // ---- Ports ---------------------------------------------------------------
 
   CallerHooks PortHooks() {
     CallerHooks port;
-    port.gone = [this](size_t thread, core::RequestId request) {
+    port.disconnected = [this](size_t thread, core::RequestId request) {
       workers[thread]->OnCallerGone(request);
     };
-    port.served = [this](size_t thread, core::RequestId request) {
+    port.answered = [this](size_t thread, core::RequestId request) {
       workers[thread]->OnServed(request);
     };
     port.rejected = [this](const core::Error& error) {
@@ -129,7 +130,7 @@
   CallerHooks OperatorPort() {
     CallerHooks port = PortHooks();
     port.accept = [this](size_t thread, const HttpRequest& request) {
-      return RouteOperator(desk, *workers[thread], request);
+      return RouteOperator(operator_context, *workers[thread], request);
     };
     return port;
   }
@@ -189,7 +190,7 @@
     TrafficWorker& worker = *workers[thread];
     // Meant for an earlier process at this address: a key that only that one
     // may run would otherwise run here a second time.
-    const bool meant_for_us =
+    const bool addressed_to_us =
         !hooks.incarnation || hooks.incarnation() == head.to_incarnation;
     HttpRequest request;
     request.method = head.method;
@@ -200,9 +201,9 @@
       request.headers.emplace_back("idempotency-key", head.idempotency_key);
     }
     const Exchange exchange =
-        meant_for_us ? worker.Accept(std::move(request), head.account)
-                     : worker.RefuseNow({core::ErrorId::kOriginGone,
-                                         "incarnation", "it has ended"});
+        addressed_to_us ? worker.Accept(std::move(request), head.account)
+                        : worker.RefuseNow({core::ErrorId::kOriginGone,
+                                            "incarnation", "it has ended"});
     WriteForwardReply(pool.Context(thread), exchange.answer, reply,
                       [&worker, request_id = exchange.request](bool cancelled) {
                         if (cancelled) {
@@ -240,9 +241,9 @@
     }
     // The core's drain is complete, but answers may still be on their way out
     // of this process: ending now would cut them off.
-    const auto patience =
-        std::chrono::steady_clock::now() + settings.close_patience;
-    while (std::chrono::steady_clock::now() < patience) {
+    const auto deadline =
+        std::chrono::steady_clock::now() + settings.close_timeout;
+    while (std::chrono::steady_clock::now() < deadline) {
       const bool open = callers.OpenConnections() > 0 ||
                         operators.OpenConnections() > 0 || !*peers_closed;
       if (!open) {
@@ -269,7 +270,7 @@
   AnswerStore answers;
   IoPool pool;
   ControlLoop control;
-  PlatformWatch platform;
+  PlatformClient platform;
   LogTransport log;
   CallerServer callers;
   CallerServer operators;
@@ -279,7 +280,7 @@
   std::unique_ptr<PeerServer> peer_server;
   std::atomic<size_t> next_forward_thread{0};
   std::unique_ptr<ActionRouter> actions;
-  OperatorDesk desk;
+  OperatorContext operator_context;
 };
 
 Shell::Shell(ShellSettings settings, ShellHooks hooks)
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -9,7 +9,7 @@
 #include "coppervalve/net/clock.h"
 #include "coppervalve/net/model_json.h"
 #include "forward_relay.h"
-#include "outgoing.h"
+#include "outgoing_request.h"
 
 namespace coppervalve::net {
 
@@ -99,7 +99,7 @@
   if (!entry) {
     return;
   }
-  entry->caller_gone = BootNow();
+  entry->disconnected_at = BootNow();
   DropIfAbandoned(request);
 }
 
@@ -112,7 +112,7 @@
 
 // ---- Carrying out actions --------------------------------------------------
 
-void TrafficWorker::Carry(const router::Dispatch& action) {
+void TrafficWorker::Execute(const router::Dispatch& action) {
   Entry* entry = Find(action.request);
   if (!entry || entry->joined) {
     RefuseDispatch(action, "the request is over");
@@ -138,19 +138,19 @@
       });
 }
 
-void TrafficWorker::Carry(const router::Refuse& action) {
+void TrafficWorker::Execute(const router::Refuse& action) {
   Entry* entry = Find(action.request);
   if (!entry) {
     return;
   }
   entry->answer->Fail({action.error, action.run_state, action.retry_after});
   // The core keeps refusals in mind itself and has nobody join one.
-  m_shared.answers->Forget(action.request);
+  m_shared.answers->Remove(action.request);
   Erase(action.request);
 }
 
-void TrafficWorker::Carry(const router::JoinAnswer& action,
-                          std::shared_ptr<Answer> leader) {
+void TrafficWorker::Execute(const router::JoinAnswer& action,
+                            std::shared_ptr<Answer> leader) {
   Entry* entry = Find(action.request);
   if (!entry) {
     return;
@@ -162,14 +162,14 @@
     return;
   }
   // What is kept under the joiner's own number would never be filled.
-  m_shared.answers->Forget(action.request);
+  m_shared.answers->Remove(action.request);
   entry->joined = true;
   entry->http = HttpRequest();
   entry->answer->RedirectTo(std::move(leader));
   DropIfAbandoned(action.request);
 }
 
-void TrafficWorker::Carry(const router::Forward& action) {
+void TrafficWorker::Execute(const router::Forward& action) {
   Entry* entry = Find(action.request);
   if (!entry || !m_shared.peers) {
     m_shared.report(router::ForwardEnded{action.request, false, false, false});
@@ -187,7 +187,7 @@
       entry->http.body, std::move(callbacks));
 }
 
-void TrafficWorker::Carry(const router::CancelAttempt& action) {
+void TrafficWorker::Execute(const router::CancelAttempt& action) {
   Entry* entry = Find(action.request);
   if (!entry) {
     return;
@@ -201,7 +201,7 @@
   DropIfAbandoned(action.request);
 }
 
-void TrafficWorker::Carry(const router::ReplyJson& action) {
+void TrafficWorker::Execute(const router::ReplyJson& action) {
   Entry* entry = Find(action.request);
   if (!entry) {
     return;
@@ -219,10 +219,10 @@
   Erase(action.request);
 }
 
-void TrafficWorker::Carry(const router::ForgetAnswer& action) {
-  m_shared.answers->Forget(action.request);
+void TrafficWorker::Execute(const router::ForgetAnswer& action) {
+  m_shared.answers->Remove(action.request);
   const Entry* entry = Find(action.request);
-  if (entry && entry->caller_gone) {
+  if (entry && entry->disconnected_at) {
     Erase(action.request);
   }
 }
@@ -252,14 +252,14 @@
   Entry* entry = Find(request);
   const bool relayed = entry && entry->answer->started();
   m_shared.report(
-      router::ForwardEnded{request, outcome.whole, outcome.sent, relayed});
+      router::ForwardEnded{request, outcome.complete, outcome.sent, relayed});
   if (!entry) {
     return;
   }
   entry->forward.reset();
-  if (outcome.whole) {
+  if (outcome.complete) {
     // The peer that ran it keeps it for callers that come again.
-    m_shared.answers->Forget(request);
+    m_shared.answers->Remove(request);
     Erase(request);
     return;
   }
@@ -292,7 +292,7 @@
 
 void TrafficWorker::DropIfAbandoned(core::RequestId request) {
   const Entry* entry = Find(request);
-  if (!entry || !entry->caller_gone) {
+  if (!entry || !entry->disconnected_at) {
     return;
   }
   // A keyed request without its caller goes on: a retry may fetch its answer.
@@ -321,10 +321,11 @@
   const core::TimePoint oldest = BootNow() - kAbandonedAfter;
   for (auto it = m_requests.begin(); it != m_requests.end();) {
     const Entry& entry = it->second;
-    const bool abandoned = entry.caller_gone && *entry.caller_gone < oldest &&
-                           !entry.attempt && !entry.forward;
+    const bool abandoned = entry.disconnected_at &&
+                           *entry.disconnected_at < oldest && !entry.attempt &&
+                           !entry.forward;
     if (abandoned) {
-      m_shared.answers->Forget(it->first);
+      m_shared.answers->Remove(it->first);
     }
     it = abandoned ? m_requests.erase(it) : std::next(it);
   }
--- a/src/net/traffic_worker.h
+++ b/src/net/traffic_worker.h
@@ -65,15 +65,16 @@
   void OnCallerGone(core::RequestId request);
   void OnServed(core::RequestId request);
 
-  void Carry(const router::Dispatch& action);
-  void Carry(const router::Refuse& action);
+  void Execute(const router::Dispatch& action);
+  void Execute(const router::Refuse& action);
   /// @param leader the answer to join, looked up when the core decided; null
   /// when it is no longer kept
-  void Carry(const router::JoinAnswer& action, std::shared_ptr<Answer> leader);
-  void Carry(const router::Forward& action);
-  void Carry(const router::CancelAttempt& action);
-  void Carry(const router::ReplyJson& action);
-  void Carry(const router::ForgetAnswer& action);
+  void Execute(const router::JoinAnswer& action,
+               std::shared_ptr<Answer> leader);
+  void Execute(const router::Forward& action);
+  void Execute(const router::CancelAttempt& action);
+  void Execute(const router::ReplyJson& action);
+  void Execute(const router::ForgetAnswer& action);
 
  private:
   struct Entry {
@@ -87,7 +88,7 @@
     bool keyed = false;
     bool readiness = false;
     bool joined = false;
-    std::optional<core::TimePoint> caller_gone;  ///< since when
+    std::optional<core::TimePoint> disconnected_at;  ///< since when
   };
 
   core::RequestId NextId();
--- a/src/net/upstream_attempt.cc
+++ b/src/net/upstream_attempt.cc
@@ -14,7 +14,7 @@
 #include "coppervalve/net/model_json.h"
 #include "coppervalve/net/stream_relay.h"
 #include "upstream_connection.h"
-#include "upstream_fault.h"
+#include "upstream_error.h"
 #include "upstream_load.h"
 #include "upstream_pool.h"
 
@@ -43,7 +43,7 @@
 struct UpstreamAttempt::Impl
     : std::enable_shared_from_this<UpstreamAttempt::Impl> {
   using HeadParser = http::response_parser<http::empty_body>;
-  using WholeParser = http::response_parser<http::string_body>;
+  using BodyParser = http::response_parser<http::string_body>;
   using StreamParser = http::response_parser<http::buffer_body>;
 
   Impl(asio::io_context& a_context,
@@ -60,12 +60,13 @@
                                                   plan.address)) {}
 
   void Start() {
-    const bool piecewise = plan.stream || !plan.model_work;
-    link->Send(plan.wire, plan.connect_timeout,
-               piecewise ? plan.first_token_timeout : plan.whole_timeout,
-               [self = shared_from_this()](SendEnd end, error_code e) {
-                 self->OnSent(end, e);
-               });
+    const bool incremental = plan.stream || !plan.model_work;
+    link->Send(
+        plan.wire, plan.connect_timeout,
+        incremental ? plan.first_token_timeout : plan.complete_answer_timeout,
+        [self = shared_from_this()](SendEnd end, error_code e) {
+          self->OnSent(end, e);
+        });
   }
 
   void OnSent(SendEnd end, error_code e) {
@@ -77,10 +78,10 @@
         End(router::AttemptNotSent{
             plan.request,
             plan.attempt,
-            {ErrorId::kUpstreamFailed, plan.address, link->Explain(e)}});
+            {ErrorId::kUpstreamFailed, plan.address, link->DescribeError(e)}});
         return;
       case SendEnd::kBroken:
-        EndFailed(Broken("write", e));
+        EndFailed(ConnectionError("write", e));
         return;
     }
   }
@@ -102,7 +103,7 @@
       return;
     }
     if (e) {
-      EndFailed(Broken("answer", e));
+      EndFailed(ConnectionError("answer", e));
       return;
     }
     const unsigned status = head_parser->get().result_int();
@@ -136,22 +137,22 @@
       BeginStream();
       return;
     }
-    whole_parser.emplace(std::move(*head_parser));
-    ReadWhole();
+    body_parser.emplace(std::move(*head_parser));
+    ReadBody();
   }
 
-  void ReadWhole() {
-    if (whole_parser->is_done()) {
-      EndWhole();
+  void ReadBody() {
+    if (body_parser->is_done()) {
+      EndBody();
       return;
     }
-    http::async_read_some(link->socket(), buffer, *whole_parser,
+    http::async_read_some(link->socket(), buffer, *body_parser,
                           [self = shared_from_this()](error_code e, size_t) {
-                            self->OnWholePart(e);
+                            self->OnBodyPart(e);
                           });
   }
 
-  void OnWholePart(error_code e) {
+  void OnBodyPart(error_code e) {
     if (ended) {
       return;
     }
@@ -161,18 +162,18 @@
       return;
     }
     if (e) {
-      EndFailed(Broken("answer", e));
+      EndFailed(ConnectionError("answer", e));
       return;
     }
     ReportFirstToken();
     if (!plan.model_work) {
-      link->Watch(plan.inter_token_timeout);
+      link->SetTimeout(plan.inter_token_timeout);
     }
-    ReadWhole();
+    ReadBody();
   }
 
-  void EndWhole() {
-    std::string body = std::move(whole_parser->get().body());
+  void EndBody() {
+    std::string body = std::move(body_parser->get().body());
     std::optional<router::Usage> usage;
     if (plan.model_work && head.status < kSuccessEnd) {
       const core::Result<ModelAnswer> parsed = ReadModelAnswer(body);
@@ -186,7 +187,7 @@
     answer->Start(RelayedHead(head), false);
     answer->Append(body);
     answer->Finish();
-    EndDone(whole_parser->keep_alive(), usage, size);
+    EndDone(body_parser->keep_alive(), usage, size);
   }
 
   void BeginStream() {
@@ -194,7 +195,7 @@
     // A long stream is bounded by its tokens and by backpressure.
     stream_parser->body_limit(boost::none);
     relay.emplace(answer, RelayedHead(head), plan.relay_usage);
-    answer->OnTaken([weak = weak_from_this(), &io = context] {
+    answer->SetReadCallback([weak = weak_from_this(), &io = context] {
       asio::post(io, [weak] {
         if (const auto self = weak.lock()) {
           self->Resume();
@@ -227,22 +228,22 @@
       return;
     }
     if (e && e != http::error::need_buffer) {
-      EndFailed(Broken("stream", e));
+      EndFailed(ConnectionError("stream", e));
       return;
     }
     if (relay->output_seen() > before) {
       ReportFirstToken();
       // Only tokens count: an engine may send comments while it hangs.
-      link->Watch(plan.inter_token_timeout);
+      link->SetTimeout(plan.inter_token_timeout);
     }
     if (stream_parser->is_done()) {
       EndStream();
       return;
     }
-    if (answer->Lag() > kHighWater) {
+    if (answer->UnreadBytes() > kHighWater) {
       // A slow caller, not a silent upstream: the watchdog rests.
       paused = true;
-      link->StopWatching();
+      link->ClearTimeout();
       Resume();
       return;
     }
@@ -250,11 +251,11 @@
   }
 
   void Resume() {
-    if (ended || !paused || answer->Lag() > kHighWater) {
+    if (ended || !paused || answer->UnreadBytes() > kHighWater) {
       return;
     }
     paused = false;
-    link->Watch(plan.inter_token_timeout);
+    link->SetTimeout(plan.inter_token_timeout);
     ReadStream();
   }
 
@@ -275,7 +276,7 @@
     // Bytes past the end of this answer would be taken for the next one's.
     const bool reusable = keep_alive && buffer.size() == 0;
     if (reusable) {
-      link->GiveBack();
+      link->ReleaseToPool();
     }
     End(router::AttemptDone{plan.request, plan.attempt, head.status, usage,
                             size, load});
@@ -311,7 +312,7 @@
       return;
     }
     ended = true;
-    answer->OnTaken(nullptr);
+    answer->SetReadCallback(nullptr);
     link->Close();
   }
 
@@ -323,10 +324,11 @@
     }
   }
 
-  core::Error Broken(std::string_view step, error_code e) const {
-    return FaultOf({plan.address, std::string(step) + ": " + link->Explain(e),
-                    link->expired(), whole_parser || stream_parser},
-                   e);
+  core::Error ConnectionError(std::string_view step, error_code e) const {
+    return ToError(
+        {plan.address, std::string(step) + ": " + link->DescribeError(e),
+         link->expired(), body_parser || stream_parser},
+        e);
   }
 
   asio::io_context& context;
@@ -339,7 +341,7 @@
   bool first_token_reported = false;
   beast::flat_buffer buffer;
   std::optional<HeadParser> head_parser;
-  std::optional<WholeParser> whole_parser;
+  std::optional<BodyParser> body_parser;
   std::optional<StreamParser> stream_parser;
   std::optional<StreamRelay> relay;
   std::array<char, kReadBytes> chunk{};
--- a/src/net/upstream_attempt.h
+++ b/src/net/upstream_attempt.h
@@ -33,7 +33,7 @@
   std::chrono::microseconds first_token_timeout{};
   std::chrono::microseconds inter_token_timeout{};
   /// Bound of an answer that comes in one piece.
-  std::chrono::microseconds whole_timeout{};
+  std::chrono::microseconds complete_answer_timeout{};
   size_t max_answer_bytes = 0;
 };
 
--- a/src/net/upstream_connection.cc
+++ b/src/net/upstream_connection.cc
@@ -27,7 +27,7 @@
   m_connect_timeout = connect_timeout;
   m_answer_timeout = answer_timeout;
   m_done = std::move(done);
-  if (auto idle = m_pool.Take(m_address)) {
+  if (auto idle = m_pool.Acquire(m_address)) {
     m_socket = std::move(*idle);
     m_reused = true;
     Write();
@@ -46,7 +46,7 @@
     });
     return;
   }
-  Watch(m_connect_timeout);
+  SetTimeout(m_connect_timeout);
   m_socket.async_connect(*endpoint,
                          [self = shared_from_this()](ErrorCode error) {
                            if (!self->m_done) {
@@ -62,7 +62,7 @@
 }
 
 void UpstreamConnection::Write() {
-  Watch(m_answer_timeout);
+  SetTimeout(m_answer_timeout);
   asio::async_write(
       m_socket, asio::buffer(*m_wire),
       [self = shared_from_this()](ErrorCode error, size_t written) {
@@ -99,18 +99,18 @@
   }
 }
 
-void UpstreamConnection::Watch(std::chrono::microseconds after) {
+void UpstreamConnection::SetTimeout(std::chrono::microseconds after) {
   m_deadline.Arm(after, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       // Connections that were left idle at the same time have probably gone
       // silent too, while new ones work.
-      self->m_pool.Drop(self->m_address);
+      self->m_pool.CloseAll(self->m_address);
       self->CloseSocket();
     }
   });
 }
 
-std::string UpstreamConnection::Explain(ErrorCode error) const {
+std::string UpstreamConnection::DescribeError(ErrorCode error) const {
   return m_deadline.expired() ? "timeout" : error.message();
 }
 
@@ -120,9 +120,9 @@
   CloseSocket();
 }
 
-void UpstreamConnection::GiveBack() {
+void UpstreamConnection::ReleaseToPool() {
   m_deadline.Disarm();
-  m_pool.Put(m_address, std::move(m_socket));
+  m_pool.Release(m_address, std::move(m_socket));
 }
 
 void UpstreamConnection::CloseSocket() {
--- a/src/net/upstream_connection.h
+++ b/src/net/upstream_connection.h
@@ -45,16 +45,16 @@
 
   boost::asio::ip::tcp::socket& socket() { return m_socket; }
   /// @brief Closes the connection after this time, unless armed again.
-  void Watch(std::chrono::microseconds after);
-  void StopWatching() { m_deadline.Disarm(); }
+  void SetTimeout(std::chrono::microseconds after);
+  void ClearTimeout() { m_deadline.Disarm(); }
   bool expired() const { return m_deadline.expired(); }
   /// @brief The error, or that the time ran out.
-  std::string Explain(ErrorCode error) const;
+  std::string DescribeError(ErrorCode error) const;
 
   /// @brief Ends the use; nothing is called back any more.
   void Close();
   /// @brief Leaves the connection to later attempts. @pre the answer has ended
-  void GiveBack();
+  void ReleaseToPool();
 
  private:
   void Connect();
--- a/src/net/upstream_fault.cc
+++ b/src/net/upstream_error.cc
@@ -1,4 +1,4 @@
-#include "upstream_fault.h"
+#include "upstream_error.h"
 
 #include <boost/beast/http/error.hpp>
 #include <utility>  // move
@@ -10,8 +10,9 @@
 namespace http = boost::beast::http;
 using core::ErrorId;
 
-ErrorId KindOf(const Breakage& breakage, boost::system::error_code error) {
-  if (breakage.expired) {
+ErrorId ErrorIdOf(const ConnectionFailure& failure,
+                  boost::system::error_code error) {
+  if (failure.expired) {
     return ErrorId::kUpstreamSilent;
   }
   if (error == http::error::partial_message) {
@@ -23,14 +24,15 @@
   if (!closed && error.category() == http_errors) {
     return ErrorId::kUpstreamProtocol;
   }
-  return breakage.begun ? ErrorId::kAnswerCut : ErrorId::kUpstreamFailed;
+  return failure.head_received ? ErrorId::kAnswerCut : ErrorId::kUpstreamFailed;
 }
 
 }  // namespace
 
-core::Error FaultOf(Breakage breakage, boost::system::error_code error) {
-  const ErrorId kind = KindOf(breakage, error);
-  return {kind, std::move(breakage.address), std::move(breakage.detail)};
+core::Error ToError(ConnectionFailure failure,
+                    boost::system::error_code error) {
+  const ErrorId kind = ErrorIdOf(failure, error);
+  return {kind, std::move(failure.address), std::move(failure.detail)};
 }
 
 HttpHead RelayedHead(const HttpHead& head) {
--- a/src/net/upstream_fault.h
+++ b/src/net/upstream_error.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_SRC_NET_UPSTREAM_FAULT_H_
-#define COPPERVALVE_SRC_NET_UPSTREAM_FAULT_H_
+#ifndef COPPERVALVE_SRC_NET_UPSTREAM_ERROR_H_
+#define COPPERVALVE_SRC_NET_UPSTREAM_ERROR_H_
 
 #include <boost/system/error_code.hpp>
 #include <string>  // string
@@ -10,19 +10,19 @@
 namespace coppervalve::net {
 
 /// @brief How a connection to an upstream broke after the first byte was sent.
-struct Breakage {
+struct ConnectionFailure {
   std::string address;
   std::string detail;
-  bool expired = false;  ///< we closed it, as it was silent for too long
-  bool begun = false;    ///< the head of the answer had come
+  bool expired = false;        ///< we closed it, as it was silent for too long
+  bool head_received = false;  ///< the head of the answer had come
 };
 
 /// @return kUpstreamSilent, kAnswerCut, kUpstreamProtocol or kUpstreamFailed
-core::Error FaultOf(Breakage breakage, boost::system::error_code error);
+core::Error ToError(ConnectionFailure failure, boost::system::error_code error);
 
 /// @brief The head of an upstream's answer as callers get it.
 HttpHead RelayedHead(const HttpHead& head);
 
 }  // namespace coppervalve::net
 
-#endif  // COPPERVALVE_SRC_NET_UPSTREAM_FAULT_H_
+#endif  // COPPERVALVE_SRC_NET_UPSTREAM_ERROR_H_
--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::optional<boost::asio::ip::tcp::socket> UpstreamPool::Take(
+std::optional<boost::asio::ip::tcp::socket> UpstreamPool::Acquire(
     const std::string& address) {
   std::vector<Idle>& idle = m_idle[address];
   while (!idle.empty()) {
@@ -30,12 +30,12 @@
   return std::nullopt;
 }
 
-void UpstreamPool::Drop(const std::string& address) {
+void UpstreamPool::CloseAll(const std::string& address) {
   m_idle.erase(address);
 }
 
-void UpstreamPool::Put(const std::string& address,
-                       boost::asio::ip::tcp::socket socket) {
+void UpstreamPool::Release(const std::string& address,
+                           boost::asio::ip::tcp::socket socket) {
   std::vector<Idle>& idle = m_idle[address];
   if (idle.size() < kMaxIdlePerAddress) {
     idle.push_back({std::move(socket), Clock::now()});
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -14,10 +14,11 @@
 class UpstreamPool {
  public:
   /// @return a connection that looked alive just now
-  std::optional<boost::asio::ip::tcp::socket> Take(const std::string& address);
+  std::optional<boost::asio::ip::tcp::socket> Acquire(
+      const std::string& address);
   /// @brief Closes the idle connections to an upstream.
-  void Drop(const std::string& address);
-  void Put(const std::string& address, boost::asio::ip::tcp::socket socket);
+  void CloseAll(const std::string& address);
+  void Release(const std::string& address, boost::asio::ip::tcp::socket socket);
 
  private:
   using Clock = std::chrono::steady_clock;
--- a/tests/net/unit-answer.cc
+++ b/tests/net/unit-answer.cc
@@ -32,7 +32,7 @@
   const Answer::Piece all = second.Next(100);
   STRCMP_EQUAL("hello", all.bytes.c_str());
   CHECK(all.head.has_value());
-  CHECK(all.state == Answer::State::kWhole);
+  CHECK(all.state == Answer::State::kComplete);
   STRCMP_EQUAL("lo", first.Next(100).bytes.c_str());
 }
 
@@ -43,7 +43,7 @@
   answer->Append("hello");
   answer->Finish();
   CHECK(reader.Next(3).state == Answer::State::kOpen);
-  CHECK(reader.Next(3).state == Answer::State::kWhole);
+  CHECK(reader.Next(3).state == Answer::State::kComplete);
 }
 
 TEST(Answer, one_past_its_bound_is_relayed_but_cannot_be_joined) {
@@ -54,7 +54,7 @@
   answer->Start({}, true);
   answer->Append("hello");
   STRCMP_EQUAL("hello", reader.Next(100).bytes.c_str());
-  LONGS_EQUAL(0, answer->HeldBytes());
+  LONGS_EQUAL(0, answer->BufferedBytes());
   AnswerReader late(answer, Nothing);
   const Answer::Piece piece = late.Next(100);
   CHECK(piece.state == Answer::State::kFailed);
@@ -84,10 +84,10 @@
   second->Start({}, true);
   second->Append("abc");
   reader.Next(100);
-  LONGS_EQUAL(10, store.HeldBytes());
-  store.Forget(core::RequestId(1));
+  LONGS_EQUAL(10, store.BufferedBytes());
+  store.Remove(core::RequestId(1));
   CHECK(store.Find(core::RequestId(1)) == nullptr);
-  LONGS_EQUAL(0, store.HeldBytes());
+  LONGS_EQUAL(0, store.BufferedBytes());
 }
 
 TEST(Answer, an_event_past_its_bound_is_an_error) {
--- a/tests/net/unit-peer-link.cc
+++ b/tests/net/unit-peer-link.cc
@@ -123,7 +123,7 @@
   client.StartForward(address, SomeHead("/v1/x?y=1"), "the body",
                       collector.Callbacks());
   const Answer answer = collector.Get();
-  CHECK_TRUE(answer.outcome.whole);
+  CHECK_TRUE(answer.outcome.complete);
   CHECK_TRUE(answer.outcome.sent);
   CHECK_EQUAL(429U, answer.head.status);
   CHECK_TRUE(answer.head.headers ==
@@ -150,7 +150,7 @@
   AnswerCollector collector;
   client.StartForward(address, SomeHead(), "", collector.Callbacks());
   const Answer answer = collector.Get();
-  CHECK_TRUE(answer.outcome.whole);
+  CHECK_TRUE(answer.outcome.complete);
   CHECK_EQUAL(204U, answer.head.status);
 }
 
@@ -172,7 +172,7 @@
   running.Get()->Abort(
       core::Error{core::ErrorId::kUpstreamFailed, "engine-1", {}});
   const Answer answer = collector.Get();
-  CHECK_FALSE(answer.outcome.whole);
+  CHECK_FALSE(answer.outcome.complete);
   CHECK_TRUE(answer.outcome.sent);
   CHECK_TRUE(answer.outcome.error.id == core::ErrorId::kAnswerCut);
 }
@@ -188,7 +188,7 @@
   PeerClient client = MakeClient();
   AnswerCollector collector;
   client.StartForward(address, SomeHead(), "q", collector.Callbacks());
-  CHECK_FALSE(collector.Get().outcome.whole);
+  CHECK_FALSE(collector.Get().outcome.complete);
 }
 
 // A process without the fleet's secret sends a message and a forward. Nothing
@@ -213,7 +213,7 @@
                       collector.Callbacks());
   CHECK_TRUE(failed.Get().id == core::ErrorId::kPeerProtocol);
   const Answer answer = collector.Get();
-  CHECK_FALSE(answer.outcome.whole);
+  CHECK_FALSE(answer.outcome.complete);
   CHECK_TRUE(answer.outcome.error.id == core::ErrorId::kPeerProtocol);
   CHECK_EQUAL(0, delivered.load());
   CHECK_EQUAL(2, refused.load());
@@ -238,7 +238,7 @@
   }
   for (size_t i = 0; i < kForwards; ++i) {
     const Answer answer = collectors[i].Get();
-    CHECK_TRUE(answer.outcome.whole);
+    CHECK_TRUE(answer.outcome.complete);
     CHECK_TRUE(answer.body == bodies[i]);
     CHECK_TRUE(HeaderOf(answer.head, "x-path") == "/" + std::to_string(i));
   }
@@ -276,7 +276,7 @@
   AnswerCollector collector;
   client.StartForward(address, SomeHead(), body, collector.Callbacks());
   const Answer answer = collector.Get();
-  CHECK_TRUE(answer.outcome.whole);
+  CHECK_TRUE(answer.outcome.complete);
   CHECK_TRUE(answer.body == body);
 }
 
@@ -327,7 +327,7 @@
   // One stream window and one reply buffer, far from the 20 MiB of the others.
   CHECK_TRUE(written.load() < kMebibyte);
   handle.Cancel();
-  CHECK_FALSE(end.Get().whole);
+  CHECK_FALSE(end.Get().complete);
 }
 
 // The caller hangs up. Its router cancels the forward, and the other router is
@@ -349,7 +349,7 @@
   handle.Cancel();
   handle.Cancel();
   const Answer answer = collector.Get();
-  CHECK_FALSE(answer.outcome.whole);
+  CHECK_FALSE(answer.outcome.complete);
   CHECK_TRUE(answer.outcome.sent);
   CHECK_TRUE(cancelled.Get());
 }
@@ -406,7 +406,7 @@
   CHECK_TRUE(closed.Pending());
   AnswerWhole(*reply, Pattern(kMebibyte, 'z'));
   const Answer answer = collector.Get();
-  CHECK_TRUE(answer.outcome.whole);
+  CHECK_TRUE(answer.outcome.complete);
   CHECK_TRUE(answer.body == Pattern(kMebibyte, 'z'));
   CHECK_TRUE(closed.Get());
   AnswerCollector late;
@@ -432,7 +432,7 @@
   client.StartForward(address, SomeHead(), "q", late.Callbacks());
   CHECK_FALSE(late.Get().outcome.sent);
   AnswerWhole(*reply, "done");
-  CHECK_TRUE(collector.Get().outcome.whole);
+  CHECK_TRUE(collector.Get().outcome.complete);
   CHECK_TRUE(closed.Get());
 }
 
--- a/tests/net/unit-peer-silence.cc
+++ b/tests/net/unit-peer-silence.cc
@@ -93,7 +93,7 @@
 TEST(PeerSilence, a_peer_that_never_speaks_is_given_nothing) {
   SilentPeer peer(m_threads.io(), "");
   const ForwardOutcome outcome = OutcomeAt(peer.address());
-  CHECK_FALSE(outcome.whole);
+  CHECK_FALSE(outcome.complete);
   CHECK_FALSE(outcome.sent);
   CHECK_TRUE(outcome.error.id == core::ErrorId::kPeerUnreachable);
 }
@@ -104,7 +104,7 @@
 TEST(PeerSilence, a_peer_that_goes_silent_fails_its_streams_as_sent) {
   SilentPeer peer(m_threads.io(), kSettingsFrame);
   const ForwardOutcome outcome = OutcomeAt(peer.address());
-  CHECK_FALSE(outcome.whole);
+  CHECK_FALSE(outcome.complete);
   CHECK_TRUE(outcome.sent);
   CHECK_TRUE(outcome.error.id == core::ErrorId::kPeerUnreachable);
 }
@@ -139,14 +139,14 @@
   first.AwaitHead();
   relay.LoseOpenConnections();
   const Answer lost = first.Get();
-  CHECK_FALSE(lost.outcome.whole);
+  CHECK_FALSE(lost.outcome.complete);
   CHECK_TRUE(lost.outcome.sent);
   CHECK_TRUE(lost.outcome.error.id == core::ErrorId::kPeerUnreachable);
   AnswerCollector second;
   client.StartForward(relay.address(), SomeHead("/second"), "q",
                       second.Callbacks());
   const Answer found = second.Get();
-  CHECK_TRUE(found.outcome.whole);
+  CHECK_TRUE(found.outcome.complete);
   CHECK_EQUAL(std::string("second answer"), found.body);
   CHECK_TRUE(cancelled.Get());
   running.Get().reset();
@@ -171,7 +171,7 @@
   std::this_thread::sleep_for(4 * m_settings.silence_deadline);
   AnswerWhole(*reply, "late");
   const Answer answer = collector.Get();
-  CHECK_TRUE(answer.outcome.whole);
+  CHECK_TRUE(answer.outcome.complete);
   CHECK_EQUAL(std::string("late"), answer.body);
 }
 
@@ -201,14 +201,14 @@
     client.StartForward(address, SomeHead(), "q", collector.Callbacks());
     return collector.Get().outcome;
   };
-  CHECK_FALSE(attempt().whole);
+  CHECK_FALSE(attempt().complete);
   PeerServer again(m_threads.io(), kLocalhost, port, kSecret, callbacks,
                    m_settings);
   CHECK_TRUE(core::IsOk(again.Listen()));
   const auto give_up = std::chrono::steady_clock::now() + kPatience;
   bool reached = false;
   while (!reached && std::chrono::steady_clock::now() < give_up) {
-    reached = attempt().whole;
+    reached = attempt().complete;
   }
   CHECK_TRUE(reached);
 }
