--- a/include/coppervalve/net/endpoint.h
+++ b/include/coppervalve/net/endpoint.h
@@ -8,11 +8,11 @@
 
 namespace coppervalve::net {
 
-/// @brief An IP number and a port.
+/// @brief An IP address and a port.
 struct Endpoint {
   std::string ip;
   uint16_t port = 0;
-  bool any_address = false;  ///< 0.0.0.0 or [::]: fit to listen on only
+  bool any_address = false;  ///< 0.0.0.0 or [::]: valid only for listening
 };
 
 /// @return the parts of "ip:port" or "[ip]:port"; empty when malformed
--- a/include/coppervalve/net/model_json.h
+++ b/include/coppervalve/net/model_json.h
@@ -11,7 +11,7 @@
 
 namespace coppervalve::net {
 
-/// @brief What the shell must know of a caller's model request.
+/// @brief The fields of a caller's model request that the shell uses.
 struct ModelRequest {
   std::string model;
   core::Tokens max_output_tokens;  ///< 0 = not given
@@ -20,7 +20,7 @@
   std::string prompt_prefix;
 };
 
-/// @brief What an engine's JSON document says.
+/// @brief The fields of an engine's JSON document that the shell uses.
 struct ModelAnswer {
   bool has_choices = false;  ///< at least one choice
   bool has_error = false;
@@ -29,10 +29,10 @@
 
 /// @brief Reads a chat or completion request.
 /// @return kMalformedJson, or kBadRequest for a field that is missing, of a
-/// wrong type or would multiply the output past its bound
+/// wrong type or would allow more output than the limit
 core::Result<ModelRequest> ReadModelRequest(std::string_view body);
 
-/// @brief Writes the output cap into a request and asks streams for usage.
+/// @brief Sets the output limit in a request, and requests usage for streams.
 /// @pre ReadModelRequest accepted the body
 core::Result<std::string> CapModelRequest(std::string_view body,
                                           core::Tokens max_output_tokens);
@@ -40,7 +40,7 @@
 /// @return kUpstreamProtocol when it is not a JSON object
 core::Result<ModelAnswer> ReadModelAnswer(std::string_view json);
 
-/// @return the phase that a RouterStatus document names; empty when none
+/// @return the phase in a RouterStatus document; empty when missing
 std::string ReadPhase(std::string_view json);
 
 }  // namespace coppervalve::net
--- a/include/coppervalve/net/peer_client.h
+++ b/include/coppervalve/net/peer_client.h
@@ -12,7 +12,7 @@
 
 namespace coppervalve::net {
 
-/// @brief Cancels one forward. Copies name the same forward.
+/// @brief Cancels one forward. Copies refer to the same forward.
 class ForwardHandle {
  public:
   struct Impl;
@@ -20,8 +20,8 @@
   ForwardHandle() = default;
   explicit ForwardHandle(std::shared_ptr<Impl> impl);
 
-  /// @brief Resets the stream; on_end follows unless it has already run. A
-  /// second call, or one on an empty handle, changes nothing.
+  /// @brief Resets the stream; on_end follows unless it has already run.
+  /// Idempotent; does nothing on an empty handle.
   void Cancel();
 
  private:
@@ -31,10 +31,10 @@
 /// @brief The sending side of the links: one HTTP/2 connection per peer
 /// address, opened on demand, with many streams.
 ///
-/// Calls may come from any thread and never block. Callbacks run on threads of
+/// Thread-safe; calls never block. Callbacks run on threads of
 /// the io_context, one at a time per peer address, and never from inside the
 /// call that registered them. They may run after the client is destroyed, so
-/// they must own what they touch.
+/// they must own the objects that they use.
 class PeerClient {
  public:
   PeerClient(boost::asio::io_context& io,
@@ -49,14 +49,14 @@
   /// @param address "ip:port"; "[ip]:port" for IPv6
   /// @param on_failed called at most once when the delivery is not confirmed:
   /// kPeerUnreachable (no connection, silent, queue full), kPeerProtocol (the
-  /// peer refused it), kBodyTooLarge. The message may have arrived all the
-  /// same. Messages may overtake each other.
+  /// peer refused it), kBodyTooLarge. The message may have arrived
+  /// nevertheless. Messages may arrive out of order.
   void SendMessage(const std::string& address,
                    const v1::PeerMessage& message,
                    const std::function<void(core::Error)>& on_failed);
 
-  /// @brief Hands a request to a peer and streams its answer back.
-  /// @return a handle to cancel it; valid at once
+  /// @brief Forwards a request to a peer and streams its answer back.
+  /// @return a handle to cancel it; valid immediately
   /// Errors in on_end: kPeerUnreachable (connection failed or silent),
   /// kQueueFull (max_forwards reached), kPeerProtocol (the link refused it),
   /// kBadRequest, kHeaderTooLarge or kBodyTooLarge (cannot be carried),
@@ -67,7 +67,7 @@
                              std::string body,
                              ForwardCallbacks callbacks);
 
-  /// @brief Takes nothing new, finishes what is in progress, sends GOAWAY.
+  /// @brief Rejects new calls, finishes those in progress and sends GOAWAY.
   /// @param on_closed called once when no stream is left
   void Close(std::function<void()> on_closed);
 
--- a/src/net/action_router.cc
+++ b/src/net/action_router.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// One overload for each owner.
+/// Executes an action; one overload per executing component.
 class ActionExecutor {
  public:
   explicit ActionExecutor(const ActionTargets& targets) : m_targets(targets) {}
@@ -49,8 +49,8 @@
   void operator()(router::Exit&) const { m_targets.exit(); }
 
   void operator()(router::JoinAnswer& action) const {
-    // Looked up here, in the order of the core's decisions: on its way to
-    // another thread it might be overtaken by the end of what it joins.
+    // Looked up here, in the order of the core's decisions: in the other thread
+    // the joined answer might already have been removed.
     std::shared_ptr<Answer> leader = m_targets.answers->Find(action.leader);
     const size_t thread = OwnerOf(action.request);
     m_targets.pool->Post(thread, [worker = WorkerOf(thread), action,
@@ -59,7 +59,7 @@
     });
   }
 
-  /// Whatever is about one request goes to the thread that owns it.
+  /// Actions on one request go to the thread that owns the request.
   template <typename OfRequest>
   void operator()(OfRequest& action) const {
     const size_t thread = OwnerOf(action.request);
--- a/src/net/action_router.h
+++ b/src/net/action_router.h
@@ -15,12 +15,12 @@
 
 namespace coppervalve::net {
 
-/// @brief Those who carry out actions; outlive the router.
+/// @brief The components that execute actions; must outlive the router.
 struct ActionTargets {
   IoPool* pool = nullptr;
   std::vector<std::unique_ptr<TrafficWorker>>* workers = nullptr;
-  LogTransport* log = nullptr;         ///< of the platform thread
-  PlatformClient* platform = nullptr;  ///< of the platform thread
+  LogTransport* log = nullptr;         ///< used on the platform thread
+  PlatformClient* platform = nullptr;  ///< used on the platform thread
   PeerClient* peers = nullptr;         ///< null without a peer link
   AnswerStore* answers = nullptr;
   EventSink report;
@@ -28,11 +28,11 @@
   std::function<void()> exit;
 };
 
-/// The traffic thread that talks to the platform too.
+/// The traffic thread that also communicates with the platform.
 inline constexpr size_t kPlatformThread = 0;
 
-/// @brief Hands each action to the thread that owns what it is about. Actions
-/// on one request arrive in the order of the calls.
+/// @brief Passes each action to the thread that owns its object. Actions on one
+/// request are executed in the order of the calls.
 class ActionRouter {
  public:
   explicit ActionRouter(ActionTargets targets);
--- a/src/net/answer.cc
+++ b/src/net/answer.cc
@@ -8,8 +8,7 @@
 
 namespace {
 
-// Erasing the front of a string costs a copy of the rest, so it is done in
-// steps.
+// Erasing the front of a string copies the rest, so it is done in larger steps.
 constexpr size_t kTrimStep = size_t{64} * 1024;
 
 }  // namespace
@@ -154,17 +153,17 @@
     wakes.push_back(reader.wake);
   }
   lock.unlock();
-  // Outside of the lock: a reader may call back at once.
+  // Called without the lock, because a reader may call back immediately.
   for (const Wake& wake : wakes) {
     wake();
   }
 }
 
 void Answer::Trim() {
-  // An answer within its bound is kept from its first byte, so that a caller
-  // that repeats the request gets it whole. One past the bound is relayed but
-  // can no longer be joined: half of it would look like an answer. Before its
-  // first reader has come, nothing is given up.
+  // An answer within the limit is kept from its first byte, so that a repeated
+  // request gets the complete answer. A larger one is relayed but can no longer
+  // be joined, because a part of it could be taken for the complete answer.
+  // Nothing is dropped before the first reader has subscribed.
   const bool has_had_readers = m_next_reader > 1;
   if (End() <= m_keep_limit || !has_had_readers) {
     return;
--- a/src/net/answer_reader.cc
+++ b/src/net/answer_reader.cc
@@ -22,14 +22,15 @@
 
 Answer::Piece AnswerReader::Next(size_t max_bytes) {
   FollowRedirect();
-  // A joined wait can be refused on its own (its deadline, say) while the
-  // answer that it joined goes on for others.
+  // A joined request can be refused on its own (e.g. at its deadline) while the
+  // joined answer continues for other readers.
   if (m_source != m_own && m_own->state() == Answer::State::kFailed) {
     return Failed(*m_own->Read(*m_own_reader, 0).refusal);
   }
   if (!m_source_reader) {
-    return Failed(RefusalOf({core::ErrorId::kAnswerExpired, "answer",
-                             "it is no longer kept from its beginning"}));
+    return Failed(
+        RefusalOf({core::ErrorId::kAnswerExpired, "answer",
+                   "the beginning of the answer is no longer stored"}));
   }
   Answer::Piece piece = m_source->Read(*m_source_reader, max_bytes);
   m_started = piece.started;
--- a/src/net/beast_parser.h
+++ b/src/net/beast_parser.h
@@ -1,9 +1,9 @@
 #ifndef COPPERVALVE_SRC_NET_BEAST_PARSER_H_
 #define COPPERVALVE_SRC_NET_BEAST_PARSER_H_
 
-// With the sanitizers GCC 12 takes an optional inside of the library's parser
-// for uninitialized, although every read of it is guarded. Only the library's
-// own lines are exempt.
+// With the sanitizers GCC 12 reports an optional in the library's parser as
+// uninitialized, although every read of it is guarded. The warning is disabled
+// only for the library's headers.
 #pragma GCC diagnostic push
 #ifndef __clang__
 #pragma GCC diagnostic ignored "-Wmaybe-uninitialized"
--- a/src/net/beast_util.h
+++ b/src/net/beast_util.h
@@ -9,7 +9,7 @@
 
 namespace coppervalve::net {
 
-/// @brief The fields of a message, names lowered.
+/// @brief The header fields of a message, with names in lower case.
 HeaderList HeadersOf(const boost::beast::http::fields& fields);
 
 /// @brief Status and headers of a response.
--- a/src/net/caller_reader.h
+++ b/src/net/caller_reader.h
@@ -12,7 +12,7 @@
 
 namespace coppervalve::net {
 
-/// @brief Reads requests from one connection. Belongs to one thread.
+/// @brief Reads requests from one connection. Not thread-safe.
 class CallerReader {
  public:
   using Done = std::function<void(core::Result<HttpRequest>)>;
@@ -24,16 +24,16 @@
   CallerReader& operator=(const CallerReader&) = delete;
   ~CallerReader();
 
-  /// @brief Reads one request. @pre none is being read
+  /// @brief Reads one request. @pre no read is in progress
   /// @param done called with the request, or with an error to answer:
   /// kHeaderTooLarge, kBodyTooLarge, kSlowSender, kBadRequest
-  /// @param on_closed called instead when there is nobody to answer
+  /// @param on_closed called instead when the connection was closed
   void Read(Done done, std::function<void()> on_closed);
-  /// @return whether the caller keeps the connection for another request
+  /// @return whether the connection may be used for another request
   bool keep_alive() const;
-  /// @return whether the first byte of the request being read has come
+  /// @return whether the first byte of the current request has been received
   bool begun() const;
-  /// @brief Forgets the callbacks; what is still being read is dropped.
+  /// @brief Clears the callbacks; a request in progress is discarded.
   void Stop();
 
  private:
--- a/src/net/caller_routes.cc
+++ b/src/net/caller_routes.cc
@@ -52,7 +52,7 @@
   event.method = request.method;
   event.path = std::string(PathOf(request.target));
   for (const auto& header : request.headers) {
-    // The key must not reach rules or logs.
+    // The API key must not reach rules or logs.
     if (header.first != "authorization") {
       event.headers.push_back(header);
     }
@@ -85,8 +85,9 @@
   }
   const ModelRequest& model = core::Value(parsed);
   if (model.stream && request.http_1_0) {
-    return core::Error{ErrorId::kBadRequest, "stream",
-                       "needs HTTP/1.1: HTTP/1.0 can't show a stream's end"};
+    return core::Error{
+        ErrorId::kBadRequest, "stream",
+        "requires HTTP/1.1: HTTP/1.0 cannot mark the end of a stream"};
   }
   event.model = model.model;
   event.max_output_tokens = model.max_output_tokens;
@@ -100,7 +101,8 @@
   rest.remove_prefix(kServicePrefix.size());
   const std::string_view name = rest.substr(0, rest.find('/'));
   if (name.empty()) {
-    return core::Error{ErrorId::kNotFound, event.path, "no service is named"};
+    return core::Error{ErrorId::kNotFound, event.path,
+                       "the path has no service name"};
   }
   event.service = core::ServiceId(std::string(name));
   return CallerRoute{std::move(event), false};
--- a/src/net/caller_routes.h
+++ b/src/net/caller_routes.h
@@ -14,7 +14,7 @@
 
 namespace coppervalve::net {
 
-/// @brief What a request on the caller port means.
+/// @brief A parsed request of the caller port.
 struct CallerRoute {
   using Event = std::variant<router::RequestArrived,
                              router::AddressesAsked,
@@ -23,7 +23,7 @@
   bool wants_usage = false;  ///< the caller asked for the usage event
 };
 
-/// @brief Reads a request of a caller.
+/// @brief Parses a request of a caller.
 /// @param account set when a peer router forwarded it
 /// @return kNotFound, kMethodNotAllowed, kMalformedJson or kBadRequest
 core::Result<CallerRoute> RouteCaller(
@@ -32,8 +32,8 @@
     core::TimePoint now,
     const std::optional<core::AccountId>& account);
 
-/// @brief The target of a plain service's call at the service itself: what
-/// follows its name. @pre the target was routed to a service
+/// @brief The request target at a plain service: the part after its name. @pre
+/// the target was routed to a service
 std::string ServiceTarget(std::string_view target);
 
 /// @return the token of "Authorization: Bearer <token>"; empty when not given
--- a/src/net/caller_server.cc
+++ b/src/net/caller_server.cc
@@ -48,7 +48,8 @@
       return;
     }
     if (e) {
-      // Out of file descriptors, say: at once would spin.
+      // For example out of file descriptors; an immediate retry would
+      // busy-loop.
       retry.expires_after(kAcceptRetry);
       retry.async_wait([self = shared_from_this()](error_code error) {
         if (!error && self->acceptor.is_open()) {
@@ -111,7 +112,7 @@
   uint16_t bound_port = 0;
   size_t next_thread = 0;
   std::atomic<size_t> next_session{0};
-  std::vector<Sessions> sessions;  // by thread, each touched by it alone
+  std::vector<Sessions> sessions;  // by thread; each is used only on its thread
   std::atomic<size_t> open{0};
   std::atomic<bool> closing{false};
 };
@@ -125,7 +126,7 @@
   const auto endpoint = ParseEndpoint(address);
   if (!endpoint) {
     return core::Error{core::ErrorId::kSettingBadValue, address,
-                       "an ip:port is needed"};
+                       "must have the form ip:port"};
   }
   tcp::acceptor& acceptor = m_impl->acceptor;
   error_code e;
--- a/src/net/caller_session.cc
+++ b/src/net/caller_session.cc
@@ -14,7 +14,8 @@
 namespace asio = boost::asio;
 
 constexpr size_t kPieceBytes = size_t{64} * 1024;
-// How long a refused sender may go on sending before the connection is reset.
+// Time that a refused sender may continue sending before the connection is
+// reset.
 constexpr std::chrono::milliseconds kLingerTimeout{2000};
 
 }  // namespace
@@ -81,7 +82,7 @@
   m_request = exchange.request;
   m_answer = std::make_unique<AnswerReader>(
       std::move(exchange.answer), [weak = weak_from_this(), this] {
-        // Any thread may call; only this session's may read.
+        // May be called on any thread; reading is allowed only on this one's.
         asio::post(m_context, [weak] {
           if (const auto self = weak.lock()) {
             self->Wake();
@@ -101,7 +102,7 @@
   WriteResponse(RefusalHead(refusal), RefusalJson(refusal));
 }
 
-// ---- While a request is in progress ----------------------------------------
+// ---- Request in progress ----------------------------------------
 
 void CallerSession::WatchForClose() {
   if (m_watching) {
@@ -118,8 +119,8 @@
 }
 
 void CallerSession::OnReadable() {
-  // Bytes instead of the end: the next request, sent early. It is read after
-  // this one is answered; until then a failing write tells of a caller's end.
+  // Received bytes are the next, pipelined request. It is read after this one
+  // is answered; until then only a failed write shows that the caller is gone.
   if (m_busy && m_answer && IsClosedByPeer(m_socket)) {
     HandleDisconnect();
   }
@@ -151,7 +152,7 @@
   }
 }
 
-// @return whether the answer is a stream that `piece` is to be relayed of
+// @return whether `piece` must be relayed as part of a stream
 bool CallerSession::SendHead(const Answer::Piece& piece) {
   if (piece.head) {
     m_head = *piece.head;
@@ -167,8 +168,8 @@
   if (piece.stream && !m_http_1_0) {
     return true;
   }
-  // Nothing of an answer in one piece is relayed before all of it is here: a
-  // part would be taken for the whole.
+  // An answer that is not streamed is relayed only when complete: a part could
+  // be taken for the complete answer.
   m_body += piece.bytes;
   if (piece.state == Answer::State::kComplete) {
     WriteResponse(m_head, m_body);
@@ -190,8 +191,8 @@
     m_ends_exchange = true;
   }
   if (piece.state == Answer::State::kFailed) {
-    // The caller has a part already. Only a missing end shows it that the
-    // answer is not whole, so there is no last chunk after the error event.
+    // The caller already has a part. Only a missing end shows that the answer
+    // is incomplete, so no last chunk follows the error event.
     out += SerializeChunk(RefusalEvent(*piece.refusal));
     m_ends_exchange = true;
     m_truncated = true;
@@ -264,12 +265,12 @@
   Close();
 }
 
-// ---- The end of the connection ---------------------------------------------
+// ---- Closing ---------------------------------------------
 
 void CallerSession::CloseGracefully() {
-  // Closing while the caller still sends makes the kernel reset the
-  // connection, and the caller may lose the answer that says why. So its input
-  // is discarded until it closes too, or for a while.
+  // Closing while the caller still sends makes the kernel reset the connection,
+  // and the caller may lose the answer with the reason. So its input is
+  // discarded until it closes too or kLingerTimeout has passed.
   ErrorCode ignored;
   m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
   m_deadline.Arm(kLingerTimeout, [weak = weak_from_this()] {
@@ -299,7 +300,7 @@
   ErrorCode ignored;
   m_socket.close(ignored);
   if (const auto closed = std::exchange(m_on_closed, nullptr)) {
-    // Posted: the owner drops this session, which is still in use here.
+    // Posted, because the owner destroys this session, which is still in use.
     asio::post(m_context, closed);
   }
 }
--- a/src/net/caller_session.h
+++ b/src/net/caller_session.h
@@ -16,10 +16,10 @@
 
 namespace coppervalve::net {
 
-/// @brief One connection of a caller or operator: reads requests, writes their
-/// answers. Belongs to one traffic thread.
+/// @brief One connection of a caller or operator: reads requests and writes
+/// their answers. Used only on one traffic thread.
 ///
-/// Its owner keeps it until it says that it closed.
+/// The owner keeps it until `on_closed` is called.
 class CallerSession : public std::enable_shared_from_this<CallerSession> {
  public:
   CallerSession(boost::asio::io_context& context,
@@ -33,7 +33,7 @@
   ~CallerSession();
 
   void Run();
-  /// @brief Ends once the request in progress, if any, is answered.
+  /// @brief Closes once the request in progress, if any, is answered.
   void CloseWhenIdle();
 
  private:
@@ -76,8 +76,9 @@
   bool m_head_sent = false;
   HttpHead m_head;
   std::string m_body;
-  bool m_ends_exchange = false;  // what is being written ends the exchange
-  bool m_truncated = false;      // ... without a proper end
+  bool m_ends_exchange =
+      false;                 // the current write is the last of the exchange
+  bool m_truncated = false;  // the answer ended incomplete
   bool m_writing = false;
   std::string m_out;
 
--- a/src/net/clock.cc
+++ b/src/net/clock.cc
@@ -8,8 +8,8 @@
 namespace coppervalve::net {
 
 core::TimePoint BootNow() {
-  // CLOCK_MONOTONIC stands still while a VM is suspended: after resuming, the
-  // router would take its view of the configuration for fresh.
+  // CLOCK_MONOTONIC stops while a VM is suspended; after the resume, the router
+  // would treat its outdated configuration as fresh.
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
   const auto since_boot =
--- a/src/net/deadline.cc
+++ b/src/net/deadline.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kRepeatInterval{20};
-/// A timer that fires this late shows that the process itself stood still.
+/// A timer that fires at least this late shows that the process was paused.
 constexpr std::chrono::milliseconds kPauseThreshold{250};
 constexpr std::chrono::milliseconds kGraceAfterPause{1000};
 
@@ -21,15 +21,15 @@
     timer.expires_after(after);
     timer.async_wait([self = shared_from_this(), armed = generation](
                          const boost::system::error_code& error) {
-      // A timer that has already expired can't be cancelled any more; the
-      // generation tells that its callback is meant for an earlier step.
+      // A timer that has already expired cannot be cancelled; the generation
+      // identifies a callback of an earlier step.
       if (error || armed != self->generation) {
         return;
       }
-      // Failure: the process is paused past its deadlines and resumes. Symptom:
-      // answers that wait whole in the sockets are cut. Enough: the loop reads
-      // every ready socket within the grace, and each read arms its deadline
-      // anew; a peer that is really silent is found a little later.
+      // If the process was paused past its deadlines, complete answers that
+      // wait in the sockets would be truncated. Within the grace period the
+      // loop reads every ready socket, and each read rearms its deadline; a
+      // peer that is really silent is detected slightly later.
       const auto late = std::chrono::steady_clock::now() - self->timer.expiry();
       if (!self->expired && late > kPauseThreshold) {
         self->Wait(kGraceAfterPause);
@@ -37,7 +37,7 @@
       }
       self->expired = true;
       // Cancelling a composed read between two of its own reads has no effect,
-      // so the cancel is repeated until the step has really ended.
+      // so the cancellation is repeated until the step has ended.
       self->Wait(kRepeatInterval);
       const std::function<void()> action = self->on_expired;
       action();
--- a/src/net/deadline.h
+++ b/src/net/deadline.h
@@ -9,7 +9,7 @@
 
 namespace coppervalve::net {
 
-/// @brief Watches one step of a conversation; belongs to one thread.
+/// @brief Timeout for one step of a protocol exchange. Not thread-safe.
 class Deadline {
  public:
   explicit Deadline(boost::asio::io_context& context);
@@ -17,8 +17,9 @@
   Deadline& operator=(const Deadline&) = delete;
   ~Deadline();
 
-  /// @brief Starts over. @param on_expired called at the deadline, and again
-  /// and again until Disarm() or Arm(); must own what it touches
+  /// @brief Restarts the timer.
+  /// @param on_expired called at the deadline and repeatedly after it, until
+  /// Disarm() or Arm(); must own the objects that it uses
   void Arm(std::chrono::microseconds after, std::function<void()> on_expired);
   void Disarm();
   /// @return whether it expired since it was last armed
--- a/src/net/detail/peer_client_connection.h
+++ b/src/net/detail/peer_client_connection.h
@@ -37,7 +37,7 @@
     : public std::enable_shared_from_this<PeerClientConnection> {
  public:
   struct Hooks {
-    std::function<void()> on_ready;     ///< the peer's SETTINGS arrived
+    std::function<void()> on_ready;     ///< the peer's HTTP/2 SETTINGS arrived
     std::function<void()> on_draining;  ///< no new calls on this connection
     std::function<void(core::Error)>
         on_closed;  ///< after its calls have failed
--- a/src/net/forward_relay.cc
+++ b/src/net/forward_relay.cc
@@ -61,7 +61,7 @@
     if (outcome.complete && m_too_large) {
       outcome.complete = false;
       outcome.error = {core::ErrorId::kPeerProtocol, "forward",
-                       "the answer exceeds its bound"};
+                       "the answer exceeds the size limit"};
     }
     if (outcome.complete) {
       m_answer->Start(m_head, m_stream);
--- a/src/net/forward_relay.h
+++ b/src/net/forward_relay.h
@@ -10,7 +10,7 @@
 
 namespace coppervalve::net {
 
-/// @brief Writes what a peer answers to a forward into the caller's answer.
+/// @brief Copies a peer's answer to a forward into the caller's answer.
 /// @param on_end called once, on the peer link's thread
 ForwardCallbacks RelayForward(std::shared_ptr<Answer> answer,
                               size_t max_answer_bytes,
--- a/src/net/forward_writer.cc
+++ b/src/net/forward_writer.cc
@@ -24,7 +24,7 @@
     m_answer = std::make_unique<AnswerReader>(
         std::move(answer),
         [weak = weak_from_this(), &io = m_context] { Post(io, weak); });
-    // The reply keeps this writer alive until either side ended.
+    // The reply keeps this writer alive until either side has ended.
     m_reply->OnCancelled([self = shared_from_this()] {
       boost::asio::post(self->m_context, [self] { self->End(true); });
     });
@@ -89,7 +89,7 @@
 
   void Fail(const Refusal& refusal) {
     if (m_head_sent) {
-      // The other router states the failure to the caller.
+      // The other router reports the failure to the caller.
       m_reply->Abort(refusal.error);
     } else {
       const HttpHead head = RefusalHead(refusal);
--- a/src/net/forward_writer.h
+++ b/src/net/forward_writer.h
@@ -10,9 +10,9 @@
 
 namespace coppervalve::net {
 
-/// @brief Writes an answer to the peer that forwarded the request. Runs on the
-/// thread of `context`, where it must be called too.
-/// @param on_ended called once; whether the peer gave up before
+/// @brief Writes an answer to the peer that forwarded the request. Must be
+/// called on the thread of `context`, where it runs.
+/// @param on_ended called once; `cancelled` is true when the peer cancelled
 void WriteForwardReply(boost::asio::io_context& context,
                        std::shared_ptr<Answer> answer,
                        std::shared_ptr<ForwardReply> reply,
--- a/src/net/http_channel.cc
+++ b/src/net/http_channel.cc
@@ -115,7 +115,7 @@
       Close();
     }
     const Done callback = std::exchange(done, nullptr);
-    // Posted, so that `done` may start the next call or drop the channel.
+    // Posted, so that `done` may start the next call or destroy the channel.
     asio::post(socket.get_executor(),
                [callback, result = std::move(result)]() mutable {
                  callback(std::move(result));
--- a/src/net/http_channel.h
+++ b/src/net/http_channel.h
@@ -16,14 +16,14 @@
 
 namespace coppervalve::net {
 
-/// @brief A whole HTTP answer.
+/// @brief A complete HTTP answer.
 struct HttpReply {
   HttpHead head;
   std::string body;
 };
 
-/// @brief One HTTP connection to a service of the platform, one call at a time.
-/// Belongs to the thread of its io_context.
+/// @brief One HTTP connection to a platform service, one call at a time. Used
+/// only on the thread of its io_context.
 class HttpChannel {
  public:
   using Done = std::function<void(core::Result<HttpReply>)>;
@@ -35,12 +35,12 @@
   HttpChannel& operator=(const HttpChannel&) = delete;
   ~HttpChannel();
 
-  /// @brief Sends once, never resends. @pre no call is outstanding
-  /// @param done called later with any HTTP status, or kUpstreamFailed
+  /// @brief Sends a request once, without retries. @pre no call is outstanding
+  /// @param done called asynchronously with any HTTP status, or kUpstreamFailed
   void Call(const HttpRequest& request,
             std::chrono::milliseconds timeout,
             Done done);
-  /// @return whether a byte of the latest call may have left
+  /// @return whether a byte of the latest call may have been sent
   bool sent() const;
 
  private:
--- a/src/net/http_serializer.h
+++ b/src/net/http_serializer.h
@@ -6,15 +6,15 @@
 
 #include "coppervalve/net/http_types.h"
 
-/// HTTP/1.1 messages as bytes. Framing headers are set here and nowhere else.
+/// Serialization of HTTP/1.1 messages. Framing headers are set only here.
 namespace coppervalve::net {
 
 /// @param host value of the Host header
 std::string SerializeRequest(const HttpRequest& request, std::string_view host);
 
-/// @brief What a whole answer needs besides its head and body.
+/// @brief Options for the serialization of a response.
 struct ResponseOptions {
-  bool close = false;      ///< the connection ends after the answer
+  bool close = false;      ///< the connection is closed after the answer
   bool omit_body = false;  ///< the answer to a HEAD request
 };
 
@@ -22,7 +22,7 @@
                               std::string_view body,
                               const ResponseOptions& options);
 
-/// @brief The head of an answer in chunks.
+/// @brief The head of a response with chunked encoding.
 std::string SerializeStreamHead(const HttpHead& head,
                                 const ResponseOptions& options);
 std::string SerializeChunk(std::string_view bytes);
--- a/src/net/json_impl.cc
+++ b/src/net/json_impl.cc
@@ -1,6 +1,6 @@
-// The one home of the JSON library's code, which is header-only here. With the
-// sanitizers GCC 12 sees an access out of bounds on a path of the library that
-// is never taken; nothing but the library's code is in this source.
+// Compiles the JSON library, which is used header-only. With the sanitizers GCC
+// 12 warns of an out-of-bounds access on a path of the library that is never
+// taken. The warnings are disabled only here, where there is no other code.
 #ifndef __clang__
 #pragma GCC diagnostic ignored "-Warray-bounds"
 #pragma GCC diagnostic ignored "-Wstringop-overflow"
--- a/src/net/log_transport.cc
+++ b/src/net/log_transport.cc
@@ -14,7 +14,7 @@
 
 constexpr unsigned kOk = 200;
 constexpr size_t kReadBytes = size_t{1024} * 1024;
-// One entry may exceed what was asked for; the framing adds to it.
+// An entry may exceed the requested size, and the framing adds to it.
 constexpr size_t kMaxReplyBytes = size_t{16} * 1024 * 1024;
 
 core::Error LogError(std::string detail) {
@@ -32,7 +32,7 @@
   }
   Message message;
   if (!message.ParseFromString(reply.body)) {
-    return LogError("the reply can't be read");
+    return LogError("the reply cannot be parsed");
   }
   return message;
 }
@@ -50,8 +50,8 @@
 
   const std::chrono::milliseconds timeout;
   const EventSink report;
-  // Apart, so that an append does not wait behind a read that the service
-  // holds until there is something new.
+  // Separate connections, so that an append does not wait for a long-polling
+  // read.
   HttpChannel reads;
   HttpChannel appends;
 };
--- a/src/net/log_transport.h
+++ b/src/net/log_transport.h
@@ -10,9 +10,8 @@
 
 namespace coppervalve::net {
 
-/// @brief Carries reads and appends to the platform's log service. Belongs to
-/// one thread; answers by LogRead, LogReadFailed, LogAppended and
-/// LogAppendFailed.
+/// @brief Client of the platform's log service. Not thread-safe; reports
+/// LogRead, LogReadFailed, LogAppended and LogAppendFailed.
 class LogTransport {
  public:
   LogTransport(boost::asio::io_context& context,
--- a/src/net/model_json.cc
+++ b/src/net/model_json.cc
@@ -8,9 +8,9 @@
 
 namespace json = boost::json;
 
-// The beginning of the prompt decides which engine has it cached.
+// Length of the prompt's beginning, which decides which engine has it cached.
 constexpr size_t kPrefixBytes = 512;
-// Nested deeper than any real request; bounds the parser's stack.
+// Deeper than any real request; limits the parser's stack.
 constexpr size_t kMaxDepth = 32;
 
 core::Error BadRequest(std::string field, std::string detail) {
@@ -64,17 +64,17 @@
     if (!prompt->is_string() && !list) {
       return BadRequest("prompt", "must be a string or one list of token ids");
     }
-    // Several prompts in one request each produce output up to the cap: the
-    // reservation, which counts one, would be overspent.
+    // Each prompt of a request produces output up to the limit, which would
+    // exceed the reservation for one output.
     if (list && list->size() > 1 && !list->front().is_number()) {
-      return BadRequest("prompt", "only one prompt a request");
+      return BadRequest("prompt", "only one prompt per request is supported");
     }
     AppendContent(prefix, *prompt);
     return core::Ok();
   }
   const json::value* messages = body.if_contains("messages");
   if (!messages || !messages->is_array()) {
-    return BadRequest("messages", "a list of messages or a prompt is needed");
+    return BadRequest("messages", "a list of messages or a prompt is required");
   }
   for (const json::value& message : messages->get_array()) {
     const json::object* fields = message.if_object();
@@ -100,11 +100,12 @@
     }
     cap = core::Tokens(*number);
   }
-  // As with several prompts: each further choice is output past the cap.
+  // As with several prompts, each additional choice would exceed the
+  // reservation.
   for (const char* field : {"n", "best_of"}) {
     const json::value* value = body.if_contains(field);
     if (value && !value->is_null() && Integer(*value) != 1) {
-      return BadRequest(field, "only 1 is served");
+      return BadRequest(field, "only 1 is supported");
     }
   }
   return core::Ok();
@@ -138,7 +139,7 @@
   const json::value* output = fields.if_contains("completion_tokens");
   const auto prompt_tokens = prompt ? Integer(*prompt) : std::nullopt;
   const auto output_tokens = output ? Integer(*output) : std::nullopt;
-  // A negative count would pay tokens back into the budget.
+  // A negative count would credit tokens to the budget.
   if (prompt_tokens.value_or(-1) < 0 || output_tokens.value_or(-1) < 0) {
     return std::nullopt;
   }
--- a/src/net/operator_routes.h
+++ b/src/net/operator_routes.h
@@ -10,9 +10,9 @@
 
 namespace coppervalve::net {
 
-/// @brief What the operator port may do.
+/// @brief Credentials and actions of the operator port.
 struct OperatorContext {
-  std::string token;  ///< empty: /admin is closed
+  std::string token;  ///< empty: /admin rejects all requests
   std::function<void()> drain;
   std::function<std::string()> metrics_text;  ///< may be empty
 };
--- a/src/net/outgoing_request.cc
+++ b/src/net/outgoing_request.cc
@@ -17,8 +17,8 @@
 using std::chrono::milliseconds;
 
 constexpr std::string_view kDeadlineHeader = "x-deadline-ms";
-// An answer in one piece shows nothing until its last token. A dead connection
-// is noticed by the kernel's probes; this bounds a hung engine.
+// An answer that is not streamed shows no progress until its last token. The
+// kernel's probes detect a dead connection; this limits a hung engine.
 constexpr milliseconds kMaxTimePerToken{100};
 
 HeaderList UpstreamHeaders(const HttpRequest& request,
@@ -101,8 +101,8 @@
     }
   }
   if (deadline) {
-    // The header counts from arrival: sent on as it is, each hop would give
-    // the request its whole time again.
+    // The header counts from arrival: passed on unchanged, each hop would give
+    // the request its full time again.
     const auto left =
         std::chrono::duration_cast<milliseconds>(*deadline - BootNow());
     head.headers.emplace_back(
--- a/src/net/outgoing_request.h
+++ b/src/net/outgoing_request.h
@@ -11,25 +11,25 @@
 #include "coppervalve/router/events.h"
 #include "upstream_attempt.h"
 
-/// What leaves this process for a request: to an upstream or to a peer.
+/// Builds the requests that are sent to upstreams and peers.
 namespace coppervalve::net {
 
-/// @brief A caller's request as far as its attempts need it.
+/// @brief The parts of a caller's request that its attempts use.
 struct CallerRequest {
   const HttpRequest& http;
   bool stream = false;
   bool wants_usage = false;
 };
 
-/// @param request_prefix put before the request's number in x-request-id
-/// @return nothing when the body can't be rewritten
+/// @param request_prefix prefix of the request's number in x-request-id
+/// @return empty when the body cannot be rewritten
 std::optional<AttemptPlan> PlanAttempt(const CallerRequest& request,
                                        const router::Dispatch& action,
                                        const ShellSettings& settings,
                                        const std::string& request_prefix);
 
-/// @brief The head of a request as it goes to a peer, without its API key.
-/// @param deadline the caller's, if it gave one
+/// @brief The head of a request for a peer, without its API key.
+/// @param deadline the deadline of the caller, if it set one
 ForwardHead ForwardHeadOf(const HttpRequest& request,
                           const std::optional<core::TimePoint>& deadline,
                           const router::Forward& action);
--- a/src/net/peer_auth.cc
+++ b/src/net/peer_auth.cc
@@ -44,8 +44,8 @@
   return ToHex(std::span(mac).first(size));
 }
 
-// Time and nonce come first, so a proof made for one moment or stream says
-// nothing about another. Neither contains a line feed.
+// The MAC covers the time and the nonce, so a proof is valid only for one time
+// and stream. Neither contains a line feed.
 std::string ProofMac(std::string_view secret,
                      std::string_view time,
                      std::string_view nonce,
@@ -108,8 +108,8 @@
 }
 
 std::string PeerSigner::ReplyProof(std::string_view proof) const {
-  // The prefix differs from that of requests: no reply proof can be replayed
-  // as the proof of a request.
+  // The prefix differs from that of requests, so that a reply proof cannot be
+  // replayed as the proof of a request.
   std::string text("coppervalve peer reply\n");
   text.append(proof);
   return HmacHex(m_secret, text);
@@ -128,8 +128,8 @@
   if (!time) {
     return AuthError("malformed time");
   }
-  // The MAC is judged first: strangers learn nothing of our clock and cannot
-  // fill the memory of nonces.
+  // The MAC is verified first, so that unauthenticated clients learn nothing
+  // about the clock and cannot fill the set of nonces.
   const std::string expected =
       ProofMac(m_secret, parts->time, parts->nonce, signed_text);
   if (!core::EqualSecrets(expected, parts->mac)) {
@@ -145,11 +145,11 @@
 }
 
 bool PeerVerifier::RecordNonce(std::string_view nonce, UnixSeconds now) {
-  // Failure: a recorded stream is sent again and a message or request counts
-  // twice. A proof is acceptable during at most 2 * kMaxSkew of our clock, and
-  // a nonce is kept for at least that long: the sets rotate no sooner, and a
-  // nonce stays through one whole rotation. When a set is full, refusing is the
-  // safe side; senders see it as a failed stream and may try later.
+  // Prevents a replayed stream from delivering a message or request twice. A
+  // proof is valid for at most 2 * kMaxSkew of the local clock. A nonce is kept
+  // at least that long: the sets rotate no sooner, and a nonce stays through
+  // one full rotation. A full set refuses, which is safe; senders see a failed
+  // stream and may retry later.
   constexpr UnixSeconds kPeriod = 2 * kMaxSkew + UnixSeconds(1);
   const core::Hash128 key = core::HashOf(nonce);
   const std::lock_guard lock(m_mutex);
--- a/src/net/platform_client.cc
+++ b/src/net/platform_client.cc
@@ -59,7 +59,8 @@
   if (status >= kOk && status < kRedirect) {
     return orders::SendOutcome::kDone;
   }
-  // A 408 or a 5xx may come after the engine has begun; other 4xx refuse.
+  // The engine may have started before it sent a 408 or 5xx; other 4xx mean
+  // that it refused the order.
   return status >= kBadRequest && status < kServerError &&
                  status != kRequestTimeout
              ? orders::SendOutcome::kRefused
@@ -70,7 +71,7 @@
   if (!core::IsOk(result) || core::Value(result).head.status != kOk) {
     return std::nullopt;
   }
-  // Unknown fields are the platform's business: it may add some at any time.
+  // Unknown fields are ignored, because the platform may add some at any time.
   google::protobuf::util::JsonParseOptions options;
   options.ignore_unknown_fields = true;
   v1::VmList list;
@@ -102,8 +103,8 @@
                 if (!self) {
                   return;
                 }
-                // Without an answer the core keeps the last list, which is late
-                // anyway.
+                // Without an answer the core keeps the last list, which is
+                // outdated anyway.
                 if (auto vms = ParseList(result)) {
                   self->report(router::VmListRead{std::move(*vms)});
                 }
@@ -166,8 +167,8 @@
 }
 
 void PlatformClient::Probe(const router::ProbeUpstream& action) {
-  // A connection of its own for each probe: a kept one might be dead in the
-  // middle while new ones work, and the probe is to judge the upstream.
+  // Each probe uses a new connection: on a reused one, a broken network path
+  // could be mistaken for a failure of the upstream.
   const size_t id = m_impl->next_call++;
   auto& channel = m_impl->calls[id];
   channel = std::make_unique<HttpChannel>(m_impl->context, action.address,
--- a/src/net/platform_client.h
+++ b/src/net/platform_client.h
@@ -10,8 +10,8 @@
 
 namespace coppervalve::net {
 
-/// @brief Asks for the VM list again and again, probes upstreams and gives them
-/// orders. Belongs to one thread; answers by VmListRead, ProbeEnded, OrderSent.
+/// @brief Polls the VM list, probes upstreams and sends them orders. Not
+/// thread-safe; reports VmListRead, ProbeEnded and OrderSent.
 class PlatformClient {
  public:
   PlatformClient(boost::asio::io_context& context,
@@ -21,7 +21,7 @@
   PlatformClient& operator=(const PlatformClient&) = delete;
   ~PlatformClient();
 
-  /// @brief Begins to ask for the VM list, if there is an address for it.
+  /// @brief Starts polling the VM list, if its address is set.
   void Start();
   void Probe(const router::ProbeUpstream& action);
   void Send(const router::SendOrder& action);
--- a/src/net/refusal.cc
+++ b/src/net/refusal.cc
@@ -17,7 +17,7 @@
                   {"x-coppervalve-run-state",
                    std::string(core::RunStateName(refusal.run_state))}};
   if (refusal.retry_after) {
-    // Rounded up: a caller that comes back too early is refused again.
+    // Rounded up, because a caller that retries too early is refused again.
     const auto seconds =
         std::chrono::ceil<std::chrono::seconds>(*refusal.retry_after);
     head.headers.emplace_back("retry-after", std::to_string(seconds.count()));
--- a/src/net/shell.cc
+++ b/src/net/shell.cc
@@ -26,7 +26,7 @@
 
 constexpr std::chrono::milliseconds kClosePoll{5};
 
-// Requests of two processes must never share a name, also after a restart.
+// Makes request ids unique across processes and restarts.
 std::string RequestPrefix(const ShellSettings& settings) {
   const auto ticks =
       std::chrono::system_clock::now().time_since_epoch().count();
@@ -72,7 +72,8 @@
 
   ~Impl() {
     Stop();
-    // The links close by tasks on their thread, which has ended.
+    // The links are closed by tasks on a thread that has ended, so the tasks
+    // are run here.
     shared.peers = nullptr;
     peer_server.reset();
     peers.reset();
@@ -83,7 +84,7 @@
     return [this](router::Event event) { control.Post(std::move(event)); };
   }
 
-  // ---- The control thread --------------------------------------------------
+  // ---- Control thread --------------------------------------------------
 
   std::vector<router::Action> Handle(core::TimePoint now,
                                      const router::Event& event) {
@@ -150,7 +151,7 @@
     const auto endpoint = ParseEndpoint(settings.peer_listen);
     if (!endpoint) {
       return core::Error{core::ErrorId::kSettingBadValue, settings.peer_listen,
-                         "an ip:port is needed"};
+                         "must have the form ip:port"};
     }
     PeerServerCallbacks callbacks;
     callbacks.on_message = [this](v1::PeerMessage message) {
@@ -171,7 +172,7 @@
     return peer_server->Listen();
   }
 
-  // ---- Requests that a peer forwards ---------------------------------------
+  // ---- Forwarded requests ---------------------------------------
 
   void OnForward(ForwardHead head,
                  std::string body,
@@ -188,8 +189,8 @@
                      const std::string& body,
                      const std::shared_ptr<ForwardReply>& reply) {
     TrafficWorker& worker = *workers[thread];
-    // Meant for an earlier process at this address: a key that only that one
-    // may run would otherwise run here a second time.
+    // Refuses a forward to an earlier process at this address: a request with
+    // an idempotency key that only that process may run could run here again.
     const bool addressed_to_us =
         !hooks.incarnation || hooks.incarnation() == head.to_incarnation;
     HttpRequest request;
@@ -214,7 +215,7 @@
                       });
   }
 
-  // ---- The end -------------------------------------------------------------
+  // ---- Shutdown -------------------------------------------------------------
 
   void Drain() {
     if (!draining.exchange(true)) {
@@ -239,8 +240,8 @@
     if (peer_server) {
       peer_server->Close([peers_closed] { *peers_closed = true; });
     }
-    // The core's drain is complete, but answers may still be on their way out
-    // of this process: ending now would cut them off.
+    // The core's drain is complete, but answers may still be being written;
+    // stopping now would truncate them.
     const auto deadline =
         std::chrono::steady_clock::now() + settings.close_timeout;
     while (std::chrono::steady_clock::now() < deadline) {
@@ -266,7 +267,8 @@
   std::condition_variable exit_signal;
   bool exiting = false;
 
-  // What follows is destroyed in reverse: first whoever uses the threads.
+  // The members below are destroyed in reverse order: users of the threads go
+  // before the thread pool.
   AnswerStore answers;
   IoPool pool;
   ControlLoop control;
--- a/src/net/socket_util.cc
+++ b/src/net/socket_util.cc
@@ -15,11 +15,11 @@
 
 using boost::asio::ip::tcp;
 
-// Silence on an idle connection, then probes: about 11 s to notice.
+// Keepalive of idle connections: detects a dead one in about 11 s.
 constexpr int kKeepIdleSeconds = 5;
 constexpr int kKeepIntervalSeconds = 2;
 constexpr int kKeepCount = 3;
-// The same for a connection with data that nobody acknowledges.
+// The same for a connection with unacknowledged data.
 constexpr int kUserTimeoutMillis = 11000;
 
 void SetInt(tcp::socket& socket, int level, int name, int value) {
@@ -66,9 +66,9 @@
 }
 
 void ConfigureSocket(tcp::socket& socket) {
-  // Something between the two ends may lose track of a connection: it stays
-  // open and silent for good. Probes and the bound on unacknowledged data make
-  // the kernel report it; without them a request on it would hang.
+  // If a middlebox drops the state of a connection, the connection stays open
+  // and silent forever. Keepalive and the user timeout make the kernel report
+  // it; without them a request on it would hang.
   SetInt(socket, IPPROTO_TCP, TCP_NODELAY, 1);
   SetInt(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
   SetInt(socket, IPPROTO_TCP, TCP_KEEPIDLE, kKeepIdleSeconds);
--- a/src/net/sse_reader.cc
+++ b/src/net/sse_reader.cc
@@ -5,10 +5,11 @@
 core::Status SseReader::Feed(std::string_view bytes, const OnEvent& on_event) {
   for (const char c : bytes) {
     m_line.push_back(c);
-    // Without a bound an engine that never ends its event fills the memory.
+    // Without a limit, an engine that never ends its event would exhaust
+    // memory.
     if (m_line.size() + m_event.raw.size() > m_max) {
       return core::Error{core::ErrorId::kUpstreamProtocol, "stream",
-                         "an event exceeds its bound"};
+                         "an event exceeds the size limit"};
     }
     if (c != '\n') {
       continue;
--- a/src/net/stream_relay.cc
+++ b/src/net/stream_relay.cc
@@ -11,7 +11,7 @@
 constexpr size_t kMaxEventBytes = size_t{256} * 1024;
 constexpr std::string_view kClosingData = "[DONE]";
 
-// Only these events carry more than tokens; the others need no parsing.
+// Only events with usage or an error are parsed; the others hold only tokens.
 bool MayCarryUsageOrError(std::string_view data) {
   return data.find("\"usage\"") != std::string_view::npos ||
          data.find("\"error\"") != std::string_view::npos;
@@ -37,8 +37,8 @@
     return core::Error{core::ErrorId::kAnswerCut, "stream",
                        "ended before its closing event"};
   }
-  // The closing event is what callers take for "whole", so it may reach them
-  // only now that the engine's message has ended too.
+  // Callers treat the closing event as the end of a complete answer, so it is
+  // relayed only after the engine's message has ended.
   Relay(m_closing);
   m_answer->Finish();
   return core::Ok();
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -21,7 +21,7 @@
 constexpr unsigned kUnavailable = 503;
 constexpr std::string_view kActivePhase = "active";
 constexpr std::chrono::seconds kSweepInterval{60};
-// Longer than any queue holds a request.
+// Longer than a request can stay in any queue.
 constexpr std::chrono::minutes kAbandonedAfter{15};
 
 HttpHead JsonHead(unsigned status) {
@@ -42,7 +42,7 @@
 
 TrafficWorker::~TrafficWorker() = default;
 
-// ---- Taking requests in ----------------------------------------------------
+// ---- Accepting requests ----------------------------------------------------
 
 Exchange TrafficWorker::Accept(HttpRequest http,
                                const std::optional<core::AccountId>& account) {
@@ -110,24 +110,24 @@
   }
 }
 
-// ---- Carrying out actions --------------------------------------------------
+// ---- Executing actions --------------------------------------------------
 
 void TrafficWorker::Execute(const router::Dispatch& action) {
   Entry* entry = Find(action.request);
   if (!entry || entry->joined) {
-    RefuseDispatch(action, "the request is over");
+    RefuseDispatch(action, "the request has ended");
     return;
   }
   if (entry->answer->started()) {
-    // A second attempt would be written behind the first one's part.
-    RefuseDispatch(action, "the caller has part of an answer");
+    // The output of a second attempt would be appended to that of the first.
+    RefuseDispatch(action, "the caller already has part of an answer");
     return;
   }
   std::optional<AttemptPlan> plan =
       PlanAttempt({entry->http, entry->stream, entry->wants_usage}, action,
                   *m_shared.settings, m_shared.request_prefix);
   if (!plan) {
-    RefuseDispatch(action, "the body can't be rewritten");
+    RefuseDispatch(action, "the body cannot be rewritten");
     return;
   }
   entry->attempt = std::make_unique<UpstreamAttempt>(
@@ -144,7 +144,7 @@
     return;
   }
   entry->answer->Fail({action.error, action.run_state, action.retry_after});
-  // The core keeps refusals in mind itself and has nobody join one.
+  // The core records refusals itself and lets no request join one.
   m_shared.answers->Remove(action.request);
   Erase(action.request);
 }
@@ -156,12 +156,12 @@
     return;
   }
   if (!leader) {
-    entry->answer->Fail(
-        RefusalOf({ErrorId::kAnswerExpired, "answer", "it is no longer kept"}));
+    entry->answer->Fail(RefusalOf(
+        {ErrorId::kAnswerExpired, "answer", "the answer is no longer stored"}));
     Erase(action.request);
     return;
   }
-  // What is kept under the joiner's own number would never be filled.
+  // The answer stored under the joining request's own id would stay empty.
   m_shared.answers->Remove(action.request);
   entry->joined = true;
   entry->http = HttpRequest();
@@ -227,7 +227,7 @@
   }
 }
 
-// ---- What attempts and forwards report -------------------------------------
+// ---- Reports of attempts and forwards -------------------------------------
 
 void TrafficWorker::OnAttemptEvent(core::RequestId request,
                                    core::AttemptId attempt,
@@ -258,7 +258,7 @@
   }
   entry->forward.reset();
   if (outcome.complete) {
-    // The peer that ran it keeps it for callers that come again.
+    // The peer that ran the request stores its answer for repeated requests.
     m_shared.answers->Remove(request);
     Erase(request);
     return;
@@ -277,7 +277,7 @@
 // ---- Bookkeeping -----------------------------------------------------------
 
 core::RequestId TrafficWorker::NextId() {
-  // The number names the owning thread, so that an action finds its way there.
+  // The id encodes the owning thread, to which actions are routed.
   return core::RequestId(m_next++ * m_threads + m_thread);
 }
 
@@ -295,8 +295,9 @@
   if (!entry || !entry->disconnected_at) {
     return;
   }
-  // A keyed request without its caller goes on: a retry may fetch its answer.
-  // The core ends it by an answer, a refusal or ForgetAnswer.
+  // A request with an idempotency key continues without its caller, because a
+  // retry may fetch its answer. The core ends it by an answer, a refusal or
+  // ForgetAnswer.
   const bool idle = !entry->attempt && !entry->forward;
   if (entry->joined || (!entry->keyed && idle)) {
     Erase(request);
@@ -314,10 +315,10 @@
 }
 
 void TrafficWorker::Sweep() {
-  // The core tells those who wait how a request ended. Of a keyed one whose
-  // caller and joiners have all gone it need tell nobody, so its body would
-  // stay here for good. Should the core dispatch it after all, it hears that
-  // nothing was sent.
+  // The core reports the end of a request only to waiting callers. If the
+  // caller and all joined callers of a keyed request have disconnected, its
+  // body would stay here forever. If the core still dispatches it later, it is
+  // told that nothing was sent.
   const core::TimePoint oldest = BootNow() - kAbandonedAfter;
   for (auto it = m_requests.begin(); it != m_requests.end();) {
     const Entry& entry = it->second;
--- a/src/net/traffic_worker.h
+++ b/src/net/traffic_worker.h
@@ -22,18 +22,18 @@
 
 namespace coppervalve::net {
 
-/// @brief What the workers of all traffic threads share.
+/// @brief State shared by the workers of all traffic threads.
 struct WorkerContext {
   const ShellSettings* settings = nullptr;
   AnswerStore* answers = nullptr;
   PeerClient* peers = nullptr;  ///< null without a peer link
   EventSink report;
-  /// Put before the number of a request to name it outside of this process.
+  /// Prefix that makes request numbers unique outside of this process.
   std::string request_prefix;
 };
 
-/// @brief The requests of one traffic thread: takes them in, carries out the
-/// core's actions on them. Everything is called on that thread.
+/// @brief Handles the requests of one traffic thread: accepts them and executes
+/// the core's actions on them. Used only on that thread.
 class TrafficWorker {
  public:
   TrafficWorker(boost::asio::io_context& context,
@@ -53,13 +53,13 @@
   Exchange Accept(HttpRequest http,
                   const std::optional<core::AccountId>& account);
   /// @brief Asks the core for this router's status.
-  /// @param readiness answer only whether it takes new work
+  /// @param readiness answer only whether the router accepts new work
   Exchange AskStatus(bool readiness);
-  /// @brief An answer that is known at once.
+  /// @brief Answers immediately, without the core.
   Exchange AnswerNow(HttpHead head, std::string_view body);
   Exchange RefuseNow(core::Error error);
 
-  /// @brief Begins to look for requests that nobody will end.
+  /// @brief Starts the periodic removal of abandoned requests.
   void Start();
 
   void OnCallerGone(core::RequestId request);
@@ -68,7 +68,7 @@
   void Execute(const router::Dispatch& action);
   void Execute(const router::Refuse& action);
   /// @param leader the answer to join, looked up when the core decided; null
-  /// when it is no longer kept
+  /// when it is no longer stored
   void Execute(const router::JoinAnswer& action,
                std::shared_ptr<Answer> leader);
   void Execute(const router::Forward& action);
@@ -88,7 +88,8 @@
     bool keyed = false;
     bool readiness = false;
     bool joined = false;
-    std::optional<core::TimePoint> disconnected_at;  ///< since when
+    std::optional<core::TimePoint>
+        disconnected_at;  ///< when the caller disconnected
   };
 
   core::RequestId NextId();
--- a/src/net/upstream_attempt.cc
+++ b/src/net/upstream_attempt.cc
@@ -30,7 +30,7 @@
 
 constexpr uint32_t kMaxHeadBytes = 64U * 1024;
 constexpr size_t kReadBytes = size_t{16} * 1024;
-// Unread bytes of the caller at which reading from the upstream pauses.
+// Bytes unread by the caller at which reading from the upstream pauses.
 constexpr size_t kHighWater = size_t{256} * 1024;
 constexpr unsigned kOk = 200;
 constexpr unsigned kSuccessEnd = 300;
@@ -125,10 +125,11 @@
                  "HTTP status " + std::to_string(status)});
       return;
     }
-    // An answer that ends with its connection can't be told from a cut one.
+    // An answer that ends with its connection cannot be distinguished from a
+    // truncated one.
     if (head_parser->need_eof()) {
       EndFailed({ErrorId::kUpstreamProtocol, plan.address,
-                 "an answer without length or chunks"});
+                 "answer without Content-Length or chunked encoding"});
       return;
     }
     const bool events = HeaderValue(head.headers, "content-type")
@@ -158,7 +159,7 @@
     }
     if (e == http::error::body_limit) {
       EndFailed({ErrorId::kUpstreamProtocol, plan.address,
-                 "the answer exceeds its bound"});
+                 "the answer exceeds the size limit"});
       return;
     }
     if (e) {
@@ -192,7 +193,7 @@
 
   void BeginStream() {
     stream_parser.emplace(std::move(*head_parser));
-    // A long stream is bounded by its tokens and by backpressure.
+    // No size limit: a stream is limited by its tokens and by backpressure.
     stream_parser->body_limit(boost::none);
     relay.emplace(answer, RelayedHead(head), plan.relay_usage);
     answer->SetReadCallback([weak = weak_from_this(), &io = context] {
@@ -233,7 +234,7 @@
     }
     if (relay->output_seen() > before) {
       ReportFirstToken();
-      // Only tokens count: an engine may send comments while it hangs.
+      // Only tokens reset the timeout: a hung engine may still send comments.
       link->SetTimeout(plan.inter_token_timeout);
     }
     if (stream_parser->is_done()) {
@@ -241,7 +242,7 @@
       return;
     }
     if (answer->UnreadBytes() > kHighWater) {
-      // A slow caller, not a silent upstream: the watchdog rests.
+      // The caller is slow, not the upstream, so the timeout is cleared.
       paused = true;
       link->ClearTimeout();
       Resume();
@@ -268,12 +269,13 @@
     EndDone(stream_parser->keep_alive(), relay->usage(), relay->relayed());
   }
 
-  // ---- Ends ----------------------------------------------------------------
+  // ---- Completion
+  // ----------------------------------------------------------------
 
   void EndDone(bool keep_alive,
                std::optional<router::Usage> usage,
                core::Bytes size) {
-    // Bytes past the end of this answer would be taken for the next one's.
+    // Extra bytes after this answer would be read as part of the next one.
     const bool reusable = keep_alive && buffer.size() == 0;
     if (reusable) {
       link->ReleaseToPool();
@@ -301,7 +303,7 @@
   void End(router::Event event) {
     const Report callback = std::exchange(report, nullptr);
     Cancel();
-    // Posted, so that whoever takes the report may drop this attempt.
+    // Posted, so that the callback may destroy this attempt.
     asio::post(context, [callback, event = std::move(event)]() mutable {
       callback(std::move(event));
     });
--- a/src/net/upstream_attempt.h
+++ b/src/net/upstream_attempt.h
@@ -19,12 +19,12 @@
 
 class UpstreamPool;
 
-/// @brief Everything one attempt at an upstream needs.
+/// @brief Parameters of one attempt at an upstream.
 struct AttemptPlan {
   core::RequestId request;
   core::AttemptId attempt;
   std::string address;
-  std::string wire;  ///< the whole request as bytes
+  std::string wire;  ///< the serialized request
   bool head_request = false;
   bool model_work = false;
   bool stream = false;
@@ -32,17 +32,17 @@
   std::chrono::microseconds connect_timeout{};
   std::chrono::microseconds first_token_timeout{};
   std::chrono::microseconds inter_token_timeout{};
-  /// Bound of an answer that comes in one piece.
+  /// Timeout of an answer that is not streamed.
   std::chrono::microseconds complete_answer_timeout{};
   size_t max_answer_bytes = 0;
 };
 
-/// @brief One attempt of a request at one upstream. Belongs to the thread of
-/// its io_context; lives until it ended or was cancelled.
+/// @brief One attempt of a request at one upstream. Used only on the thread of
+/// its io_context; kept until it has ended or was cancelled.
 class UpstreamAttempt {
  public:
   /// Reports AttemptFirstToken, then exactly one of AttemptNotSent,
-  /// AttemptDeclined, AttemptDone and AttemptFailed; nothing once cancelled.
+  /// AttemptDeclined, AttemptDone and AttemptFailed; nothing after Cancel().
   using Report = std::function<void(router::Event)>;
 
   UpstreamAttempt(boost::asio::io_context& context,
@@ -52,7 +52,7 @@
                   Report report);
   UpstreamAttempt(const UpstreamAttempt&) = delete;
   UpstreamAttempt& operator=(const UpstreamAttempt&) = delete;
-  /// Cancels.
+  /// Calls Cancel().
   ~UpstreamAttempt();
 
   core::AttemptId id() const;
--- a/src/net/upstream_connection.cc
+++ b/src/net/upstream_connection.cc
@@ -40,7 +40,7 @@
   m_reused = false;
   const auto endpoint = ParseEndpoint(m_address);
   if (!endpoint) {
-    // Posted like any other end: the owner is still in its own constructor.
+    // Posted, because the owner may still be in its constructor.
     asio::post(m_socket.get_executor(), [self = shared_from_this()] {
       self->End(SendEnd::kNotSent, asio::error::invalid_argument);
     });
@@ -78,9 +78,9 @@
     End(SendEnd::kSent, error);
     return;
   }
-  // Point of no return: once the kernel took a byte, the upstream may have the
-  // request, and sending it again could run it twice. With no byte taken,
-  // another connection is safe.
+  // Once the kernel has accepted a byte, the upstream may have the request, and
+  // sending it again could run it twice. Before that, a retry on another
+  // connection is safe.
   if (written > 0) {
     End(SendEnd::kBroken, error);
     return;
@@ -102,8 +102,8 @@
 void UpstreamConnection::SetTimeout(std::chrono::microseconds after) {
   m_deadline.Arm(after, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      // Connections that were left idle at the same time have probably gone
-      // silent too, while new ones work.
+      // Other idle connections to this upstream are probably dead too, while
+      // new ones work.
       self->m_pool.CloseAll(self->m_address);
       self->CloseSocket();
     }
--- a/src/net/upstream_connection.h
+++ b/src/net/upstream_connection.h
@@ -13,15 +13,15 @@
 
 namespace coppervalve::net {
 
-/// @brief How the sending of a request ended.
+/// @brief Result of sending a request.
 enum class SendEnd {
   kSent,
-  kNotSent,  ///< no byte was given to the kernel
-  kBroken,   ///< some bytes were: the upstream may have the request
+  kNotSent,  ///< the kernel accepted no byte
+  kBroken,   ///< some bytes were accepted: the upstream may have the request
 };
 
-/// @brief The connection of one attempt, new or reused, with its watchdog.
-/// Belongs to one thread.
+/// @brief The connection of one attempt, new or reused, with its timeout. Not
+/// thread-safe.
 class UpstreamConnection
     : public std::enable_shared_from_this<UpstreamConnection> {
  public:
@@ -35,25 +35,26 @@
   UpstreamConnection& operator=(const UpstreamConnection&) = delete;
   ~UpstreamConnection() = default;
 
-  /// @brief Sends a request once. On success the watchdog stays armed with what
-  /// is left of `answer_timeout`.
-  /// @param wire must live until `done`
+  /// @brief Sends a request once. On success the timeout stays armed with the
+  /// rest of `answer_timeout`.
+  /// @param wire must stay valid until `done` is called
   void Send(const std::string& wire,
             std::chrono::microseconds connect_timeout,
             std::chrono::microseconds answer_timeout,
             Done done);
 
   boost::asio::ip::tcp::socket& socket() { return m_socket; }
-  /// @brief Closes the connection after this time, unless armed again.
+  /// @brief Closes the connection after this time, unless the timeout is set
+  /// again or cleared.
   void SetTimeout(std::chrono::microseconds after);
   void ClearTimeout() { m_deadline.Disarm(); }
   bool expired() const { return m_deadline.expired(); }
-  /// @brief The error, or that the time ran out.
+  /// @brief The text of the error, or "timeout".
   std::string DescribeError(ErrorCode error) const;
 
-  /// @brief Ends the use; nothing is called back any more.
+  /// @brief Closes the connection; no callback is called afterwards.
   void Close();
-  /// @brief Leaves the connection to later attempts. @pre the answer has ended
+  /// @brief Returns the connection to the pool. @pre the answer has ended
   void ReleaseToPool();
 
  private:
--- a/src/net/upstream_error.h
+++ b/src/net/upstream_error.h
@@ -9,18 +9,18 @@
 
 namespace coppervalve::net {
 
-/// @brief How a connection to an upstream broke after the first byte was sent.
+/// @brief Failure of an upstream connection after the first byte was sent.
 struct ConnectionFailure {
   std::string address;
   std::string detail;
-  bool expired = false;        ///< we closed it, as it was silent for too long
-  bool head_received = false;  ///< the head of the answer had come
+  bool expired = false;        ///< closed by this side after a timeout
+  bool head_received = false;  ///< the head of the answer was received
 };
 
 /// @return kUpstreamSilent, kAnswerCut, kUpstreamProtocol or kUpstreamFailed
 core::Error ToError(ConnectionFailure failure, boost::system::error_code error);
 
-/// @brief The head of an upstream's answer as callers get it.
+/// @brief The head of an upstream's answer as relayed to callers.
 HttpHead RelayedHead(const HttpHead& head);
 
 }  // namespace coppervalve::net
--- a/src/net/upstream_load.h
+++ b/src/net/upstream_load.h
@@ -10,10 +10,10 @@
 
 namespace coppervalve::net {
 
-/// @return the number that the whole text is; empty when it is none
+/// @return the number, if the complete text is one
 std::optional<uint32_t> ReadNumber(std::string_view text);
 
-/// @return the load that an engine stated beside an answer, if it did
+/// @return the load that an engine reported in its headers, if any
 std::optional<router::UpstreamLoad> LoadOf(const HeaderList& headers);
 
 }  // namespace coppervalve::net
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -10,10 +10,10 @@
 
 namespace coppervalve::net {
 
-/// @brief Idle connections to upstreams, of one traffic thread.
+/// @brief Pool of idle upstream connections of one traffic thread.
 class UpstreamPool {
  public:
-  /// @return a connection that looked alive just now
+  /// @return an idle connection that is still open; empty when there is none
   std::optional<boost::asio::ip::tcp::socket> Acquire(
       const std::string& address);
   /// @brief Closes the idle connections to an upstream.
