--- a/tests/net/fake_server.h
+++ b/tests/net/fake_server.h
@@ -12,8 +12,8 @@
 
 namespace coppervalve::net::testing {
 
-/// @brief Plays an upstream or the log service: one thread per connection runs
-/// the script, which decides on every byte.
+/// @brief Fakes an upstream or the log service: one thread per connection runs
+/// the script, which controls every byte.
 class FakeServer {
  public:
   /// @param connection 0, 1, 2... in the order of arrival
@@ -42,13 +42,13 @@
 /// @brief Answers any number of requests on a connection with `reply`.
 FakeServer::Script AlwaysReply(std::string reply);
 
-/// @brief A message with its length.
+/// @brief A message with Content-Length.
 std::string Reply(const std::string& body, const std::string& headers = "");
 
-/// @brief One chunk of a message in chunks.
+/// @brief One chunk of a chunked message.
 std::string Chunk(const std::string& bytes);
 
-/// @brief A JSON answer of an engine, with usage.
+/// @brief An engine's JSON answer with usage.
 std::string EngineReply(const std::string& text);
 
 /// @brief The head of a token stream.
--- a/tests/net/raw_socket.h
+++ b/tests/net/raw_socket.h
@@ -7,8 +7,8 @@
 
 namespace coppervalve::net::testing {
 
-/// @brief A blocking connection on 127.0.0.1 that sends and reads bytes as they
-/// are. Reads give up after a generous timeout.
+/// @brief A blocking connection on 127.0.0.1 that sends and reads raw bytes.
+/// Reads fail after a long timeout.
 class RawSocket {
  public:
   /// @brief Connects; a failure shows as closed().
@@ -25,12 +25,12 @@
   /// @return one message with its body, as framed by length or chunks; less
   /// when the other side closed before its end
   std::string ReadMessage();
-  /// @return what came until `mark` was seen, with it
+  /// @return the bytes up to and including `mark`
   std::string ReadUntil(std::string_view mark);
   /// @return whether the other side has closed, waiting for it
   bool WaitForClose();
   void Close();
-  /// @brief Closes so that the other side sees a reset.
+  /// @brief Closes with a reset.
   void Reset();
   bool closed() const { return m_descriptor < 0; }
 
--- a/tests/net/test_shell.cc
+++ b/tests/net/test_shell.cc
@@ -9,7 +9,7 @@
 
 constexpr std::chrono::seconds kPatience{30};
 
-// What SendTo does when an attempt ended without an answer.
+// The reaction of SendTo to an attempt without an answer.
 template <typename Failure>
 TestShell::Actions RefuseAfter(const Failure& failure,
                                core::RunState run_state) {
@@ -46,8 +46,8 @@
   settings.log_address = "127.0.0.1:1";
   settings.operator_token = "operator-secret";
   settings.caller.max_body_bytes = 4096;
-  // So long that only a test that waits for one of them ever sees it, also on a
-  // busy machine.
+  // So long that, even on a busy machine, only a test that waits for one of
+  // them sees it expire.
   settings.caller.header_timeout = std::chrono::seconds(60);
   settings.caller.body_timeout = std::chrono::seconds(60);
   settings.log_timeout = std::chrono::seconds(60);
--- a/tests/net/test_shell.h
+++ b/tests/net/test_shell.h
@@ -13,7 +13,7 @@
 
 namespace coppervalve::net::testing {
 
-/// @brief A shell on free ports of 127.0.0.1 whose decisions a test makes.
+/// @brief A shell on free ports of 127.0.0.1 whose decisions come from a test.
 class TestShell {
  public:
   using Actions = std::vector<router::Action>;
@@ -28,8 +28,8 @@
   RawSocket Operator() const { return RawSocket(m_shell->operator_port()); }
   Shell& shell() { return *m_shell; }
 
-  /// @brief Waits until an event of this kind has come.
-  /// @return the newest; empty after a generous timeout
+  /// @brief Waits for an event of this type.
+  /// @return the newest; empty after a long timeout
   template <typename Event>
   std::optional<Event> WaitFor() {
     std::optional<Event> found;
@@ -43,8 +43,8 @@
     });
     return found;
   }
-  /// @brief Waits until so many events of this kind have come: an answer may
-  /// reach its caller before the core hears of it.
+  /// @brief Waits for this number of events of this type: an answer may reach
+  /// its caller before the core is notified.
   template <typename Event>
   bool WaitForCount(size_t count) {
     size_t found = 0;
@@ -57,7 +57,7 @@
     });
     return found == count;
   }
-  /// @return how many events of this kind have come so far
+  /// @return the number of events of this type so far
   template <typename Event>
   size_t Count() {
     const std::scoped_lock lock(m_mutex);
@@ -77,7 +77,7 @@
   std::unique_ptr<Shell> m_shell;
 };
 
-/// @brief Dispatches every request to one upstream, refuses what failed.
+/// @brief Dispatches every request to one upstream and refuses failed ones.
 TestShell::Decide SendTo(std::string address, bool model_work = true);
 
 /// @brief The dispatch that SendTo makes.
--- a/tests/net/unit-answer.cc
+++ b/tests/net/unit-answer.cc
@@ -47,8 +47,7 @@
 }
 
 TEST(Answer, one_past_its_bound_is_relayed_but_cannot_be_joined) {
-  // Half of an answer, handed to a caller that comes later, would look like a
-  // whole one.
+  // Half of an answer, given to a later caller, would look like a complete one.
   auto answer = std::make_shared<Answer>(4);
   AnswerReader reader(answer, Nothing);
   answer->Start({}, true);
@@ -62,7 +61,7 @@
 }
 
 TEST(Answer, an_answer_that_has_ended_cannot_be_changed) {
-  // A late answer of an attempt that was given up must not reach the caller.
+  // A late answer of an abandoned attempt must not reach the caller.
   auto answer = std::make_shared<Answer>(100);
   AnswerReader reader(answer, Nothing);
   answer->Fail(RefusalOf({core::ErrorId::kOutcomeUnknown, "", ""}));
@@ -99,7 +98,7 @@
 }
 
 TEST(Answer, usage_with_a_negative_count_is_not_believed) {
-  // It would pay tokens back into the budget.
+  // It would credit tokens to the budget.
   const auto answer = ReadModelAnswer(
       R"({"choices":[1],"usage":{"prompt_tokens":5,"completion_tokens":-9}})");
   CHECK(core::IsOk(answer));
--- a/tests/net/unit-caller-input.cc
+++ b/tests/net/unit-caller-input.cc
@@ -14,7 +14,7 @@
   return text.find(part) != std::string::npos;
 }
 
-// What one connection gets back for these bytes.
+// Returns everything that one connection receives for these bytes.
 std::string Ask(TestShell& shell, const std::string& bytes) {
   RawSocket caller = shell.Caller();
   caller.Send(bytes);
@@ -92,8 +92,8 @@
 }
 
 TEST(CallerInput, a_body_past_the_bound_is_refused_by_its_stated_length) {
-  // The caller states a length past the bound and starts to send. It gets a
-  // typed refusal at once; the router never holds the body.
+  // The caller announces a length above the limit and starts to send. It gets a
+  // typed error immediately; the router never buffers the body.
   CheckRefused(Ask(shell, Post("/v1/completions", std::string(5000, 'x'))),
                "413", "CV-302");
   LONGS_EQUAL(0, shell.Count<router::RequestArrived>());
@@ -115,15 +115,15 @@
 }
 
 TEST(CallerInput, json_nested_past_any_use_is_refused) {
-  // A body of opening brackets only would otherwise exhaust the parser's stack
-  // and end the process for all callers.
+  // A body of only opening brackets would otherwise exhaust the parser's stack
+  // and crash the process.
   const std::string nested(2000, '[');
   CheckRefused(Ask(shell, Post("/v1/completions", nested)), "400", "CV-304");
 }
 
 TEST(CallerInput, fields_that_multiply_the_output_are_refused) {
-  // The budget reserves one output of max_tokens. Four choices would each
-  // spend that much, so the account would end past its budget.
+  // The budget reserves one output of max_tokens. Four choices would each spend
+  // that much, so the account would exceed its budget.
   for (const char* field : {R"("n":4)", R"("best_of":2)", R"("n":1.5)"}) {
     const std::string body =
         R"({"model":"m1","prompt":"x",)" + std::string(field) + "}";
@@ -142,8 +142,8 @@
 }
 
 TEST(CallerInput, a_message_framed_twice_is_refused) {
-  // Two framings let two readers see two different requests in the same
-  // bytes: the second one would be run in another caller's name.
+  // Request smuggling: with two framings, two readers see different requests in
+  // the same bytes, and the second one would run for another caller.
   CheckRefused(Ask(shell,
                    "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
                    "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -158,8 +158,9 @@
 }
 
 TEST(CallerInput, a_sender_that_stops_in_its_body_is_refused) {
-  // The caller sends half of its body and then nothing. Its connection would
-  // be held for ever; the refusal is truthful, as nothing was sent on.
+  // The caller sends half of its body and then nothing. Without the timeout its
+  // connection would stay open forever. The error may state that the request
+  // was not run, because nothing was sent to an upstream.
   TestShell impatient(RefuseAll, ImpatientSettings());
   CheckRefused(Ask(impatient,
                    "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
--- a/tests/net/unit-forward.cc
+++ b/tests/net/unit-forward.cc
@@ -35,7 +35,7 @@
   return "127.0.0.1:" + std::to_string(shell.shell().peer_port());
 }
 
-// Sends every request on to one peer, refuses what it did not answer.
+// Forwards every request to one peer and refuses those that it did not answer.
 TestShell::Decide ForwardTo(std::string address) {
   return [address = std::move(address)](
              const router::Event& event) -> TestShell::Actions {
@@ -107,8 +107,8 @@
 }
 
 TEST(Forward, a_stream_cut_behind_the_peer_is_cut_for_the_caller) {
-  // The peer's engine dies after a token. The caller of the other router must
-  // learn it as if the engine were its own: one error event, no proper end.
+  // The peer's engine fails after a token. The caller of the other router must
+  // see the same as with a local engine: one error event and no normal end.
   FakeServer engine([](RawSocket& socket, size_t) {
     socket.ReadMessage();
     socket.Send(StreamHead() + TokenChunk("half"));
@@ -154,8 +154,8 @@
 }
 
 TEST(Forward, one_meant_for_an_ended_process_does_not_run) {
-  // The key may run at one process only, and that one was restarted. The new
-  // process has no record of it: run here, a seat might be held twice.
+  // The key may run in one process only, and that one was restarted. The new
+  // process has no record of it: running it could hold a seat twice.
   FakeServer engine(AlwaysReply(EngineReply("twice")));
   {
     net::ShellHooks hooks;
--- a/tests/net/unit-peer-attack.cc
+++ b/tests/net/unit-peer-attack.cc
@@ -51,9 +51,9 @@
   }
 };
 
-// Somebody on the way records a connection that carried a transfer of tokens
-// and plays it again, byte for byte, to the same router. The proof is correct,
-// but its nonce has been seen: the transfer is not delivered a second time.
+// An attacker on the path records a connection with a transfer of tokens and
+// replays it byte for byte to the same router. The proof is correct, but its
+// nonce was seen before: the transfer is not delivered a second time.
 TEST(PeerAttack, a_recorded_connection_that_is_played_again_delivers_nothing) {
   PeerServer server(m_threads.io(), kLocalhost, 0, kSecret, m_callbacks);
   Listen(server);
@@ -78,9 +78,9 @@
   CHECK_EQUAL(1, m_delivered.load());
 }
 
-// Somebody on the way changes the sender in a message. The proof vouches for
-// the digest of the body, so the router refuses what does not match it, and the
-// sender is told.
+// An attacker on the path changes the sender in a message. The proof covers the
+// digest of the body, so the router refuses the changed body, and the sender is
+// told.
 TEST(PeerAttack, a_body_that_is_changed_on_its_way_is_refused) {
   PeerServer server(m_threads.io(), kLocalhost, 0, kSecret, m_callbacks);
   Listen(server);
@@ -100,8 +100,8 @@
   CHECK_EQUAL(0, m_delivered.load());
 }
 
-// The setting of the secret was forgotten. Everybody could make the proof, so
-// the router does not listen at all instead of accepting all.
+// The secret is not set. Anybody could create a proof with an empty secret, so
+// the router does not listen at all.
 TEST(PeerAttack, a_server_without_a_secret_does_not_listen) {
   PeerServer server(m_threads.io(), kLocalhost, 0, "", m_callbacks);
   const core::Status status = server.Listen();
--- a/tests/net/unit-peer-auth.cc
+++ b/tests/net/unit-peer-auth.cc
@@ -50,9 +50,9 @@
   CHECK_FALSE(Accepted(Proof(kNow + UnixSeconds(61))));
 }
 
-// A stream is recorded on the wire and sent again. The second one carries a
-// correct proof, yet a nonce that has been seen, for as long as its time is
-// acceptable at all; also when the memory of nonces rotates in between.
+// A recorded stream is replayed. The replay has a correct proof but a nonce
+// that was seen before. It is refused for as long as its time is acceptable,
+// also when the nonce sets rotate in between.
 TEST(PeerAuth, a_proof_counts_once) {
   for (int start = 0; start < 130; ++start) {
     const UnixSeconds now = kNow + UnixSeconds(1000 * start + start);
--- a/tests/net/unit-peer-link.cc
+++ b/tests/net/unit-peer-link.cc
@@ -29,7 +29,7 @@
   return message;
 }
 
-// Bytes that differ from place to place, so that a swap would show.
+// Bytes that depend on their position, so that reordering is detected.
 std::string Pattern(size_t size, char seed) {
   std::string text(size, seed);
   for (size_t i = 0; i < size; i += 7) {
@@ -47,7 +47,7 @@
   return {};
 }
 
-// Sends `body` in parts, each when the one before has been let through.
+// Sends `body` in parts, each after the previous one was sent.
 void StreamParts(const std::shared_ptr<ForwardReply>& reply,
                  const std::shared_ptr<std::string>& body,
                  size_t from) {
@@ -74,7 +74,7 @@
   PeerClient MakeClient() {
     return PeerClient(m_threads.io(), kSecret, m_settings);
   }
-  // A server that hands forwards to `answer`.
+  // A server that passes forwards to `answer`.
   PeerServer Answering(
       const std::function<void(std::shared_ptr<ForwardReply>)>& answer) {
     m_callbacks.on_forward = [answer](const ForwardHead&, const std::string&,
@@ -154,9 +154,9 @@
   CHECK_EQUAL(204U, answer.head.status);
 }
 
-// The caller behind the first router has part of an answer when the second
-// router gives up. It must see a cut answer, not a short one that looks whole:
-// the abort resets the stream, and the reset is no proper end.
+// The second router aborts when the caller of the first has part of the answer.
+// The caller must see a truncated answer, not a short one that looks complete:
+// the abort resets the stream, which is not a normal end.
 TEST(PeerLink, an_answer_that_is_aborted_in_its_middle_is_not_whole) {
   Awaited<std::shared_ptr<ForwardReply>> running;
   PeerServer server = Answering([&](std::shared_ptr<ForwardReply> reply) {
@@ -177,8 +177,8 @@
   CHECK_TRUE(answer.outcome.error.id == core::ErrorId::kAnswerCut);
 }
 
-// A fault in the second router loses the reply object without an end. The
-// caller sees a cut answer instead of one that hangs or looks whole.
+// A fault in the second router drops the reply object without ending it. The
+// caller sees a truncated answer instead of one that hangs or looks complete.
 TEST(PeerLink, an_answer_that_its_writer_drops_is_not_whole) {
   PeerServer server = Answering([](const std::shared_ptr<ForwardReply>& reply) {
     reply->Head(ReplyHead{});
@@ -246,7 +246,7 @@
 
 TEST(PeerLink, a_full_message_queue_fails_at_once) {
   m_settings.max_queued_messages = 2;
-  // Nobody accepts on this address for a while: the messages stay queued.
+  // No server accepts on this address for a while, so the messages stay queued.
   boost::asio::ip::tcp::acceptor mute(
       m_threads.io(), {boost::asio::ip::make_address(kLocalhost), 0});
   const std::string address = AddressOf(mute.local_endpoint().port());
@@ -281,8 +281,8 @@
 }
 
 // A caller reads slowly. Its router stops confirming bytes, the window fills
-// and the writer at the other router is no longer asked for more, while other
-// forwards and messages on the same connection go on.
+// and the writer at the other router pauses, while other forwards and messages
+// on the same connection continue.
 TEST(PeerLink, a_reader_that_stalls_holds_back_its_own_writer_only) {
   std::atomic<size_t> written{0};
   m_callbacks.on_forward = [&](const ForwardHead& head, const std::string&,
@@ -292,7 +292,7 @@
       return;
     }
     reply->Head(ReplyHead{});
-    // Writes for ever, as long as it is asked to.
+    // Writes without end while more is requested.
     auto step = std::make_shared<std::function<void()>>();
     *step = [&written, reply, weak = std::weak_ptr(step)] {
       const auto again = weak.lock();
@@ -330,8 +330,8 @@
   CHECK_FALSE(end.Get().complete);
 }
 
-// The caller hangs up. Its router cancels the forward, and the other router is
-// told, so that it can stop the work.
+// The caller disconnects. Its router cancels the forward, and the other router
+// is told, so that it can stop the work.
 TEST(PeerLink, a_cancelled_forward_is_reported_at_both_ends) {
   Awaited<bool> cancelled;
   Awaited<std::shared_ptr<ForwardReply>> running;
@@ -388,7 +388,8 @@
 }
 
 // A router is told to stop while it answers a forward of a peer. The answer in
-// progress reaches its caller whole; what comes later is refused as not sent.
+// progress reaches its caller completely; later forwards are refused as not
+// sent.
 TEST(PeerLink, a_server_that_closes_finishes_the_answers_in_progress) {
   Awaited<std::shared_ptr<ForwardReply>> running;
   PeerServer server = Answering([&](std::shared_ptr<ForwardReply> reply) {
--- a/tests/net/unit-peer-relay.h
+++ b/tests/net/unit-peer-relay.h
@@ -17,17 +17,17 @@
 
 #include "unit-peer-support.h"
 
-/// What stands between two routers and may do harm to their connections.
+/// A proxy between two routers that can disturb their connections.
 namespace coppervalve::net::testing {
 
 inline boost::asio::ip::tcp::endpoint FreePort() {
   return {boost::asio::ip::make_address(kLocalhost), 0};
 }
 
-/// @brief Sees, and may change, what a client sends.
+/// @brief Inspects, and may change, the bytes that a client sends.
 using Tap = std::function<void(std::string& bytes)>;
 
-/// @brief One connection through the relay, in the relay's thread.
+/// @brief One connection through the relay, on the relay's thread.
 class RelayPipe : public std::enable_shared_from_this<RelayPipe> {
  public:
   using Socket = boost::asio::ip::tcp::socket;
@@ -39,7 +39,7 @@
     Copy(m_near, m_far, m_up, m_tap);
     Copy(m_far, m_near, m_down, [](std::string&) {});
   }
-  /// @brief Bytes vanish from now on, without an error at either end.
+  /// @brief Drops all further bytes, without an error at either end.
   void Lose() { m_lost = true; }
   void Close() {
     boost::system::error_code ignored;
@@ -76,8 +76,8 @@
   bool m_lost = false;
 };
 
-/// @brief A relay that can lose track of the connections it has, while new ones
-/// work. Has a thread of its own, so its writes may block.
+/// @brief A relay that can drop the traffic of its existing connections while
+/// new ones work. Runs on its own thread, so its writes may block.
 class TcpRelay {
  public:
   explicit TcpRelay(
--- a/tests/net/unit-peer-silence.cc
+++ b/tests/net/unit-peer-silence.cc
@@ -25,7 +25,7 @@
 using boost::system::error_code;
 using tcp = boost::asio::ip::tcp;
 
-// A peer that accepts and never reads or answers; it may say one thing first.
+// A peer that accepts and never reads or answers; it may send one text first.
 class SilentPeer {
  public:
   SilentPeer(boost::asio::io_context& io, std::string greeting)
@@ -65,7 +65,7 @@
   std::vector<tcp::socket> m_sockets;
 };
 
-// An empty SETTINGS frame: all that a client waits for before it sends.
+// An empty SETTINGS frame, which a client waits for before it sends.
 const std::string kSettingsFrame("\0\0\0\4\0\0\0\0\0", 9);
 
 }  // namespace
@@ -87,9 +87,9 @@
   }
 };
 
-// The kernel of a hung peer accepts the connection, its process says nothing.
-// The forward fails soon and counts as not sent, so that the caller's request
-// may run elsewhere: the client sends nothing before the peer has spoken.
+// The kernel of a hung peer accepts the connection, but its process sends
+// nothing. The forward fails soon and counts as not sent, so that the request
+// may run elsewhere: the client sends nothing before the peer's SETTINGS.
 TEST(PeerSilence, a_peer_that_never_speaks_is_given_nothing) {
   SilentPeer peer(m_threads.io(), "");
   const ForwardOutcome outcome = OutcomeAt(peer.address());
@@ -98,9 +98,9 @@
   CHECK_TRUE(outcome.error.id == core::ErrorId::kPeerUnreachable);
 }
 
-// The peer greets, takes the request and goes silent. No error ever comes from
-// the kernel; the PING without an answer closes the connection, and the forward
-// fails as sent, because the peer may have run it.
+// The peer sends SETTINGS, accepts the request and goes silent. The kernel
+// never reports an error; the unanswered PING closes the connection, and the
+// forward fails as sent, because the peer may have run it.
 TEST(PeerSilence, a_peer_that_goes_silent_fails_its_streams_as_sent) {
   SilentPeer peer(m_threads.io(), kSettingsFrame);
   const ForwardOutcome outcome = OutcomeAt(peer.address());
@@ -109,10 +109,10 @@
   CHECK_TRUE(outcome.error.id == core::ErrorId::kPeerUnreachable);
 }
 
-// A forward is half answered when a box on the way forgets the connection.
-// Both ends hear nothing more, yet the peer is well: the first forward fails,
-// the peer is told that its reader is gone, the next one is answered over a new
-// connection.
+// A forward is half answered when a middlebox drops the connection's state.
+// Both ends receive nothing more, although the peer works: the first forward
+// fails, the peer is told that its reader is gone, and the next forward is
+// answered over a new connection.
 TEST(PeerSilence, a_connection_that_goes_silent_is_replaced_by_a_new_one) {
   Awaited<std::shared_ptr<ForwardReply>> running;
   Awaited<bool> cancelled;
@@ -152,8 +152,8 @@
   running.Get().reset();
 }
 
-// A model thinks for longer than the silence deadline before its first token.
-// The PINGs are answered meanwhile, so the connection is not judged silent.
+// A model needs longer than the silence deadline for its first token. The PINGs
+// are answered meanwhile, so the connection does not count as silent.
 TEST(PeerSilence, a_slow_answer_is_not_taken_for_silence) {
   Awaited<std::shared_ptr<ForwardReply>> running;
   PeerServerCallbacks callbacks;
@@ -175,9 +175,9 @@
   CHECK_EQUAL(std::string("late"), answer.body);
 }
 
-// The peer's process is gone and its port refuses. After the first failure the
-// next calls fail at once instead of trying each time; when the peer is back,
-// a call soon gets through.
+// The peer's process has ended and its port refuses connections. After the
+// first failure the next calls fail immediately instead of each trying to
+// connect; when the peer is back, a call soon succeeds.
 TEST(PeerSilence, a_peer_that_comes_back_is_reached_again) {
   PeerServerCallbacks callbacks;
   callbacks.on_forward = [](const ForwardHead&, const std::string&,
--- a/tests/net/unit-peer-support.h
+++ b/tests/net/unit-peer-support.h
@@ -16,14 +16,14 @@
 
 #include "coppervalve/net/peer_link.h"
 
-/// What the tests of the peer links share.
+/// Helpers shared by the tests of the peer links.
 namespace coppervalve::net::testing {
 
 constexpr std::chrono::seconds kPatience{30};
 inline const std::string kLocalhost = "127.0.0.1";
 inline const std::string kSecret = "a secret of the fleet";
 
-/// @brief An io_context with threads of its own.
+/// @brief An io_context with its own threads.
 class IoThreads {
  public:
   IoThreads() : m_work(m_io.get_executor()) {
@@ -57,7 +57,7 @@
  public:
   void Set(T value) { m_promise->set_value(std::move(value)); }
 
-  /// Fails the test when nothing comes.
+  /// Fails the test when no value is delivered.
   T Get() {
     CHECK_TRUE(m_future.wait_for(kPatience) == std::future_status::ready);
     return m_future.get();
@@ -73,14 +73,14 @@
   std::shared_future<T> m_future = m_promise->get_future().share();
 };
 
-/// @brief All that came back of one forward.
+/// @brief Everything received for one forward.
 struct Answer {
   ReplyHead head;
   std::string body;
   ForwardOutcome outcome;
 };
 
-/// @brief Gathers the answer to one forward.
+/// @brief Collects the answer to one forward.
 class AnswerCollector {
  public:
   ForwardCallbacks Callbacks() {
@@ -127,7 +127,7 @@
   return head;
 }
 
-/// @brief Answers a forward at once and whole.
+/// @brief Answers a forward immediately and completely.
 inline void AnswerWhole(ForwardReply& reply, std::string body) {
   reply.Head(ReplyHead{200, {{"content-type", "text/plain"}}});
   reply.Body(std::move(body), {});
--- a/tests/net/unit-platform.cc
+++ b/tests/net/unit-platform.cc
@@ -92,8 +92,8 @@
 }
 
 TEST(Platform, an_append_whose_reply_is_lost_is_neither_repeated_nor_done) {
-  // The service takes the entry and its reply is lost. The core must hear that
-  // the outcome is open, and the shell must not append a second time.
+  // The service accepts the entry and its reply is lost. The core must be told
+  // that the outcome is unknown, and the shell must not append a second time.
   std::atomic<int> appends{0};
   FakeServer log([&appends](RawSocket& socket, size_t) {
     socket.ReadMessage();
@@ -174,8 +174,8 @@
   CHECK_FALSE(ended->healthy);
 }
 
-// What an engine's answer, or its absence, says about an order. Only a
-// connection that never came about proves that nothing was sent.
+// Maps an engine's answer, or its absence, to the outcome of an order. Only a
+// connection that was never established proves that nothing was sent.
 TEST(Platform, an_order_ends_by_what_the_engine_answered) {
   v1::OrderIssued issued;
   issued.set_load_model("chat-8");
--- a/tests/net/unit-shell.cc
+++ b/tests/net/unit-shell.cc
@@ -37,7 +37,7 @@
   };
 }
 
-// Ends at once when asked to drain, and dispatches until then.
+// Dispatches requests until it is asked to drain, then exits immediately.
 TestShell::Decide ExitOnDrain(const std::string& upstream) {
   return [decide = SendTo(upstream)](
              const router::Event& event) -> TestShell::Actions {
@@ -74,7 +74,7 @@
 }
 
 TEST(Shell, without_a_token_no_operator_command_is_taken) {
-  // A router started without the setting would otherwise take an empty token.
+  // A router without the setting would otherwise accept an empty token.
   net::ShellSettings settings = TestShell::Settings();
   settings.operator_token = "";
   TestShell shell(WithPhase("active"), settings);
@@ -96,8 +96,8 @@
 }
 
 TEST(Shell, an_answer_on_its_way_out_is_not_cut_off_by_the_end) {
-  // The core has all it needs and ends; the answer of a slow caller is still
-  // in this process. It must arrive whole before the process is gone.
+  // The core exits while the answer of a slow caller is still being written. It
+  // must arrive completely before the process ends.
   const std::string text(6 * 1024 * 1024, 'a');
   FakeServer engine(AlwaysReply(EngineReply(text)));
   {
--- a/tests/net/unit-stream.cc
+++ b/tests/net/unit-stream.cc
@@ -115,9 +115,9 @@
 }
 
 TEST(Stream, a_stream_cut_midway_is_reported_as_cut) {
-  // The engine dies after two tokens. The caller has them already: it gets an
-  // error event, no closing event and no last chunk, so that no client takes
-  // the part for the whole.
+  // The engine fails after two tokens that the caller already has. The caller
+  // gets an error event, no closing event and no last chunk, so that no client
+  // takes the part for a complete answer.
   FakeServer engine(Stream(TokenChunk("half") + TokenChunk("draft")));
   {
     TestShell shell(SendTo(engine.address()));
@@ -131,9 +131,9 @@
 }
 
 TEST(Stream, a_closing_event_without_the_final_chunk_is_not_an_end) {
-  // The connection breaks between "[DONE]" and the end of the message. Whether
-  // something was still to come can't be told, so the stream counts as cut and
-  // the closing event, held back, never reaches the caller.
+  // The connection breaks between "[DONE]" and the end of the message. More
+  // data may have been lost, so the stream counts as truncated, and the delayed
+  // closing event never reaches the caller.
   FakeServer engine(Stream(TokenChunk("a") + Chunk(kDone)));
   {
     TestShell shell(SendTo(engine.address()));
@@ -142,7 +142,7 @@
 }
 
 TEST(Stream, a_final_chunk_without_the_closing_event_is_not_an_end) {
-  // A proxy in between may end the message properly after its engine died.
+  // A proxy may end the message normally after its engine has failed.
   FakeServer engine(Stream(TokenChunk("a") + kLastChunk));
   {
     TestShell shell(SendTo(engine.address()));
@@ -161,8 +161,8 @@
 }
 
 TEST(Stream, a_failure_before_the_first_token_leaves_a_second_attempt_unseen) {
-  // The first engine sends its head and closes. Nothing has reached the
-  // caller, so another engine's answer is all it sees.
+  // The first engine sends its head and closes. Nothing has reached the caller,
+  // so it sees only the answer of another engine.
   FakeServer dying(Stream(""));
   FakeServer healthy(Stream(TokenChunk("rescued") + Chunk(kDone) + kLastChunk));
   {
@@ -183,7 +183,7 @@
 }
 
 TEST(Stream, an_engine_that_hangs_between_tokens_is_given_up) {
-  // One token, then only comments: the connection is alive, the work is not.
+  // One token, then only comments: the connection works, but the engine hangs.
   std::atomic<bool> over{false};
   FakeServer engine([&over](RawSocket& socket, size_t) {
     socket.ReadMessage();
@@ -210,7 +210,7 @@
 
 TEST(Stream, a_slow_caller_holds_the_engine_back_instead_of_filling_memory) {
   // The engine sends far more than the caller reads. Reading from the engine
-  // must pause; once the caller reads on, it gets every token and the end.
+  // must pause; when the caller continues, it gets every token and the end.
   constexpr int kTokens = 20000;
   const std::string token(1000, 't');
   std::atomic<int> sent{0};
@@ -242,9 +242,9 @@
 }
 
 TEST(Stream, a_repeated_request_joins_the_running_answer_and_the_kept_one) {
-  // Two callers send the same key. The second joins while the first one's
-  // answer still arrives, the third after its end: each gets all of it, and
-  // the engine is asked once.
+  // Three callers send the same key. The second joins while the answer of the
+  // first still arrives, the third after its end: each gets the complete
+  // answer, and the engine is called once.
   std::atomic<bool> finish{false};
   FakeServer engine([&finish](RawSocket& socket, size_t) {
     socket.ReadMessage();
--- a/tests/net/unit-upstream.cc
+++ b/tests/net/unit-upstream.cc
@@ -116,8 +116,8 @@
 }
 
 TEST(Upstream, a_truncated_answer_is_not_passed_on_as_whole) {
-  // The engine states 500 bytes, sends 20 and closes. Relayed, the caller would
-  // take a part of a draft for the draft; it gets a typed failure instead.
+  // The engine announces 500 bytes, sends 20 and closes. A caller could take
+  // the relayed part for the complete draft; it gets a typed error instead.
   FakeServer engine([](RawSocket& socket, size_t) {
     socket.ReadMessage();
     socket.Send(
@@ -136,7 +136,7 @@
 }
 
 TEST(Upstream, an_answer_whose_end_is_only_its_close_is_not_whole) {
-  // Without length or chunks a cut connection looks like the proper end.
+  // Without length or chunks, a broken connection looks like a normal end.
   FakeServer engine([](RawSocket& socket, size_t) {
     socket.ReadMessage();
     socket.Send("HTTP/1.1 200 OK\r\n\r\n{\"choices\":[]}");
@@ -158,7 +158,7 @@
 }
 
 TEST(Upstream, a_reused_connection_that_died_idle_is_replaced) {
-  // The engine closes after its first answer without saying so. The second
+  // The engine closes after its first answer without announcing it. The second
   // request must not fail: no byte of it was written yet, so a new connection
   // is safe.
   std::atomic<int> closed{0};
@@ -198,8 +198,8 @@
 }
 
 TEST(Upstream, nothing_is_sent_again_after_its_bytes_were_sent) {
-  // The engine reads the whole request and resets the connection, on a reused
-  // one. It may have run the request: sent again, a seat would be held twice.
+  // The engine reads the complete request on a reused connection and resets it.
+  // It may have run the request: a retry could hold a seat twice.
   std::atomic<int> requests{0};
   FakeServer engine([&requests](RawSocket& socket, size_t) {
     socket.ReadMessage();
@@ -224,8 +224,8 @@
 }
 
 TEST(Upstream, bytes_after_an_answer_never_reach_another_caller) {
-  // The engine sends more than the answer's length. On a reused connection the
-  // rest would be read as the answer to the next caller's request.
+  // The engine sends more than the answer's length. If the connection were
+  // reused, the rest would be read as the answer to the next caller's request.
   FakeServer engine([](RawSocket& socket, size_t connection) {
     socket.ReadMessage();
     socket.Send(EngineReply("own" + std::to_string(connection)) +
@@ -243,8 +243,8 @@
 }
 
 TEST(Upstream, answers_of_concurrent_requests_never_cross) {
-  // Many callers at once, over reused connections; each engine answer carries
-  // the prompt that it belongs to.
+  // Many concurrent callers over reused connections; each engine answer
+  // contains the prompt that it belongs to.
   FakeServer engine([](RawSocket& socket, size_t) {
     while (true) {
       const std::string request = socket.ReadMessage();
@@ -282,7 +282,8 @@
 }
 
 TEST(Upstream, a_silent_upstream_ends_the_attempt) {
-  // The engine takes the request and never answers; its connection stays open.
+  // The engine accepts the request and never answers; its connection stays
+  // open.
   FakeServer engine([](RawSocket& socket, size_t) { socket.ReadToEnd(); });
   {
     TestShell shell([address = engine.address()](
@@ -299,8 +300,8 @@
 }
 
 TEST(Upstream, a_cancelled_attempt_closes_its_connection) {
-  // The caller leaves while the engine works: the core cancels, and the engine
-  // sees the close and can stop.
+  // The caller disconnects while the engine works: the core cancels, and the
+  // engine sees the close and can stop.
   std::atomic<bool> closed{false};
   FakeServer engine([&closed](RawSocket& socket, size_t) {
     socket.ReadMessage();
