--- a/tests/net/unit-answer.cc
+++ b/tests/net/unit-answer.cc
@@ -21,7 +21,7 @@
 TEST_GROUP(Answer){};
 // clang-format on
 
-TEST(Answer, a_kept_answer_is_read_from_its_beginning_by_each_reader) {
+TEST(Answer, each_reader_reads_a_stored_answer_from_its_beginning) {
   auto answer = std::make_shared<Answer>(100);
   AnswerReader first(answer, Nothing);
   answer->Start({200, {{"a", "b"}}}, true);
@@ -36,7 +36,7 @@
   STRCMP_EQUAL("lo", first.Next(100).bytes.c_str());
 }
 
-TEST(Answer, the_end_is_told_only_with_the_last_byte) {
+TEST(Answer, the_end_is_reported_only_with_the_last_byte) {
   auto answer = std::make_shared<Answer>(100);
   AnswerReader reader(answer, Nothing);
   answer->Start({}, true);
@@ -46,7 +46,7 @@
   CHECK(reader.Next(3).state == Answer::State::kComplete);
 }
 
-TEST(Answer, one_past_its_bound_is_relayed_but_cannot_be_joined) {
+TEST(Answer, an_answer_above_its_limit_is_relayed_but_cannot_be_joined) {
   // Half of an answer, given to a later caller, would look like a complete one.
   auto answer = std::make_shared<Answer>(4);
   AnswerReader reader(answer, Nothing);
@@ -74,7 +74,7 @@
   CHECK_FALSE(piece.started);
 }
 
-TEST(Answer, the_store_keeps_no_more_than_its_bound) {
+TEST(Answer, the_store_keeps_no_more_than_its_limit) {
   AnswerStore store(10, 10);
   const auto first = store.Create(core::RequestId(1), true);
   first->Append("0123456789");
@@ -89,7 +89,7 @@
   LONGS_EQUAL(0, store.BufferedBytes());
 }
 
-TEST(Answer, an_event_past_its_bound_is_an_error) {
+TEST(Answer, an_event_above_the_size_limit_is_an_error) {
   SseReader reader(16);
   const auto ignore = [](const SseEvent&) { return core::Ok(); };
   CHECK(core::IsOk(reader.Feed("data: ok\n\n", ignore)));
@@ -97,7 +97,7 @@
   CHECK(!core::IsOk(status));
 }
 
-TEST(Answer, usage_with_a_negative_count_is_not_believed) {
+TEST(Answer, usage_with_a_negative_count_is_ignored) {
   // It would credit tokens to the budget.
   const auto answer = ReadModelAnswer(
       R"({"choices":[1],"usage":{"prompt_tokens":5,"completion_tokens":-9}})");
--- a/tests/net/unit-caller-input.cc
+++ b/tests/net/unit-caller-input.cc
@@ -54,14 +54,15 @@
 };
 // clang-format on
 
-TEST(CallerInput, a_refusal_says_why_and_when_to_come_back) {
+TEST(CallerInput, a_refusal_states_its_reason_and_when_to_retry) {
   const std::string answer = Ask(shell, ModelPost("hello"));
   CheckRefused(answer, "503", "CV-404");
   CHECK(Has(answer, "\"retry_after_ms\":1500"));
   CHECK(Has(answer, "retry-after: 2\r\n"));
 }
 
-TEST(CallerInput, a_request_reaches_the_core_with_what_its_rules_need) {
+TEST(CallerInput,
+     a_request_reaches_the_core_with_all_fields_that_its_rules_use) {
   Ask(shell,
       Post(
           "/v1/chat/completions",
@@ -91,7 +92,7 @@
   STRCMP_EQUAL("/v1/services/seats/hold/7", event->path.c_str());
 }
 
-TEST(CallerInput, a_body_past_the_bound_is_refused_by_its_stated_length) {
+TEST(CallerInput, a_body_above_the_limit_is_refused_by_its_content_length) {
   // The caller announces a length above the limit and starts to send. It gets a
   // typed error immediately; the router never buffers the body.
   CheckRefused(Ask(shell, Post("/v1/completions", std::string(5000, 'x'))),
@@ -99,7 +100,7 @@
   LONGS_EQUAL(0, shell.Count<router::RequestArrived>());
 }
 
-TEST(CallerInput, a_body_past_the_bound_is_refused_in_chunks_too) {
+TEST(CallerInput, a_chunked_body_above_the_limit_is_refused) {
   std::string bytes =
       "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
       "Transfer-Encoding: chunked\r\n\r\n";
@@ -114,7 +115,7 @@
                "CV-304");
 }
 
-TEST(CallerInput, json_nested_past_any_use_is_refused) {
+TEST(CallerInput, json_that_is_nested_too_deeply_is_refused) {
   // A body of only opening brackets would otherwise exhaust the parser's stack
   // and crash the process.
   const std::string nested(2000, '[');
@@ -141,7 +142,7 @@
                "400", "CV-301");
 }
 
-TEST(CallerInput, a_message_framed_twice_is_refused) {
+TEST(CallerInput, a_message_with_two_framings_is_refused) {
   // Request smuggling: with two framings, two readers see different requests in
   // the same bytes, and the second one would run for another caller.
   CheckRefused(Ask(shell,
@@ -151,7 +152,7 @@
                "400", "CV-301");
 }
 
-TEST(CallerInput, a_header_past_the_bound_is_refused) {
+TEST(CallerInput, a_header_above_the_limit_is_refused) {
   CheckRefused(Ask(shell, "GET /v1/addresses HTTP/1.1\r\nHost: r\r\nX-Big: " +
                               std::string(20000, 'a') + "\r\n\r\n"),
                "431", "CV-303");
@@ -189,14 +190,14 @@
   CHECK(shell.WaitForCount<router::RequestArrived>(3));
 }
 
-TEST(CallerInput, requests_sent_at_once_are_answered_in_their_order) {
+TEST(CallerInput, pipelined_requests_are_answered_in_order) {
   RawSocket caller = shell.Caller();
   caller.Send(ModelPost("one") + ModelPost("two"));
   CheckRefused(caller.ReadMessage(), "503", "CV-404");
   CheckRefused(caller.ReadMessage(), "503", "CV-404");
 }
 
-TEST(CallerInput, a_caller_is_told_to_go_on_with_its_body) {
+TEST(CallerInput, a_caller_that_expects_100_continue_gets_it) {
   RawSocket caller = shell.Caller();
   const std::string request =
       ModelPost("hello", false, "Expect: 100-continue\r\n");
--- a/tests/net/unit-forward.cc
+++ b/tests/net/unit-forward.cc
@@ -106,7 +106,7 @@
   }
 }
 
-TEST(Forward, a_stream_cut_behind_the_peer_is_cut_for_the_caller) {
+TEST(Forward, a_stream_truncated_at_the_peer_is_truncated_for_the_caller) {
   // The peer's engine fails after a token. The caller of the other router must
   // see the same as with a local engine: one error event and no normal end.
   FakeServer engine([](RawSocket& socket, size_t) {
@@ -153,7 +153,7 @@
   CHECK(Has(Ask(entry, ModelPost("x")), "\"run_state\":\"not_run\""));
 }
 
-TEST(Forward, one_meant_for_an_ended_process_does_not_run) {
+TEST(Forward, a_forward_to_an_ended_process_does_not_run) {
   // The key may run in one process only, and that one was restarted. The new
   // process has no record of it: running it could hold a seat twice.
   FakeServer engine(AlwaysReply(EngineReply("twice")));
@@ -174,7 +174,7 @@
   }
 }
 
-TEST(Forward, a_caller_that_leaves_is_known_at_the_peer) {
+TEST(Forward, a_disconnect_of_the_caller_is_reported_to_the_peer) {
   FakeServer engine([](RawSocket& socket, size_t) {
     socket.ReadMessage();
     socket.WaitForClose();
--- a/tests/net/unit-peer-attack.cc
+++ b/tests/net/unit-peer-attack.cc
@@ -54,7 +54,7 @@
 // An attacker on the path records a connection with a transfer of tokens and
 // replays it byte for byte to the same router. The proof is correct, but its
 // nonce was seen before: the transfer is not delivered a second time.
-TEST(PeerAttack, a_recorded_connection_that_is_played_again_delivers_nothing) {
+TEST(PeerAttack, a_replayed_connection_delivers_nothing) {
   PeerServer server(m_threads.io(), kLocalhost, 0, kSecret, m_callbacks);
   Listen(server);
   std::mutex mutex;
@@ -81,7 +81,7 @@
 // An attacker on the path changes the sender in a message. The proof covers the
 // digest of the body, so the router refuses the changed body, and the sender is
 // told.
-TEST(PeerAttack, a_body_that_is_changed_on_its_way_is_refused) {
+TEST(PeerAttack, a_body_that_is_changed_in_transit_is_refused) {
   PeerServer server(m_threads.io(), kLocalhost, 0, kSecret, m_callbacks);
   Listen(server);
   TcpRelay relay(server.port(), [](std::string& bytes) {
--- a/tests/net/unit-peer-link.cc
+++ b/tests/net/unit-peer-link.cc
@@ -104,7 +104,7 @@
   CHECK_EQUAL(0, failed.load());
 }
 
-TEST(PeerLink, a_forward_and_its_answer_arrive_whole) {
+TEST(PeerLink, a_forward_and_its_answer_arrive_completely) {
   Awaited<ForwardHead> seen;
   Awaited<std::string> seen_body;
   m_callbacks.on_forward = [&](ForwardHead head, std::string body,
@@ -140,7 +140,7 @@
   CHECK_EQUAL(std::string("the body"), seen_body.Get());
 }
 
-TEST(PeerLink, an_empty_answer_is_whole) {
+TEST(PeerLink, an_empty_answer_is_complete) {
   PeerServer server = Answering([](const std::shared_ptr<ForwardReply>& reply) {
     reply->Head(ReplyHead{204, {}});
     reply->End();
@@ -157,7 +157,7 @@
 // The second router aborts when the caller of the first has part of the answer.
 // The caller must see a truncated answer, not a short one that looks complete:
 // the abort resets the stream, which is not a normal end.
-TEST(PeerLink, an_answer_that_is_aborted_in_its_middle_is_not_whole) {
+TEST(PeerLink, an_answer_that_is_aborted_midway_is_incomplete) {
   Awaited<std::shared_ptr<ForwardReply>> running;
   PeerServer server = Answering([&](std::shared_ptr<ForwardReply> reply) {
     reply->Head(ReplyHead{});
@@ -179,7 +179,7 @@
 
 // A fault in the second router drops the reply object without ending it. The
 // caller sees a truncated answer instead of one that hangs or looks complete.
-TEST(PeerLink, an_answer_that_its_writer_drops_is_not_whole) {
+TEST(PeerLink, an_answer_that_its_writer_drops_is_incomplete) {
   PeerServer server = Answering([](const std::shared_ptr<ForwardReply>& reply) {
     reply->Head(ReplyHead{});
     reply->Body("begun", {});
@@ -244,7 +244,7 @@
   }
 }
 
-TEST(PeerLink, a_full_message_queue_fails_at_once) {
+TEST(PeerLink, a_full_message_queue_fails_immediately) {
   m_settings.max_queued_messages = 2;
   // No server accepts on this address for a while, so the messages stay queued.
   boost::asio::ip::tcp::acceptor mute(
@@ -283,7 +283,7 @@
 // A caller reads slowly. Its router stops confirming bytes, the window fills
 // and the writer at the other router pauses, while other forwards and messages
 // on the same connection continue.
-TEST(PeerLink, a_reader_that_stalls_holds_back_its_own_writer_only) {
+TEST(PeerLink, a_stalled_reader_blocks_only_its_own_writer) {
   std::atomic<size_t> written{0};
   m_callbacks.on_forward = [&](const ForwardHead& head, const std::string&,
                                const std::shared_ptr<ForwardReply>& reply) {
@@ -354,7 +354,8 @@
   CHECK_TRUE(cancelled.Get());
 }
 
-TEST(PeerLink, what_cannot_be_carried_is_refused_before_it_is_sent) {
+TEST(PeerLink,
+     invalid_fields_and_oversized_data_are_refused_before_they_are_sent) {
   PeerServer server = Answering([](const std::shared_ptr<ForwardReply>&) {});
   const std::string address = Listen(server);
   PeerClient client = MakeClient();
@@ -437,7 +438,7 @@
   CHECK_TRUE(closed.Get());
 }
 
-TEST(PeerLink, an_address_where_nobody_listens_is_unreachable_and_not_sent) {
+TEST(PeerLink, an_address_without_a_listener_is_unreachable_and_not_sent) {
   PeerClient client = MakeClient();
   for (const std::string& address :
        std::vector<std::string>{"127.0.0.1:1", "nonsense", "[::1"}) {
--- a/tests/net/unit-peer-silence.cc
+++ b/tests/net/unit-peer-silence.cc
@@ -90,7 +90,7 @@
 // The kernel of a hung peer accepts the connection, but its process sends
 // nothing. The forward fails soon and counts as not sent, so that the request
 // may run elsewhere: the client sends nothing before the peer's SETTINGS.
-TEST(PeerSilence, a_peer_that_never_speaks_is_given_nothing) {
+TEST(PeerSilence, nothing_is_sent_to_a_peer_that_never_sends_settings) {
   SilentPeer peer(m_threads.io(), "");
   const ForwardOutcome outcome = OutcomeAt(peer.address());
   CHECK_FALSE(outcome.complete);
@@ -154,7 +154,7 @@
 
 // A model needs longer than the silence deadline for its first token. The PINGs
 // are answered meanwhile, so the connection does not count as silent.
-TEST(PeerSilence, a_slow_answer_is_not_taken_for_silence) {
+TEST(PeerSilence, a_slow_answer_does_not_count_as_silence) {
   Awaited<std::shared_ptr<ForwardReply>> running;
   PeerServerCallbacks callbacks;
   callbacks.on_forward = [&](const ForwardHead&, const std::string&,
@@ -178,7 +178,7 @@
 // The peer's process has ended and its port refuses connections. After the
 // first failure the next calls fail immediately instead of each trying to
 // connect; when the peer is back, a call soon succeeds.
-TEST(PeerSilence, a_peer_that_comes_back_is_reached_again) {
+TEST(PeerSilence, a_restarted_peer_is_reached_again) {
   PeerServerCallbacks callbacks;
   callbacks.on_forward = [](const ForwardHead&, const std::string&,
                             const std::shared_ptr<ForwardReply>& reply) {
--- a/tests/net/unit-platform.cc
+++ b/tests/net/unit-platform.cc
@@ -91,7 +91,8 @@
   CHECK(Has(seen, std::string("\r\n\r\n\0entry", 10)));
 }
 
-TEST(Platform, an_append_whose_reply_is_lost_is_neither_repeated_nor_done) {
+TEST(Platform,
+     an_append_with_a_lost_reply_is_neither_retried_nor_reported_as_done) {
   // The service accepts the entry and its reply is lost. The core must be told
   // that the outcome is unknown, and the shell must not append a second time.
   std::atomic<int> appends{0};
@@ -110,7 +111,7 @@
   LONGS_EQUAL(1, appends);
 }
 
-TEST(Platform, a_log_that_is_out_or_silent_is_reported) {
+TEST(Platform, an_unreachable_or_silent_log_is_reported) {
   FakeServer silent([](RawSocket& socket, size_t) { socket.ReadToEnd(); });
   {
     net::ShellSettings settings = WithLog(silent.address());
@@ -129,7 +130,7 @@
   CHECK(shell.WaitFor<router::LogReadFailed>().has_value());
 }
 
-TEST(Platform, a_reply_that_cannot_be_read_is_a_failure) {
+TEST(Platform, a_malformed_reply_is_a_failure) {
   FakeServer log(AlwaysReply(Reply("\xff\xff not a message")));
   {
     TestShell shell(OnRequest({router::ReadLog{core::LogOffset(0), {}}}),
@@ -139,7 +140,7 @@
   }
 }
 
-TEST(Platform, the_vm_list_is_asked_for_again_and_again) {
+TEST(Platform, the_vm_list_is_polled) {
   FakeServer vms(AlwaysReply(Reply(
       R"({"vms":[{"id":"m1","address":"127.0.0.1:9","leaving":true,"new":1}]})")));
   {
@@ -154,7 +155,7 @@
   }
 }
 
-TEST(Platform, a_probe_tells_health_and_load) {
+TEST(Platform, a_probe_reports_health_and_load) {
   FakeServer healthy(AlwaysReply(Reply("{}", "x-engine-queued: 4\r\n")));
   FakeServer ill(AlwaysReply("HTTP/1.1 503 Ill\r\nContent-Length: 0\r\n\r\n"));
   {
@@ -176,7 +177,7 @@
 
 // Maps an engine's answer, or its absence, to the outcome of an order. Only a
 // connection that was never established proves that nothing was sent.
-TEST(Platform, an_order_ends_by_what_the_engine_answered) {
+TEST(Platform, the_outcome_of_an_order_follows_the_answer_of_the_engine) {
   v1::OrderIssued issued;
   issued.set_load_model("chat-8");
   const auto outcome_at = [&issued](const std::string& address) {
--- a/tests/net/unit-shell.cc
+++ b/tests/net/unit-shell.cc
@@ -73,7 +73,7 @@
   CHECK(Has(AskOperator(shell, "GET /admin/status", kToken), "active"));
 }
 
-TEST(Shell, without_a_token_no_operator_command_is_taken) {
+TEST(Shell, without_a_token_no_operator_command_is_accepted) {
   // A router without the setting would otherwise accept an empty token.
   net::ShellSettings settings = TestShell::Settings();
   settings.operator_token = "";
@@ -95,7 +95,7 @@
   LONGS_EQUAL(1, shell.Count<router::DrainAsked>());
 }
 
-TEST(Shell, an_answer_on_its_way_out_is_not_cut_off_by_the_end) {
+TEST(Shell, an_answer_being_written_is_not_truncated_by_the_exit) {
   // The core exits while the answer of a slow caller is still being written. It
   // must arrive completely before the process ends.
   const std::string text(6 * 1024 * 1024, 'a');
@@ -115,7 +115,7 @@
   }
 }
 
-TEST(Shell, idle_connections_do_not_hold_up_the_end) {
+TEST(Shell, idle_connections_do_not_delay_the_exit) {
   TestShell shell(ExitOnDrain("127.0.0.1:1"));
   RawSocket idle = shell.Caller();
   idle.Send(ModelPost("x"));
@@ -125,7 +125,7 @@
   CHECK(idle.WaitForClose());
 }
 
-TEST(Shell, answers_of_a_draining_router_send_callers_elsewhere) {
+TEST(Shell, answers_of_a_draining_router_close_the_connection) {
   TestShell shell(SendTo("127.0.0.1:1"));
   RawSocket caller = shell.Caller();
   caller.Send(ModelPost("x"));
--- a/tests/net/unit-stream.cc
+++ b/tests/net/unit-stream.cc
@@ -48,7 +48,7 @@
 TEST_GROUP(Stream){};
 // clang-format on
 
-TEST(Stream, a_whole_stream_is_relayed_with_its_end) {
+TEST(Stream, a_complete_stream_is_relayed_with_its_end) {
   std::string seen;
   FakeServer engine([&seen](RawSocket& socket, size_t) {
     seen = socket.ReadMessage();
@@ -94,7 +94,7 @@
   }
 }
 
-TEST(Stream, an_event_cut_across_reads_is_relayed_once_and_whole) {
+TEST(Stream, an_event_split_across_reads_is_relayed_once_and_completely) {
   FakeServer engine([](RawSocket& socket, size_t) {
     socket.ReadMessage();
     socket.Send(StreamHead());
@@ -114,7 +114,7 @@
   }
 }
 
-TEST(Stream, a_stream_cut_midway_is_reported_as_cut) {
+TEST(Stream, a_stream_that_ends_midway_is_reported_as_truncated) {
   // The engine fails after two tokens that the caller already has. The caller
   // gets an error event, no closing event and no last chunk, so that no client
   // takes the part for a complete answer.
@@ -160,7 +160,8 @@
   }
 }
 
-TEST(Stream, a_failure_before_the_first_token_leaves_a_second_attempt_unseen) {
+TEST(Stream,
+     a_second_attempt_after_a_failure_before_the_first_token_is_invisible) {
   // The first engine sends its head and closes. Nothing has reached the caller,
   // so it sees only the answer of another engine.
   FakeServer dying(Stream(""));
@@ -182,7 +183,7 @@
   }
 }
 
-TEST(Stream, an_engine_that_hangs_between_tokens_is_given_up) {
+TEST(Stream, an_engine_that_hangs_between_tokens_times_out) {
   // One token, then only comments: the connection works, but the engine hangs.
   std::atomic<bool> over{false};
   FakeServer engine([&over](RawSocket& socket, size_t) {
@@ -208,7 +209,7 @@
   }
 }
 
-TEST(Stream, a_slow_caller_holds_the_engine_back_instead_of_filling_memory) {
+TEST(Stream, a_slow_caller_causes_backpressure_on_the_engine) {
   // The engine sends far more than the caller reads. Reading from the engine
   // must pause; when the caller continues, it gets every token and the end.
   constexpr int kTokens = 20000;
@@ -241,7 +242,7 @@
   }
 }
 
-TEST(Stream, a_repeated_request_joins_the_running_answer_and_the_kept_one) {
+TEST(Stream, a_repeated_request_joins_the_running_or_stored_answer) {
   // Three callers send the same key. The second joins while the answer of the
   // first still arrives, the third after its end: each gets the complete
   // answer, and the engine is called once.
@@ -284,7 +285,7 @@
   }
 }
 
-TEST(Stream, a_joined_wait_can_be_refused_while_the_answer_goes_on) {
+TEST(Stream, a_joined_request_can_be_refused_while_the_answer_continues) {
   std::atomic<bool> finish{false};
   FakeServer engine([&finish](RawSocket& socket, size_t) {
     socket.ReadMessage();
@@ -320,7 +321,7 @@
   }
 }
 
-TEST(Stream, an_answer_that_is_no_longer_kept_is_said_to_have_run) {
+TEST(Stream, an_answer_that_is_no_longer_stored_is_reported_as_run) {
   TestShell shell([](const router::Event& event) -> TestShell::Actions {
     if (const auto* e = std::get_if<router::RequestArrived>(&event)) {
       return {router::JoinAnswer{e->request, core::RequestId(999999)}};
--- a/tests/net/unit-upstream.cc
+++ b/tests/net/unit-upstream.cc
@@ -30,7 +30,7 @@
 TEST_GROUP(Upstream){};
 // clang-format on
 
-TEST(Upstream, a_model_request_is_capped_sent_and_answered) {
+TEST(Upstream, a_model_request_is_limited_sent_and_answered) {
   std::string seen;
   FakeServer engine([&seen](RawSocket& socket, size_t) {
     seen = socket.ReadMessage();
@@ -88,7 +88,7 @@
   CHECK(shell.WaitForCount<router::AttemptNotSent>(1));
 }
 
-TEST(Upstream, a_stated_not_run_is_a_decline_with_its_load) {
+TEST(Upstream, an_answer_marked_not_run_is_a_decline_with_its_load) {
   FakeServer engine(
       AlwaysReply("HTTP/1.1 503 Busy\r\nx-not-run: true\r\nRetry-After: 2\r\n"
                   "x-engine-running: 8\r\nx-engine-queued: 30\r\n"
@@ -115,7 +115,7 @@
   }
 }
 
-TEST(Upstream, a_truncated_answer_is_not_passed_on_as_whole) {
+TEST(Upstream, a_truncated_answer_is_not_relayed_as_complete) {
   // The engine announces 500 bytes, sends 20 and closes. A caller could take
   // the relayed part for the complete draft; it gets a typed error instead.
   FakeServer engine([](RawSocket& socket, size_t) {
@@ -135,7 +135,7 @@
   }
 }
 
-TEST(Upstream, an_answer_whose_end_is_only_its_close_is_not_whole) {
+TEST(Upstream, an_answer_that_ends_only_by_close_is_incomplete) {
   // Without length or chunks, a broken connection looks like a normal end.
   FakeServer engine([](RawSocket& socket, size_t) {
     socket.ReadMessage();
@@ -147,7 +147,7 @@
   }
 }
 
-TEST(Upstream, an_answer_past_its_bound_is_not_relayed) {
+TEST(Upstream, an_answer_above_the_size_limit_is_not_relayed) {
   FakeServer engine(AlwaysReply(Reply(std::string(3000, ' '))));
   {
     net::ShellSettings settings = TestShell::Settings();
@@ -197,7 +197,7 @@
   }
 }
 
-TEST(Upstream, nothing_is_sent_again_after_its_bytes_were_sent) {
+TEST(Upstream, a_request_is_not_retried_after_bytes_were_sent) {
   // The engine reads the complete request on a reused connection and resets it.
   // It may have run the request: a retry could hold a seat twice.
   std::atomic<int> requests{0};
@@ -242,7 +242,7 @@
   }
 }
 
-TEST(Upstream, answers_of_concurrent_requests_never_cross) {
+TEST(Upstream, answers_of_concurrent_requests_are_not_mixed_up) {
   // Many concurrent callers over reused connections; each engine answer
   // contains the prompt that it belongs to.
   FakeServer engine([](RawSocket& socket, size_t) {
