--- a/src/net/caller_session.cc
+++ b/src/net/caller_session.cc
@@ -102,7 +102,7 @@
   WriteResponse(RefusalHead(refusal), RefusalJson(refusal));
 }
 
-// ---- Request in progress ----------------------------------------
+// ---- Request in progress --------------------------------------------------
 
 void CallerSession::WatchForClose() {
   if (m_watching) {
@@ -265,7 +265,7 @@
   Close();
 }
 
-// ---- Closing ---------------------------------------------
+// ---- Closing --------------------------------------------------------------
 
 void CallerSession::CloseGracefully() {
   // Closing while the caller still sends makes the kernel reset the connection,
--- a/src/net/peer_auth.cc
+++ b/src/net/peer_auth.cc
@@ -44,8 +44,8 @@
   return ToHex(std::span(mac).first(size));
 }
 
-// The MAC covers the time and the nonce, so a proof is valid only for one time
-// and stream. Neither contains a line feed.
+// Time and nonce come before the text and contain no line feed, so that a proof
+// is valid only for one time and one stream.
 std::string ProofMac(std::string_view secret,
                      std::string_view time,
                      std::string_view nonce,
--- a/src/net/shell.cc
+++ b/src/net/shell.cc
@@ -84,7 +84,7 @@
     return [this](router::Event event) { control.Post(std::move(event)); };
   }
 
-  // ---- Control thread --------------------------------------------------
+  // ---- Control thread -----------------------------------------------------
 
   std::vector<router::Action> Handle(core::TimePoint now,
                                      const router::Event& event) {
@@ -101,7 +101,7 @@
     actions->Execute(std::move(action));
   }
 
-  // ---- Ports ---------------------------------------------------------------
+  // ---- Ports --------------------------------------------------------------
 
   CallerHooks PortHooks() {
     CallerHooks port;
@@ -172,7 +172,7 @@
     return peer_server->Listen();
   }
 
-  // ---- Forwarded requests ---------------------------------------
+  // ---- Forwarded requests -------------------------------------------------
 
   void OnForward(ForwardHead head,
                  std::string body,
@@ -215,7 +215,7 @@
                       });
   }
 
-  // ---- Shutdown -------------------------------------------------------------
+  // ---- Shutdown -----------------------------------------------------------
 
   void Drain() {
     if (!draining.exchange(true)) {
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -42,7 +42,7 @@
 
 TrafficWorker::~TrafficWorker() = default;
 
-// ---- Accepting requests ----------------------------------------------------
+// ---- Accepting requests ---------------------------------------------------
 
 Exchange TrafficWorker::Accept(HttpRequest http,
                                const std::optional<core::AccountId>& account) {
@@ -110,7 +110,7 @@
   }
 }
 
-// ---- Executing actions --------------------------------------------------
+// ---- Executing actions ----------------------------------------------------
 
 void TrafficWorker::Execute(const router::Dispatch& action) {
   Entry* entry = Find(action.request);
@@ -274,7 +274,7 @@
       {ErrorId::kBadRequest, "dispatch", std::move(detail)}});
 }
 
-// ---- Bookkeeping -----------------------------------------------------------
+// ---- Bookkeeping ----------------------------------------------------------
 
 core::RequestId TrafficWorker::NextId() {
   // The id encodes the owning thread, to which actions are routed.
--- a/src/net/upstream_attempt.cc
+++ b/src/net/upstream_attempt.cc
@@ -318,7 +318,7 @@
     link->Close();
   }
 
-  // ---- Helpers -------------------------------------------------------------
+  // ---- Helpers ------------------------------------------------------------
 
   void ReportFirstToken() {
     if (!std::exchange(first_token_reported, true)) {
