--- a/src/net/action_router.h
+++ b/src/net/action_router.h
@@ -10,17 +10,17 @@
 #include "coppervalve/net/peer_client.h"
 #include "coppervalve/router/events.h"
 #include "log_transport.h"
-#include "platform_watch.h"
+#include "platform_client.h"
 #include "traffic_worker.h"
 
 namespace coppervalve::net {
 
-/// @brief Those who carry out actions; outlive the router.
-struct ActionOwners {
+/// @brief The components that execute actions; must outlive the router.
+struct ActionTargets {
   IoPool* pool = nullptr;
   std::vector<std::unique_ptr<TrafficWorker>>* workers = nullptr;
-  LogTransport* log = nullptr;        ///< of the platform thread
-  PlatformWatch* platform = nullptr;  ///< of the platform thread
+  LogTransport* log = nullptr;         ///< used on the platform thread
+  PlatformClient* platform = nullptr;  ///< used on the platform thread
   PeerClient* peers = nullptr;        ///< null without a peer link
   AnswerStore* answers = nullptr;
   EventSink report;
@@ -28,20 +28,20 @@
   std::function<void()> exit;
 };
 
-/// The traffic thread that talks to the platform too.
+/// The traffic thread that also communicates with the platform.
 inline constexpr size_t kPlatformThread = 0;
 
-/// @brief Hands each action to the thread that owns what it is about. Actions
-/// on one request arrive in the order of the calls.
+/// @brief Passes each action to the thread that owns its object. Actions on one
+/// request are executed in the order of the calls.
 class ActionRouter {
  public:
-  explicit ActionRouter(ActionOwners owners);
+  explicit ActionRouter(ActionTargets targets);
 
   /// @brief Called on the control thread.
-  void Carry(router::Action action) const;
+  void Execute(router::Action action) const;
 
  private:
-  ActionOwners m_owners;
+  ActionTargets m_targets;
 };
 
 }  // namespace coppervalve::net
--- a/src/net/answer.cc
+++ b/src/net/answer.cc
@@ -8,8 +8,7 @@
 
 namespace {
 
-// Erasing the front of a string costs a copy of the rest, so it is done in
-// steps.
+// Erasing the front of a string copies the rest, so it is done in larger steps.
 constexpr size_t kTrimStep = size_t{64} * 1024;
 
 }  // namespace
@@ -40,7 +39,7 @@
   if (m_state != State::kOpen) {
     return;
   }
-  m_state = State::kWhole;
+  m_state = State::kComplete;
   WakeReaders(std::move(lock));
 }
 
@@ -79,10 +78,10 @@
   std::unique_lock lock(m_mutex);
   m_readers.erase(reader);
   Trim();
-  const Wake taken = m_taken;
+  const Wake on_read = m_on_read;
   lock.unlock();
-  if (taken) {
-    taken();
+  if (on_read) {
+    on_read();
   }
 }
 
@@ -110,10 +109,10 @@
     piece.refusal = m_refusal;
   }
   Trim();
-  const Wake taken = size > 0 ? m_taken : Wake();
+  const Wake on_read = size > 0 ? m_on_read : Wake();
   lock.unlock();
-  if (taken) {
-    taken();
+  if (on_read) {
+    on_read();
   }
   return piece;
 }
@@ -128,7 +127,7 @@
   return m_state;
 }
 
-size_t Answer::Lag() const {
+size_t Answer::UnreadBytes() const {
   const std::scoped_lock lock(m_mutex);
   size_t lag = 0;
   for (const auto& [id, reader] : m_readers) {
@@ -137,14 +136,14 @@
   return lag;
 }
 
-size_t Answer::HeldBytes() const {
+size_t Answer::BufferedBytes() const {
   const std::scoped_lock lock(m_mutex);
   return m_bytes.size();
 }
 
-void Answer::OnTaken(Wake wake) {
+void Answer::SetReadCallback(Wake wake) {
   const std::scoped_lock lock(m_mutex);
-  m_taken = std::move(wake);
+  m_on_read = std::move(wake);
 }
 
 void Answer::WakeReaders(std::unique_lock<std::mutex> lock) {
@@ -154,17 +153,17 @@
     wakes.push_back(reader.wake);
   }
   lock.unlock();
-  // Outside of the lock: a reader may call back at once.
+  // Called without the lock, because a reader may call back immediately.
   for (const Wake& wake : wakes) {
     wake();
   }
 }
 
 void Answer::Trim() {
-  // An answer within its bound is kept from its first byte, so that a caller
-  // that repeats the request gets it whole. One past the bound is relayed but
-  // can no longer be joined: half of it would look like an answer. Before its
-  // first reader has come, nothing is given up.
+  // An answer within the limit is kept from its first byte, so that a repeated
+  // request gets the complete answer. A larger one is relayed but can no longer
+  // be joined, because a part of it could be taken for the complete answer.
+  // Nothing is dropped before the first reader has subscribed.
   const bool has_had_readers = m_next_reader > 1;
   if (End() <= m_keep_limit || !has_had_readers) {
     return;
--- a/src/net/caller_session.cc
+++ b/src/net/caller_session.cc
@@ -14,8 +14,9 @@
 namespace asio = boost::asio;
 
 constexpr size_t kPieceBytes = size_t{64} * 1024;
-// How long a refused sender may go on sending before the connection is reset.
-constexpr std::chrono::milliseconds kLinger{2000};
+// Time that a refused sender may continue sending before the connection is
+// reset.
+constexpr std::chrono::milliseconds kLingerTimeout{2000};
 
 }  // namespace
 
@@ -71,8 +72,8 @@
   HttpRequest request = core::TakeValue(std::move(result));
   m_busy = true;
   m_head_sent = false;
-  m_last = false;
-  m_cut = false;
+  m_ends_exchange = false;
+  m_truncated = false;
   m_body.clear();
   m_http_1_0 = request.http_1_0;
   m_options.omit_body = request.method == "HEAD";
@@ -81,7 +82,7 @@
   m_request = exchange.request;
   m_answer = std::make_unique<AnswerReader>(
       std::move(exchange.answer), [weak = weak_from_this(), this] {
-        // Any thread may call; only this session's may read.
+        // May be called on any thread; reading is allowed only on this one's.
         asio::post(m_context, [weak] {
           if (const auto self = weak.lock()) {
             self->Wake();
@@ -89,7 +90,7 @@
         });
       });
   WatchForClose();
-  Pump();
+  SendAvailable();
 }
 
 void CallerSession::Reject(const core::Error& error) {
@@ -98,10 +99,10 @@
   m_busy = true;
   m_options = {.close = true, .omit_body = false};
   m_answer = nullptr;
-  WriteWhole(RefusalHead(refusal), RefusalJson(refusal));
+  WriteResponse(RefusalHead(refusal), RefusalJson(refusal));
 }
 
-// ---- While a request is in progress ----------------------------------------
+// ---- Request in progress --------------------------------------------------
 
 void CallerSession::WatchForClose() {
   if (m_watching) {
@@ -118,23 +119,23 @@
 }
 
 void CallerSession::OnReadable() {
-  // Bytes instead of the end: the next request, sent early. It is read after
-  // this one is answered; until then a failing write tells of a caller's end.
+  // Received bytes are the next, pipelined request. It is read after this one
+  // is answered; until then only a failed write shows that the caller is gone.
   if (m_busy && m_answer && IsClosedByPeer(m_socket)) {
-    LoseCaller();
+    HandleDisconnect();
   }
 }
 
 void CallerSession::Wake() {
   if (m_busy && m_answer && !m_writing) {
-    Pump();
+    SendAvailable();
   }
 }
 
-void CallerSession::Pump() {
+void CallerSession::SendAvailable() {
   while (m_busy && m_answer && !m_writing) {
     const Answer::Piece piece = m_answer->Next(kPieceBytes);
-    if (!m_head_sent && !PumpHead(piece)) {
+    if (!m_head_sent && !SendHead(piece)) {
       const bool more = !piece.bytes.empty();
       if (more) {
         continue;
@@ -144,21 +145,21 @@
     if (m_writing) {
       return;
     }
-    PumpStream(piece);
+    SendStream(piece);
     if (!m_writing) {
       return;
     }
   }
 }
 
-// @return whether the answer is a stream that `piece` is to be relayed of
-bool CallerSession::PumpHead(const Answer::Piece& piece) {
+// @return whether `piece` must be relayed as part of a stream
+bool CallerSession::SendHead(const Answer::Piece& piece) {
   if (piece.head) {
     m_head = *piece.head;
   }
   if (piece.state == Answer::State::kFailed) {
     m_options.close = m_options.close || m_hooks->draining();
-    WriteWhole(RefusalHead(*piece.refusal), RefusalJson(*piece.refusal));
+    WriteResponse(RefusalHead(*piece.refusal), RefusalJson(*piece.refusal));
     return false;
   }
   if (!piece.started) {
@@ -167,43 +168,43 @@
   if (piece.stream && !m_http_1_0) {
     return true;
   }
-  // Nothing of an answer in one piece is relayed before all of it is here: a
-  // part would be taken for the whole.
+  // An answer that is not streamed is relayed only when complete: a part could
+  // be taken for the complete answer.
   m_body += piece.bytes;
-  if (piece.state == Answer::State::kWhole) {
-    WriteWhole(m_head, m_body);
+  if (piece.state == Answer::State::kComplete) {
+    WriteResponse(m_head, m_body);
   }
   return false;
 }
 
-void CallerSession::PumpStream(const Answer::Piece& piece) {
+void CallerSession::SendStream(const Answer::Piece& piece) {
   std::string out;
   if (!m_head_sent) {
     m_head_sent = true;
-    out += WireStreamHead(m_head, m_options);
+    out += SerializeStreamHead(m_head, m_options);
   }
   if (!piece.bytes.empty()) {
-    out += WireChunk(piece.bytes);
+    out += SerializeChunk(piece.bytes);
   }
-  if (piece.state == Answer::State::kWhole) {
-    out += WireLastChunk();
-    m_last = true;
+  if (piece.state == Answer::State::kComplete) {
+    out += SerializeLastChunk();
+    m_ends_exchange = true;
   }
   if (piece.state == Answer::State::kFailed) {
-    // The caller has a part already. Only a missing end shows it that the
-    // answer is not whole, so there is no last chunk after the error event.
-    out += WireChunk(RefusalEvent(*piece.refusal));
-    m_last = true;
-    m_cut = true;
+    // The caller already has a part. Only a missing end shows that the answer
+    // is incomplete, so no last chunk follows the error event.
+    out += SerializeChunk(RefusalEvent(*piece.refusal));
+    m_ends_exchange = true;
+    m_truncated = true;
   }
   if (!out.empty()) {
     Write(std::move(out));
   }
 }
 
-void CallerSession::WriteWhole(const HttpHead& head, const std::string& body) {
-  m_last = true;
-  Write(WireResponse(head, body, m_options));
+void CallerSession::WriteResponse(const HttpHead& head, const std::string& body) {
+  m_ends_exchange = true;
+  Write(SerializeResponse(head, body, m_options));
 }
 
 void CallerSession::Write(std::string bytes) {
@@ -229,14 +230,14 @@
     return;
   }
   if (error) {
-    LoseCaller();
+    HandleDisconnect();
     return;
   }
-  if (m_last) {
+  if (m_ends_exchange) {
     EndExchange();
     return;
   }
-  Pump();
+  SendAvailable();
 }
 
 void CallerSession::EndExchange() {
@@ -244,34 +245,34 @@
   const bool had_request = m_answer != nullptr;
   m_answer = nullptr;
   if (had_request) {
-    m_hooks->served(m_thread, m_request);
+    m_hooks->answered(m_thread, m_request);
   }
-  if (m_options.close || m_cut || m_closing) {
-    CloseGently();
+  if (m_options.close || m_truncated || m_closing) {
+    CloseGracefully();
     return;
   }
   Run();
 }
 
-void CallerSession::LoseCaller() {
+void CallerSession::HandleDisconnect() {
   m_busy = false;
   const bool had_request = m_answer != nullptr;
   m_answer = nullptr;
   if (had_request) {
-    m_hooks->gone(m_thread, m_request);
+    m_hooks->disconnected(m_thread, m_request);
   }
   Close();
 }
 
-// ---- The end of the connection ---------------------------------------------
+// ---- Closing --------------------------------------------------------------
 
-void CallerSession::CloseGently() {
-  // Closing while the caller still sends makes the kernel reset the
-  // connection, and the caller may lose the answer that says why. So its input
-  // is discarded until it closes too, or for a while.
+void CallerSession::CloseGracefully() {
+  // Closing while the caller still sends makes the kernel reset the connection,
+  // and the caller may lose the answer with the reason. So its input is
+  // discarded until it closes too or kLingerTimeout has passed.
   ErrorCode ignored;
   m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-  m_deadline.Arm(kLinger, [weak = weak_from_this()] {
+  m_deadline.Arm(kLingerTimeout, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->Close();
     }
@@ -298,7 +299,7 @@
   ErrorCode ignored;
   m_socket.close(ignored);
   if (const auto closed = std::exchange(m_on_closed, nullptr)) {
-    // Posted: the owner drops this session, which is still in use here.
+    // Posted, because the owner destroys this session, which is still in use.
     asio::post(m_context, closed);
   }
 }
--- a/src/net/caller_session.h
+++ b/src/net/caller_session.h
@@ -12,14 +12,14 @@
 #include "coppervalve/net/answer_reader.h"
 #include "coppervalve/net/caller_server.h"
 #include "deadline.h"
-#include "wire.h"
+#include "http_serializer.h"
 
 namespace coppervalve::net {
 
-/// @brief One connection of a caller or operator: reads requests, writes their
-/// answers. Belongs to one traffic thread.
+/// @brief One connection of a caller or operator: reads requests and writes
+/// their answers. Used only on one traffic thread.
 ///
-/// Its owner keeps it until it says that it closed.
+/// The owner keeps it until `on_closed` is called.
 class CallerSession : public std::enable_shared_from_this<CallerSession> {
  public:
   CallerSession(boost::asio::io_context& context,
@@ -33,7 +33,7 @@
   ~CallerSession();
 
   void Run();
-  /// @brief Ends once the request in progress, if any, is answered.
+  /// @brief Closes once the request in progress, if any, is answered.
   void CloseWhenIdle();
 
  private:
@@ -45,16 +45,16 @@
   void WatchForClose();
   void OnReadable();
   void Wake();
-  void Pump();
-  bool PumpHead(const Answer::Piece& piece);
-  void PumpStream(const Answer::Piece& piece);
-  void WriteWhole(const HttpHead& head, const std::string& body);
+  void SendAvailable();
+  bool SendHead(const Answer::Piece& piece);
+  void SendStream(const Answer::Piece& piece);
+  void WriteResponse(const HttpHead& head, const std::string& body);
   void Write(std::string bytes);
   void OnWritten(const ErrorCode& error);
   void EndExchange();
-  void LoseCaller();
+  void HandleDisconnect();
 
-  void CloseGently();
+  void CloseGracefully();
   void DiscardInput();
   void Close();
 
@@ -71,13 +71,13 @@
   bool m_busy = false;
   core::RequestId m_request;
   std::unique_ptr<AnswerReader> m_answer;
-  WireOptions m_options;
+  ResponseOptions m_options;
   bool m_http_1_0 = false;
   bool m_head_sent = false;
   HttpHead m_head;
   std::string m_body;
-  bool m_last = false;  // what is being written ends the exchange
-  bool m_cut = false;   // ... without a proper end
+  bool m_ends_exchange = false;                 // the current write is the last of the exchange
+  bool m_truncated = false;  // the answer ended incomplete
   bool m_writing = false;
   std::string m_out;
 
--- a/src/net/detail/peer_connection.cc
+++ b/src/net/detail/peer_connection.cc
@@ -14,9 +14,9 @@
 using boost::system::error_code;
 
 constexpr size_t kWriteBatch = 64U << 10U;
-// After so many reads the other connections of the thread get their turn.
+// Reads in a row before the other connections of the thread are served.
 constexpr int kReadsPerTurn = 16;
-constexpr std::chrono::milliseconds kShortestTick{10};
+constexpr std::chrono::milliseconds kMinTick{10};
 
 core::Error Unreachable(std::string detail) {
   return core::Error{core::ErrorId::kPeerUnreachable, "connection",
@@ -35,7 +35,7 @@
       m_session(role, settings, std::move(hooks)),
       m_on_closed(std::move(on_closed)),
       m_timer(m_socket.executor()),
-      m_last_heard(Clock::now()) {}
+      m_last_received(Clock::now()) {}
 
 void PeerConnection::Start() {
   const error_code error = m_socket.Configure(m_settings.silence_deadline);
@@ -101,13 +101,13 @@
       Close(Unreachable(error.message()));
       return;
     }
-    Heard(bytes);
+    OnReceived(bytes);
   }
   Write();
 }
 
-void PeerConnection::Heard(size_t bytes) {
-  m_last_heard = Clock::now();
+void PeerConnection::OnReceived(size_t bytes) {
+  m_last_received = Clock::now();
   m_ping_sent.reset();
   if (m_finishing) {
     return;
@@ -119,9 +119,9 @@
   }
 }
 
-// Writes are made here and now instead of by an asynchronous operation, so
-// that the count of bytes that the kernel has is exact whenever the connection
-// fails: it decides between "not run" and "unknown".
+// Writes synchronously, so that the count of bytes accepted by the kernel is
+// exact whenever the connection fails: it decides between "not run" and
+// "unknown".
 void PeerConnection::Write() {
   while (m_open && !m_awaiting_writable && FillOut()) {
     error_code error;
@@ -173,48 +173,49 @@
   });
 }
 
-// Failure: closing a socket while bytes of the other side lie unread makes the
-// kernel send RST, which can destroy the end of an answer on its way; the other
-// side sees a cut answer. So only the sending half is closed here, and the rest
-// when the other side has closed too or the silence deadline has passed.
+// Closing a socket with unread received bytes makes the kernel send RST, which
+// can destroy the end of an answer in transit, so that the other side sees a
+// truncated answer. Therefore only the sending half is closed here; the rest is
+// closed when the other side has closed too or the silence deadline has passed.
 void PeerConnection::FinishIfDone() {
   if (!m_open || m_finishing || m_awaiting_writable || !m_session.Done()) {
     return;
   }
   m_finishing = true;
-  m_last_heard = Clock::now();
+  m_last_received = Clock::now();
   m_socket.ShutdownSend();
 }
 
 void PeerConnection::ArmTimer() {
   const auto grace = m_settings.silence_deadline - m_settings.ping_interval;
   const auto tick =
-      std::max(kShortestTick, std::min(grace, m_settings.ping_interval) / 2);
+      std::max(kMinTick, std::min(grace, m_settings.ping_interval) / 2);
   m_timer.expires_after(tick);
   m_timer.async_wait([weak = weak_from_this()](error_code error) {
     const auto self = weak.lock();
     if (error || !self || !self->m_open) {
       return;
     }
-    self->JudgeSilence();
+    self->CheckSilence();
     if (self->m_open) {
       self->ArmTimer();
     }
   });
 }
 
-// Failure: a middle box loses track of the connection and both ends wait for
-// ever, while new connections work. Each end judges by itself whether it hears
-// anything at all; the close fails the streams, and the next call opens a new
-// connection. When this process was paused, bytes may wait in the kernel: they
-// are read before the judgement, and a PING gets its full grace to be answered.
-void PeerConnection::JudgeSilence() {
+// A middlebox can drop the state of the connection: both ends would wait
+// forever, although new connections work. So each end checks on its own whether
+// it receives any data. Closing fails the streams, and the next call opens a
+// new connection. After a pause of this process, received bytes may still be in
+// the kernel: they are read before the check, and a PING gets its full time to
+// be answered.
+void PeerConnection::CheckSilence() {
   ReadAvailable();
   if (!m_open) {
     return;
   }
   const Clock::time_point now = Clock::now();
-  const auto silence = now - m_last_heard;
+  const auto silence = now - m_last_received;
   if (silence < m_settings.ping_interval) {
     return;
   }
--- a/src/net/detail/peer_connection.h
+++ b/src/net/detail/peer_connection.h
@@ -18,8 +18,9 @@
 
 namespace coppervalve::net::detail {
 
-/// @brief One connection: moves bytes between socket and session and closes the
-/// connection when it has gone silent. Everything runs on the socket's strand.
+/// @brief Transfers bytes between a socket and a session, and closes the
+/// connection when nothing is received for too long. Runs on the socket's
+/// strand.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
  public:
   using OnClosed = std::function<void(core::Error)>;
@@ -31,17 +32,17 @@
                  OnClosed on_closed);
 
   void Start();
-  /// @brief Writes soon what the session has to say.
+  /// @brief Schedules a write of the session's pending output.
   void Flush();
-  /// @brief Closes at once. on_closed follows, from a call of its own.
+  /// @brief Closes immediately. on_closed is called later, asynchronously.
   void Close(core::Error error);
 
   PeerSession& session() { return m_session; }
   bool open() const { return m_open; }
   boost::asio::any_io_executor executor() { return m_socket.executor(); }
-  /// @return bytes that the kernel took so far
+  /// @return bytes that the kernel has accepted so far
   uint64_t written() const { return m_written; }
-  /// @return bytes that the session produced so far
+  /// @return bytes that the session has produced so far
   uint64_t produced() const {
     return m_written + (m_out.size() - m_out_written);
   }
@@ -51,13 +52,13 @@
 
   void AwaitReadable();
   void ReadAvailable();
-  void Heard(size_t bytes);
+  void OnReceived(size_t bytes);
   void Write();
   bool FillOut();
   void AwaitWritable();
   void FinishIfDone();
   void ArmTimer();
-  void JudgeSilence();
+  void CheckSilence();
 
   PeerSocket m_socket;
   const PeerSettings m_settings;
@@ -68,7 +69,7 @@
   std::string m_out;
   size_t m_out_written = 0;
   uint64_t m_written = 0;
-  Clock::time_point m_last_heard;
+  Clock::time_point m_last_received;
   std::optional<Clock::time_point> m_ping_sent;
   bool m_open = true;
   bool m_finishing = false;
--- a/src/net/detail/peer_server_replies.cc
+++ b/src/net/detail/peer_server_replies.cc
@@ -7,7 +7,7 @@
 #include "peer_fields.h"
 #include "peer_server_connection.h"
 
-// The writing side of the answers to forwards.
+// Writing of the answers to forwards.
 namespace coppervalve::net::detail {
 namespace {
 
@@ -24,7 +24,7 @@
   return stream != nullptr && !stream->reply.ended() ? stream : nullptr;
 }
 
-HeaderList PeerServerConnection::ProvedReply(const Stream& stream,
+HeaderList PeerServerConnection::WithReplyProof(const Stream& stream,
                                              HeaderList fields) const {
   fields.emplace_back(kReplyProofField, m_shared->signer.ReplyProof(
                                             Find(stream.fields, kAuthField)));
@@ -36,7 +36,7 @@
   if (stream == nullptr || stream->head_sent) {
     return;
   }
-  const HeaderList fields = ProvedReply(*stream, EncodeReply(head));
+  const HeaderList fields = WithReplyProof(*stream, EncodeReply(head));
   const core::Status fits =
       CheckFields(fields, m_shared->settings.max_header_bytes);
   if (!core::IsOk(fits)) {
@@ -88,8 +88,8 @@
   m_connection->Flush();
 }
 
-// Failure: an answer breaks off in its middle. Ended in the ordinary way it
-// would look whole to the other router and its caller; a reset cannot.
+// An incomplete answer that ended normally would look complete to the other
+// router and its caller; a reset does not.
 void PeerServerConnection::AbortReply(StreamId id, const core::Error& error) {
   Stream* stream = LookupWritable(id);
   if (stream == nullptr) {
--- a/src/net/forward_relay.cc
+++ b/src/net/forward_relay.cc
@@ -10,7 +10,8 @@
 
 using Consumed = std::function<void()>;
 
-// Unread bytes of the caller at which the peer is no longer asked for more.
+// Bytes unread by the caller at which the relay stops requesting more from the
+// peer.
 constexpr size_t kHighWater = size_t{256} * 1024;
 
 class Relay : public std::enable_shared_from_this<Relay> {
@@ -28,7 +29,7 @@
     m_stream = HeaderValue(m_head.headers, "content-type")
                    .starts_with("text/event-stream");
     if (m_stream) {
-      m_answer->OnTaken([weak = weak_from_this()] {
+      m_answer->SetReadCallback([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
           self->ReleaseConsumed();
         }
@@ -56,13 +57,13 @@
   }
 
   void OnEnd(ForwardOutcome outcome) {
-    m_answer->OnTaken(nullptr);
-    if (outcome.whole && m_too_large) {
-      outcome.whole = false;
+    m_answer->SetReadCallback(nullptr);
+    if (outcome.complete && m_too_large) {
+      outcome.complete = false;
       outcome.error = {core::ErrorId::kPeerProtocol, "forward",
-                       "the answer exceeds its bound"};
+                       "the answer exceeds the size limit"};
     }
-    if (outcome.whole) {
+    if (outcome.complete) {
       m_answer->Start(m_head, m_stream);
       m_answer->Append(m_body);
       m_answer->Finish();
@@ -72,7 +73,7 @@
 
  private:
   void ReleaseConsumed() {
-    if (m_answer->Lag() > kHighWater) {
+    if (m_answer->UnreadBytes() > kHighWater) {
       return;
     }
     std::vector<Consumed> ready;
@@ -92,7 +93,7 @@
   bool m_stream = false;
   bool m_too_large = false;
   std::string m_body;
-  std::mutex m_mutex;  // the caller's thread releases what the peer's adds
+  std::mutex m_mutex;  // the peer's thread adds callbacks, the caller's removes them
   std::vector<Consumed> m_waiting;
 };
 
--- a/src/net/forward_writer.cc
+++ b/src/net/forward_writer.cc
@@ -24,23 +24,23 @@
     m_answer = std::make_unique<AnswerReader>(
         std::move(answer),
         [weak = weak_from_this(), &io = m_context] { Post(io, weak); });
-    // The reply keeps this writer alive until either side ended.
+    // The reply keeps this writer alive until either side has ended.
     m_reply->OnCancelled([self = shared_from_this()] {
       boost::asio::post(self->m_context, [self] { self->End(true); });
     });
-    Pump();
+    SendAvailable();
   }
 
  private:
   static void Post(boost::asio::io_context& io, std::weak_ptr<Writer> weak) {
     boost::asio::post(io, [weak = std::move(weak)] {
       if (const auto self = weak.lock()) {
-        self->Pump();
+        self->SendAvailable();
       }
     });
   }
 
-  void Pump() {
+  void SendAvailable() {
     while (m_answer && !m_waiting) {
       const Answer::Piece piece = m_answer->Next(kPieceBytes);
       if (piece.head) {
@@ -54,7 +54,7 @@
         return;
       }
       Relay(piece);
-      if (piece.state == Answer::State::kWhole) {
+      if (piece.state == Answer::State::kComplete) {
         m_reply->End();
         End(false);
         return;
@@ -72,7 +72,7 @@
     if (piece.bytes.empty()) {
       return;
     }
-    if (piece.state == Answer::State::kWhole) {
+    if (piece.state == Answer::State::kComplete) {
       m_reply->Body(piece.bytes, nullptr);
       return;
     }
@@ -81,7 +81,7 @@
       boost::asio::post(io, [weak] {
         if (const auto self = weak.lock()) {
           self->m_waiting = false;
-          self->Pump();
+          self->SendAvailable();
         }
       });
     });
@@ -89,7 +89,7 @@
 
   void Fail(const Refusal& refusal) {
     if (m_head_sent) {
-      // The other router states the failure to the caller.
+      // The other router reports the failure to the caller.
       m_reply->Abort(refusal.error);
     } else {
       const HttpHead head = RefusalHead(refusal);
--- a/src/net/operator_routes.h
+++ b/src/net/operator_routes.h
@@ -10,15 +10,15 @@
 
 namespace coppervalve::net {
 
-/// @brief What the operator port may do.
-struct OperatorDesk {
-  std::string token;  ///< empty: /admin is closed
+/// @brief Credentials and actions of the operator port.
+struct OperatorContext {
+  std::string token;  ///< empty: /admin rejects all requests
   std::function<void()> drain;
   std::function<std::string()> metrics_text;  ///< may be empty
 };
 
 /// @brief Answers a request on the operator port.
-Exchange RouteOperator(const OperatorDesk& desk,
+Exchange RouteOperator(const OperatorContext& context,
                        TrafficWorker& worker,
                        const HttpRequest& request);
 
--- a/src/net/peer_auth.cc
+++ b/src/net/peer_auth.cc
@@ -44,8 +44,8 @@
   return ToHex(std::span(mac).first(size));
 }
 
-// Time and nonce come first, so a proof made for one moment or stream says
-// nothing about another. Neither contains a line feed.
+// Time and nonce come before the text and contain no line feed, so that a proof
+// is valid only for one time and one stream.
 std::string ProofMac(std::string_view secret,
                      std::string_view time,
                      std::string_view nonce,
@@ -86,7 +86,7 @@
   return UnixSeconds(seconds);
 }
 
-core::Error Refused(std::string detail) {
+core::Error AuthError(std::string detail) {
   return core::Error{core::ErrorId::kPeerProtocol, "x-peer-auth",
                      std::move(detail)};
 }
@@ -99,7 +99,7 @@
                                            UnixSeconds now) const {
   std::array<unsigned char, kNonceBytes> random{};
   if (RAND_bytes(random.data(), kNonceBytes) != 1) {
-    return Refused("no random bytes for the nonce");
+    return AuthError("no random bytes for the nonce");
   }
   const std::string time = std::to_string(now.count());
   const std::string nonce = ToHex(random);
@@ -108,8 +108,8 @@
 }
 
 std::string PeerSigner::ReplyProof(std::string_view proof) const {
-  // The prefix differs from that of requests: no reply proof can be replayed
-  // as the proof of a request.
+  // The prefix differs from that of requests, so that a reply proof cannot be
+  // replayed as the proof of a request.
   std::string text("coppervalve peer reply\n");
   text.append(proof);
   return HmacHex(m_secret, text);
@@ -122,34 +122,34 @@
                                  UnixSeconds now) {
   const std::optional<ProofParts> parts = Split(proof);
   if (!parts) {
-    return Refused("malformed");
+    return AuthError("malformed");
   }
   const std::optional<UnixSeconds> time = ParseTime(parts->time);
   if (!time) {
-    return Refused("malformed time");
+    return AuthError("malformed time");
   }
-  // The MAC is judged first: strangers learn nothing of our clock and cannot
-  // fill the memory of nonces.
+  // The MAC is verified first, so that unauthenticated clients learn nothing
+  // about the clock and cannot fill the set of nonces.
   const std::string expected =
       ProofMac(m_secret, parts->time, parts->nonce, signed_text);
   if (!core::EqualSecrets(expected, parts->mac)) {
-    return Refused("made with another secret or for another request");
+    return AuthError("made with another secret or for another request");
   }
   if (*time > now + kMaxSkew || *time < now - kMaxSkew) {
-    return Refused("the clocks differ by more than 60 s");
+    return AuthError("the clocks differ by more than 60 s");
   }
-  if (!Remember(parts->nonce, now)) {
-    return Refused("nonce seen before, or too many nonces");
+  if (!RecordNonce(parts->nonce, now)) {
+    return AuthError("nonce seen before, or too many nonces");
   }
   return core::Ok();
 }
 
-bool PeerVerifier::Remember(std::string_view nonce, UnixSeconds now) {
-  // Failure: a recorded stream is sent again and a message or request counts
-  // twice. A proof is acceptable during at most 2 * kMaxSkew of our clock, and
-  // a nonce is kept for at least that long: the sets rotate no sooner, and a
-  // nonce stays through one whole rotation. When a set is full, refusing is the
-  // safe side; senders see it as a failed stream and may try later.
+bool PeerVerifier::RecordNonce(std::string_view nonce, UnixSeconds now) {
+  // Prevents a replayed stream from delivering a message or request twice. A
+  // proof is valid for at most 2 * kMaxSkew of the local clock. A nonce is kept
+  // at least that long: the sets rotate no sooner, and a nonce stays through
+  // one full rotation. A full set refuses, which is safe; senders see a failed
+  // stream and may retry later.
   constexpr UnixSeconds kPeriod = 2 * kMaxSkew + UnixSeconds(1);
   const core::Hash128 key = core::HashOf(nonce);
   const std::lock_guard lock(m_mutex);
--- a/src/net/peer_client.cc
+++ b/src/net/peer_client.cc
@@ -19,15 +19,15 @@
 using detail::PeerCall;
 using detail::PeerChannel;
 
-/// One peer address with the counts that bound it. The counts are taken in the
-/// calling thread, so that a full queue fails at once and never grows.
+/// One peer address with its counts of pending calls. They are updated in the
+/// calling thread, so that a call fails immediately when the queue is full.
 struct Peer {
   std::shared_ptr<PeerChannel> channel;
   std::atomic<size_t> messages{0};
   std::atomic<size_t> forwards{0};
 };
 
-bool Enter(std::atomic<size_t>& count, size_t limit) {
+bool TryIncrement(std::atomic<size_t>& count, size_t limit) {
   if (count.fetch_add(1) < limit) {
     return true;
   }
@@ -105,10 +105,10 @@
   }
 }
 
-// One stream a message instead of one long stream for all: each message gets
-// its own confirmation or failure, a lost one does not end the others, and the
-// repeated header fields are a few bytes each with HPACK. The price is that
-// messages may overtake each other, which their serials and ids allow for.
+// Uses one stream per message instead of one long stream for all: each message
+// gets its own confirmation or failure, a lost one does not affect the others,
+// and HPACK reduces the repeated header fields to a few bytes each. Messages
+// may therefore arrive out of order, which their serials and ids allow for.
 void PeerClient::SendMessage(
     const std::string& address,
     const v1::PeerMessage& message,
@@ -118,7 +118,7 @@
   call->path = detail::kMessagePath;
   call->body = message.SerializeAsString();
   call->callbacks.on_end = [on_failed](const ForwardOutcome& outcome) {
-    if (!outcome.whole && on_failed) {
+    if (!outcome.complete && on_failed) {
       on_failed(outcome.error);
     }
   };
@@ -128,7 +128,7 @@
     return;
   }
   if (m_impl->closing ||
-      !Enter(peer->messages, m_impl->settings.max_queued_messages)) {
+      !TryIncrement(peer->messages, m_impl->settings.max_queued_messages)) {
     peer->channel->Reject(
         call, Failed(core::ErrorId::kPeerUnreachable, address,
                      m_impl->closing ? "closing" : "message queue full"));
@@ -164,7 +164,7 @@
         call, Failed(core::ErrorId::kPeerUnreachable, address, "closing"));
     return handle;
   }
-  if (!Enter(peer->forwards, m_impl->settings.max_forwards)) {
+  if (!TryIncrement(peer->forwards, m_impl->settings.max_forwards)) {
     peer->channel->Reject(
         call, Failed(core::ErrorId::kQueueFull, address, "too many forwards"));
     return handle;
@@ -187,10 +187,10 @@
     boost::asio::post(m_impl->io, std::move(on_closed));
     return;
   }
-  const auto left = std::make_shared<std::atomic<size_t>>(peers.size());
+  const auto remaining = std::make_shared<std::atomic<size_t>>(peers.size());
   for (const auto& peer : peers) {
-    peer->channel->Close([left, on_closed] {
-      if (left->fetch_sub(1) == 1) {
+    peer->channel->Close([remaining, on_closed] {
+      if (remaining->fetch_sub(1) == 1) {
         on_closed();
       }
     });
--- a/src/net/platform_watch.cc
+++ b/src/net/platform_client.cc
@@ -1,4 +1,4 @@
-#include "platform_watch.h"
+#include "platform_client.h"
 
 #include <google/protobuf/util/json_util.h>
 
@@ -59,7 +59,8 @@
   if (status >= kOk && status < kRedirect) {
     return orders::SendOutcome::kDone;
   }
-  // A 408 or a 5xx may come after the engine has begun; other 4xx refuse.
+  // The engine may have started before it sent a 408 or 5xx; other 4xx mean
+  // that it refused the order.
   return status >= kBadRequest && status < kServerError &&
                  status != kRequestTimeout
              ? orders::SendOutcome::kRefused
@@ -70,7 +71,7 @@
   if (!core::IsOk(result) || core::Value(result).head.status != kOk) {
     return std::nullopt;
   }
-  // Unknown fields are the platform's business: it may add some at any time.
+  // Unknown fields are ignored, because the platform may add some at any time.
   google::protobuf::util::JsonParseOptions options;
   options.ignore_unknown_fields = true;
   v1::VmList list;
@@ -84,7 +85,7 @@
 
 }  // namespace
 
-struct PlatformWatch::Impl : std::enable_shared_from_this<PlatformWatch::Impl> {
+struct PlatformClient::Impl : std::enable_shared_from_this<PlatformClient::Impl> {
   Impl(boost::asio::io_context& a_context,
        const ShellSettings& a_settings,
        EventSink a_report)
@@ -101,8 +102,8 @@
                 if (!self) {
                   return;
                 }
-                // Without an answer the core keeps the last list, which is late
-                // anyway.
+                // Without an answer the core keeps the last list, which is
+                // outdated anyway.
                 if (auto vms = ParseList(result)) {
                   self->report(router::VmListRead{std::move(*vms)});
                 }
@@ -151,22 +152,22 @@
   std::unordered_map<size_t, std::unique_ptr<HttpChannel>> calls;
 };
 
-PlatformWatch::PlatformWatch(boost::asio::io_context& context,
+PlatformClient::PlatformClient(boost::asio::io_context& context,
                              const ShellSettings& settings,
                              EventSink report)
     : m_impl(std::make_shared<Impl>(context, settings, std::move(report))) {}
 
-PlatformWatch::~PlatformWatch() = default;
+PlatformClient::~PlatformClient() = default;
 
-void PlatformWatch::Start() {
+void PlatformClient::Start() {
   if (!m_impl->settings.vm_list_address.empty()) {
     m_impl->AskForList();
   }
 }
 
-void PlatformWatch::Probe(const router::ProbeUpstream& action) {
-  // A connection of its own for each probe: a kept one might be dead in the
-  // middle while new ones work, and the probe is to judge the upstream.
+void PlatformClient::Probe(const router::ProbeUpstream& action) {
+  // Each probe uses a new connection: on a reused one, a broken network path
+  // could be mistaken for a failure of the upstream.
   const size_t id = m_impl->next_call++;
   auto& channel = m_impl->calls[id];
   channel = std::make_unique<HttpChannel>(m_impl->context, action.address,
@@ -181,7 +182,7 @@
       });
 }
 
-void PlatformWatch::Send(const router::SendOrder& action) {
+void PlatformClient::Send(const router::SendOrder& action) {
   const size_t id = m_impl->next_call++;
   auto& channel = m_impl->calls[id];
   channel = std::make_unique<HttpChannel>(m_impl->context, action.address,
--- a/src/net/shell.cc
+++ b/src/net/shell.cc
@@ -16,7 +16,7 @@
 #include "forward_writer.h"
 #include "log_transport.h"
 #include "operator_routes.h"
-#include "platform_watch.h"
+#include "platform_client.h"
 #include "socket_util.h"
 #include "traffic_worker.h"
 
@@ -26,7 +26,7 @@
 
 constexpr std::chrono::milliseconds kClosePoll{5};
 
-// Requests of two processes must never share a name, also after a restart.
+// Makes request ids unique across processes and restarts.
 std::string RequestPrefix(const ShellSettings& settings) {
   const auto ticks =
       std::chrono::system_clock::now().time_since_epoch().count();
@@ -48,7 +48,7 @@
             [this](core::TimePoint now, const router::Event& event) {
               return Handle(now, event);
             },
-            [this](router::Action action) { Carry(std::move(action)); }),
+            [this](router::Action action) { Execute(std::move(action)); }),
         platform(pool.Context(kPlatformThread), settings, Sink()),
         log(pool.Context(kPlatformThread), settings, Sink()),
         callers(pool, CallerPort(), settings.caller),
@@ -64,25 +64,26 @@
           pool.Context(thread), thread, pool.size(), shared));
     }
     actions = std::make_unique<ActionRouter>(
-        ActionOwners{&pool, &workers, &log, &platform, peers.get(), &answers,
+        ActionTargets{&pool, &workers, &log, &platform, peers.get(), &answers,
                      Sink(), hooks.log, [this] { OnExit(); }});
-    desk = {settings.operator_token, [this] { Drain(); }, hooks.metrics_text};
+    operator_context = {settings.operator_token, [this] { Drain(); }, hooks.metrics_text};
   }
 
   ~Impl() {
     Stop();
-    // The links close by tasks on their thread, which has ended.
+    // The links are closed by tasks on a thread that has ended, so the tasks
+    // are run here.
     shared.peers = nullptr;
     peer_server.reset();
     peers.reset();
-    pool.Settle();
+    pool.RunRemainingTasks();
   }
 
   EventSink Sink() {
     return [this](router::Event event) { control.Post(std::move(event)); };
   }
 
-  // ---- The control thread --------------------------------------------------
+  // ---- Control thread -----------------------------------------------------
 
   std::vector<router::Action> Handle(core::TimePoint now,
                                      const router::Event& event) {
@@ -92,21 +93,21 @@
     return hooks.handler(now, event);
   }
 
-  void Carry(router::Action action) {
+  void Execute(router::Action action) {
     if (hooks.on_action) {
       hooks.on_action(BootNow(), action);
     }
-    actions->Carry(std::move(action));
+    actions->Execute(std::move(action));
   }
 
-  // ---- Ports ---------------------------------------------------------------
+  // ---- Ports --------------------------------------------------------------
 
   CallerHooks PortHooks() {
     CallerHooks port;
-    port.gone = [this](size_t thread, core::RequestId request) {
+    port.disconnected = [this](size_t thread, core::RequestId request) {
       workers[thread]->OnCallerGone(request);
     };
-    port.served = [this](size_t thread, core::RequestId request) {
+    port.answered = [this](size_t thread, core::RequestId request) {
       workers[thread]->OnServed(request);
     };
     port.rejected = [this](const core::Error& error) {
@@ -129,7 +130,7 @@
   CallerHooks OperatorPort() {
     CallerHooks port = PortHooks();
     port.accept = [this](size_t thread, const HttpRequest& request) {
-      return RouteOperator(desk, *workers[thread], request);
+      return RouteOperator(operator_context, *workers[thread], request);
     };
     return port;
   }
@@ -149,7 +150,7 @@
     const auto endpoint = ParseEndpoint(settings.peer_listen);
     if (!endpoint) {
       return core::Error{core::ErrorId::kSettingBadValue, settings.peer_listen,
-                         "an ip:port is needed"};
+                         "must have the form ip:port"};
     }
     PeerServerCallbacks callbacks;
     callbacks.on_message = [this](v1::PeerMessage message) {
@@ -170,7 +171,7 @@
     return peer_server->Listen();
   }
 
-  // ---- Requests that a peer forwards ---------------------------------------
+  // ---- Forwarded requests -------------------------------------------------
 
   void OnForward(ForwardHead head,
                  std::string body,
@@ -187,9 +188,9 @@
                      const std::string& body,
                      const std::shared_ptr<ForwardReply>& reply) {
     TrafficWorker& worker = *workers[thread];
-    // Meant for an earlier process at this address: a key that only that one
-    // may run would otherwise run here a second time.
-    const bool meant_for_us =
+    // Refuses a forward to an earlier process at this address: a request with
+    // an idempotency key that only that process may run could run here again.
+    const bool addressed_to_us =
         !hooks.incarnation || hooks.incarnation() == head.to_incarnation;
     HttpRequest request;
     request.method = head.method;
@@ -200,7 +201,7 @@
       request.headers.emplace_back("idempotency-key", head.idempotency_key);
     }
     const Exchange exchange =
-        meant_for_us ? worker.Accept(std::move(request), head.account)
+        addressed_to_us ? worker.Accept(std::move(request), head.account)
                      : worker.RefuseNow({core::ErrorId::kOriginGone,
                                          "incarnation", "it has ended"});
     WriteForwardReply(pool.Context(thread), exchange.answer, reply,
@@ -213,7 +214,7 @@
                       });
   }
 
-  // ---- The end -------------------------------------------------------------
+  // ---- Shutdown -----------------------------------------------------------
 
   void Drain() {
     if (!draining.exchange(true)) {
@@ -238,11 +239,11 @@
     if (peer_server) {
       peer_server->Close([peers_closed] { *peers_closed = true; });
     }
-    // The core's drain is complete, but answers may still be on their way out
-    // of this process: ending now would cut them off.
-    const auto patience =
-        std::chrono::steady_clock::now() + settings.close_patience;
-    while (std::chrono::steady_clock::now() < patience) {
+    // The core's drain is complete, but answers may still be being written;
+    // stopping now would truncate them.
+    const auto deadline =
+        std::chrono::steady_clock::now() + settings.close_timeout;
+    while (std::chrono::steady_clock::now() < deadline) {
       const bool open = callers.OpenConnections() > 0 ||
                         operators.OpenConnections() > 0 || !*peers_closed;
       if (!open) {
@@ -265,11 +266,12 @@
   std::condition_variable exit_signal;
   bool exiting = false;
 
-  // What follows is destroyed in reverse: first whoever uses the threads.
+  // The members below are destroyed in reverse order: users of the threads go
+  // before the thread pool.
   AnswerStore answers;
   IoPool pool;
   ControlLoop control;
-  PlatformWatch platform;
+  PlatformClient platform;
   LogTransport log;
   CallerServer callers;
   CallerServer operators;
@@ -279,7 +281,7 @@
   std::unique_ptr<PeerServer> peer_server;
   std::atomic<size_t> next_forward_thread{0};
   std::unique_ptr<ActionRouter> actions;
-  OperatorDesk desk;
+  OperatorContext operator_context;
 };
 
 Shell::Shell(ShellSettings settings, ShellHooks hooks)
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -9,7 +9,7 @@
 #include "coppervalve/net/clock.h"
 #include "coppervalve/net/model_json.h"
 #include "forward_relay.h"
-#include "outgoing.h"
+#include "outgoing_request.h"
 
 namespace coppervalve::net {
 
@@ -21,7 +21,7 @@
 constexpr unsigned kUnavailable = 503;
 constexpr std::string_view kActivePhase = "active";
 constexpr std::chrono::seconds kSweepInterval{60};
-// Longer than any queue holds a request.
+// Longer than a request can stay in any queue.
 constexpr std::chrono::minutes kAbandonedAfter{15};
 
 HttpHead JsonHead(unsigned status) {
@@ -42,7 +42,7 @@
 
 TrafficWorker::~TrafficWorker() = default;
 
-// ---- Taking requests in ----------------------------------------------------
+// ---- Accepting requests ---------------------------------------------------
 
 Exchange TrafficWorker::Accept(HttpRequest http,
                                const std::optional<core::AccountId>& account) {
@@ -99,7 +99,7 @@
   if (!entry) {
     return;
   }
-  entry->caller_gone = BootNow();
+  entry->disconnected_at = BootNow();
   DropIfAbandoned(request);
 }
 
@@ -110,24 +110,24 @@
   }
 }
 
-// ---- Carrying out actions --------------------------------------------------
+// ---- Executing actions ----------------------------------------------------
 
-void TrafficWorker::Carry(const router::Dispatch& action) {
+void TrafficWorker::Execute(const router::Dispatch& action) {
   Entry* entry = Find(action.request);
   if (!entry || entry->joined) {
-    RefuseDispatch(action, "the request is over");
+    RefuseDispatch(action, "the request has ended");
     return;
   }
   if (entry->answer->started()) {
-    // A second attempt would be written behind the first one's part.
-    RefuseDispatch(action, "the caller has part of an answer");
+    // The output of a second attempt would be appended to that of the first.
+    RefuseDispatch(action, "the caller already has part of an answer");
     return;
   }
   std::optional<AttemptPlan> plan =
       PlanAttempt({entry->http, entry->stream, entry->wants_usage}, action,
                   *m_shared.settings, m_shared.request_prefix);
   if (!plan) {
-    RefuseDispatch(action, "the body can't be rewritten");
+    RefuseDispatch(action, "the body cannot be rewritten");
     return;
   }
   entry->attempt = std::make_unique<UpstreamAttempt>(
@@ -138,18 +138,18 @@
       });
 }
 
-void TrafficWorker::Carry(const router::Refuse& action) {
+void TrafficWorker::Execute(const router::Refuse& action) {
   Entry* entry = Find(action.request);
   if (!entry) {
     return;
   }
   entry->answer->Fail({action.error, action.run_state, action.retry_after});
-  // The core keeps refusals in mind itself and has nobody join one.
-  m_shared.answers->Forget(action.request);
+  // The core records refusals itself and lets no request join one.
+  m_shared.answers->Remove(action.request);
   Erase(action.request);
 }
 
-void TrafficWorker::Carry(const router::JoinAnswer& action,
+void TrafficWorker::Execute(const router::JoinAnswer& action,
                           std::shared_ptr<Answer> leader) {
   Entry* entry = Find(action.request);
   if (!entry) {
@@ -157,19 +157,19 @@
   }
   if (!leader) {
     entry->answer->Fail(
-        RefusalOf({ErrorId::kAnswerExpired, "answer", "it is no longer kept"}));
+        RefusalOf({ErrorId::kAnswerExpired, "answer", "the answer is no longer stored"}));
     Erase(action.request);
     return;
   }
-  // What is kept under the joiner's own number would never be filled.
-  m_shared.answers->Forget(action.request);
+  // The answer stored under the joining request's own id would stay empty.
+  m_shared.answers->Remove(action.request);
   entry->joined = true;
   entry->http = HttpRequest();
   entry->answer->RedirectTo(std::move(leader));
   DropIfAbandoned(action.request);
 }
 
-void TrafficWorker::Carry(const router::Forward& action) {
+void TrafficWorker::Execute(const router::Forward& action) {
   Entry* entry = Find(action.request);
   if (!entry || !m_shared.peers) {
     m_shared.report(router::ForwardEnded{action.request, false, false, false});
@@ -187,7 +187,7 @@
       entry->http.body, std::move(callbacks));
 }
 
-void TrafficWorker::Carry(const router::CancelAttempt& action) {
+void TrafficWorker::Execute(const router::CancelAttempt& action) {
   Entry* entry = Find(action.request);
   if (!entry) {
     return;
@@ -201,7 +201,7 @@
   DropIfAbandoned(action.request);
 }
 
-void TrafficWorker::Carry(const router::ReplyJson& action) {
+void TrafficWorker::Execute(const router::ReplyJson& action) {
   Entry* entry = Find(action.request);
   if (!entry) {
     return;
@@ -219,15 +219,15 @@
   Erase(action.request);
 }
 
-void TrafficWorker::Carry(const router::ForgetAnswer& action) {
-  m_shared.answers->Forget(action.request);
+void TrafficWorker::Execute(const router::ForgetAnswer& action) {
+  m_shared.answers->Remove(action.request);
   const Entry* entry = Find(action.request);
-  if (entry && entry->caller_gone) {
+  if (entry && entry->disconnected_at) {
     Erase(action.request);
   }
 }
 
-// ---- What attempts and forwards report -------------------------------------
+// ---- Reports of attempts and forwards -------------------------------------
 
 void TrafficWorker::OnAttemptEvent(core::RequestId request,
                                    core::AttemptId attempt,
@@ -252,14 +252,14 @@
   Entry* entry = Find(request);
   const bool relayed = entry && entry->answer->started();
   m_shared.report(
-      router::ForwardEnded{request, outcome.whole, outcome.sent, relayed});
+      router::ForwardEnded{request, outcome.complete, outcome.sent, relayed});
   if (!entry) {
     return;
   }
   entry->forward.reset();
-  if (outcome.whole) {
-    // The peer that ran it keeps it for callers that come again.
-    m_shared.answers->Forget(request);
+  if (outcome.complete) {
+    // The peer that ran the request stores its answer for repeated requests.
+    m_shared.answers->Remove(request);
     Erase(request);
     return;
   }
@@ -274,10 +274,10 @@
       {ErrorId::kBadRequest, "dispatch", std::move(detail)}});
 }
 
-// ---- Bookkeeping -----------------------------------------------------------
+// ---- Bookkeeping ----------------------------------------------------------
 
 core::RequestId TrafficWorker::NextId() {
-  // The number names the owning thread, so that an action finds its way there.
+  // The id encodes the owning thread, to which actions are routed.
   return core::RequestId(m_next++ * m_threads + m_thread);
 }
 
@@ -292,11 +292,12 @@
 
 void TrafficWorker::DropIfAbandoned(core::RequestId request) {
   const Entry* entry = Find(request);
-  if (!entry || !entry->caller_gone) {
+  if (!entry || !entry->disconnected_at) {
     return;
   }
-  // A keyed request without its caller goes on: a retry may fetch its answer.
-  // The core ends it by an answer, a refusal or ForgetAnswer.
+  // A request with an idempotency key continues without its caller, because a
+  // retry may fetch its answer. The core ends it by an answer, a refusal or
+  // ForgetAnswer.
   const bool idle = !entry->attempt && !entry->forward;
   if (entry->joined || (!entry->keyed && idle)) {
     Erase(request);
@@ -314,17 +315,17 @@
 }
 
 void TrafficWorker::Sweep() {
-  // The core tells those who wait how a request ended. Of a keyed one whose
-  // caller and joiners have all gone it need tell nobody, so its body would
-  // stay here for good. Should the core dispatch it after all, it hears that
-  // nothing was sent.
+  // The core reports the end of a request only to waiting callers. If the
+  // caller and all joined callers of a keyed request have disconnected, its
+  // body would stay here forever. If the core still dispatches it later, it is
+  // told that nothing was sent.
   const core::TimePoint oldest = BootNow() - kAbandonedAfter;
   for (auto it = m_requests.begin(); it != m_requests.end();) {
     const Entry& entry = it->second;
-    const bool abandoned = entry.caller_gone && *entry.caller_gone < oldest &&
+    const bool abandoned = entry.disconnected_at && *entry.disconnected_at < oldest &&
                            !entry.attempt && !entry.forward;
     if (abandoned) {
-      m_shared.answers->Forget(it->first);
+      m_shared.answers->Remove(it->first);
     }
     it = abandoned ? m_requests.erase(it) : std::next(it);
   }
--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr size_t kMaxIdlePerAddress = 32;
-// Shorter than the idle timeouts of common servers, which otherwise close the
-// connection at the moment that it is used again.
+// Shorter than the idle timeouts of common servers, which could otherwise close
+// the connection just as it is reused.
 constexpr std::chrono::seconds kMaxIdle{15};
 
 }  // namespace
 
-std::optional<boost::asio::ip::tcp::socket> UpstreamPool::Take(
+std::optional<boost::asio::ip::tcp::socket> UpstreamPool::Acquire(
     const std::string& address) {
   std::vector<Idle>& idle = m_idle[address];
   while (!idle.empty()) {
@@ -30,11 +30,11 @@
   return std::nullopt;
 }
 
-void UpstreamPool::Drop(const std::string& address) {
+void UpstreamPool::CloseAll(const std::string& address) {
   m_idle.erase(address);
 }
 
-void UpstreamPool::Put(const std::string& address,
+void UpstreamPool::Release(const std::string& address,
                        boost::asio::ip::tcp::socket socket) {
   std::vector<Idle>& idle = m_idle[address];
   if (idle.size() < kMaxIdlePerAddress) {
--- a/tests/net/unit-caller-input.cc
+++ b/tests/net/unit-caller-input.cc
@@ -14,7 +14,7 @@
   return text.find(part) != std::string::npos;
 }
 
-// What one connection gets back for these bytes.
+// Returns everything that one connection receives for these bytes.
 std::string Ask(TestShell& shell, const std::string& bytes) {
   RawSocket caller = shell.Caller();
   caller.Send(bytes);
@@ -54,14 +54,14 @@
 };
 // clang-format on
 
-TEST(CallerInput, a_refusal_says_why_and_when_to_come_back) {
+TEST(CallerInput, a_refusal_states_its_reason_and_when_to_retry) {
   const std::string answer = Ask(shell, ModelPost("hello"));
   CheckRefused(answer, "503", "CV-404");
   CHECK(Has(answer, "\"retry_after_ms\":1500"));
   CHECK(Has(answer, "retry-after: 2\r\n"));
 }
 
-TEST(CallerInput, a_request_reaches_the_core_with_what_its_rules_need) {
+TEST(CallerInput, a_request_reaches_the_core_with_all_fields_that_its_rules_use) {
   Ask(shell,
       Post(
           "/v1/chat/completions",
@@ -91,15 +91,15 @@
   STRCMP_EQUAL("/v1/services/seats/hold/7", event->path.c_str());
 }
 
-TEST(CallerInput, a_body_past_the_bound_is_refused_by_its_stated_length) {
-  // The caller states a length past the bound and starts to send. It gets a
-  // typed refusal at once; the router never holds the body.
+TEST(CallerInput, a_body_above_the_limit_is_refused_by_its_content_length) {
+  // The caller announces a length above the limit and starts to send. It gets a
+  // typed error immediately; the router never buffers the body.
   CheckRefused(Ask(shell, Post("/v1/completions", std::string(5000, 'x'))),
                "413", "CV-302");
   LONGS_EQUAL(0, shell.Count<router::RequestArrived>());
 }
 
-TEST(CallerInput, a_body_past_the_bound_is_refused_in_chunks_too) {
+TEST(CallerInput, a_chunked_body_above_the_limit_is_refused) {
   std::string bytes =
       "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
       "Transfer-Encoding: chunked\r\n\r\n";
@@ -114,16 +114,16 @@
                "CV-304");
 }
 
-TEST(CallerInput, json_nested_past_any_use_is_refused) {
-  // A body of opening brackets only would otherwise exhaust the parser's stack
-  // and end the process for all callers.
+TEST(CallerInput, json_that_is_nested_too_deeply_is_refused) {
+  // A body of only opening brackets would otherwise exhaust the parser's stack
+  // and crash the process.
   const std::string nested(2000, '[');
   CheckRefused(Ask(shell, Post("/v1/completions", nested)), "400", "CV-304");
 }
 
 TEST(CallerInput, fields_that_multiply_the_output_are_refused) {
-  // The budget reserves one output of max_tokens. Four choices would each
-  // spend that much, so the account would end past its budget.
+  // The budget reserves one output of max_tokens. Four choices would each spend
+  // that much, so the account would exceed its budget.
   for (const char* field : {R"("n":4)", R"("best_of":2)", R"("n":1.5)"}) {
     const std::string body =
         R"({"model":"m1","prompt":"x",)" + std::string(field) + "}";
@@ -141,9 +141,9 @@
                "400", "CV-301");
 }
 
-TEST(CallerInput, a_message_framed_twice_is_refused) {
-  // Two framings let two readers see two different requests in the same
-  // bytes: the second one would be run in another caller's name.
+TEST(CallerInput, a_message_with_two_framings_is_refused) {
+  // Request smuggling: with two framings, two readers see different requests in
+  // the same bytes, and the second one would run for another caller.
   CheckRefused(Ask(shell,
                    "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
                    "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -151,15 +151,16 @@
                "400", "CV-301");
 }
 
-TEST(CallerInput, a_header_past_the_bound_is_refused) {
+TEST(CallerInput, a_header_above_the_limit_is_refused) {
   CheckRefused(Ask(shell, "GET /v1/addresses HTTP/1.1\r\nHost: r\r\nX-Big: " +
                               std::string(20000, 'a') + "\r\n\r\n"),
                "431", "CV-303");
 }
 
 TEST(CallerInput, a_sender_that_stops_in_its_body_is_refused) {
-  // The caller sends half of its body and then nothing. Its connection would
-  // be held for ever; the refusal is truthful, as nothing was sent on.
+  // The caller sends half of its body and then nothing. Without the timeout its
+  // connection would stay open forever. The error may state that the request
+  // was not run, because nothing was sent to an upstream.
   TestShell impatient(RefuseAll, ImpatientSettings());
   CheckRefused(Ask(impatient,
                    "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
@@ -188,14 +189,14 @@
   CHECK(shell.WaitForCount<router::RequestArrived>(3));
 }
 
-TEST(CallerInput, requests_sent_at_once_are_answered_in_their_order) {
+TEST(CallerInput, pipelined_requests_are_answered_in_order) {
   RawSocket caller = shell.Caller();
   caller.Send(ModelPost("one") + ModelPost("two"));
   CheckRefused(caller.ReadMessage(), "503", "CV-404");
   CheckRefused(caller.ReadMessage(), "503", "CV-404");
 }
 
-TEST(CallerInput, a_caller_is_told_to_go_on_with_its_body) {
+TEST(CallerInput, a_caller_that_expects_100_continue_gets_it) {
   RawSocket caller = shell.Caller();
   const std::string request =
       ModelPost("hello", false, "Expect: 100-continue\r\n");
--- a/tests/net/unit-peer-link.cc
+++ b/tests/net/unit-peer-link.cc
@@ -29,7 +29,7 @@
   return message;
 }
 
-// Bytes that differ from place to place, so that a swap would show.
+// Bytes that depend on their position, so that reordering is detected.
 std::string Pattern(size_t size, char seed) {
   std::string text(size, seed);
   for (size_t i = 0; i < size; i += 7) {
@@ -47,7 +47,7 @@
   return {};
 }
 
-// Sends `body` in parts, each when the one before has been let through.
+// Sends `body` in parts, each after the previous one was sent.
 void StreamParts(const std::shared_ptr<ForwardReply>& reply,
                  const std::shared_ptr<std::string>& body,
                  size_t from) {
@@ -74,7 +74,7 @@
   PeerClient MakeClient() {
     return PeerClient(m_threads.io(), kSecret, m_settings);
   }
-  // A server that hands forwards to `answer`.
+  // A server that passes forwards to `answer`.
   PeerServer Answering(
       const std::function<void(std::shared_ptr<ForwardReply>)>& answer) {
     m_callbacks.on_forward = [answer](const ForwardHead&, const std::string&,
@@ -104,7 +104,7 @@
   CHECK_EQUAL(0, failed.load());
 }
 
-TEST(PeerLink, a_forward_and_its_answer_arrive_whole) {
+TEST(PeerLink, a_forward_and_its_answer_arrive_completely) {
   Awaited<ForwardHead> seen;
   Awaited<std::string> seen_body;
   m_callbacks.on_forward = [&](ForwardHead head, std::string body,
@@ -123,7 +123,7 @@
   client.StartForward(address, SomeHead("/v1/x?y=1"), "the body",
                       collector.Callbacks());
   const Answer answer = collector.Get();
-  CHECK_TRUE(answer.outcome.whole);
+  CHECK_TRUE(answer.outcome.complete);
   CHECK_TRUE(answer.outcome.sent);
   CHECK_EQUAL(429U, answer.head.status);
   CHECK_TRUE(answer.head.headers ==
@@ -140,7 +140,7 @@
   CHECK_EQUAL(std::string("the body"), seen_body.Get());
 }
 
-TEST(PeerLink, an_empty_answer_is_whole) {
+TEST(PeerLink, an_empty_answer_is_complete) {
   PeerServer server = Answering([](const std::shared_ptr<ForwardReply>& reply) {
     reply->Head(ReplyHead{204, {}});
     reply->End();
@@ -150,14 +150,14 @@
   AnswerCollector collector;
   client.StartForward(address, SomeHead(), "", collector.Callbacks());
   const Answer answer = collector.Get();
-  CHECK_TRUE(answer.outcome.whole);
+  CHECK_TRUE(answer.outcome.complete);
   CHECK_EQUAL(204U, answer.head.status);
 }
 
-// The caller behind the first router has part of an answer when the second
-// router gives up. It must see a cut answer, not a short one that looks whole:
-// the abort resets the stream, and the reset is no proper end.
-TEST(PeerLink, an_answer_that_is_aborted_in_its_middle_is_not_whole) {
+// The second router aborts when the caller of the first has part of the answer.
+// The caller must see a truncated answer, not a short one that looks complete:
+// the abort resets the stream, which is not a normal end.
+TEST(PeerLink, an_answer_that_is_aborted_midway_is_incomplete) {
   Awaited<std::shared_ptr<ForwardReply>> running;
   PeerServer server = Answering([&](std::shared_ptr<ForwardReply> reply) {
     reply->Head(ReplyHead{});
@@ -172,14 +172,14 @@
   running.Get()->Abort(
       core::Error{core::ErrorId::kUpstreamFailed, "engine-1", {}});
   const Answer answer = collector.Get();
-  CHECK_FALSE(answer.outcome.whole);
+  CHECK_FALSE(answer.outcome.complete);
   CHECK_TRUE(answer.outcome.sent);
   CHECK_TRUE(answer.outcome.error.id == core::ErrorId::kAnswerCut);
 }
 
-// A fault in the second router loses the reply object without an end. The
-// caller sees a cut answer instead of one that hangs or looks whole.
-TEST(PeerLink, an_answer_that_its_writer_drops_is_not_whole) {
+// A fault in the second router drops the reply object without ending it. The
+// caller sees a truncated answer instead of one that hangs or looks complete.
+TEST(PeerLink, an_answer_that_its_writer_drops_is_incomplete) {
   PeerServer server = Answering([](const std::shared_ptr<ForwardReply>& reply) {
     reply->Head(ReplyHead{});
     reply->Body("begun", {});
@@ -188,7 +188,7 @@
   PeerClient client = MakeClient();
   AnswerCollector collector;
   client.StartForward(address, SomeHead(), "q", collector.Callbacks());
-  CHECK_FALSE(collector.Get().outcome.whole);
+  CHECK_FALSE(collector.Get().outcome.complete);
 }
 
 // A process without the fleet's secret sends a message and a forward. Nothing
@@ -213,7 +213,7 @@
                       collector.Callbacks());
   CHECK_TRUE(failed.Get().id == core::ErrorId::kPeerProtocol);
   const Answer answer = collector.Get();
-  CHECK_FALSE(answer.outcome.whole);
+  CHECK_FALSE(answer.outcome.complete);
   CHECK_TRUE(answer.outcome.error.id == core::ErrorId::kPeerProtocol);
   CHECK_EQUAL(0, delivered.load());
   CHECK_EQUAL(2, refused.load());
@@ -238,15 +238,15 @@
   }
   for (size_t i = 0; i < kForwards; ++i) {
     const Answer answer = collectors[i].Get();
-    CHECK_TRUE(answer.outcome.whole);
+    CHECK_TRUE(answer.outcome.complete);
     CHECK_TRUE(answer.body == bodies[i]);
     CHECK_TRUE(HeaderOf(answer.head, "x-path") == "/" + std::to_string(i));
   }
 }
 
-TEST(PeerLink, a_full_message_queue_fails_at_once) {
+TEST(PeerLink, a_full_message_queue_fails_immediately) {
   m_settings.max_queued_messages = 2;
-  // Nobody accepts on this address for a while: the messages stay queued.
+  // No server accepts on this address for a while, so the messages stay queued.
   boost::asio::ip::tcp::acceptor mute(
       m_threads.io(), {boost::asio::ip::make_address(kLocalhost), 0});
   const std::string address = AddressOf(mute.local_endpoint().port());
@@ -276,14 +276,14 @@
   AnswerCollector collector;
   client.StartForward(address, SomeHead(), body, collector.Callbacks());
   const Answer answer = collector.Get();
-  CHECK_TRUE(answer.outcome.whole);
+  CHECK_TRUE(answer.outcome.complete);
   CHECK_TRUE(answer.body == body);
 }
 
 // A caller reads slowly. Its router stops confirming bytes, the window fills
-// and the writer at the other router is no longer asked for more, while other
-// forwards and messages on the same connection go on.
-TEST(PeerLink, a_reader_that_stalls_holds_back_its_own_writer_only) {
+// and the writer at the other router pauses, while other forwards and messages
+// on the same connection continue.
+TEST(PeerLink, a_stalled_reader_blocks_only_its_own_writer) {
   std::atomic<size_t> written{0};
   m_callbacks.on_forward = [&](const ForwardHead& head, const std::string&,
                                const std::shared_ptr<ForwardReply>& reply) {
@@ -292,7 +292,7 @@
       return;
     }
     reply->Head(ReplyHead{});
-    // Writes for ever, as long as it is asked to.
+    // Writes without end while more is requested.
     auto step = std::make_shared<std::function<void()>>();
     *step = [&written, reply, weak = std::weak_ptr(step)] {
       const auto again = weak.lock();
@@ -327,11 +327,11 @@
   // One stream window and one reply buffer, far from the 20 MiB of the others.
   CHECK_TRUE(written.load() < kMebibyte);
   handle.Cancel();
-  CHECK_FALSE(end.Get().whole);
+  CHECK_FALSE(end.Get().complete);
 }
 
-// The caller hangs up. Its router cancels the forward, and the other router is
-// told, so that it can stop the work.
+// The caller disconnects. Its router cancels the forward, and the other router
+// is told, so that it can stop the work.
 TEST(PeerLink, a_cancelled_forward_is_reported_at_both_ends) {
   Awaited<bool> cancelled;
   Awaited<std::shared_ptr<ForwardReply>> running;
@@ -349,12 +349,12 @@
   handle.Cancel();
   handle.Cancel();
   const Answer answer = collector.Get();
-  CHECK_FALSE(answer.outcome.whole);
+  CHECK_FALSE(answer.outcome.complete);
   CHECK_TRUE(answer.outcome.sent);
   CHECK_TRUE(cancelled.Get());
 }
 
-TEST(PeerLink, what_cannot_be_carried_is_refused_before_it_is_sent) {
+TEST(PeerLink, invalid_fields_and_oversized_data_are_refused_before_they_are_sent) {
   PeerServer server = Answering([](const std::shared_ptr<ForwardReply>&) {});
   const std::string address = Listen(server);
   PeerClient client = MakeClient();
@@ -388,7 +388,8 @@
 }
 
 // A router is told to stop while it answers a forward of a peer. The answer in
-// progress reaches its caller whole; what comes later is refused as not sent.
+// progress reaches its caller completely; later forwards are refused as not
+// sent.
 TEST(PeerLink, a_server_that_closes_finishes_the_answers_in_progress) {
   Awaited<std::shared_ptr<ForwardReply>> running;
   PeerServer server = Answering([&](std::shared_ptr<ForwardReply> reply) {
@@ -406,7 +407,7 @@
   CHECK_TRUE(closed.Pending());
   AnswerWhole(*reply, Pattern(kMebibyte, 'z'));
   const Answer answer = collector.Get();
-  CHECK_TRUE(answer.outcome.whole);
+  CHECK_TRUE(answer.outcome.complete);
   CHECK_TRUE(answer.body == Pattern(kMebibyte, 'z'));
   CHECK_TRUE(closed.Get());
   AnswerCollector late;
@@ -432,11 +433,11 @@
   client.StartForward(address, SomeHead(), "q", late.Callbacks());
   CHECK_FALSE(late.Get().outcome.sent);
   AnswerWhole(*reply, "done");
-  CHECK_TRUE(collector.Get().outcome.whole);
+  CHECK_TRUE(collector.Get().outcome.complete);
   CHECK_TRUE(closed.Get());
 }
 
-TEST(PeerLink, an_address_where_nobody_listens_is_unreachable_and_not_sent) {
+TEST(PeerLink, an_address_without_a_listener_is_unreachable_and_not_sent) {
   PeerClient client = MakeClient();
   for (const std::string& address :
        std::vector<std::string>{"127.0.0.1:1", "nonsense", "[::1"}) {
