--- a/apps/coppervalve/audit.cc
+++ b/apps/coppervalve/audit.cc
@@ -19,7 +19,7 @@
   uint64_t snapshots_matched = 0;
   std::unordered_map<core::BudgetId, Tokens> paid_in;
 
-  void Take(const std::vector<ledger::Effect>& effects) {
+  void CountEffects(const std::vector<ledger::Effect>& effects) {
     ++entries;
     for (const ledger::Effect& effect : effects) {
       if (std::holds_alternative<ledger::EntryIgnored>(effect)) {
@@ -35,19 +35,19 @@
   }
 };
 
-bool Conserved(const ledger::Budget& budget) {
+bool IsConserved(const ledger::Budget& budget) {
   return budget.free >= Tokens(0) && budget.held >= Tokens(0) &&
          budget.paid_in ==
              budget.free + budget.held + budget.billed + budget.written_off;
 }
 
 // @return the first budget that is off; empty when all are right
-std::string FirstBroken(const LogView& view, const Totals& totals) {
-  const bool whole = view.started_at() == core::LogOffset(0);
+std::string FindUnbalanced(const LogView& view, const Totals& totals) {
+  const bool complete = view.started_at() == core::LogOffset(0);
   for (const ledger::Budget* budget : view.fold().Budgets()) {
     const auto paid = totals.paid_in.find(budget->id);
     const Tokens seen = paid == totals.paid_in.end() ? Tokens(0) : paid->second;
-    if (!Conserved(*budget) || (whole && seen != budget->paid_in)) {
+    if (!IsConserved(*budget) || (complete && seen != budget->paid_in)) {
       return budget->id.value();
     }
   }
@@ -58,9 +58,9 @@
   return std::string(name) + " " + std::to_string(number) + "\n";
 }
 
-ExitCode PrintProof(const Session& session,
-                    const LogView& view,
-                    const Totals& totals) {
+ExitCode PrintReport(const Session& session,
+                     const LogView& view,
+                     const Totals& totals) {
   boost::json::array list;
   TextTable table(
       {"BUDGET", "PAID-IN", "= FREE", "+ HELD", "+ BILLED", "+ WRITTEN-OFF"});
@@ -101,10 +101,11 @@
 ExitCode Audit(const Session& session) {
   Totals totals;
   // The fold itself checks each entry; what it finds comes as a failed read.
-  const core::Result<LogView> read =
-      session.ReadLog(LogView::Start::kOldest,
-                      [&totals](core::LogOffset, const v1::Entry&,
-                                const auto& effects) { totals.Take(effects); });
+  const core::Result<LogView> read = session.ReadLog(
+      LogView::Start::kOldest,
+      [&totals](core::LogOffset, const v1::Entry&, const auto& effects) {
+        totals.CountEffects(effects);
+      });
   if (!core::IsOk(read)) {
     return session.printer().Fail(core::Failure(read));
   }
@@ -113,12 +114,12 @@
   if (!core::IsOk(recomputed)) {
     return session.printer().Fail(core::Failure(recomputed));
   }
-  const std::string broken = FirstBroken(view, totals);
-  if (!broken.empty()) {
+  const std::string unbalanced = FindUnbalanced(view, totals);
+  if (!unbalanced.empty()) {
     return session.printer().Fail(
-        {ErrorId::kAuditFailed, broken, "the balance does not add up"});
+        {ErrorId::kAuditFailed, unbalanced, "the balance does not add up"});
   }
-  return PrintProof(session, view, totals);
+  return PrintReport(session, view, totals);
 }
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/exit_code.h
+++ b/apps/coppervalve/exit_code.h
@@ -11,7 +11,7 @@
   kFailed = 1,       ///< refused, or a check failed
   kUsage = 2,        ///< the command line was wrong
   kUnreachable = 3,  ///< the log or a router did not answer
-  kLostRace = 4,     ///< another operator published first
+  kConflict = 4,     ///< another operator published first
 };
 
 /// @return how a command that failed with this error ends
@@ -25,7 +25,7 @@
     case core::ErrorId::kSettingBadValue:
       return ExitCode::kUsage;
     case core::ErrorId::kConfigConflict:
-      return ExitCode::kLostRace;
+      return ExitCode::kConflict;
     default:
       return ExitCode::kFailed;
   }
--- a/apps/coppervalve/log_client.cc
+++ b/apps/coppervalve/log_client.cc
@@ -14,41 +14,41 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr milliseconds kAttemptTimeout{2'000};
-constexpr milliseconds kPause{200};
+constexpr milliseconds kRetryDelay{200};
 constexpr unsigned kHttpOk = 200;
 constexpr size_t kReadBytes = size_t{4} << 20U;
 
-// Sends until an answer can be read as `Reply`, or patience runs out.
+// Sends until an answer can be read as `Reply`, or call_timeout runs out.
 template <typename Reply>
 core::Result<Reply> SendUntilAnswered(const HttpCall& call,
-                                      milliseconds patience) {
-  const Clock::time_point give_up = Clock::now() + patience;
+                                      milliseconds call_timeout) {
+  const Clock::time_point deadline = Clock::now() + call_timeout;
   while (true) {
     const core::Result<HttpReply> sent = Send(call);
-    std::string why;
+    std::string reason;
     if (core::IsOk(sent)) {
       const HttpReply& http = core::Value(sent);
       Reply reply;
       if (http.status == kHttpOk && reply.ParseFromString(http.body)) {
         return reply;
       }
-      why = "HTTP status " + std::to_string(http.status);
+      reason = "HTTP status " + std::to_string(http.status);
     } else if (core::Failure(sent).id == ErrorId::kOperatorUsage) {
       return core::Failure(sent);
     } else {
-      why = core::Failure(sent).detail;
+      reason = core::Failure(sent).detail;
     }
-    if (Clock::now() + kPause >= give_up) {
-      return core::Error{ErrorId::kLogUnavailable, call.address, why};
+    if (Clock::now() + kRetryDelay >= deadline) {
+      return core::Error{ErrorId::kLogUnavailable, call.address, reason};
     }
-    std::this_thread::sleep_for(kPause);
+    std::this_thread::sleep_for(kRetryDelay);
   }
 }
 
 }  // namespace
 
-LogClient::LogClient(std::string address, milliseconds patience)
-    : m_address(std::move(address)), m_patience(patience) {}
+LogClient::LogClient(std::string address, milliseconds call_timeout)
+    : m_address(std::move(address)), m_call_timeout(call_timeout) {}
 
 core::Result<core::LogOffset> LogClient::Append(const v1::Entry& entry) const {
   HttpCall call;
@@ -57,7 +57,7 @@
   call.target = "/log/append";
   call.body = entry.SerializeAsString();
   call.timeout = kAttemptTimeout;
-  const auto reply = SendUntilAnswered<v1::AppendReply>(call, m_patience);
+  const auto reply = SendUntilAnswered<v1::AppendReply>(call, m_call_timeout);
   if (!core::IsOk(reply)) {
     return core::Failure(reply);
   }
@@ -72,7 +72,7 @@
                 "&max_bytes=" + std::to_string(kReadBytes) +
                 "&wait_ms=" + std::to_string(wait.count());
   call.timeout = kAttemptTimeout + wait;
-  return SendUntilAnswered<v1::ReadReply>(call, m_patience);
+  return SendUntilAnswered<v1::ReadReply>(call, m_call_timeout);
 }
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/log_client.h
+++ b/apps/coppervalve/log_client.h
@@ -15,8 +15,8 @@
 class LogClient {
  public:
   /// @param address "ip:port"
-  /// @param patience how long an operation is repeated before it fails
-  LogClient(std::string address, std::chrono::milliseconds patience);
+  /// @param call_timeout how long an operation is repeated before it fails
+  LogClient(std::string address, std::chrono::milliseconds call_timeout);
 
   /// @brief Appends an entry, repeating it byte for byte while its outcome is
   /// unknown: the caller must have made it safe to fold twice.
@@ -31,7 +31,7 @@
 
  private:
   std::string m_address;
-  std::chrono::milliseconds m_patience;
+  std::chrono::milliseconds m_call_timeout;
 };
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/main.cc
+++ b/apps/coppervalve/main.cc
@@ -248,7 +248,7 @@
 
 int Run(Arguments& arguments) {
   arguments.options.json = arguments.output == "json";
-  arguments.options.patience = std::chrono::seconds(arguments.timeout_s);
+  arguments.options.call_timeout = std::chrono::seconds(arguments.timeout_s);
   const Session session(arguments.options);
   return static_cast<int>(arguments.command(session));
 }
--- a/apps/coppervalve/options.h
+++ b/apps/coppervalve/options.h
@@ -14,7 +14,7 @@
   std::string operator_name;
   std::string operator_token;
   bool json = false;
-  std::chrono::milliseconds patience{10'000};
+  std::chrono::milliseconds call_timeout{10'000};
 };
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/order_state.cc
+++ b/apps/coppervalve/order_state.cc
@@ -34,7 +34,7 @@
                        : "";
 }
 
-std::string Stakes(const ledger::Order& order) {
+std::string DescribeRisk(const ledger::Order& order) {
   return "order " + std::to_string(order.fencing.value()) + " to " +
          order.order.upstream() + " (" + TextOf(order.order) + ") is " +
          StateOf(order) + ", taken by " +
@@ -56,8 +56,8 @@
   return record;
 }
 
-core::Error WhyNot(const std::string& upstream,
-                   const std::optional<ledger::IgnoreReason>& reason) {
+core::Error SettleError(const std::string& upstream,
+                        const std::optional<ledger::IgnoreReason>& reason) {
   return {ErrorId::kOrderFenced, upstream,
           reason == ledger::IgnoreReason::kOrderUnderWay
               ? "its router lives and has still to state the outcome"
@@ -82,15 +82,16 @@
         for (const ledger::Effect& effect : effects) {
           settled =
               settled || std::get_if<ledger::OrderEnded>(&effect) != nullptr;
-          if (const auto* no = std::get_if<ledger::EntryIgnored>(&effect)) {
-            reason = no->reason;
+          if (const auto* ignored =
+                  std::get_if<ledger::EntryIgnored>(&effect)) {
+            reason = ignored->reason;
           }
         }
       });
   const std::string& upstream = order.order.upstream();
   if (!settled) {
     return session.printer().Fail(core::IsOk(appended)
-                                      ? WhyNot(upstream, reason)
+                                      ? SettleError(upstream, reason)
                                       : core::Failure(appended));
   }
   session.printer().Print({{"ok", true},
@@ -146,7 +147,7 @@
   return session.printer().Fail(
       {ErrorId::kOperatorUsage, "--yes", "nothing was settled without it"},
       {{"fencing_number", order.fencing.value()}, {"state", StateOf(order)}},
-      Stakes(order));
+      DescribeRisk(order));
 }
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/publish.cc
+++ b/apps/coppervalve/publish.cc
@@ -17,9 +17,9 @@
 using Clock = std::chrono::steady_clock;
 using Outcome = std::variant<ledger::ConfigAccepted, ledger::ConfigRejected>;
 
-constexpr milliseconds kPoll{500};
+constexpr milliseconds kPollInterval{500};
 /// How long a proposal is waited for when --wait gives no time.
-constexpr uint32_t kAcceptanceWaitS = 10;
+constexpr uint32_t kDefaultAcceptanceWaitS = 10;
 
 std::string VersionText(core::ConfigVersion version) {
   return "version " + std::to_string(version.value());
@@ -27,17 +27,17 @@
 
 // Keeps what became of one change. An append that was repeated stands in the
 // log twice; only the first copy decides, the second one loses against it.
-class OutcomeWatch {
+class OutcomeObserver {
  public:
-  explicit OutcomeWatch(std::string change_id)
+  explicit OutcomeObserver(std::string change_id)
       : m_change_id(std::move(change_id)) {}
 
   LogView::Observer Observer() {
     return [this](core::LogOffset, const v1::Entry&,
                   const std::vector<ledger::Effect>& effects) {
       for (const ledger::Effect& effect : effects) {
-        Take<ledger::ConfigAccepted>(effect);
-        Take<ledger::ConfigRejected>(effect);
+        StoreFirst<ledger::ConfigAccepted>(effect);
+        StoreFirst<ledger::ConfigRejected>(effect);
       }
     };
   }
@@ -46,7 +46,7 @@
 
  private:
   template <typename Kind>
-  void Take(const ledger::Effect& effect) {
+  void StoreFirst(const ledger::Effect& effect) {
     const auto* kind = std::get_if<Kind>(&effect);
     if (kind != nullptr && kind->change_id == m_change_id && !m_outcome) {
       m_outcome = *kind;
@@ -76,7 +76,7 @@
     const core::ConfigVersion based_on(
         m_arguments.based_on.value_or(in_force.value()));
     if (based_on != in_force) {
-      return LostRace(based_on, m_view.fold().config_operator());
+      return ReportConflict(based_on, m_view.fold().config_operator());
     }
     const core::Status successor =
         config::CheckSuccessor(*m_view.fold().configuration(), m_configuration);
@@ -98,19 +98,19 @@
     *published.mutable_configuration() = m_configuration;
     published.set_operator_name(m_session.options().operator_name);
     published.set_change_id(NewId());
-    OutcomeWatch watch(published.change_id());
+    OutcomeObserver outcome_observer(published.change_id());
     const core::Result<v1::Entry> entry =
         m_session.NewEntry(m_view, std::move(record));
     if (!core::IsOk(entry)) {
       return m_session.printer().Fail(core::Failure(entry));
     }
-    core::Status read =
-        m_session.AppendAndRead(m_view, core::Value(entry), watch.Observer());
+    core::Status read = m_session.AppendAndRead(m_view, core::Value(entry),
+                                                outcome_observer.Observer());
     if (core::IsOk(read)) {
-      read = AwaitOutcome(watch);
+      read = AwaitOutcome(outcome_observer);
     }
-    if (watch.outcome()) {
-      return Report(*watch.outcome());
+    if (outcome_observer.outcome()) {
+      return Report(*outcome_observer.outcome());
     }
     if (!core::IsOk(read)) {
       core::Error error = core::Failure(read);
@@ -129,13 +129,14 @@
 
   // A proposal comes into force once more than half of the voting routers have
   // read it, which takes a second unless many are cut off from the log.
-  core::Status AwaitOutcome(OutcomeWatch& watch) {
-    const Clock::time_point give_up =
-        Clock::now() +
-        std::chrono::seconds(m_arguments.wait_s.value_or(kAcceptanceWaitS));
+  core::Status AwaitOutcome(OutcomeObserver& outcome_observer) {
+    const Clock::time_point deadline =
+        Clock::now() + std::chrono::seconds(m_arguments.wait_s.value_or(
+                           kDefaultAcceptanceWaitS));
     core::Status read = core::Ok();
-    while (core::IsOk(read) && !watch.outcome() && Clock::now() < give_up) {
-      read = m_view.CatchUp(kPoll, watch.Observer());
+    while (core::IsOk(read) && !outcome_observer.outcome() &&
+           Clock::now() < deadline) {
+      read = m_view.CatchUp(kPollInterval, outcome_observer.Observer());
     }
     return read;
   }
@@ -147,7 +148,7 @@
     const auto& rejected = std::get<ledger::ConfigRejected>(outcome);
     switch (rejected.reason) {
       case ledger::ConfigRejection::kConflict:
-        return LostRace(rejected.based_on, rejected.winner_operator);
+        return ReportConflict(rejected.based_on, rejected.winner_operator);
       case ledger::ConfigRejection::kPrepaidShrinks:
         return m_session.printer().Fail(
             {ErrorId::kConfigPrepaidShrinks, "$.budgets",
@@ -163,7 +164,8 @@
                                      "refused by the fold of the log"});
   }
 
-  ExitCode LostRace(core::ConfigVersion based_on, const std::string& winner) {
+  ExitCode ReportConflict(core::ConfigVersion based_on,
+                          const std::string& winner) {
     const auto changes = Changes();
     if (changes.empty()) {
       return Finish(m_view.fold().config_version(), "already in force as ");
@@ -204,7 +206,7 @@
   }
 
   core::Status WaitUntilConfirmed(core::ConfigVersion version) {
-    const Clock::time_point give_up =
+    const Clock::time_point deadline =
         Clock::now() + std::chrono::seconds(*m_arguments.wait_s);
     while (true) {
       const std::string missing = Unconfirmed(version);
@@ -212,12 +214,12 @@
         return core::Ok();
       }
       const auto left =
-          std::chrono::duration_cast<milliseconds>(give_up - Clock::now());
+          std::chrono::duration_cast<milliseconds>(deadline - Clock::now());
       if (left <= milliseconds(0)) {
         return core::Error{ErrorId::kNotInForce, VersionText(version),
                            "not confirmed by " + missing};
       }
-      core::Status read = m_view.CatchUp(std::min(left, kPoll));
+      core::Status read = m_view.CatchUp(std::min(left, kPollInterval));
       if (!core::IsOk(read)) {
         return read;
       }
--- a/apps/coppervalve/release.cc
+++ b/apps/coppervalve/release.cc
@@ -62,7 +62,7 @@
   return found.front();
 }
 
-std::string Stakes(const Quarantine& one, const std::string& budget) {
+std::string DescribeRisk(const Quarantine& one, const std::string& budget) {
   const std::string tokens = std::to_string(one.holding.held().value());
   const std::string name = one.router.value() + " (incarnation " +
                            ToHex(one.incarnation.value()) + ")";
@@ -160,7 +160,7 @@
   return session.printer().Fail(
       {ErrorId::kOperatorUsage, "--yes", "nothing was released without it"},
       {{"at_stake", core::Value(chosen).holding.held().value()}},
-      Stakes(core::Value(chosen), arguments.budget));
+      DescribeRisk(core::Value(chosen), arguments.budget));
 }
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/router_client.cc
+++ b/apps/coppervalve/router_client.cc
@@ -23,7 +23,7 @@
   call.address = address;
   call.target = target;
   call.bearer_token = session.options().operator_token;
-  call.timeout = session.options().patience;
+  call.timeout = session.options().call_timeout;
   core::Result<HttpReply> reply = Send(call);
   if (!core::IsOk(reply)) {
     return reply;
--- a/apps/coppervalve/session.cc
+++ b/apps/coppervalve/session.cc
@@ -37,7 +37,7 @@
     return core::Error{ErrorId::kSettingMissing, "--log",
                        "give it or set COPPERVALVE_LOG"};
   }
-  LogView view(LogClient(m_options.log, m_options.patience));
+  LogView view(LogClient(m_options.log, m_options.call_timeout));
   const core::Status opened = view.Open(start, observer);
   if (!core::IsOk(opened)) {
     return core::Failure(opened);
--- a/apps/coppervalved/daemon.cc
+++ b/apps/coppervalved/daemon.cc
@@ -21,14 +21,14 @@
 
 namespace {
 
-constexpr unsigned kBitsOfSeed = 32;
-constexpr int kMinutesADay = 24 * 60;
+constexpr unsigned kSeedHalfBits = 32;
+constexpr int kMinutesPerDay = 24 * 60;
 
 pcg64 SeededGenerator() {
   std::random_device device;
   const uint64_t high = device();
   const uint64_t low = device();
-  return pcg64((high << kBitsOfSeed) | low);
+  return pcg64((high << kSeedHalfBits) | low);
 }
 
 // UTC minute of the day at a time of the decision clock.
@@ -36,7 +36,7 @@
   const auto wall = std::chrono::system_clock::now() + (time - net::BootNow());
   const auto minutes =
       std::chrono::duration_cast<std::chrono::minutes>(wall.time_since_epoch());
-  return static_cast<uint32_t>(minutes.count() % kMinutesADay);
+  return static_cast<uint32_t>(minutes.count() % kMinutesPerDay);
 }
 
 router::RouterSettings RouterSettingsOf(const Settings& settings) {
@@ -53,9 +53,9 @@
 }
 
 /// The decision core with what it needs of chance and the calendar.
-class Brain {
+class DecisionCore {
  public:
-  explicit Brain(const Settings& settings)
+  explicit DecisionCore(const Settings& settings)
       : m_generator(SeededGenerator()),
         m_core(RouterSettingsOf(settings),
                {[this] { return m_generator(); }, MinuteOfDay}),
@@ -100,10 +100,12 @@
   }).detach();
 }
 
-net::ShellHooks HooksOf(Brain& brain, telemetry::RouterMetrics& metrics) {
+net::ShellHooks HooksOf(DecisionCore& decision_core,
+                        telemetry::RouterMetrics& metrics) {
   net::ShellHooks hooks;
-  hooks.handler = [&brain](core::TimePoint now, const router::Event& event) {
-    return brain.Handle(now, event);
+  hooks.handler = [&decision_core](core::TimePoint now,
+                                   const router::Event& event) {
+    return decision_core.Handle(now, event);
   };
   hooks.on_event = [&metrics](core::TimePoint now, const router::Event& event) {
     metrics.OnEvent(now, event);
@@ -117,7 +119,7 @@
   };
   hooks.log = telemetry::WriteLine;
   hooks.metrics_text = [&metrics] { return metrics.Text(); };
-  hooks.incarnation = [&brain] { return brain.incarnation(); };
+  hooks.incarnation = [&decision_core] { return decision_core.incarnation(); };
   return hooks;
 }
 
@@ -139,8 +141,8 @@
   telemetry::OpenLog(settings.log_level);
   // Lives as long as the process: the waiting thread refers to it.
   static telemetry::RouterMetrics metrics;
-  static Brain brain(settings);
-  static net::Shell shell(settings.shell, HooksOf(brain, metrics));
+  static DecisionCore decision_core(settings);
+  static net::Shell shell(settings.shell, HooksOf(decision_core, metrics));
   core::Status started = shell.Start();
   if (!core::IsOk(started)) {
     return started;
--- a/apps/coppervalved/setting_table.cc
+++ b/apps/coppervalved/setting_table.cc
@@ -20,7 +20,7 @@
 constexpr const char* kListenRule = "ip:port or [ip]:port";
 constexpr const char* kReachRule =
     "ip:port that others can connect to, port not 0";
-constexpr const char* kDayOfMillis = "1 to 86400000 (ms)";
+constexpr const char* kMillisRule = "1 to 86400000 (ms)";
 constexpr int64_t kMillisADay = 86'400'000;
 
 bool IsName(const std::string& text) {
@@ -237,7 +237,7 @@
                             std::string help,
                             std::function<milliseconds&(Settings&)> field) {
     table.push_back({std::move(name), std::move(fallback), std::move(help),
-                     kDayOfMillis, false, false, Millis(std::move(field))});
+                     kMillisRule, false, false, Millis(std::move(field))});
   };
   add(
       "header-timeout-ms", "10000", "For the whole header of a request",
--- a/include/coppervalve/logclient/reader.h
+++ b/include/coppervalve/logclient/reader.h
@@ -65,7 +65,7 @@
   void OnFailed(core::TimePoint now);
 
   /// @brief The owner could not use the snapshot it was told to load: scan on.
-  void OnSnapshotRefused();
+  void OnSnapshotRejected();
 
   /// @return next offset to fold; while scanning, the one lost
   core::LogOffset next_offset() const { return m_next; }
@@ -95,13 +95,13 @@
   };
 
   core::Status CheckReply(const v1::ReadReply& reply) const;
-  ReadOutcome Follow(v1::ReadReply reply);
+  ReadOutcome TakeEntries(v1::ReadReply reply);
   ReadOutcome ContinueScan(const v1::ReadReply& reply);
-  void Examine(const v1::LoggedEntry& logged);
+  void ExamineEntry(const v1::LoggedEntry& logged);
   ReadOutcome FinishScan();
   core::LogOffset ReadPosition() const;
   void StartScan();
-  void RetryLater(core::TimePoint now);
+  void ScheduleRetry(core::TimePoint now);
 
   ReaderOptions m_options;
   Backoff m_backoff;
@@ -110,7 +110,7 @@
   core::LogOffset m_end;
   std::optional<Scan> m_scan;
   core::LogOffset m_loaded_from;
-  std::set<core::LogOffset> m_refused;
+  std::set<core::LogOffset> m_rejected_snapshots;
   std::optional<core::TimePoint> m_sent;
   std::optional<core::TimePoint> m_retry_at;
   std::optional<core::TimePoint> m_last_read_to_end;
--- a/include/coppervalve/logclient/snapshot_policy.h
+++ b/include/coppervalve/logclient/snapshot_policy.h
@@ -60,7 +60,7 @@
   core::RouterId m_self;
   SnapshotOptions m_options;
   core::LogOffset m_last_snapshot;
-  std::optional<core::TimePoint> m_turn;
+  std::optional<core::TimePoint> m_due_at;
 };
 
 }  // namespace coppervalve::logclient
--- a/include/coppervalve/logclient/writer.h
+++ b/include/coppervalve/logclient/writer.h
@@ -89,22 +89,22 @@
   /// @return time since the outstanding entry was first sent; zero if none is
   core::Duration OutstandingAge(core::TimePoint now) const;
   /// @return whether an append has been without outcome for too long
-  bool LogIsOut(core::TimePoint now) const;
+  bool LogIsUnavailable(core::TimePoint now) const;
   /// @return highest sequence handed out so far; 0 before the first entry
   core::Sequence last_sequence() const { return m_last_sequence; }
   /// @return highest sequence known to be in the log
-  core::Sequence settled_sequence() const { return m_settled_sequence; }
+  core::Sequence confirmed_sequence() const { return m_confirmed_sequence; }
   /// @return offset of the last acknowledged append, if any
   std::optional<core::LogOffset> last_offset() const { return m_last_offset; }
   /// @return entries known to be in the log
-  uint64_t appended_entries() const { return m_settled_sequence.value(); }
+  uint64_t appended_entries() const { return m_confirmed_sequence.value(); }
   /// @return sends, repeats included
   uint64_t sends() const { return m_sends; }
   /// @return bytes sent, repeats included
   core::Bytes bytes_sent() const { return m_bytes_sent; }
 
  private:
-  struct Waiting {
+  struct QueuedRecord {
     v1::Record record;
     core::Bytes size;
     Urgency urgency = Urgency::kRoutine;
@@ -119,7 +119,7 @@
 
   bool IsDue(core::TimePoint now) const;
   Outstanding BuildEntry(core::TimePoint now, core::LogOffset seen_offset);
-  void Settle();
+  void ConfirmOutstanding();
 
   std::string m_writer;
   core::Incarnation m_incarnation;
@@ -127,16 +127,16 @@
   Backoff m_backoff;
   TokenBucket m_rate;
 
-  std::deque<Waiting> m_waiting;
-  core::Bytes m_waiting_bytes;
-  size_t m_urgent_waiting = 0;
+  std::deque<QueuedRecord> m_queue;
+  core::Bytes m_queued_bytes;
+  size_t m_urgent_records = 0;
 
   std::optional<Outstanding> m_outstanding;
   bool m_in_flight = false;
   std::optional<core::TimePoint> m_retry_at;
   std::optional<core::TimePoint> m_last_new_entry;
   core::Sequence m_last_sequence;
-  core::Sequence m_settled_sequence;
+  core::Sequence m_confirmed_sequence;
   std::optional<core::LogOffset> m_last_offset;
   uint64_t m_sends = 0;
   core::Bytes m_bytes_sent;
--- a/include/coppervalve/telemetry/log.h
+++ b/include/coppervalve/telemetry/log.h
@@ -14,8 +14,8 @@
 
 /// @brief Sends log lines to standard output and nowhere else. Call it once,
 /// before the first line.
-/// @param least lines below it are dropped
-void OpenLog(router::LogLine::Level least);
+/// @param min_level lines below it are dropped
+void OpenLog(router::LogLine::Level min_level);
 
 /// @brief Writes one event, stamped with the wall clock. From any thread.
 void WriteLine(const router::LogLine& line);
--- a/src/logclient/reader.cc
+++ b/src/logclient/reader.cc
@@ -39,13 +39,14 @@
   const core::TimePoint sent = *m_sent;
   m_sent.reset();
   if (core::Status checked = CheckReply(reply); !core::IsOk(checked)) {
-    RetryLater(now);
+    ScheduleRetry(now);
     return core::Failure(checked);
   }
   m_backoff.Reset();
   m_first_retained = core::LogOffset(reply.first_retained());
   m_end = core::LogOffset(reply.end());
-  ReadOutcome outcome = m_scan ? ContinueScan(reply) : Follow(std::move(reply));
+  ReadOutcome outcome =
+      m_scan ? ContinueScan(reply) : TakeEntries(std::move(reply));
   m_at_end = ReadPosition() == m_end;
   if (m_at_end && !m_scan) {
     // The time of sending, not of arrival: a process that was paused finds an
@@ -61,11 +62,11 @@
     return;
   }
   m_sent.reset();
-  RetryLater(now);
+  ScheduleRetry(now);
 }
 
-void Reader::OnSnapshotRefused() {
-  m_refused.insert(m_loaded_from);
+void Reader::OnSnapshotRejected() {
+  m_rejected_snapshots.insert(m_loaded_from);
   StartScan();
 }
 
@@ -100,7 +101,7 @@
   return core::Ok();
 }
 
-ReadOutcome Reader::Follow(v1::ReadReply reply) {
+ReadOutcome Reader::TakeEntries(v1::ReadReply reply) {
   ReadOutcome outcome;
   if (m_first_retained > m_next) {
     // The entries in between are gone. Folding what follows them would give a
@@ -121,7 +122,7 @@
 ReadOutcome Reader::ContinueScan(const v1::ReadReply& reply) {
   m_scan->next = std::max(m_scan->next, m_first_retained);
   for (const v1::LoggedEntry& logged : reply.entries()) {
-    Examine(logged);
+    ExamineEntry(logged);
     m_scan->next = core::LogOffset(logged.offset() + 1);
   }
   m_scan->reached_end = m_scan->next == m_end;
@@ -131,10 +132,11 @@
   return FinishScan();
 }
 
-void Reader::Examine(const v1::LoggedEntry& logged) {
+void Reader::ExamineEntry(const v1::LoggedEntry& logged) {
   const core::LogOffset logged_at(logged.offset());
   v1::Entry entry;
-  if (m_refused.contains(logged_at) || !entry.ParseFromString(logged.entry())) {
+  if (m_rejected_snapshots.contains(logged_at) ||
+      !entry.ParseFromString(logged.entry())) {
     return;
   }
   for (const v1::Record& record : entry.records()) {
@@ -174,14 +176,16 @@
 }
 
 void Reader::StartScan() {
-  m_refused.erase(m_refused.begin(), m_refused.lower_bound(m_first_retained));
+  m_rejected_snapshots.erase(
+      m_rejected_snapshots.begin(),
+      m_rejected_snapshots.lower_bound(m_first_retained));
   m_scan = Scan{};
   m_scan->next = m_first_retained;
   m_at_end = false;
   m_last_read_to_end.reset();
 }
 
-void Reader::RetryLater(core::TimePoint now) {
+void Reader::ScheduleRetry(core::TimePoint now) {
   m_retry_at = now + m_backoff.NextDelay();
 }
 
--- a/src/logclient/snapshot_policy.cc
+++ b/src/logclient/snapshot_policy.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr uint64_t kWhole = 1000;
+constexpr uint64_t kPermille = 1000;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 
 void SnapshotPolicy::OnSnapshotSeen(core::LogOffset offset) {
   m_last_snapshot = std::max(m_last_snapshot, offset);
-  m_turn.reset();
+  m_due_at.reset();
 }
 
 bool SnapshotPolicy::IsDue(core::TimePoint now,
@@ -28,18 +28,18 @@
                            const std::vector<core::RouterId>& live) {
   const uint64_t last = m_last_snapshot.value();
   if (range.next.value() < last + Spacing(range)) {
-    m_turn.reset();
+    m_due_at.reset();
     return false;
   }
-  if (!m_turn) {
-    m_turn =
+  if (!m_due_at) {
+    m_due_at =
         now + m_options.takeover_delay * static_cast<int64_t>(RankOfSelf(live));
   }
-  if (now < *m_turn) {
+  if (now < *m_due_at) {
     return false;
   }
   const auto round = static_cast<int64_t>(std::max<size_t>(live.size(), 1));
-  m_turn = now + m_options.takeover_delay * round;
+  m_due_at = now + m_options.takeover_delay * round;
   return true;
 }
 
@@ -55,7 +55,7 @@
   const uint64_t retained =
       range.next.value() -
       std::min(range.next.value(), range.first_retained.value());
-  const uint64_t share = retained * m_options.spacing_permille / kWhole;
+  const uint64_t share = retained * m_options.spacing_permille / kPermille;
   if (range.first_retained.value() == 0) {
     return std::max(share, m_options.min_spacing);
   }
--- a/src/logclient/writer.cc
+++ b/src/logclient/writer.cc
@@ -26,10 +26,10 @@
     return core::Error{core::ErrorId::kBacklogFull, m_writer,
                        too_many ? "records" : "bytes"};
   }
-  m_waiting.push_back({std::move(record), size, urgency});
-  m_waiting_bytes += size;
+  m_queue.push_back({std::move(record), size, urgency});
+  m_queued_bytes += size;
   if (urgency == Urgency::kUrgent) {
-    ++m_urgent_waiting;
+    ++m_urgent_records;
   }
   return core::Ok();
 }
@@ -64,7 +64,7 @@
   }
   m_in_flight = false;
   m_last_offset = offset;
-  Settle();
+  ConfirmOutstanding();
 }
 
 void Writer::OnFailed(core::TimePoint now) {
@@ -86,15 +86,15 @@
   // When the repeat is still in flight, its late report finds nothing
   // outstanding; m_in_flight stays set, so that the report cannot be taken for
   // that of a newer entry.
-  Settle();
+  ConfirmOutstanding();
 }
 
 size_t Writer::backlog_records() const {
-  return m_waiting.size() + (m_outstanding ? m_outstanding->records : 0);
+  return m_queue.size() + (m_outstanding ? m_outstanding->records : 0);
 }
 
 core::Bytes Writer::backlog_bytes() const {
-  return m_waiting_bytes +
+  return m_queued_bytes +
          (m_outstanding ? m_outstanding->record_bytes : core::Bytes());
 }
 
@@ -102,22 +102,22 @@
   return m_outstanding ? now - m_outstanding->first_sent : core::Duration();
 }
 
-bool Writer::LogIsOut(core::TimePoint now) const {
+bool Writer::LogIsUnavailable(core::TimePoint now) const {
   return m_outstanding && OutstandingAge(now) >= m_options.outage_after;
 }
 
 bool Writer::IsDue(core::TimePoint now) const {
-  if (m_urgent_waiting > 0) {
+  if (m_urgent_records > 0) {
     return true;
   }
   if (!m_last_new_entry) {
     // No keep-alive before the first record: the log must not see an entry of
     // this incarnation before its join.
-    return !m_waiting.empty();
+    return !m_queue.empty();
   }
   const core::Duration quiet = now - *m_last_new_entry;
-  return quiet >= (m_waiting.empty() ? m_options.keep_alive_interval
-                                     : m_options.batch_interval);
+  return quiet >= (m_queue.empty() ? m_options.keep_alive_interval
+                                   : m_options.batch_interval);
 }
 
 Writer::Outstanding Writer::BuildEntry(core::TimePoint now,
@@ -134,8 +134,8 @@
   Outstanding built;
   built.sequence = m_last_sequence;
   built.first_sent = now;
-  while (!m_waiting.empty() && built.records < m_options.max_entry_records) {
-    Waiting& next = m_waiting.front();
+  while (!m_queue.empty() && built.records < m_options.max_entry_records) {
+    QueuedRecord& next = m_queue.front();
     const bool fits =
         built.record_bytes + next.size <= m_options.max_entry_bytes;
     if (!fits && built.records > 0) {
@@ -144,23 +144,23 @@
     *entry.add_records() = std::move(next.record);
     ++built.records;
     built.record_bytes += next.size;
-    m_waiting_bytes -= next.size;
+    m_queued_bytes -= next.size;
     if (next.urgency == Urgency::kUrgent) {
-      --m_urgent_waiting;
+      --m_urgent_records;
     }
-    m_waiting.pop_front();
+    m_queue.pop_front();
   }
   built.bytes = entry.SerializeAsString();
   return built;
 }
 
-void Writer::Settle() {
+void Writer::ConfirmOutstanding() {
   m_backoff.Reset();
   m_retry_at.reset();
   if (!m_outstanding) {
     return;
   }
-  m_settled_sequence = m_outstanding->sequence;
+  m_confirmed_sequence = m_outstanding->sequence;
   m_outstanding.reset();
 }
 
--- a/src/router/log_desk.cc
+++ b/src/router/log_desk.cc
@@ -66,7 +66,7 @@
       ledger::Fold::FromState(snapshot.state(), m_settings.fold);
   if (!core::IsOk(loaded)) {
     m_outbox.Alarm(core::Failure(loaded));
-    m_reader.OnSnapshotRefused();
+    m_reader.OnSnapshotRejected();
     return;
   }
   m_fold = core::TakeValue(std::move(loaded));
@@ -134,7 +134,7 @@
   const bool reads_fail =
       m_read_failing_since.has_value() &&
       now - *m_read_failing_since >= m_settings.writer.outage_after;
-  return reads_fail || m_writer.LogIsOut(now);
+  return reads_fail || m_writer.LogIsUnavailable(now);
 }
 
 core::Status LogDesk::Add(v1::Record record, logclient::Urgency urgency) {
--- a/src/telemetry/log.cc
+++ b/src/telemetry/log.cc
@@ -22,7 +22,7 @@
 
 using Level = router::LogLine::Level;
 
-std::atomic<Level> g_least{Level::kInfo};
+std::atomic<Level> g_min_level{Level::kInfo};
 
 std::string_view LevelName(Level level) {
   switch (level) {
@@ -76,8 +76,8 @@
   return out;
 }
 
-void OpenLog(Level least) {
-  g_least = least;
+void OpenLog(Level min_level) {
+  g_min_level = min_level;
   el::Configurations settings;
   settings.setToDefault();
   settings.setGlobally(el::ConfigurationType::Format, "%msg");
@@ -87,7 +87,7 @@
 }
 
 void WriteLine(const router::LogLine& line) {
-  if (line.level < g_least.load()) {
+  if (line.level < g_min_level.load()) {
     return;
   }
   LOG(INFO) << FormatLine(std::chrono::system_clock::now(), line);
--- a/tests/logclient/unit-reader.cc
+++ b/tests/logclient/unit-reader.cc
@@ -143,7 +143,7 @@
   Reader reader = MakeReader();
   CHECK(ReadOnce(reader, log).gap_found);
   CHECK_EQUAL(40U, ReadOnce(reader, log).load.value().offset());
-  reader.OnSnapshotRefused();
+  reader.OnSnapshotRejected();
   CHECK_EQUAL(39U, ReadOnce(reader, log).load.value().offset());
 }
 
--- a/tests/logclient/unit-writer.cc
+++ b/tests/logclient/unit-writer.cc
@@ -125,12 +125,12 @@
   AddOk(writer, 2, Urgency::kUrgent);
   CHECK(writer.NextAppend(At(200ms), kSeen).has_value());
   writer.OnSequenceFolded(core::Sequence(1));
-  CHECK_EQUAL(1U, writer.settled_sequence().value());
+  CHECK_EQUAL(1U, writer.confirmed_sequence().value());
   CHECK(!writer.has_outstanding());
 
   CHECK(!writer.NextAppend(At(201ms), kSeen).has_value());
   writer.OnAppended(At(202ms), core::LogOffset(5));
-  CHECK_EQUAL(1U, writer.settled_sequence().value());
+  CHECK_EQUAL(1U, writer.confirmed_sequence().value());
   const v1::Entry next = Parse(writer.NextAppend(At(202ms), kSeen).value());
   CHECK_EQUAL(2U, next.sequence());
   writer.OnSequenceFolded(core::Sequence(1));
@@ -197,12 +197,12 @@
   CHECK(writer.NextAppend(At(0s), kSeen).has_value());
   AddOk(writer, 2, Urgency::kUrgent);
   AddOk(writer, 3, Urgency::kRoutine);
-  CHECK(!writer.LogIsOut(At(1'999ms)));
-  CHECK(writer.LogIsOut(At(2s)));
+  CHECK(!writer.LogIsUnavailable(At(1'999ms)));
+  CHECK(writer.LogIsUnavailable(At(2s)));
   CHECK(writer.OutstandingAge(At(2s)) == core::Duration(2s));
   CHECK(!writer.NextAppend(At(2'900ms), kSeen).has_value());
   writer.OnAppended(At(3s), core::LogOffset(0));
-  CHECK(!writer.LogIsOut(At(3s)));
+  CHECK(!writer.LogIsUnavailable(At(3s)));
   const v1::Entry entry = Parse(writer.NextAppend(At(3s), kSeen).value());
   CHECK_EQUAL(2, entry.records_size());
 }
