--- a/apps/coppervalve/audit.cc
+++ b/apps/coppervalve/audit.cc
@@ -12,7 +12,7 @@
 using core::ErrorId;
 using core::Tokens;
 
-// What the log's effects add up to, kept apart from the fold's own balances.
+// Totals computed from the log's effects, independently of the fold's balances.
 struct Totals {
   uint64_t entries = 0;
   uint64_t ignored = 0;
@@ -41,7 +41,7 @@
              budget.free + budget.held + budget.billed + budget.written_off;
 }
 
-// @return the first budget that is off; empty when all are right
+// @return the first budget that does not balance; empty when all do
 std::string FindUnbalanced(const LogView& view, const Totals& totals) {
   const bool complete = view.started_at() == core::LogOffset(0);
   for (const ledger::Budget* budget : view.fold().Budgets()) {
@@ -100,7 +100,7 @@
 
 ExitCode Audit(const Session& session) {
   Totals totals;
-  // The fold itself checks each entry; what it finds comes as a failed read.
+  // The fold checks each entry and reports violations as a failed read.
   const core::Result<LogView> read = session.ReadLog(
       LogView::Start::kOldest,
       [&totals](core::LogOffset, const v1::Entry&, const auto& effects) {
--- a/apps/coppervalve/audit.h
+++ b/apps/coppervalve/audit.h
@@ -6,8 +6,8 @@
 
 namespace coppervalve::cli {
 
-/// @brief Folds the retained log and proves for each budget that what was paid
-/// in equals what is free, held, billed and written off.
+/// @brief Folds the retained log and verifies for each budget that the tokens
+/// paid in equal the sum of those free, held, billed and written off.
 ExitCode Audit(const Session& session);
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/budget_commands.cc
+++ b/apps/coppervalve/budget_commands.cc
@@ -34,7 +34,7 @@
              Text(budget.written_off)});
 }
 
-// The holdings of one budget, over live and retired routers.
+// The holdings of one budget at all live and retired routers.
 class HoldingList {
  public:
   HoldingList(const ledger::Fold& fold, const core::BudgetId& budget)
--- a/apps/coppervalve/budget_commands.h
+++ b/apps/coppervalve/budget_commands.h
@@ -12,26 +12,26 @@
 /// @brief Lists all balances.
 ExitCode ListBudgets(const Session& session);
 
-/// @brief Shows one balance and who holds what of it.
+/// @brief Shows one balance and the routers that hold parts of it.
 ExitCode ShowBudget(const Session& session, const std::string& budget);
 
 struct TopUpArguments {
   std::string budget;
   int64_t tokens = 0;
-  std::string id;  ///< names the payment; empty: a random one
+  std::string id;  ///< payment id; a random one is used when empty
 };
 
-/// @brief Pays tokens into a budget, once per id.
+/// @brief Pays tokens into a budget; idempotent per id.
 ExitCode TopUp(const Session& session, const TopUpArguments& arguments);
 
 struct ReleaseArguments {
   std::string budget;
   std::string router;
-  std::string incarnation;  ///< hex; needed when several are quarantined
+  std::string incarnation;  ///< hex; required when several are quarantined
   bool yes = false;
 };
 
-/// @brief Gives the quarantined tokens of a retired router back to a budget.
+/// @brief Returns the quarantined tokens of a retired router to a budget.
 ExitCode ReleaseBudget(const Session& session,
                        const ReleaseArguments& arguments);
 
--- a/apps/coppervalve/config_commands.cc
+++ b/apps/coppervalve/config_commands.cc
@@ -36,7 +36,7 @@
   return entry.writer();
 }
 
-// Collects the publications as the log is folded.
+// Collects publications while the log is folded.
 class History {
  public:
   void Observe(core::LogOffset offset,
--- a/apps/coppervalve/config_commands.h
+++ b/apps/coppervalve/config_commands.h
@@ -8,16 +8,16 @@
 
 namespace coppervalve::cli {
 
-/// @brief Checks a file without the log.
+/// @brief Validates a file without reading the log.
 ExitCode CheckConfig(const Session& session, const std::string& file);
 
 /// @brief Prints the configuration in force.
 ExitCode ShowConfig(const Session& session);
 
-/// @brief Prints how a file differs from the configuration in force.
+/// @brief Prints the differences between a file and the configuration in force.
 ExitCode DiffConfig(const Session& session, const std::string& file);
 
-/// @brief Lists the publications that the retained log shows.
+/// @brief Lists the publications in the retained part of the log.
 ExitCode ShowHistory(const Session& session);
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/config_file.h
+++ b/apps/coppervalve/config_file.h
@@ -10,8 +10,8 @@
 
 namespace coppervalve::cli {
 
-/// @brief Reads and checks an operators' file.
-/// @return the configuration, or how to end after the findings were printed
+/// @brief Reads and validates a configuration file.
+/// @return the configuration, or the exit code after the errors were printed
 std::variant<v1::Configuration, ExitCode> LoadConfig(const Session& session,
                                                      const std::string& file);
 
--- a/apps/coppervalve/exit_code.h
+++ b/apps/coppervalve/exit_code.h
@@ -5,7 +5,7 @@
 
 namespace coppervalve::cli {
 
-/// @brief How the program ends; scripts rely on the numbers.
+/// @brief Exit codes of the program; scripts depend on the numbers.
 enum class ExitCode : int {
   kOk = 0,
   kFailed = 1,       ///< refused, or a check failed
@@ -14,7 +14,7 @@
   kConflict = 4,     ///< another operator published first
 };
 
-/// @return how a command that failed with this error ends
+/// @return the exit code of a command that failed with this error
 constexpr ExitCode ExitCodeOf(core::ErrorId id) {
   switch (id) {
     case core::ErrorId::kOperatorUnreachable:
--- a/apps/coppervalve/fleet_commands.h
+++ b/apps/coppervalve/fleet_commands.h
@@ -8,18 +8,18 @@
 
 namespace coppervalve::cli {
 
-/// @brief Asks each router for its own state.
+/// @brief Queries the status of each router.
 ExitCode ShowStatus(const Session& session);
 
-/// @brief Lists the routers that the log knows.
+/// @brief Lists the routers recorded in the log.
 ExitCode ListRouters(const Session& session);
 
-/// @brief Asks the routers what became of a request.
+/// @brief Queries the routers for the outcome of a request.
 ExitCode ShowRequest(const Session& session,
                      const std::string& key,
                      const std::string& account);
 
-/// @brief Tells a router to finish its work and leave.
+/// @brief Tells a router to drain: finish its work and leave the fleet.
 /// @param router its id, or "ip:port" of its operator endpoint
 ExitCode Drain(const Session& session, const std::string& router);
 
--- a/apps/coppervalve/http_client.cc
+++ b/apps/coppervalve/http_client.cc
@@ -64,7 +64,7 @@
   return request;
 }
 
-// Where one exchange stands; lives until the io_context has run out of work.
+// State of one HTTP exchange; must outlive the run of the io_context.
 struct Exchange {
   http::request<http::string_body> request;
   http::response_parser<http::string_body> parser;
@@ -97,8 +97,8 @@
   }
   asio::io_context context;
   beast::tcp_stream stream(context);
-  // One deadline over connect, write and read: a service that accepts and then
-  // stays silent must not hold the operator for longer.
+  // One deadline covers connect, write and read, so that a service that accepts
+  // the connection but never answers cannot block the operator.
   stream.expires_after(call.timeout);
   Exchange exchange;
   exchange.request = BuildRequest(call);
--- a/apps/coppervalve/http_client.h
+++ b/apps/coppervalve/http_client.h
@@ -16,7 +16,7 @@
   std::string address;  ///< "ip:port"
   std::string target;   ///< path and query
   std::string body;
-  std::string bearer_token;  ///< empty: none is sent
+  std::string bearer_token;  ///< not sent when empty
   std::chrono::milliseconds timeout{5'000};
 };
 
@@ -25,13 +25,13 @@
   std::string body;
 };
 
-/// @brief One request on a connection of its own; blocks until the whole answer
-/// came or the timeout passed.
+/// @brief Sends one request on a new connection; blocks until the complete
+/// answer has arrived or the timeout has expired.
 /// @error kOperatorUsage when the address is not ip:port,
 /// kOperatorUnreachable otherwise; the request may have taken effect
 core::Result<HttpReply> Send(const HttpCall& call);
 
-/// @return the text in a form that may stand in a target
+/// @return the text percent-encoded for use in a request target
 std::string PercentEncode(const std::string& text);
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/log_client.cc
+++ b/apps/coppervalve/log_client.cc
@@ -18,7 +18,7 @@
 constexpr unsigned kHttpOk = 200;
 constexpr size_t kReadBytes = size_t{4} << 20U;
 
-// Sends until an answer can be read as `Reply`, or call_timeout runs out.
+// Retries until an answer parses as `Reply` or the timeout expires.
 template <typename Reply>
 core::Result<Reply> SendUntilAnswered(const HttpCall& call,
                                       milliseconds call_timeout) {
--- a/apps/coppervalve/log_client.h
+++ b/apps/coppervalve/log_client.h
@@ -11,20 +11,21 @@
 
 namespace coppervalve::cli {
 
-/// @brief The platform's log service over HTTP.
+/// @brief HTTP client of the platform's log service.
 class LogClient {
  public:
   /// @param address "ip:port"
-  /// @param call_timeout how long an operation is repeated before it fails
+  /// @param call_timeout how long an operation is retried before it fails
   LogClient(std::string address, std::chrono::milliseconds call_timeout);
 
-  /// @brief Appends an entry, repeating it byte for byte while its outcome is
-  /// unknown: the caller must have made it safe to fold twice.
-  /// @error kLogUnavailable: it may or may not be in the log
+  /// @brief Appends an entry and resends it byte for byte until the outcome is
+  /// known. The entry must be idempotent, since it may be logged more than
+  /// once.
+  /// @error kLogUnavailable: the entry may or may not be in the log
   core::Result<core::LogOffset> Append(const v1::Entry& entry) const;
 
   /// @brief Reads from an offset.
-  /// @param wait how long the service may hold an empty answer
+  /// @param wait how long the service may delay an empty answer
   /// @error kLogUnavailable
   core::Result<v1::ReadReply> Read(core::LogOffset from,
                                    std::chrono::milliseconds wait) const;
--- a/apps/coppervalve/log_view.cc
+++ b/apps/coppervalve/log_view.cc
@@ -15,7 +15,7 @@
 constexpr milliseconds kNoWait{0};
 constexpr size_t kKeptSnapshots = 4;
 
-// Every reader folds an unreadable entry as an empty one.
+// All readers treat an entry that cannot be parsed as an empty one.
 v1::Entry ReadEntry(const v1::LoggedEntry& logged) {
   v1::Entry entry;
   if (!entry.ParseFromString(logged.entry())) {
@@ -51,9 +51,9 @@
     }
     const v1::ReadReply& reply = core::Value(read);
     if (LogOffset(reply.first_retained()) > m_fold.next_offset()) {
-      return core::Error{ErrorId::kLogGap,
-                         std::to_string(m_fold.next_offset().value()),
-                         "entries expired while they were read; run it again"};
+      return core::Error{
+          ErrorId::kLogGap, std::to_string(m_fold.next_offset().value()),
+          "entries expired while they were read; run the command again"};
     }
     core::Status applied = ApplyAll(reply, observer);
     if (!core::IsOk(applied)) {
@@ -97,7 +97,7 @@
       next = LogOffset(logged.offset() + 1);
       const v1::Entry entry = ReadEntry(logged);
       for (const v1::Record& record : entry.records()) {
-        // A state from before the retained part misses entries that are gone.
+        // A state older than the retained part lacks entries that have expired.
         if (record.has_snapshot() &&
             LogOffset(record.snapshot().offset()) >= first_retained) {
           usable.push_back(record.snapshot());
--- a/apps/coppervalve/log_view.h
+++ b/apps/coppervalve/log_view.h
@@ -13,18 +13,18 @@
 
 namespace coppervalve::cli {
 
-/// @brief The fold of the log, as far as this program has read it.
+/// @brief The state folded from the part of the log that was read so far.
 class LogView {
  public:
-  /// @brief Sees each folded entry with its effects.
+  /// @brief Called for each folded entry with its effects.
   using Observer = std::function<void(core::LogOffset,
                                       const v1::Entry&,
                                       const std::vector<ledger::Effect>&)>;
 
-  /// @brief Which snapshot to start from when the log's begin is gone.
+  /// @brief Which snapshot to start from when the first entries have expired.
   enum class Start : uint8_t {
-    kNewest,  ///< least to read
-    kOldest,  ///< most to see
+    kNewest,  ///< reads the fewest entries
+    kOldest,  ///< covers the most entries
   };
 
   explicit LogView(LogClient client) : m_client(std::move(client)) {}
@@ -33,8 +33,9 @@
   /// @error kLogUnavailable, kLogGap (no usable snapshot), and the fold's own
   core::Status Open(Start start, const Observer& observer = {});
 
-  /// @brief Reads on to the end of the log.
-  /// @param wait how long the log may hold the first read when there is nothing
+  /// @brief Reads new entries up to the end of the log.
+  /// @param wait how long the log may delay the first read when there is
+  /// nothing
   core::Status CatchUp(std::chrono::milliseconds wait,
                        const Observer& observer = {});
 
--- a/apps/coppervalve/main.cc
+++ b/apps/coppervalve/main.cc
@@ -30,16 +30,17 @@
 did not answer, 4 another operator published first.)";
 
 constexpr const char* kPublishFooter = R"(
-A file is published on top of a version; whoever is first in the log wins. The
-other is told who won and what differs, and nothing of the file takes effect.
+A file is published on top of a version. If several operators publish on top of
+the same version, the first one in the log succeeds. The others are shown who
+published and what differs, and their files have no effect.
 
 Examples:
   coppervalve config publish fleet.json              on top of what is in force
   coppervalve config publish fleet.json --based-on 7 only if 7 is in force
-  coppervalve config publish fleet.json --wait 10    until every router has it)";
+  coppervalve config publish fleet.json --wait 10    until every router applied it)";
 
 constexpr const char* kTopUpFooter = R"(
-An id is paid in at most once, so a command that did not see its outcome can be
+An id is paid in at most once, so a command whose outcome is unknown can be
 repeated with the same id.
 
 Example:
@@ -47,21 +48,21 @@
 
 constexpr const char* kReleaseFooter = R"(
 Tokens that a router held when it died stay quarantined until its witness or the
-router itself states what it spent. Release them by hand only when neither can.
+router itself reports what it spent. Release them manually only when neither can.
 
 Examples:
-  coppervalve budget release tours router-3          says what is at stake
+  coppervalve budget release tours router-3          describes the risk
   coppervalve budget release tours router-3 --yes    releases)";
 
 constexpr const char* kSettleFooter = R"(
 An engine that ignores fencing numbers gets no newer order while an older one may
-still reach it. Look at the engine, then settle the older one.
+still reach it. Check the state of the engine, then settle the older order.
 
 Examples:
-  coppervalve orders settle engine-03          says what is at stake
+  coppervalve orders settle engine-03          describes the risk
   coppervalve orders settle engine-03 --yes    settles)";
 
-// The arguments of all commands; CLI11 writes into them while it parses.
+// The arguments of all commands; filled in by CLI11 during parsing.
 struct Arguments {
   Options options;
   std::string output = "text";
@@ -104,12 +105,12 @@
   app.add_option("--log", options.log, "ip:port of the log service")
       ->envname("COPPERVALVE_LOG");
   app.add_option("--router", options.routers,
-                 "ip:port of a router's operator endpoint, also several; "
+                 "ip:port of a router's operator endpoint, repeatable; "
                  "default: those of the live routers in the log")
       ->envname("COPPERVALVE_ROUTERS")
       ->delimiter(',');
   app.add_option("--operator", options.operator_name,
-                 "your name, kept with each change")
+                 "your name, recorded with each change")
       ->envname("COPPERVALVE_OPERATOR");
   app.add_option("--operator-token", options.operator_token,
                  "token for the routers' operator endpoints")
@@ -145,7 +146,7 @@
       "--based-on", arguments.publish.based_on,
       "version that must be in force; default: the current one");
   publish->add_option("--wait", arguments.publish.wait_s,
-                      "seconds to wait until every live router has it");
+                      "seconds to wait until every live router has applied it");
   publish->footer(kPublishFooter);
   AddCommand(group, "show", "Print the configuration in force", arguments,
              ShowConfig);
@@ -163,8 +164,8 @@
 void AddBudgetCommands(CLI::App& app, Arguments& arguments) {
   CLI::App& group = *AddGroup(app, "budget", "Pay in, show and release");
   AddCommand(group, "list", "List all balances", arguments, ListBudgets);
-  AddCommand(group, "show", "Show a balance and who holds what of it",
-             arguments,
+  AddCommand(group, "show",
+             "Show a balance and the routers that hold parts of it", arguments,
              [&](const Session& session) {
                return ShowBudget(session, arguments.budget);
              })
@@ -181,38 +182,39 @@
                      "id of the payment; default: a random one");
   top_up->footer(kTopUpFooter);
   CLI::App* release =
-      AddCommand(group, "release", "Release a dead router's tokens", arguments,
-                 [&](const Session& session) {
+      AddCommand(group, "release", "Release the tokens of a dead router",
+                 arguments, [&](const Session& session) {
                    return ReleaseBudget(session, arguments.release);
                  });
   release->add_option("BUDGET", arguments.release.budget)->required();
   release->add_option("ROUTER", arguments.release.router)->required();
   release->add_option("--incarnation", arguments.release.incarnation,
-                      "which one, when several are quarantined");
-  release->add_flag("--yes", arguments.release.yes, "do it");
+                      "incarnation, required when several are quarantined");
+  release->add_flag("--yes", arguments.release.yes, "confirm the release");
   release->footer(kReleaseFooter);
 }
 
 void AddFleetCommands(CLI::App& app, Arguments& arguments) {
-  AddCommand(app, "status", "Ask each router for its state", arguments,
+  AddCommand(app, "status", "Query the status of each router", arguments,
              ShowStatus);
-  AddCommand(app, "routers", "List the routers that the log knows", arguments,
+  AddCommand(app, "routers", "List the routers recorded in the log", arguments,
              ListRouters);
   CLI::App& request = *AddGroup(app, "request", "Look up requests");
   CLI::App* show = AddCommand(
-      request, "show", "Ask the routers what became of a request", arguments,
-      [&](const Session& session) {
+      request, "show", "Query the routers for the outcome of a request",
+      arguments, [&](const Session& session) {
         return ShowRequest(session, arguments.key, arguments.account);
       });
   show->add_option("KEY", arguments.key, "its Idempotency-Key")->required();
   show->add_option("--account", arguments.account, "client account")
       ->required();
   AddCommand(
-      app, "drain", "Tell a router to finish its work and leave", arguments,
+      app, "drain", "Drain a router: finish its work and leave the fleet",
+      arguments,
       [&](const Session& session) { return Drain(session, arguments.router); })
       ->add_option("ROUTER", arguments.router, "id, or ip:port")
       ->required();
-  AddCommand(app, "audit", "Fold the log and prove that balances add up",
+  AddCommand(app, "audit", "Fold the log and verify that all balances add up",
              arguments, Audit);
 }
 
@@ -242,7 +244,7 @@
                    return SettleOrder(session, arguments.settle);
                  });
   settle->add_option("UPSTREAM", arguments.settle.upstream)->required();
-  settle->add_flag("--yes", arguments.settle.yes, "do it");
+  settle->add_flag("--yes", arguments.settle.yes, "confirm settling");
   settle->footer(kSettleFooter);
 }
 
--- a/apps/coppervalve/order.cc
+++ b/apps/coppervalve/order.cc
@@ -60,9 +60,9 @@
   const auto configuration = view.fold().configuration();
   const v1::Upstream* engine = FindEngine(*configuration, arguments.upstream);
   if (engine == nullptr) {
-    return session.printer().Fail({ErrorId::kConfigUnknownReference,
-                                   arguments.upstream,
-                                   "no model engine in force has this id"});
+    return session.printer().Fail(
+        {ErrorId::kConfigUnknownReference, arguments.upstream,
+         "the configuration in force has no model engine with this id"});
   }
   const core::Result<v1::Entry> entry =
       session.NewEntry(view, RecordOf(arguments));
@@ -83,8 +83,9 @@
           if (order != nullptr && !fencing) {
             fencing = order->fencing;
           }
-          if (const auto* no = std::get_if<ledger::OrderRefused>(&effect)) {
-            unsettled = no->unsettled;
+          if (const auto* order_refused =
+                  std::get_if<ledger::OrderRefused>(&effect)) {
+            unsettled = order_refused->unsettled;
           }
         }
       });
@@ -101,7 +102,7 @@
   return session.printer().Fail(
       core::IsOk(appended)
           ? core::Error{ErrorId::kOrderFenced, arguments.upstream,
-                        "the log holds the order without effect"}
+                        "the order is in the log but had no effect"}
           : core::Failure(appended));
 }
 
--- a/apps/coppervalve/order.h
+++ b/apps/coppervalve/order.h
@@ -8,7 +8,7 @@
 
 namespace coppervalve::cli {
 
-/// @brief Exactly one of the last three is given.
+/// @brief Arguments of the order command; exactly one of the last three is set.
 struct OrderArguments {
   std::string upstream;
   std::string load_model;
--- a/apps/coppervalve/order_state.cc
+++ b/apps/coppervalve/order_state.cc
@@ -60,8 +60,8 @@
                         const std::optional<ledger::IgnoreReason>& reason) {
   return {ErrorId::kOrderFenced, upstream,
           reason == ledger::IgnoreReason::kOrderUnderWay
-              ? "its router lives and has still to state the outcome"
-              : "it ended or was overtaken meanwhile"};
+              ? "its router is live and has yet to report the outcome"
+              : "it has ended or was superseded in the meantime"};
 }
 
 ExitCode Settle(const Session& session,
@@ -139,7 +139,7 @@
     return session.printer().Fail({ErrorId::kOrderFenced, arguments.upstream,
                                    "no order to it is unsettled"});
   }
-  // Copied: the fold reads on while the order is settled.
+  // Copied, because settling reads more entries, which changes the fold.
   const ledger::Order order = *found;
   if (arguments.yes) {
     return Settle(session, view, order);
--- a/apps/coppervalve/order_state.h
+++ b/apps/coppervalve/order_state.h
@@ -13,11 +13,10 @@
   bool yes = false;
 };
 
-/// @brief Lists the latest order of each upstream and what became of it.
+/// @brief Lists the latest order of each upstream and its outcome.
 ExitCode ListOrders(const Session& session);
 
-/// @brief Ends an order whose outcome is unknown, after saying what is at
-/// stake.
+/// @brief Ends an order whose outcome is unknown, after describing the risk.
 ExitCode SettleOrder(const Session& session, const SettleArguments& arguments);
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/printer.h
+++ b/apps/coppervalve/printer.h
@@ -27,13 +27,13 @@
  public:
   explicit Printer(bool json) : m_json(json) {}
 
-  /// @brief Prints a result in the form that was asked for.
+  /// @brief Prints a result in the selected output format.
   void Print(const boost::json::object& document,
              const std::string& text) const;
   /// @brief Prints an error: text to standard error, JSON to standard output.
-  /// @return the exit code that goes with it
+  /// @return the corresponding exit code
   ExitCode Fail(const core::Error& error) const;
-  /// @brief Prints an error that a result explains.
+  /// @brief Prints an error together with a result that explains it.
   ExitCode Fail(const core::Error& error,
                 boost::json::object document,
                 const std::string& text) const;
--- a/apps/coppervalve/publish.cc
+++ b/apps/coppervalve/publish.cc
@@ -18,15 +18,15 @@
 using Outcome = std::variant<ledger::ConfigAccepted, ledger::ConfigRejected>;
 
 constexpr milliseconds kPollInterval{500};
-/// How long a proposal is waited for when --wait gives no time.
+/// How long to wait for acceptance of a proposal when --wait is not given.
 constexpr uint32_t kDefaultAcceptanceWaitS = 10;
 
 std::string VersionText(core::ConfigVersion version) {
   return "version " + std::to_string(version.value());
 }
 
-// Keeps what became of one change. An append that was repeated stands in the
-// log twice; only the first copy decides, the second one loses against it.
+// Records the outcome of one change. A retried append may be in the log twice;
+// only the first copy counts, since the second one conflicts with it.
 class OutcomeObserver {
  public:
   explicit OutcomeObserver(std::string change_id)
@@ -127,8 +127,8 @@
          "before"});
   }
 
-  // A proposal comes into force once more than half of the voting routers have
-  // read it, which takes a second unless many are cut off from the log.
+  // A proposal takes effect once more than half of the voting routers have read
+  // it. This takes about a second unless many routers cannot reach the log.
   core::Status AwaitOutcome(OutcomeObserver& outcome_observer) {
     const Clock::time_point deadline =
         Clock::now() + std::chrono::seconds(m_arguments.wait_s.value_or(
@@ -152,7 +152,7 @@
       case ledger::ConfigRejection::kPrepaidShrinks:
         return m_session.printer().Fail(
             {ErrorId::kConfigPrepaidShrinks, "$.budgets",
-             "another change raised an amount first"});
+             "another change increased an amount first"});
       case ledger::ConfigRejection::kStale:
         return m_session.printer().Fail(
             {ErrorId::kConfigConflict, "change",
@@ -226,8 +226,8 @@
     }
   }
 
-  // A fleet without a live router has nothing in force: ending well then would
-  // tell an operator that a dead fleet follows.
+  // Without a live router no configuration is in force: reporting success would
+  // tell the operator that a dead fleet has applied it.
   std::string Unconfirmed(core::ConfigVersion version) const {
     if (m_view.fold().LiveMembers().empty()) {
       return "any router: none is live";
--- a/apps/coppervalve/publish.h
+++ b/apps/coppervalve/publish.h
@@ -12,7 +12,7 @@
 
 struct PublishArguments {
   std::string file;
-  /// Version the operator saw; the one in force when not given.
+  /// Version the change is based on; default: the version in force.
   std::optional<uint64_t> based_on;
   /// Seconds to wait until every live router has confirmed.
   std::optional<uint64_t> wait_s;
--- a/apps/coppervalve/release.cc
+++ b/apps/coppervalve/release.cc
@@ -10,7 +10,7 @@
 
 using core::ErrorId;
 
-// Copied from the fold, which may forget the member while it reads on.
+// Copied from the fold, which may remove the member as it reads more entries.
 struct Quarantine {
   core::RouterId router;
   core::Incarnation incarnation;
@@ -78,7 +78,7 @@
          "its last answers are accounted for, before you release.\n";
 }
 
-// How much the fold gave back for this router and budget.
+// Tokens that the fold released for this router and budget.
 core::Tokens ReleasedBy(const std::vector<ledger::Effect>& effects,
                         const Quarantine& one,
                         const std::string& budget) {
--- a/apps/coppervalve/router_client.h
+++ b/apps/coppervalve/router_client.h
@@ -18,13 +18,13 @@
                                    const std::string& target);
 
 /// @brief Gets a JSON object from a router's operator endpoint.
-/// @error as CallRouter; kPeerProtocol also for another body
+/// @error as CallRouter; kPeerProtocol also when the body is not a JSON object
 core::Result<boost::json::object> GetObject(const Session& session,
                                             const std::string& address,
                                             const std::string& target);
 
-/// @return the text of a member whatever its type, "-" when it is absent (the
-/// JSON mapping leaves out defaults)
+/// @return a member of any type as text, "-" when it is absent (the JSON
+/// mapping omits default values)
 std::string MemberText(const boost::json::object& document, const char* name);
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/session.cc
+++ b/apps/coppervalve/session.cc
@@ -49,7 +49,7 @@
                                           v1::Record record) const {
   if (m_options.operator_name.empty()) {
     return core::Error{ErrorId::kSettingMissing, "--operator",
-                       "give your name or set COPPERVALVE_OPERATOR"};
+                       "specify your name or set COPPERVALVE_OPERATOR"};
   }
   v1::Entry entry;
   entry.set_writer("operator:" + m_options.operator_name);
@@ -64,7 +64,7 @@
                                     const v1::Entry& entry,
                                     const LogView::Observer& observer) const {
   const core::Result<core::LogOffset> appended = view.client().Append(entry);
-  // Also after a failed append: its reply may be all that was lost.
+  // Also read after a failed append: possibly only its reply was lost.
   core::Status read = view.CatchUp(std::chrono::milliseconds(0), observer);
   if (!core::IsOk(appended)) {
     return core::Failure(appended);
--- a/apps/coppervalve/session.h
+++ b/apps/coppervalve/session.h
@@ -12,7 +12,7 @@
 
 namespace coppervalve::cli {
 
-/// @brief What every command needs: the settings, the output and the log.
+/// @brief Shared context of all commands: options, output and the log.
 class Session {
  public:
   explicit Session(Options options);
@@ -25,19 +25,22 @@
   core::Result<LogView> ReadLog(LogView::Start start,
                                 const LogView::Observer& observer = {}) const;
 
-  /// @brief An entry of this operator with one record; folds once.
+  /// @brief Creates an entry of this operator with one record. Duplicates of
+  /// the entry are folded only once.
   /// @error kSettingMissing without --operator
   core::Result<v1::Entry> NewEntry(const LogView& view,
                                    v1::Record record) const;
 
-  /// @brief Appends and reads on until the entry is folded; a copy that a lost
-  /// reply made necessary is seen by the observer as well, after the first.
+  /// @brief Appends an entry and reads until it is folded. If a lost reply
+  /// caused a retry, the observer sees the second copy as well, after the
+  /// first.
   /// @error kLogUnavailable: the outcome is unknown unless the observer saw it
   core::Status AppendAndRead(LogView& view,
                              const v1::Entry& entry,
                              const LogView::Observer& observer) const;
 
-  /// @brief Operator endpoints: those given, else those of the live routers.
+  /// @brief Returns the given operator endpoints, or else those of the live
+  /// routers.
   /// @error kUnknownRouter when there is none, and those of ReadLog
   core::Result<std::vector<std::string>> OperatorEndpoints() const;
 
@@ -46,10 +49,10 @@
   Printer m_printer;
 };
 
-/// @brief A random id of 16 hex digits, for changes and top-ups.
+/// @brief Returns a random id of 16 hex digits for changes and top-ups.
 std::string NewId();
 
-/// @brief A number as 16 hex digits, as incarnations are shown.
+/// @brief Formats a number as 16 hex digits, the form used for incarnations.
 std::string ToHex(uint64_t number);
 
 /// @brief Reads a whole file; "-" is standard input.
--- a/apps/coppervalve/show_request.cc
+++ b/apps/coppervalve/show_request.cc
@@ -50,7 +50,7 @@
     session.printer().Print({{"requests", list}}, table.ToString());
     return ExitCode::kOk;
   }
-  // A router that did not answer may be the one that knows the key.
+  // A router that did not answer may hold the record of this key.
   return session.printer().Fail(failure.value_or(
       core::Error{ErrorId::kNotFound, key, "no router knows this key"}));
 }
--- a/apps/coppervalve/top_up.cc
+++ b/apps/coppervalve/top_up.cc
@@ -10,16 +10,16 @@
 
 using core::ErrorId;
 
-// What the log says about the payments with one id.
-class TopUpWatch {
+// Payments with one id that were found in the log.
+class TopUpObserver {
  public:
-  explicit TopUpWatch(std::string id) : m_id(std::move(id)) {}
+  explicit TopUpObserver(std::string id) : m_id(std::move(id)) {}
 
   LogView::Observer Observer() {
     return [this](core::LogOffset, const v1::Entry&,
                   const std::vector<ledger::Effect>& effects) {
       for (const ledger::Effect& effect : effects) {
-        Take(effect);
+        RecordPayment(effect);
       }
     };
   }
@@ -30,7 +30,7 @@
   }
 
  private:
-  void Take(const ledger::Effect& effect) {
+  void RecordPayment(const ledger::Effect& effect) {
     const auto* paid = std::get_if<ledger::PaidIn>(&effect);
     if (paid != nullptr && paid->top_up_id == m_id) {
       m_paid = *paid;
@@ -50,7 +50,7 @@
   switch (refused.reason) {
     case ledger::TopUpRefusal::kStale:
       return {ErrorId::kTopUpStale, refused.top_up_id,
-              "the append came too late after the log was read; nothing was "
+              "the append was too late after the log was read; nothing was "
               "paid in"};
     case ledger::TopUpRefusal::kDuplicate:
       return {ErrorId::kTopUpDuplicate, refused.top_up_id,
@@ -63,7 +63,7 @@
       break;
   }
   return {ErrorId::kOperatorUsage, "TOKENS",
-          "not positive, or past the largest balance"};
+          "not positive, or above the maximum balance"};
 }
 
 ExitCode PrintPaid(const Session& session,
@@ -105,23 +105,23 @@
 
 ExitCode TopUp(const Session& session, const TopUpArguments& arguments) {
   const std::string id = arguments.id.empty() ? NewId() : arguments.id;
-  TopUpWatch watch(id);
-  // From the oldest snapshot on: a command that is repeated because its first
-  // outcome was never seen finds the payment and succeeds.
+  TopUpObserver observer(id);
+  // Reads from the oldest snapshot, so that a command that is repeated because
+  // its first outcome was lost finds the payment and succeeds.
   core::Result<LogView> read =
-      session.ReadLog(LogView::Start::kOldest, watch.Observer());
+      session.ReadLog(LogView::Start::kOldest, observer.Observer());
   if (!core::IsOk(read)) {
     return session.printer().Fail(core::Failure(read));
   }
   LogView view = core::TakeValue(std::move(read));
-  if (watch.paid() && SamePayment(*watch.paid(), arguments)) {
-    return PrintPaid(session, view.fold(), *watch.paid(), true);
+  if (observer.paid() && SamePayment(*observer.paid(), arguments)) {
+    return PrintPaid(session, view.fold(), *observer.paid(), true);
   }
-  if (watch.paid()) {
+  if (observer.paid()) {
     return session.printer().Fail(
         {ErrorId::kTopUpDuplicate, id,
-         "paid " + std::to_string(watch.paid()->tokens.value()) +
-             " tokens into " + watch.paid()->budget.value() + " before"});
+         "paid " + std::to_string(observer.paid()->tokens.value()) +
+             " tokens into " + observer.paid()->budget.value() + " before"});
   }
   if (view.fold().FindBudget(core::BudgetId(arguments.budget)) == nullptr) {
     return session.printer().Fail({ErrorId::kUnknownBudget, arguments.budget,
@@ -133,18 +133,19 @@
     return session.printer().Fail(core::Failure(entry));
   }
   const core::Status appended =
-      session.AppendAndRead(view, core::Value(entry), watch.Observer());
-  if (watch.paid()) {
-    return PrintPaid(session, view.fold(), *watch.paid(), false);
+      session.AppendAndRead(view, core::Value(entry), observer.Observer());
+  if (observer.paid()) {
+    return PrintPaid(session, view.fold(), *observer.paid(), false);
   }
-  if (watch.refused()) {
-    return session.printer().Fail(ErrorOf(*watch.refused()));
+  if (observer.refused()) {
+    return session.printer().Fail(ErrorOf(*observer.refused()));
   }
   core::Error error = core::IsOk(appended)
                           ? core::Error{ErrorId::kLogRecordInvalid, id,
                                         "acknowledged but not in the log"}
                           : core::Failure(appended);
-  error.detail += "; repeat with --id " + id + ": it pays in at most once";
+  error.detail +=
+      "; repeat with --id " + id + ": an id is paid in at most once";
   return session.printer().Fail(error);
 }
 
--- a/apps/coppervalved/daemon.cc
+++ b/apps/coppervalved/daemon.cc
@@ -31,7 +31,7 @@
   return pcg64((high << kSeedHalfBits) | low);
 }
 
-// UTC minute of the day at a time of the decision clock.
+// Converts a time of the decision clock to the UTC minute of the day.
 uint32_t MinuteOfDay(core::TimePoint time) {
   const auto wall = std::chrono::system_clock::now() + (time - net::BootNow());
   const auto minutes =
@@ -52,7 +52,7 @@
   return result;
 }
 
-/// The decision core with what it needs of chance and the calendar.
+/// The router core with its random generator and wall clock.
 class DecisionCore {
  public:
   explicit DecisionCore(const Settings& settings)
@@ -68,7 +68,7 @@
     return actions;
   }
 
-  /// From any thread.
+  /// Thread-safe.
   core::Incarnation incarnation() const {
     return core::Incarnation(m_incarnation.load());
   }
@@ -87,8 +87,8 @@
   return signals;
 }
 
-// Waits for signals on a thread of its own, which ends with the process: each
-// asks for a drain, and only the first one counts.
+// Waits for signals on a separate thread that runs until the process exits.
+// Each signal requests a drain; requests after the first have no effect.
 void DrainOnSignal(net::Shell& shell, const sigset_t& signals) {
   std::thread([&shell, signals] {
     while (true) {
@@ -132,14 +132,16 @@
 }  // namespace
 
 core::Status RunDaemon(const Settings& settings) {
-  // A caller that closes while its answer is written must not end the process.
+  // A caller that disconnects while its answer is written must not terminate
+  // the process.
   signal(SIGPIPE, SIG_IGN);
-  // Blocked before any thread starts, so that all inherit it and only the
-  // waiting one takes the signals.
+  // Blocked before any thread starts, so that all threads inherit the mask and
+  // only the signal thread receives the signals.
   const sigset_t signals = StopSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   telemetry::OpenLog(settings.log_level);
-  // Lives as long as the process: the waiting thread refers to it.
+  // Static, because the detached signal thread refers to the shell until the
+  // process exits.
   static telemetry::RouterMetrics metrics;
   static DecisionCore decision_core(settings);
   static net::Shell shell(settings.shell, HooksOf(decision_core, metrics));
--- a/apps/coppervalved/setting_table.cc
+++ b/apps/coppervalved/setting_table.cc
@@ -136,36 +136,37 @@
   table.push_back(
       {"caller-listen", "", "Where callers connect", kListenRule, true, false,
        Listen([](Settings & s) -> auto& { return s.shell.caller_listen; })});
-  table.push_back(
-      {"caller-advertise", "",
-       "Address told to callers; that of --caller-listen when empty",
-       kReachRule, false, false,
-       Reach([](Settings & s) -> auto& { return s.caller_advertise; })});
-  table.push_back(
-      {"peer-listen", "", "Where other routers connect; empty: no links",
-       kListenRule, false, false,
-       Listen([](Settings & s) -> auto& { return s.shell.peer_listen; })});
+  table.push_back({"caller-advertise", "",
+                   "Address advertised to callers; default: --caller-listen",
+                   kReachRule, false, false, Reach([](Settings & s) -> auto& {
+                     return s.caller_advertise;
+                   })});
+  table.push_back({"peer-listen", "",
+                   "Address on which other routers connect; empty: disabled",
+                   kListenRule, false, false, Listen([](Settings & s) -> auto& {
+                     return s.shell.peer_listen;
+                   })});
   table.push_back(
       {"peer-advertise", "",
-       "Address told to other routers; that of --peer-listen when empty",
+       "Address advertised to other routers; default: --peer-listen",
        kReachRule, false, false,
        Reach([](Settings & s) -> auto& { return s.peer_advertise; })});
-  table.push_back({"operator-listen", "", "Where operators and metrics connect",
+  table.push_back({"operator-listen", "", "Address for operators and metrics",
                    kListenRule, true, false, Listen([](Settings & s) -> auto& {
                      return s.shell.operator_listen;
                    })});
   table.push_back(
       {"operator-advertise", "",
-       "Address told to operators; that of --operator-listen when empty",
+       "Address advertised to operators; default: --operator-listen",
        kReachRule, false, false,
        Reach([](Settings & s) -> auto& { return s.operator_advertise; })});
   table.push_back(
       {"log", "", "The platform's log service", kReachRule, true, false,
        Reach([](Settings & s) -> auto& { return s.shell.log_address; })});
-  table.push_back({"vm-list", "", "The platform's VM list; empty: not asked",
-                   kReachRule, false, false, Reach([](Settings & s) -> auto& {
-                     return s.shell.vm_list_address;
-                   })});
+  table.push_back(
+      {"vm-list", "", "Address of the platform's VM list; empty: not used",
+       kReachRule, false, false,
+       Reach([](Settings & s) -> auto& { return s.shell.vm_list_address; })});
 }
 
 void AddSecrets(std::vector<SettingSpec>& table) {
@@ -174,46 +175,48 @@
                      return s.shell.operator_token;
                    })});
   table.push_back(
-      {"operator-token-file", "", "File that holds the token",
+      {"operator-token-file", "", "File that contains the operator token",
        "a readable file", false, false,
        Text([](Settings & s) -> auto& { return s.operator_token_file; })});
   table.push_back(
       {"peer-secret", "", "Secret shared by all routers", "any text", false,
        true, Text([](Settings & s) -> auto& { return s.shell.peer_secret; })});
-  table.push_back({"peer-secret-file", "", "File that holds the secret",
+  table.push_back({"peer-secret-file", "", "File that contains the peer secret",
                    "a readable file", false, false, Text([
                    ](Settings & s) -> auto& { return s.peer_secret_file; })});
 }
 
 void AddBounds(std::vector<SettingSpec>& table) {
   table.push_back(
-      {"traffic-threads", "2", "Threads for connections", "1 to 64", false,
-       false,
+      {"traffic-threads", "2", "Threads that serve connections", "1 to 64",
+       false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.traffic_threads; }, 1,
            64)});
   table.push_back(
-      {"max-connections", "8192", "Open connections a port", "1 to 1000000",
-       false, false,
+      {"max-connections", "8192", "Maximum open connections per port",
+       "1 to 1000000", false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.caller.max_connections; },
            1, 1'000'000)});
-  table.push_back({"max-header-bytes", "16384", "Header of a request",
-                   "1024 to 1048576", false, false,
+  table.push_back({"max-header-bytes", "16384",
+                   "Maximum header size of a request", "1024 to 1048576", false,
+                   false,
                    Size(
                        [](Settings & s) -> auto& {
                          return s.shell.caller.max_header_bytes;
                        },
                        1024, 1'048'576)});
   table.push_back(
-      {"max-body-bytes", "1048576", "Body of a request", "1024 to 16777216",
-       false, false,
+      {"max-body-bytes", "1048576", "Maximum body size of a request",
+       "1024 to 16777216", false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.caller.max_body_bytes; },
            1024, 16'777'216)});
   table.push_back(
-      {"max-answer-bytes", "8388608", "Answer that comes in one piece",
-       "1024 to 1073741824", false, false,
+      {"max-answer-bytes", "8388608",
+       "Maximum size of an answer that is not streamed", "1024 to 1073741824",
+       false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.max_answer_bytes; }, 1024,
            1'073'741'824)});
@@ -225,8 +228,8 @@
            [](Settings & s) -> auto& { return s.shell.max_kept_answer_bytes; },
            0, 1'073'741'824)});
   table.push_back(
-      {"max-kept-bytes", "134217728", "All answers kept", "0 to 17179869184",
-       false, false,
+      {"max-kept-bytes", "134217728", "Maximum total size of kept answers",
+       "0 to 17179869184", false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.max_kept_bytes; }, 0,
            17'179'869'184)});
@@ -240,38 +243,43 @@
                      kMillisRule, false, false, Millis(std::move(field))});
   };
   add(
-      "header-timeout-ms", "10000", "For the whole header of a request",
+      "header-timeout-ms", "10000",
+      "Time to receive the complete header of a request",
       [](Settings & s) -> auto& { return s.shell.caller.header_timeout; });
   add(
-      "body-timeout-ms", "30000", "For the whole body of a request",
+      "body-timeout-ms", "30000",
+      "Time to receive the complete body of a request",
       [](Settings & s) -> auto& { return s.shell.caller.body_timeout; });
   add(
-      "idle-timeout-ms", "75000", "Between two requests of a connection",
+      "idle-timeout-ms", "75000",
+      "Idle time between two requests on a connection",
       [](Settings & s) -> auto& { return s.shell.caller.idle_timeout; });
   add(
-      "write-timeout-ms", "30000", "For a caller to take a part of an answer",
+      "write-timeout-ms", "30000",
+      "Time for a caller to accept a part of an answer",
       [](Settings & s) -> auto& { return s.shell.caller.write_timeout; });
   add(
-      "connect-timeout-ms", "1000", "To connect to an upstream",
+      "connect-timeout-ms", "1000", "Time to connect to an upstream",
       [](Settings & s) -> auto& { return s.shell.connect_timeout; });
   add(
-      "log-timeout-ms", "3000", "For the log service to answer",
+      "log-timeout-ms", "3000", "Time for the log service to answer",
       [](Settings & s) -> auto& { return s.shell.log_timeout; });
   add(
-      "probe-timeout-ms", "1000", "For an upstream to answer a probe",
+      "probe-timeout-ms", "1000", "Time for an upstream to answer a probe",
       [](Settings & s) -> auto& { return s.shell.probe_timeout; });
   add(
-      "order-timeout-ms", "30000", "For an engine to acknowledge an order",
+      "order-timeout-ms", "30000", "Time for an engine to acknowledge an order",
       [](Settings & s) -> auto& { return s.shell.order_timeout; });
   add(
-      "vm-list-interval-ms", "2000", "Between two looks at the VM list",
+      "vm-list-interval-ms", "2000", "Interval between reads of the VM list",
       [](Settings & s) -> auto& { return s.shell.vm_list_interval; });
   add(
       "drain-patience-ms", "30000",
-      "For returning budgets at the end when the log is out",
+      "Time to return budgets while draining if the log is unavailable",
       [](Settings & s) -> auto& { return s.drain_patience; });
   add(
-      "close-patience-ms", "10000", "For open connections to end at the end",
+      "close-patience-ms", "10000",
+      "Time for open connections to finish during shutdown",
       [](Settings & s) -> auto& { return s.shell.close_patience; });
 }
 
@@ -282,7 +290,7 @@
   AddSecrets(table);
   AddBounds(table);
   AddTimes(table);
-  table.push_back({"log-level", "info", "Least level of log lines",
+  table.push_back({"log-level", "info", "Minimum level of log lines",
                    "info, warning or error", false, false, StoreLogLevel});
   return table;
 }
--- a/apps/coppervalved/settings.cc
+++ b/apps/coppervalved/settings.cc
@@ -44,8 +44,8 @@
   return core::Ok();
 }
 
-// A secret on the command line shows in the process list, so a file may hold
-// it instead.
+// A secret on the command line is visible in the process list, so it can be
+// read from a file instead.
 core::Status ReadSecret(const std::string& name,
                         const std::string& file,
                         std::string& secret) {
@@ -61,7 +61,7 @@
     }
   }
   if (secret.empty()) {
-    return Missing(name, "a text, or --" + name + "-file");
+    return Missing(name, "a value, or --" + name + "-file");
   }
   if (secret.size() < kMinSecretBytes) {
     return BadValue(name, "(hidden)",
@@ -134,8 +134,8 @@
                    spec.help + " (" + spec.allowed + ")")
         ->envname(VariableOf(spec));
   }
-  app.add_flag("--check-settings", check, "Print the settings and end");
-  app.add_flag("--version", version, "Print the version and end");
+  app.add_flag("--check-settings", check, "Print the settings and exit");
+  app.add_flag("--version", version, "Print the version and exit");
   try {
     app.parse(argc, argv);
   } catch (const CLI::CallForHelp&) {
--- a/include/coppervalve/core/error.h
+++ b/include/coppervalve/core/error.h
@@ -7,10 +7,10 @@
 
 namespace coppervalve::core {
 
-/// @brief Every failure the project reports. The numbers are stable: they
-/// appear in answers, logs and docs/ERRORS.md and are never reused.
+/// @brief Identifies every error that coppervalve reports. The numbers are
+/// stable and never reused: they appear in answers, logs and docs/ERRORS.md.
 enum class ErrorId : uint16_t {
-  // 1xx: the operators' file.
+  // 1xx: the configuration file.
   kConfigSyntax = 101,
   kConfigUnknownField = 102,
   kConfigWrongType = 103,
@@ -22,11 +22,11 @@
   kConfigPrepaidShrinks = 109,
   kConfigConflict = 110,
   kConfigTooLarge = 111,
-  // 2xx: settings of a process.
+  // 2xx: process settings.
   kSettingMissing = 201,
   kSettingBadValue = 202,
   kSettingUnknown = 203,
-  // 3xx: what a caller sent.
+  // 3xx: invalid requests from callers.
   kBadRequest = 301,
   kBodyTooLarge = 302,
   kHeaderTooLarge = 303,
@@ -38,7 +38,7 @@
   kKeyRequired = 309,
   kSlowSender = 310,
   kForbidden = 311,
-  // 4xx: refused before the work ran.
+  // 4xx: refused before dispatch to an upstream.
   kRefusedByRule = 401,
   kNoRuleMatches = 402,
   kBudgetExhausted = 403,
@@ -55,7 +55,7 @@
   kRetryBudgetSpent = 414,
   kBacklogFull = 415,
   kEndsUpstreams = 416,
-  // 5xx: after dispatch.
+  // 5xx: failed after dispatch to an upstream.
   kOutcomeUnknown = 501,
   kAnswerCut = 502,
   kUpstreamFailed = 503,
@@ -63,7 +63,7 @@
   kUpstreamProtocol = 505,
   kOriginGone = 506,
   kAnswerExpired = 507,
-  // 6xx: the platform.
+  // 6xx: platform services, the log and its contents.
   kLogUnavailable = 601,
   kLogGap = 602,
   kLogRecordInvalid = 603,
@@ -71,12 +71,12 @@
   kConservationBroken = 605,
   kVmListUnavailable = 606,
   kSnapshotInvalid = 607,
-  // 7xx: between routers.
+  // 7xx: communication between routers.
   kPeerUnreachable = 701,
   kPeerProtocol = 702,
   kWitnessRefused = 703,
   kRetiredInLog = 704,
-  // 8xx: operators' commands.
+  // 8xx: operator commands.
   kOperatorUsage = 801,
   kOperatorUnreachable = 802,
   kTopUpStale = 803,
@@ -88,17 +88,18 @@
   kOrderFenced = 809,
 };
 
-/// @brief Whether the request that an error answers ran at an upstream.
+/// @brief Whether the failed request was executed by an upstream.
 enum class RunState : uint8_t {
-  kNotRun,   ///< nothing was given to any upstream, or provably had no effect
-  kUnknown,  ///< it may have run, wholly or in part
-  kRan,      ///< it ran to its end
+  kNotRun,   ///< not sent to any upstream, or provably without effect
+  kUnknown,  ///< may have run completely or in part
+  kRan,      ///< ran to completion
 };
 
-/// @return "not_run", "unknown" or "ran", as answers, logs and metrics say it
+/// @return "not_run", "unknown" or "ran", the form used in answers, logs and
+/// metrics
 std::string_view RunStateName(RunState state);
 
-/// @brief Fixed facts about an error id.
+/// @brief Static properties of an error id.
 struct ErrorInfo {
   ErrorId id;
   std::string_view name;  ///< stable, lower_snake_case
@@ -106,24 +107,25 @@
   RunState run_state;
 };
 
-/// @brief Looks up the fixed facts about an error.
-/// @return the entry of the catalogue; every enumerator has one
+/// @brief Looks up the static properties of an error.
+/// @return the catalogue entry; every enumerator has one
 /// @complexity linear in the size of the catalogue
 const ErrorInfo& Describe(ErrorId id);
 
-/// @brief A typed failure: which one, of what, and the particulars.
+/// @brief An error with the object it concerns and a description.
 struct Error {
   ErrorId id;
-  std::string subject;  ///< path in a file, name of a setting, id of a thing
-  std::string detail;   ///< for people; programs read `id`
+  std::string subject;  ///< e.g. path in a file, setting name or object id
+  std::string detail;   ///< human-readable; programs use `id`
 
   friend bool operator==(const Error&, const Error&) = default;
 };
 
-/// @brief The stable text form of an id, "CV-403".
+/// @brief Returns the stable text form of an id, such as "CV-403".
 std::string ErrorCode(ErrorId id);
 
-/// @brief One line for logs and terminals: code, name, subject and detail.
+/// @brief Formats code, name, subject and detail as one line for logs and
+/// terminals.
 std::string ToString(const Error& error);
 
 }  // namespace coppervalve::core
--- a/include/coppervalve/core/hash.h
+++ b/include/coppervalve/core/hash.h
@@ -14,15 +14,15 @@
 /// @complexity linear in the size of the text
 uint64_t Hash64(std::string_view text, uint64_t seed = 0);
 
-/// @brief A 128-bit content hash: request keys, bodies.
+/// @brief 128-bit content hash of request keys and bodies.
 struct Hash128 {
   uint64_t high = 0;
   uint64_t low = 0;
 
   friend auto operator<=>(const Hash128&, const Hash128&) = default;
-  /// @return 16 bytes, big endian, as kept in log records
+  /// @return 16 bytes, big endian, as stored in log records
   std::string ToBytes() const;
-  /// @return the hash of 16 bytes; all zero when the size is another
+  /// @return the hash stored in 16 bytes; all zero for any other size
   static Hash128 FromBytes(std::string_view bytes);
 };
 
@@ -38,14 +38,14 @@
 /// @brief Lower-case hex SHA-256, used for API keys and operator tokens.
 std::string Sha256Hex(std::string_view text);
 
-/// @brief Compares secrets without leaking the position of the first
-/// difference.
+/// @brief Compares secrets in constant time, so that timing does not reveal the
+/// position of the first difference.
 bool EqualSecrets(std::string_view a, std::string_view b);
 
 /// @brief Rank of `candidate` for `key` in rendezvous hashing: the candidate
 /// with the highest rank owns the key.
 uint64_t RendezvousRank(std::string_view key, std::string_view candidate);
-/// @brief The same for many candidates of one key.
+/// @brief Overload that avoids rehashing one key for many candidates.
 /// @param key_hash Hash64() of the key
 uint64_t RendezvousRank(uint64_t key_hash, std::string_view candidate);
 
--- a/include/coppervalve/core/ids.h
+++ b/include/coppervalve/core/ids.h
@@ -49,19 +49,21 @@
 using FailureDomainId = TextId<struct FailureDomainTag>;
 using RuleId = TextId<struct RuleTag>;
 
-/// @brief Random per start of a process; tells restarts of one router apart.
+/// @brief Random id chosen at process start; distinguishes restarts of a
+/// router.
 using Incarnation = NumberId<struct IncarnationTag>;
 /// @brief Position in the platform's log.
 using LogOffset = NumberId<struct LogOffsetTag>;
-/// @brief 1, 2, 3... per accepted configuration; 0 is "none yet".
+/// @brief Counts accepted configurations from 1; 0 means none yet.
 using ConfigVersion = NumberId<struct ConfigVersionTag>;
-/// @brief One request as one router process knows it; unique per incarnation.
+/// @brief A request within one router process; unique per incarnation.
 using RequestId = NumberId<struct RequestTag>;
-/// @brief One attempt of a request at one upstream; unique per incarnation.
+/// @brief One attempt to run a request at an upstream; unique per incarnation.
 using AttemptId = NumberId<struct AttemptTag>;
-/// @brief Grows with every order; the log offset of the order's record.
+/// @brief Fencing token of an order: the log offset of its record, so it
+/// increases with every order.
 using FencingNumber = NumberId<struct FencingTag>;
-/// @brief Position of an entry among those of its writer's incarnation.
+/// @brief Position of an entry among all entries of its writer's incarnation.
 using Sequence = NumberId<struct SequenceTag>;
 
 }  // namespace coppervalve::core
--- a/include/coppervalve/core/result.h
+++ b/include/coppervalve/core/result.h
@@ -8,14 +8,14 @@
 
 namespace coppervalve::core {
 
-/// @brief A value, or the typed reason why there is none.
+/// @brief A value or an error.
 template <typename T>
 using Result = std::variant<T, Error>;
 
 /// @brief The result of an operation that returns nothing but may fail.
 using Status = Result<std::monostate>;
 
-/// @brief The Status of success.
+/// @brief Returns a successful Status.
 inline Status Ok() {
   return std::monostate{};
 }
--- a/include/coppervalve/core/units.h
+++ b/include/coppervalve/core/units.h
@@ -7,7 +7,7 @@
 
 namespace coppervalve::core {
 
-/// @brief An amount of a unit that cannot be mixed up with another unit.
+/// @brief A strongly typed amount of one unit.
 /// @tparam Tag an empty struct that names the unit
 template <typename Tag>
 class Amount {
@@ -30,17 +30,18 @@
   int64_t m_count = 0;
 };
 
-/// @brief Budget tokens: what accounts prepay and requests are billed in.
+/// @brief Budget tokens, the unit in which accounts prepay and requests are
+/// billed.
 using Tokens = Amount<struct TokensTag>;
 /// @brief Bytes of a body or message.
 using Bytes = Amount<struct BytesTag>;
 
-/// @brief Microseconds; the resolution of all decisions.
+/// @brief Microseconds, the time resolution of all decisions.
 using Duration = std::chrono::microseconds;
 
-/// @brief The clock of all decisions: monotonic and running during suspend
-/// (CLOCK_BOOTTIME in the daemon, virtual in tests). It is never read by the
-/// decision libraries: every call is handed the time.
+/// @brief The clock used for all decisions. It is monotonic and includes time
+/// in suspend (CLOCK_BOOTTIME in the daemon, simulated in tests). The decision
+/// libraries never read it; callers pass the current time.
 struct DecisionClock {
   using duration = Duration;
   using rep = duration::rep;
--- a/include/coppervalve/logclient/backoff.h
+++ b/include/coppervalve/logclient/backoff.h
@@ -8,26 +8,26 @@
 
 namespace coppervalve::logclient {
 
-/// @brief Gives a number in [0, 1): random in the daemon, fixed in tests.
+/// @brief Returns a number in [0, 1): random in the daemon, fixed in tests.
 using JitterHook = std::function<double()>;
 
-/// @brief Bounds of an exponential backoff.
+/// @brief Options of an exponential backoff.
 struct BackoffOptions {
   core::Duration first = std::chrono::milliseconds(100);
   core::Duration longest = std::chrono::seconds(2);
 };
 
-/// @brief Delay before the next attempt: doubles with each failure.
+/// @brief Exponential backoff: the delay doubles with each failure.
 class Backoff {
  public:
   Backoff(BackoffOptions options, JitterHook jitter);
 
-  /// @brief Counts a failure.
-  /// @return the delay, between half and all of the doubled bound
+  /// @brief Counts a failure and computes the delay before the next attempt.
+  /// @return a delay between 50% and 100% of the doubled bound
   /// @complexity constant
   core::Duration NextDelay();
 
-  /// @brief Starts over after a success.
+  /// @brief Resets the delay after a success.
   void Reset() { m_failures = 0; }
 
   /// @return failures since the last success
--- a/include/coppervalve/logclient/reader.h
+++ b/include/coppervalve/logclient/reader.h
@@ -15,14 +15,14 @@
 
 namespace coppervalve::logclient {
 
-/// @brief Bounds of a Reader.
+/// @brief Options of a Reader.
 struct ReaderOptions {
-  /// How long the service may hold a read at the end of the log.
+  /// Long-poll timeout of a read at the end of the log.
   core::Duration long_poll = std::chrono::seconds(1);
   BackoffOptions backoff;
 };
 
-/// @brief One read to send.
+/// @brief Parameters of a read request.
 struct ReadRequest {
   core::LogOffset from;
   core::Duration wait{};
@@ -30,52 +30,55 @@
   friend bool operator==(const ReadRequest&, const ReadRequest&) = default;
 };
 
-/// @brief What the owner does with a reply, in this order.
+/// @brief What the owner must do after a reply, in the order of the members.
 struct ReadOutcome {
-  /// This reply showed that unread entries are gone: the state is no longer
-  /// current (CV-602) until a snapshot comes.
+  /// Unread entries have expired: the state is stale (CV-602) until a snapshot
+  /// is loaded.
   bool gap_found = false;
-  /// Replace the state by this snapshot.
+  /// Snapshot that replaces the state.
   std::optional<v1::Snapshot> load;
-  /// Then fold these, contiguous from the offset the state is at.
+  /// Entries to fold next, contiguous from the offset of the state.
   std::vector<v1::LoggedEntry> entries;
 };
 
-/// @brief The reading side: what to read next, and whether it is current.
+/// @brief Log reader without I/O: decides what to read next and tracks whether
+/// the state is current.
 ///
-/// The owner asks NextRead() on each tick and after each event, sends what it
-/// returns and reports exactly one OnRead() or OnFailed() for it (the sender
-/// bounds the time of a read). A new router starts at offset 0; the first reply
-/// tells whether the log still begins there.
+/// The owner calls NextRead() on each tick and after each event, sends the
+/// returned request and calls exactly one of OnRead() or OnFailed() for it (the
+/// sender enforces the timeout). A new router starts at offset 0; the first
+/// reply tells whether that offset is still retained.
 class Reader {
  public:
   Reader(core::LogOffset next, ReaderOptions options, JitterHook jitter);
 
-  /// @brief The read to send now, if any; at most one is outstanding.
+  /// @brief Returns the read to send now, if any; at most one is outstanding.
   /// @complexity constant
   std::optional<ReadRequest> NextRead(core::TimePoint now);
 
-  /// @brief Takes the reply of the outstanding read.
-  /// @return what to do; kLogRecordInvalid when the reply contradicts what was
-  /// read before (it is then read again after a backoff)
+  /// @brief Handles the reply to the outstanding read.
+  /// @return what to do; kLogRecordInvalid when the reply contradicts earlier
+  /// replies (the read is then retried after a backoff)
   /// @complexity linear in the size of the reply
   core::Result<ReadOutcome> OnRead(core::TimePoint now, v1::ReadReply reply);
 
   /// @brief The outstanding read failed.
   void OnFailed(core::TimePoint now);
 
-  /// @brief The owner could not use the snapshot it was told to load: scan on.
+  /// @brief Reports that the snapshot to load was unusable; the scan restarts.
   void OnSnapshotRejected();
 
-  /// @return next offset to fold; while scanning, the one lost
+  /// @return next offset to fold; while scanning, the offset that expired
+  /// unread
   core::LogOffset next_offset() const { return m_next; }
-  /// @return whether it looks for a snapshot in the retained part
+  /// @return whether it scans the retained part of the log for a snapshot
   bool is_scanning() const { return m_scan.has_value(); }
   /// @return whether a scan reached the end of the log without a snapshot and
   /// now waits for one to be appended
   bool scan_found_nothing() const;
-  /// @return when the last read that reached the end of the log was SENT: all
-  /// that the log held at that time is folded. Never while scanning.
+  /// @return when the last read that reached the end of the log was sent (not
+  /// answered): everything in the log at that time is folded. Not set while
+  /// scanning.
   std::optional<core::TimePoint> last_read_to_end() const {
     return m_last_read_to_end;
   }
@@ -83,7 +86,7 @@
   core::LogOffset first_retained() const { return m_first_retained; }
   /// @return end of the log, as last reported
   core::LogOffset end() const { return m_end; }
-  /// @return failed reads since the last good one
+  /// @return failed reads since the last successful one
   uint32_t failures() const { return m_backoff.failures(); }
 
  private:
--- a/include/coppervalve/logclient/snapshot_policy.h
+++ b/include/coppervalve/logclient/snapshot_policy.h
@@ -11,36 +11,36 @@
 
 namespace coppervalve::logclient {
 
-/// @brief When snapshots are appended.
+/// @brief Options that control when snapshots are appended.
 struct SnapshotOptions {
   /// Distance between snapshots, in thousandths of the retained range.
   uint32_t spacing_permille = 250;
-  /// Least distance while the log has dropped nothing yet.
+  /// Minimum distance, in offsets, while no log entry has expired yet.
   uint64_t min_spacing = 256;
-  /// How long the next router in rank waits for the one before it.
+  /// How long each router waits for the router ranked before it.
   core::Duration takeover_delay = std::chrono::seconds(5);
-  /// Largest snapshot that is appended.
+  /// Maximum size of a snapshot.
   core::Bytes max_bytes{4 << 20};
 };
 
-/// @brief Where the log stands, as a router sees it.
+/// @brief Retained range of the log, as known to a router.
 struct LogRange {
   core::LogOffset first_retained;
   core::LogOffset next;  ///< next offset to fold
 };
 
-/// @brief Chooses when this router appends a snapshot, so that the retained
-/// part of the log always holds one and as a rule one router writes it.
+/// @brief Decides when this router appends a snapshot. The retained part of the
+/// log should always hold one, and normally only one router writes it.
 class SnapshotPolicy {
  public:
   SnapshotPolicy(core::RouterId self, SnapshotOptions options);
 
-  /// @brief A snapshot was folded or loaded.
-  /// @param offset the state's offset in it
+  /// @brief Reports that a snapshot was folded or loaded.
+  /// @param offset offset of the state in the snapshot
   void OnSnapshotSeen(core::LogOffset offset);
 
-  /// @brief Whether this router should append a snapshot now. Says so again
-  /// only after a full round of takeover delays, unless one is seen.
+  /// @brief Whether this router should append a snapshot now. If no snapshot is
+  /// seen, returns true again only after one takeover delay per live router.
   /// @param live ids of the live members, this router included
   /// @complexity linear in the number of members
   bool IsDue(core::TimePoint now,
@@ -48,7 +48,7 @@
              const std::vector<core::RouterId>& live);
 
   /// @brief Checks the size of a snapshot that is about to be appended.
-  /// @return kSnapshotInvalid when it is larger than the bound
+  /// @return kSnapshotInvalid when it exceeds the maximum size
   core::Status CheckSize(core::Bytes size) const;
 
   /// @return offsets between snapshots for this range
--- a/include/coppervalve/logclient/token_bucket.h
+++ b/include/coppervalve/logclient/token_bucket.h
@@ -7,14 +7,14 @@
 
 namespace coppervalve::logclient {
 
-/// @brief Bound of a rate: at most `burst + rate * t` events in any time t.
+/// @brief Rate limiter: at most `burst + rate * t` events in any period t.
 class TokenBucket {
  public:
   /// @param rate events per second, above 0
-  /// @param burst events that may come at once, at least 1
+  /// @param burst maximum number of simultaneous events, at least 1
   TokenBucket(double rate, double burst);
 
-  /// @brief Takes one token if there is one.
+  /// @brief Takes one token if available.
   /// @complexity constant
   bool TryTake(core::TimePoint now);
 
--- a/include/coppervalve/logclient/writer.h
+++ b/include/coppervalve/logclient/writer.h
@@ -18,32 +18,33 @@
 
 /// @brief How soon a record must be appended.
 enum class Urgency : uint8_t {
-  kRoutine,  ///< with the next batch
-  kUrgent,   ///< as soon as the last append has ended: claims, grants
+  kRoutine,  ///< sent with the next batch
+  kUrgent,   ///< sent when the previous append ends: claims, grants
 };
 
-/// @brief Bounds of a Writer.
+/// @brief Options of a Writer.
 struct WriterOptions {
   core::Duration batch_interval = std::chrono::milliseconds(100);
   core::Duration keep_alive_interval = std::chrono::seconds(3);
-  /// An append without outcome for this long means that the log is out.
+  /// The log counts as unavailable when an append has no outcome for this long.
   core::Duration outage_after = std::chrono::seconds(2);
   double appends_per_second = 10;
   double append_burst = 20;
   size_t max_backlog_records = 20'000;
   core::Bytes max_backlog_bytes{8 << 20};
-  /// Bounds of one entry; a single record may exceed the bytes.
+  /// Limits of one entry; a single record may exceed the byte limit.
   size_t max_entry_records = 1'000;
   core::Bytes max_entry_bytes{256 << 10};
   BackoffOptions backoff;
 };
 
-/// @brief The writing side of one incarnation: groups records into entries with
-/// contiguous sequences and repeats an entry until its outcome is known.
+/// @brief Log writer of one incarnation, without I/O: groups records into
+/// entries with contiguous sequences and retries an entry until its outcome is
+/// known.
 ///
-/// The owner asks NextAppend() on each tick and after each event, sends what it
-/// returns and reports exactly one OnAppended() or OnFailed() for it (the
-/// sender bounds the time of an append).
+/// The owner calls NextAppend() on each tick and after each event, sends the
+/// returned entry and calls exactly one of OnAppended() or OnFailed() for it
+/// (the sender enforces the timeout).
 class Writer {
  public:
   /// @param writer router id, or "operator:<name>"
@@ -53,44 +54,43 @@
          WriterOptions options,
          JitterHook jitter);
 
-  /// @brief Queues a record behind those added before.
-  /// @return kBacklogFull when a bound would be passed: the record was not
-  /// taken, and nothing that was taken before is lost
+  /// @brief Appends a record to the queue.
+  /// @return kBacklogFull when a limit would be exceeded: the record is not
+  /// queued, and records queued earlier are kept
   /// @complexity linear in the size of the record
   core::Status Add(v1::Record record, Urgency urgency);
 
-  /// @brief The append to send now, if any.
-  /// @param seen_offset next offset that this router has still to read
-  /// @return a serialized v1::Entry; byte for byte the earlier one when it is
-  /// repeated
+  /// @brief Returns the append to send now, if any.
+  /// @param seen_offset next offset that this router will read
+  /// @return a serialized v1::Entry; a retry is byte for byte identical
   /// @complexity linear in the size of the entry
   std::optional<std::string> NextAppend(core::TimePoint now,
                                         core::LogOffset seen_offset);
 
-  /// @brief The log acknowledged the append in flight. A report that nothing is
-  /// in flight for is ignored.
+  /// @brief Reports that the log acknowledged the append in flight. Ignored
+  /// when no append is in flight.
   void OnAppended(core::TimePoint now, core::LogOffset offset);
 
-  /// @brief The append in flight failed; it may have taken effect.
+  /// @brief Reports that the append in flight failed; it may have taken effect.
   void OnFailed(core::TimePoint now);
 
-  /// @brief An entry of this incarnation was read from the log: settles an
-  /// outstanding append whose reply was lost. Another may be sent once the one
-  /// in flight is reported.
+  /// @brief Reports that an entry of this incarnation was read from the log.
+  /// This confirms an outstanding append whose reply was lost. The next append
+  /// waits until the one in flight is reported.
   void OnSequenceFolded(core::Sequence sequence);
 
-  /// @return records that are not known to be in the log, those of the
-  /// outstanding entry included
+  /// @return records not known to be in the log, including those of the
+  /// outstanding entry
   size_t backlog_records() const;
-  /// @return their serialized size
+  /// @return serialized size of these records
   core::Bytes backlog_bytes() const;
-  /// @return whether an entry is outstanding: sent, and its outcome unknown
+  /// @return whether an entry was sent whose outcome is unknown
   bool has_outstanding() const { return m_outstanding.has_value(); }
   /// @return time since the outstanding entry was first sent; zero if none is
   core::Duration OutstandingAge(core::TimePoint now) const;
-  /// @return whether an append has been without outcome for too long
+  /// @return whether an append has had no outcome for `outage_after`
   bool LogIsUnavailable(core::TimePoint now) const;
-  /// @return highest sequence handed out so far; 0 before the first entry
+  /// @return highest sequence assigned so far; 0 before the first entry
   core::Sequence last_sequence() const { return m_last_sequence; }
   /// @return highest sequence known to be in the log
   core::Sequence confirmed_sequence() const { return m_confirmed_sequence; }
@@ -98,9 +98,9 @@
   std::optional<core::LogOffset> last_offset() const { return m_last_offset; }
   /// @return entries known to be in the log
   uint64_t appended_entries() const { return m_confirmed_sequence.value(); }
-  /// @return sends, repeats included
+  /// @return number of sends, including retries
   uint64_t sends() const { return m_sends; }
-  /// @return bytes sent, repeats included
+  /// @return bytes sent, including retries
   core::Bytes bytes_sent() const { return m_bytes_sent; }
 
  private:
--- a/include/coppervalve/telemetry/json_text.h
+++ b/include/coppervalve/telemetry/json_text.h
@@ -6,8 +6,8 @@
 
 namespace coppervalve::telemetry {
 
-/// @brief Appends a JSON string with its quotes. Bytes that are not UTF-8 are
-/// kept as they are.
+/// @brief Appends a quoted JSON string. Bytes that are not valid UTF-8 are
+/// copied unchanged.
 void AppendJsonString(std::string& out, std::string_view text);
 
 }  // namespace coppervalve::telemetry
--- a/include/coppervalve/telemetry/log.h
+++ b/include/coppervalve/telemetry/log.h
@@ -8,16 +8,16 @@
 
 namespace coppervalve::telemetry {
 
-/// @brief One event as a line of JSON, without the line's end.
+/// @brief Formats one event as a line of JSON without a trailing newline.
 std::string FormatLine(std::chrono::system_clock::time_point time,
                        const router::LogLine& line);
 
-/// @brief Sends log lines to standard output and nowhere else. Call it once,
-/// before the first line.
-/// @param min_level lines below it are dropped
+/// @brief Configures logging to standard output only. Call once, before the
+/// first line is written.
+/// @param min_level lines below this level are dropped
 void OpenLog(router::LogLine::Level min_level);
 
-/// @brief Writes one event, stamped with the wall clock. From any thread.
+/// @brief Writes one event with a wall-clock timestamp. Thread-safe.
 void WriteLine(const router::LogLine& line);
 
 }  // namespace coppervalve::telemetry
--- a/include/coppervalve/telemetry/router_metrics.h
+++ b/include/coppervalve/telemetry/router_metrics.h
@@ -10,8 +10,8 @@
 
 namespace coppervalve::telemetry {
 
-/// @brief The metrics of a router, derived from what passes between its core
-/// and its shell.
+/// @brief The metrics of a router, derived from the events and actions
+/// exchanged between its core and its shell.
 class RouterMetrics {
  public:
   RouterMetrics();
@@ -19,12 +19,13 @@
   RouterMetrics& operator=(const RouterMetrics&) = delete;
   ~RouterMetrics();
 
-  /// @brief Both: on the control thread only, in order.
+  /// @brief OnEvent() and OnAction() must be called in order, on the control
+  /// thread only.
   void OnEvent(core::TimePoint now, const router::Event& event);
   void OnAction(core::TimePoint now, const router::Action& action);
-  /// @brief A request that the shell refused; from any thread.
+  /// @brief Counts a request that the shell rejected. Thread-safe.
   void OnRejected(const core::Error& error);
-  /// @brief The answer of /metrics; from any thread.
+  /// @brief Returns the body of the /metrics response. Thread-safe.
   std::string Text() const;
 
  private:
--- a/src/logclient/backoff.cc
+++ b/src/logclient/backoff.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Doubling stops here, far past every useful bound and before it overflows.
+// Maximum number of doublings: far above any useful bound, below overflow.
 constexpr uint32_t kMaxDoublings = 20;
 
 }  // namespace
@@ -20,9 +20,9 @@
   ++m_failures;
   const core::Duration bound =
       std::min(m_options.longest, m_options.first * (int64_t{1} << doublings));
-  // Without jitter the routers, which all saw the same outage, would return at
-  // the same instants and overload the log again; half of the bound is kept
-  // fixed so that the delay still grows.
+  // Without jitter all routers would retry at the same times after an outage
+  // and overload the log again. Half of the bound is not randomized, so that
+  // the delay still grows.
   const core::Duration half = bound / 2;
   const auto spread = static_cast<core::Duration::rep>(
       m_jitter() * static_cast<double>(half.count()));
--- a/src/logclient/reader.cc
+++ b/src/logclient/reader.cc
@@ -25,8 +25,8 @@
   }
   m_sent = now;
   m_retry_at.reset();
-  // A read that may be held answers only what is appended while it is held, so
-  // it is asked for only where nothing is known to be unread.
+  // A long poll returns only entries that are appended while it waits, so it is
+  // used only when no unread entries are known.
   return ReadRequest{ReadPosition(),
                      m_at_end ? m_options.long_poll : core::Duration()};
 }
@@ -49,9 +49,10 @@
       m_scan ? ContinueScan(reply) : TakeEntries(std::move(reply));
   m_at_end = ReadPosition() == m_end;
   if (m_at_end && !m_scan) {
-    // The time of sending, not of arrival: a process that was paused finds an
-    // old reply in its socket. Dated at arrival it would pass for current, and
-    // the router would work under a configuration that was replaced long ago.
+    // Use the time of sending, not of arrival: a process that was paused may
+    // find an old reply in its socket. With the time of arrival the reply would
+    // count as current, and the router would use a configuration replaced long
+    // ago.
     m_last_read_to_end = sent;
   }
   return outcome;
@@ -76,16 +77,18 @@
 
 core::Status Reader::CheckReply(const v1::ReadReply& reply) const {
   const uint64_t position = ReadPosition().value();
-  // The log only grows. One that ends before what was read from it is another
-  // log, or one that lost its tail; folding on would put other entries at
-  // offsets that are folded already.
+  // The log only grows. If it ends before an offset that was already read, it
+  // is a different log or has lost its tail; continuing would fold different
+  // entries at offsets that are already folded.
   if (reply.end() < position || reply.end() < m_end.value()) {
-    return InvalidReply("the log ends before what was read", reply.end());
+    return InvalidReply("the log ends before an offset already read",
+                        reply.end());
   }
   if (reply.first_retained() > reply.end()) {
     return InvalidReply("retained part ends before it begins", reply.end());
   }
-  // An empty reply before the end would be asked for again at once, for ever.
+  // Accepting an empty reply before the end would repeat the read immediately,
+  // in an endless loop.
   const bool has_unread =
       position >= reply.first_retained() && position < reply.end();
   if (has_unread && reply.entries().empty()) {
@@ -94,7 +97,7 @@
   uint64_t expected = std::max(position, reply.first_retained());
   for (const v1::LoggedEntry& logged : reply.entries()) {
     if (logged.offset() != expected || logged.offset() >= reply.end()) {
-      return InvalidReply("offset out of order", logged.offset());
+      return InvalidReply("entry offset is not contiguous", logged.offset());
     }
     ++expected;
   }
@@ -104,8 +107,8 @@
 ReadOutcome Reader::TakeEntries(v1::ReadReply reply) {
   ReadOutcome outcome;
   if (m_first_retained > m_next) {
-    // The entries in between are gone. Folding what follows them would give a
-    // state that no other router has (symptom: balances that differ by router),
+    // The entries in between have expired. Folding the later entries would make
+    // the state diverge from that of the other routers (balances would differ),
     // so nothing is folded until a snapshot replaces the state.
     outcome.gap_found = true;
     StartScan();
@@ -144,7 +147,8 @@
       continue;
     }
     const v1::Snapshot& snapshot = record.snapshot();
-    // A snapshot is taken some offsets before its append lands.
+    // A snapshot's state offset is lower than the offset of its entry, because
+    // other entries are appended in between.
     if (snapshot.offset() > logged.offset()) {
       continue;
     }
@@ -160,7 +164,7 @@
   ReadOutcome outcome;
   const core::LogOffset offset(m_scan->newest->offset());
   if (offset < m_first_retained) {
-    // What follows the snapshot is no longer complete: wait for a newer one.
+    // Some entries after the snapshot have expired: wait for a newer snapshot.
     m_scan->newest.reset();
     return outcome;
   }
--- a/src/logclient/snapshot_policy.cc
+++ b/src/logclient/snapshot_policy.cc
@@ -47,8 +47,9 @@
   if (size <= m_options.max_bytes) {
     return core::Ok();
   }
-  return core::Error{core::ErrorId::kSnapshotInvalid, m_self.value(),
-                     "larger than the bound: " + std::to_string(size.value())};
+  return core::Error{
+      core::ErrorId::kSnapshotInvalid, m_self.value(),
+      "larger than the maximum size: " + std::to_string(size.value())};
 }
 
 uint64_t SnapshotPolicy::Spacing(const LogRange& range) const {
@@ -59,15 +60,15 @@
   if (range.first_retained.value() == 0) {
     return std::max(share, m_options.min_spacing);
   }
-  // Once entries expire, the retained range is the true bound: a fixed least
-  // distance could be longer than it and leave no snapshot in it at all.
+  // Once entries expire, no fixed minimum applies: it could exceed the retained
+  // range and leave no snapshot in it.
   return std::max<uint64_t>(share, 1);
 }
 
 size_t SnapshotPolicy::RankOfSelf(
     const std::vector<core::RouterId>& live) const {
-  // All routers fold the same last snapshot, so they rank each other alike; the
-  // changing key spreads the work.
+  // All routers fold the same last snapshot and so compute the same ranking.
+  // The key changes with each snapshot, which distributes the work.
   const std::string key = "snapshot:" + std::to_string(m_last_snapshot.value());
   const uint64_t own = core::RendezvousRank(key, m_self.value());
   size_t ahead = 0;
--- a/src/logclient/writer.cc
+++ b/src/logclient/writer.cc
@@ -18,10 +18,10 @@
   const core::Bytes size(static_cast<int64_t>(record.ByteSizeLong()));
   const bool too_many = backlog_records() >= m_options.max_backlog_records;
   const bool too_large = backlog_bytes() + size > m_options.max_backlog_bytes;
-  // The log may be out for long while requests keep coming. Without a bound the
-  // router would die of its memory and lose all that it has still to report;
-  // dropping the oldest would lose it as surely. Refusing the new record lets
-  // the caller refuse the work that it stands for.
+  // Requests may keep arriving during a long outage of the log. An unbounded
+  // queue would exhaust memory and lose all unreported records when the router
+  // crashes, and dropping the oldest would lose them too. Rejecting the new
+  // record lets the caller refuse the corresponding work.
   if (too_many || too_large) {
     return core::Error{core::ErrorId::kBacklogFull, m_writer,
                        too_many ? "records" : "bytes"};
@@ -42,8 +42,9 @@
   if (!m_outstanding && !IsDue(now)) {
     return std::nullopt;
   }
-  // The log takes several hundred appends a second from the whole fleet. Urgent
-  // records and repeats pass the batch interval, so they are counted here.
+  // The log accepts several hundred appends per second from the whole fleet.
+  // Urgent records and retries bypass the batch interval, so the rate limit
+  // applies to them as well.
   if (!m_rate.TryTake(now)) {
     return std::nullopt;
   }
@@ -72,10 +73,10 @@
     return;
   }
   m_in_flight = false;
-  // A failed append may have taken effect: its reply was lost. Sending its
-  // records under a new sequence would fold them twice (a grant taken twice);
-  // dropping them could lose them. The same bytes are kept for the repeat, and
-  // the fold ignores the sequence it already has.
+  // A failed append may have taken effect with only its reply lost. Sending its
+  // records under a new sequence could fold them twice (e.g. take a grant
+  // twice), and dropping them could lose them. The retry sends the same bytes,
+  // and the fold ignores a sequence that it has already seen.
   m_retry_at = now + m_backoff.NextDelay();
 }
 
@@ -83,9 +84,8 @@
   if (!m_outstanding || sequence < m_outstanding->sequence) {
     return;
   }
-  // When the repeat is still in flight, its late report finds nothing
-  // outstanding; m_in_flight stays set, so that the report cannot be taken for
-  // that of a newer entry.
+  // A retry may still be in flight. m_in_flight stays set until its outcome is
+  // reported, so that the report is not attributed to a newer entry.
   ConfirmOutstanding();
 }
 
@@ -111,8 +111,8 @@
     return true;
   }
   if (!m_last_new_entry) {
-    // No keep-alive before the first record: the log must not see an entry of
-    // this incarnation before its join.
+    // No keep-alive before the first record: the join must be the first entry
+    // of this incarnation in the log.
     return !m_queue.empty();
   }
   const core::Duration quiet = now - *m_last_new_entry;
--- a/src/telemetry/easylogging.cc
+++ b/src/telemetry/easylogging.cc
@@ -1,5 +1,5 @@
-// The one home of the logging library's code. It comes from a system include
-// folder, so that its own warnings stay out of the build.
+// Compiles the logging library's implementation. It is included from a system
+// include directory, so that its warnings are not reported.
 // clang-format off
 #include "easylogging_setup.h"
 #include <easylogging++.cc>  // NOLINT(bugprone-suspicious-include)
--- a/src/telemetry/easylogging_setup.h
+++ b/src/telemetry/easylogging_setup.h
@@ -1,9 +1,9 @@
 #ifndef COPPERVALVE_SRC_TELEMETRY_EASYLOGGING_SETUP_H_
 #define COPPERVALVE_SRC_TELEMETRY_EASYLOGGING_SETUP_H_
 
-// The library and its users must be compiled with the same switches. Without
-// the second one it writes a file into the working folder, and the VMs have no
-// disks.
+// The library and its users must be compiled with the same macros. Without the
+// second one the library writes a log file to the working directory, but the
+// VMs have no disks.
 #define ELPP_THREAD_SAFE
 #define ELPP_NO_DEFAULT_LOG_FILE
 
--- a/src/telemetry/json_text.cc
+++ b/src/telemetry/json_text.cc
@@ -23,7 +23,7 @@
       out += c;
       continue;
     }
-    // A raw line break would let a caller's text forge a line of the log.
+    // An unescaped newline would let text from a caller forge a log line.
     std::array<char, 8> escaped{};
     std::snprintf(escaped.data(), escaped.size(), "\\u%04x",
                   static_cast<unsigned>(static_cast<unsigned char>(c)));
--- a/src/telemetry/log.cc
+++ b/src/telemetry/log.cc
@@ -12,8 +12,8 @@
 
 #include "coppervalve/telemetry/json_text.h"
 
-// The logging library keeps its state in globals that each program defines
-// once; this library does it for all of ours.
+// Each program must define the logging library's global state exactly once;
+// this library defines it for all programs.
 INITIALIZE_EASYLOGGINGPP
 
 namespace coppervalve::telemetry {
--- a/src/telemetry/router_metrics.cc
+++ b/src/telemetry/router_metrics.cc
@@ -21,7 +21,7 @@
 using prometheus::Histogram;
 using prometheus::Registry;
 
-// From a classifier's answer to a long itinerary.
+// Ranges from the answer of a classifier to a long itinerary.
 const Histogram::BucketBoundaries kSecondsBuckets = {
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
     0.5,   1.0,    2.5,   5.0,  10.0,  30.0, 60.0};
@@ -161,7 +161,7 @@
     Count(log_lines, {{"level", kNames[static_cast<size_t>(action.level)]}});
   }
 
-  /// What is not counted.
+  /// Ignores events and actions that have no metric.
   template <typename Other>
   void On(core::TimePoint /*now*/, const Other& /*other*/) {}
 
@@ -246,7 +246,7 @@
                                        "coppervalve_first_token_seconds",
                                        "From dispatch to the first token");
 
-  // Of the control thread.
+  // Used on the control thread only.
   std::unordered_map<core::RequestId, core::TimePoint> arrivals;
   std::unordered_map<core::AttemptId, Attempt> sent;
 };
--- a/tests/core/unit-hash.cc
+++ b/tests/core/unit-hash.cc
@@ -9,7 +9,7 @@
 TEST_GROUP(Hash){};
 // clang-format on
 
-TEST(Hash, a_128_bit_hash_survives_its_byte_form) {
+TEST(Hash, a_128_bit_hash_round_trips_through_bytes) {
   const Hash128 hash = HashOf("key-1");
   CHECK(Hash128::FromBytes(hash.ToBytes()) == hash);
   CHECK(Hash128::FromBytes("short") == Hash128{});
--- a/tests/logclient/fake_log.h
+++ b/tests/logclient/fake_log.h
@@ -27,7 +27,7 @@
   return record;
 }
 
-// The platform's log, as much of it as one writer or reader notices.
+// Fake of the platform's log, as seen by one writer or reader.
 class FakeLog {
  public:
   core::LogOffset Append(std::string entry) {
@@ -54,7 +54,7 @@
     return reply;
   }
 
-  // The records that the fold takes: sequence by sequence, each once.
+  // The records that the fold applies: in order of sequence, each once.
   std::vector<uint64_t> FoldedVersions() const {
     std::vector<uint64_t> versions;
     uint64_t last_sequence = 0;
--- a/tests/logclient/unit-reader.cc
+++ b/tests/logclient/unit-reader.cc
@@ -64,8 +64,8 @@
   CHECK(!reader.NextRead(At(1ms)).has_value());
 }
 
-// A router is paused for an hour with a read in flight. The reply waits in its
-// socket; taken at the time of arrival it would prove an hour-old log current.
+// A router is paused for an hour with a read in flight, and the reply waits in
+// its socket. Dated by its arrival, the hour-old reply would count as current.
 TEST(Reader, a_read_to_the_end_is_dated_when_it_was_sent) {
   FakeLog log;
   Reader reader = MakeReader();
@@ -89,9 +89,9 @@
   CHECK_EQUAL(0U, reader.failures());
 }
 
-// A router was cut off until the entries it had to read next had expired. It
-// must not fold what follows; it scans what is left, takes the newest snapshot,
-// which was taken two offsets before it landed, and folds on from there.
+// A router could not reach the log until its next entries had expired. It must
+// not fold later entries; it scans the retained part, loads the newest snapshot
+// (taken two offsets before its entry) and continues from there.
 TEST(Reader, a_gap_leads_to_the_newest_retained_snapshot_and_on_from_it) {
   FakeLog log;
   Fill(log, 40);
@@ -116,10 +116,10 @@
   CHECK(reader.last_read_to_end() == At(1s));
 }
 
-// The retained part holds only a snapshot whose following entries have expired
-// in part. Loading it would skip those; the reader waits for a newer one, which
-// another router appends.
-TEST(Reader, a_snapshot_with_a_hole_behind_it_is_not_loaded) {
+// The only retained snapshot is followed by entries of which some have expired.
+// Loading it would skip those; the reader waits until another router appends a
+// newer one.
+TEST(Reader, a_snapshot_followed_by_a_gap_is_not_loaded) {
   FakeLog log;
   Fill(log, 40);
   log.Append(SnapshotBytes(28));
@@ -132,9 +132,9 @@
   CHECK_EQUAL(41U, ReadOnce(reader, log).load.value().offset());
 }
 
-// The newest snapshot is broken: its digest does not match. The one before it
-// still serves; the broken one must not be chosen again.
-TEST(Reader, a_refused_snapshot_is_passed_over_in_the_next_scan) {
+// The newest snapshot is corrupt: its digest does not match. The reader uses
+// the one before it and must not choose the corrupt one again.
+TEST(Reader, a_rejected_snapshot_is_skipped_in_the_next_scan) {
   FakeLog log;
   Fill(log, 40);
   log.Append(SnapshotBytes(39));
@@ -147,9 +147,9 @@
   CHECK_EQUAL(39U, ReadOnce(reader, log).load.value().offset());
 }
 
-// The service answers with a log that ends before what was read: another log,
-// or one that lost its tail. Folding on would put other entries at offsets that
-// are folded already.
+// The service returns a log that ends before an offset already read: a
+// different log, or one that lost its tail. Continuing would fold different
+// entries at offsets that are already folded.
 TEST(Reader, a_log_that_shrank_is_an_error_and_not_folded) {
   FakeLog log;
   Fill(log, 10);
--- a/tests/logclient/unit-writer.cc
+++ b/tests/logclient/unit-writer.cc
@@ -91,9 +91,9 @@
   CHECK_EQUAL(2U, entry.sequence());
 }
 
-// The log takes an append, but its reply is lost on the way back. The writer
-// cannot tell this from an append that never arrived, so it repeats it. Were
-// the repeat a new entry, a grant in it would be folded twice.
+// The log accepts an append, but its reply is lost. The writer cannot tell this
+// from an append that never arrived and retries it. If the retry were a new
+// entry, a grant in it would be folded twice.
 TEST(Writer, a_lost_reply_leads_to_the_same_bytes_and_folds_once) {
   FakeLog log;
   Writer writer = MakeWriter();
@@ -114,10 +114,10 @@
   CHECK(log.FoldedVersions() == UpTo(2));
 }
 
-// The reply is lost and so would be that of each repeat. The writer reads its
-// own entry in the log, which settles it; the report of a repeat that was still
-// in flight then must not pass for that of the next entry.
-TEST(Writer, reading_its_own_entry_settles_an_append_whose_reply_is_lost) {
+// The replies to an append and to its retries are lost. The writer reads its
+// own entry in the log, which confirms it; the late report of a retry in flight
+// must not be attributed to the next entry.
+TEST(Writer, reading_its_own_entry_confirms_an_append_whose_reply_is_lost) {
   Writer writer = MakeWriter();
   AddOk(writer, 1, Urgency::kUrgent);
   CHECK(writer.NextAppend(At(0ms), kSeen).has_value());
@@ -137,9 +137,9 @@
   CHECK(writer.has_outstanding());
 }
 
-// The log is down for five minutes while records keep coming. The caller of
-// Add() is told when the backlog is full; every record that was taken is
-// appended once the log is back, in order, and none twice.
+// The log is unavailable for five minutes while records are added. Add()
+// reports when the backlog is full; every accepted record is appended after the
+// outage, in order and exactly once.
 TEST(Writer, an_outage_of_minutes_fills_the_backlog_but_loses_nothing) {
   constexpr core::Duration kOutageEnd = 5min;
   WriterOptions options;
@@ -188,10 +188,10 @@
   CHECK_EQUAL(2U, writer.backlog_records());
 }
 
-// Each append takes three seconds. The router learns that the log is out while
-// one is outstanding, and that it is not once the reply comes; records that
-// come meanwhile share the next append.
-TEST(Writer, a_slow_log_counts_as_out_until_its_reply_comes) {
+// Each append takes three seconds. The log counts as unavailable while one is
+// outstanding for too long and as available after the reply; records added in
+// between share the next append.
+TEST(Writer, a_slow_log_counts_as_unavailable_until_its_reply_comes) {
   Writer writer = MakeWriter();
   AddOk(writer, 1, Urgency::kUrgent);
   CHECK(writer.NextAppend(At(0s), kSeen).has_value());
@@ -207,8 +207,8 @@
   CHECK_EQUAL(2, entry.records_size());
 }
 
-// Urgent records come every millisecond, so that the batch interval never
-// holds an append back. Seven routers doing so must leave the log room.
+// Urgent records are added every millisecond, so the batch interval never
+// delays an append. Seven such routers must not use up the capacity of the log.
 TEST(Writer, urgent_records_stay_within_the_bound_of_appends_per_second) {
   constexpr core::Duration kRun = 60s;
   FakeLog log;
--- a/tests/telemetry/unit-log.cc
+++ b/tests/telemetry/unit-log.cc
@@ -22,8 +22,8 @@
 }
 
 TEST(Log, text_of_a_caller_cannot_forge_a_line) {
-  // A caller puts a line break and a whole log line into its model's name.
-  // Printed raw, an operator would read a decision that was never made.
+  // A caller sends a model name that contains a newline and a forged log line.
+  // Without escaping, the log would show a decision that was never made.
   const router::LogLine line{router::LogLine::Level::kInfo,
                              "decision",
                              {{"model", "x\"}}\n{\"event\":\"forged\"}"}}};
