--- a/apps/coppervalve/exit_code.h
+++ b/apps/coppervalve/exit_code.h
@@ -9,7 +9,7 @@
 enum class ExitCode : int {
   kOk = 0,
   kFailed = 1,       ///< refused, or a check failed
-  kUsage = 2,        ///< the command line was wrong
+  kUsage = 2,        ///< invalid command line or setting
   kUnreachable = 3,  ///< the log or a router did not answer
   kConflict = 4,     ///< another operator published first
 };
--- a/apps/coppervalve/main.cc
+++ b/apps/coppervalve/main.cc
@@ -37,7 +37,7 @@
 Examples:
   coppervalve config publish fleet.json              on top of what is in force
   coppervalve config publish fleet.json --based-on 7 only if 7 is in force
-  coppervalve config publish fleet.json --wait 10    until every router applied it)";
+  coppervalve config publish fleet.json --wait 10    until all routers apply it)";
 
 constexpr const char* kTopUpFooter = R"(
 An id is paid in at most once, so a command whose outcome is unknown can be
@@ -47,16 +47,17 @@
   coppervalve budget top-up tours 500000 --id invoice-1042)";
 
 constexpr const char* kReleaseFooter = R"(
-Tokens that a router held when it died stay quarantined until its witness or the
-router itself reports what it spent. Release them manually only when neither can.
+Tokens that a router held when it died stay quarantined until its witness or
+the router itself reports what it spent. Release them manually only when neither
+can.
 
 Examples:
   coppervalve budget release tours router-3          describes the risk
   coppervalve budget release tours router-3 --yes    releases)";
 
 constexpr const char* kSettleFooter = R"(
-An engine that ignores fencing numbers gets no newer order while an older one may
-still reach it. Check the state of the engine, then settle the older order.
+An engine that ignores fencing numbers gets no newer order while an older one
+may still reach it. Check the state of the engine, then settle the older order.
 
 Examples:
   coppervalve orders settle engine-03          describes the risk
--- a/apps/coppervalve/session.cc
+++ b/apps/coppervalve/session.cc
@@ -16,9 +16,9 @@
 
 uint64_t RandomNumber() {
   std::random_device device;
-  constexpr unsigned kHalf = 32;
+  constexpr unsigned kHalfBits = 32;
   const uint64_t high = device();
-  return (high << kHalf) | device();
+  return (high << kHalfBits) | device();
 }
 
 std::string ReadAll(std::istream& stream) {
--- a/apps/coppervalved/main.cc
+++ b/apps/coppervalved/main.cc
@@ -22,8 +22,8 @@
   return kUsageExit;
 }
 
-// The entry router takes its settings from where it runs, not from flags; the
-// policy is changed for experiments only.
+// The entry router reads its settings from the platform it runs on, not from
+// flags. The policy is changed only for experiments.
 int RunOnPlatform(int argc, char** argv) {
   using namespace coppervalve;
   std::string_view changes;
@@ -37,8 +37,8 @@
   if (!core::IsOk(policy)) {
     return Fail(core::Failure(policy));
   }
-  // The library would write a line of its own, unbounded, for each damaged
-  // message; ours say what was damaged.
+  // Protobuf would log an unbounded line for each malformed message. Our own
+  // log lines already report what was malformed.
   google::protobuf::SetLogHandler(nullptr);
   const core::Status ended = platform::Run(core::Value(policy));
   return core::IsOk(ended) ? EXIT_SUCCESS : Fail(core::Failure(ended));
@@ -66,7 +66,7 @@
     return Fail(core::Failure(ran));
   }
   std::fflush(stdout);
-  // Without running destructors: the thread that waits for signals still uses
-  // what they would take away.
+  // Skip destructors of static objects, because the signal thread still uses
+  // them.
   std::_Exit(EXIT_SUCCESS);
 }
--- a/apps/coppervalved/setting_table.cc
+++ b/apps/coppervalved/setting_table.cc
@@ -18,10 +18,10 @@
 constexpr size_t kMaxNameBytes = 64;
 constexpr const char* kNameRule = "1 to 64 of a-z, 0-9, '-', '_', '.'";
 constexpr const char* kListenRule = "ip:port or [ip]:port";
-constexpr const char* kReachRule =
+constexpr const char* kReachableRule =
     "ip:port that others can connect to, port not 0";
 constexpr const char* kMillisRule = "1 to 86400000 (ms)";
-constexpr int64_t kMillisADay = 86'400'000;
+constexpr int64_t kMillisPerDay = 86'400'000;
 
 bool IsName(const std::string& text) {
   const auto allowed = [](char c) {
@@ -32,7 +32,7 @@
          std::all_of(text.begin(), text.end(), allowed);
 }
 
-std::optional<int64_t> Whole(const std::string& text) {
+std::optional<int64_t> ParseInteger(const std::string& text) {
   int64_t number = 0;
   const char* last = text.data() + text.size();
   const auto [end, failed] = std::from_chars(text.data(), last, number);
@@ -71,7 +71,7 @@
       };
 }
 
-Store Reach(std::function<std::string&(Settings&)> field) {
+Store Reachable(std::function<std::string&(Settings&)> field) {
   return
       [field = std::move(field)](Settings& settings, const std::string& text) {
         field(settings) = text;
@@ -80,12 +80,12 @@
 }
 
 Store Size(std::function<size_t&(Settings&)> field,
-           int64_t least,
-           int64_t most) {
-  return [field = std::move(field), least, most](Settings& settings,
-                                                 const std::string& text) {
-    const auto number = Whole(text);
-    if (!number || *number < least || *number > most) {
+           int64_t min_value,
+           int64_t max_value) {
+  return [field = std::move(field), min_value, max_value](
+             Settings& settings, const std::string& text) {
+    const auto number = ParseInteger(text);
+    if (!number || *number < min_value || *number > max_value) {
       return false;
     }
     field(settings) = static_cast<size_t>(*number);
@@ -96,8 +96,8 @@
 Store Millis(std::function<milliseconds&(Settings&)> field) {
   return
       [field = std::move(field)](Settings& settings, const std::string& text) {
-        const auto number = Whole(text);
-        if (!number || *number < 1 || *number > kMillisADay) {
+        const auto number = ParseInteger(text);
+        if (!number || *number < 1 || *number > kMillisPerDay) {
           return false;
         }
         field(settings) = milliseconds(*number);
@@ -138,9 +138,8 @@
        Listen([](Settings & s) -> auto& { return s.shell.caller_listen; })});
   table.push_back({"caller-advertise", "",
                    "Address advertised to callers; default: --caller-listen",
-                   kReachRule, false, false, Reach([](Settings & s) -> auto& {
-                     return s.caller_advertise;
-                   })});
+                   kReachableRule, false, false, Reachable([
+                   ](Settings & s) -> auto& { return s.caller_advertise; })});
   table.push_back({"peer-listen", "",
                    "Address on which other routers connect; empty: disabled",
                    kListenRule, false, false, Listen([](Settings & s) -> auto& {
@@ -149,8 +148,8 @@
   table.push_back(
       {"peer-advertise", "",
        "Address advertised to other routers; default: --peer-listen",
-       kReachRule, false, false,
-       Reach([](Settings & s) -> auto& { return s.peer_advertise; })});
+       kReachableRule, false, false,
+       Reachable([](Settings & s) -> auto& { return s.peer_advertise; })});
   table.push_back({"operator-listen", "", "Address for operators and metrics",
                    kListenRule, true, false, Listen([](Settings & s) -> auto& {
                      return s.shell.operator_listen;
@@ -158,15 +157,16 @@
   table.push_back(
       {"operator-advertise", "",
        "Address advertised to operators; default: --operator-listen",
-       kReachRule, false, false,
-       Reach([](Settings & s) -> auto& { return s.operator_advertise; })});
+       kReachableRule, false, false,
+       Reachable([](Settings & s) -> auto& { return s.operator_advertise; })});
   table.push_back(
-      {"log", "", "The platform's log service", kReachRule, true, false,
-       Reach([](Settings & s) -> auto& { return s.shell.log_address; })});
+      {"log", "", "The platform's log service", kReachableRule, true, false,
+       Reachable([](Settings & s) -> auto& { return s.shell.log_address; })});
   table.push_back(
       {"vm-list", "", "Address of the platform's VM list; empty: not used",
-       kReachRule, false, false,
-       Reach([](Settings & s) -> auto& { return s.shell.vm_list_address; })});
+       kReachableRule, false, false, Reachable([](Settings & s) -> auto& {
+         return s.shell.vm_list_address;
+       })});
 }
 
 void AddSecrets(std::vector<SettingSpec>& table) {
@@ -236,10 +236,10 @@
 }
 
 void AddTimes(std::vector<SettingSpec>& table) {
-  const auto add = [&table](std::string name, std::string fallback,
+  const auto add = [&table](std::string name, std::string default_value,
                             std::string help,
                             std::function<milliseconds&(Settings&)> field) {
-    table.push_back({std::move(name), std::move(fallback), std::move(help),
+    table.push_back({std::move(name), std::move(default_value), std::move(help),
                      kMillisRule, false, false, Millis(std::move(field))});
   };
   add(
--- a/apps/coppervalved/setting_table.h
+++ b/apps/coppervalved/setting_table.h
@@ -9,22 +9,22 @@
 
 namespace coppervalve::daemon {
 
-/// @brief One setting: its flag, how it is read and what it may be.
+/// @brief Describes one setting: its flag, its parser and its allowed values.
 struct SettingSpec {
-  std::string name;      ///< without "--"
-  std::string fallback;  ///< taken when not given
+  std::string name;           ///< without "--"
+  std::string default_value;  ///< used when the setting is not given
   std::string help;
   std::string allowed;
   bool required = false;
   bool secret = false;  ///< never printed
-  /// Stores the value. @return whether it is allowed
+  /// Parses and stores the value. @return whether it is valid
   std::function<bool(Settings&, const std::string&)> store;
 };
 
 /// @brief All settings, in the order in which they are printed.
 const std::vector<SettingSpec>& SettingTable();
 
-/// @brief The environment variable of a setting.
+/// @brief Returns the name of the environment variable of a setting.
 std::string VariableOf(const SettingSpec& spec);
 
 }  // namespace coppervalve::daemon
--- a/apps/coppervalved/settings.cc
+++ b/apps/coppervalved/settings.cc
@@ -129,7 +129,7 @@
   bool check = false;
   bool version = false;
   for (const SettingSpec& spec : SettingTable()) {
-    values[spec.name] = spec.fallback;
+    values[spec.name] = spec.default_value;
     app.add_option("--" + spec.name, values[spec.name],
                    spec.help + " (" + spec.allowed + ")")
         ->envname(VariableOf(spec));
--- a/apps/coppervalved/settings.h
+++ b/apps/coppervalved/settings.h
@@ -10,7 +10,7 @@
 
 namespace coppervalve::daemon {
 
-/// @brief Everything the daemon is told when it starts.
+/// @brief All settings of the daemon, read at startup.
 struct Settings {
   std::string failure_domain;
   std::string region;
@@ -24,17 +24,19 @@
   net::ShellSettings shell;
 };
 
-/// @brief What the command line asks for.
+/// @brief Parsed command line.
 struct CommandLine {
   enum class Mode { kRun, kCheckSettings, kPrint };
   Mode mode = Mode::kRun;
   Settings settings;
-  std::string text;  ///< to print and end: help, version or settings
+  std::string
+      text;  ///< text to print before exiting: help, version or settings
 };
 
-/// @brief Reads flags and COPPERVALVED_* variables; a flag wins.
+/// @brief Reads flags and COPPERVALVED_* environment variables; flags take
+/// precedence.
 /// @return kSettingMissing, kSettingBadValue or kSettingUnknown; the subject
-/// is the flag, the detail gives the value and what is allowed
+/// is the flag, the detail gives the value and the allowed values
 core::Result<CommandLine> ReadCommandLine(int argc, const char* const* argv);
 
 }  // namespace coppervalve::daemon
--- a/apps/coppervalved/version.h
+++ b/apps/coppervalved/version.h
@@ -3,7 +3,7 @@
 
 namespace coppervalve::daemon {
 
-/// Follows `project(... VERSION ...)` of the build.
+/// Must equal the version in `project(... VERSION ...)` of CMakeLists.txt.
 inline constexpr const char* kVersion = "0.1.0";
 
 }  // namespace coppervalve::daemon
--- a/include/coppervalve/core/result.h
+++ b/include/coppervalve/core/result.h
@@ -8,7 +8,7 @@
 
 namespace coppervalve::core {
 
-/// @brief A value or an error.
+/// @brief A value, or the error that explains why there is none.
 template <typename T>
 using Result = std::variant<T, Error>;
 
--- a/include/coppervalve/core/units.h
+++ b/include/coppervalve/core/units.h
@@ -7,7 +7,7 @@
 
 namespace coppervalve::core {
 
-/// @brief A strongly typed amount of one unit.
+/// @brief A strongly typed amount; amounts of different units do not mix.
 /// @tparam Tag an empty struct that names the unit
 template <typename Tag>
 class Amount {
