--- a/apps/coppervalved/settings.h
+++ b/apps/coppervalved/settings.h
@@ -29,8 +29,7 @@
   enum class Mode { kRun, kCheckSettings, kPrint };
   Mode mode = Mode::kRun;
   Settings settings;
-  std::string
-      text;  ///< text to print before exiting: help, version or settings
+  std::string text;  ///< printed before exiting: help, version or settings
 };
 
 /// @brief Reads flags and COPPERVALVED_* environment variables; flags take
--- a/src/logclient/reader.cc
+++ b/src/logclient/reader.cc
@@ -147,8 +147,8 @@
       continue;
     }
     const v1::Snapshot& snapshot = record.snapshot();
-    // A snapshot's state offset is lower than the offset of its entry, because
-    // other entries are appended in between.
+    // A snapshot is taken before its entry is appended, so its state offset
+    // cannot exceed the offset of the entry.
     if (snapshot.offset() > logged.offset()) {
       continue;
     }
--- a/src/logclient/snapshot_policy.cc
+++ b/src/logclient/snapshot_policy.cc
@@ -60,8 +60,8 @@
   if (range.first_retained.value() == 0) {
     return std::max(share, m_options.min_spacing);
   }
-  // Once entries expire, no fixed minimum applies: it could exceed the retained
-  // range and leave no snapshot in it.
+  // Once entries expire, the retained range is the limit: a fixed minimum
+  // distance could exceed it and leave no snapshot in the range.
   return std::max<uint64_t>(share, 1);
 }
 
