--- a/apps/coppervalve/main.cc
+++ b/apps/coppervalve/main.cc
@@ -37,7 +37,7 @@
 Examples:
   coppervalve config publish fleet.json              on top of what is in force
   coppervalve config publish fleet.json --based-on 7 only if 7 is in force
-  coppervalve config publish fleet.json --wait 10    until all routers apply it)";
+  coppervalve config publish fleet.json --wait 10    until all routers use it)";
 
 constexpr const char* kTopUpFooter = R"(
 An id is paid in at most once, so a command whose outcome is unknown can be
