--- a/apps/coppervalve/exit_code.h
+++ b/apps/coppervalve/exit_code.h
@@ -5,16 +5,16 @@
 
 namespace coppervalve::cli {
 
-/// @brief How the program ends; scripts rely on the numbers.
+/// @brief Exit codes of the program; scripts depend on the numbers.
 enum class ExitCode : int {
   kOk = 0,
   kFailed = 1,       ///< refused, or a check failed
-  kUsage = 2,        ///< the command line was wrong
+  kUsage = 2,        ///< invalid command line or setting
   kUnreachable = 3,  ///< the log or a router did not answer
-  kLostRace = 4,     ///< another operator published first
+  kConflict = 4,     ///< another operator published first
 };
 
-/// @return how a command that failed with this error ends
+/// @return the exit code of a command that failed with this error
 constexpr ExitCode ExitCodeOf(core::ErrorId id) {
   switch (id) {
     case core::ErrorId::kOperatorUnreachable:
@@ -25,7 +25,7 @@
     case core::ErrorId::kSettingBadValue:
       return ExitCode::kUsage;
     case core::ErrorId::kConfigConflict:
-      return ExitCode::kLostRace;
+      return ExitCode::kConflict;
     default:
       return ExitCode::kFailed;
   }
--- a/apps/coppervalve/release.cc
+++ b/apps/coppervalve/release.cc
@@ -10,7 +10,7 @@
 
 using core::ErrorId;
 
-// Copied from the fold, which may forget the member while it reads on.
+// Copied from the fold, which may remove the member as it reads more entries.
 struct Quarantine {
   core::RouterId router;
   core::Incarnation incarnation;
@@ -62,7 +62,7 @@
   return found.front();
 }
 
-std::string Stakes(const Quarantine& one, const std::string& budget) {
+std::string DescribeRisk(const Quarantine& one, const std::string& budget) {
   const std::string tokens = std::to_string(one.holding.held().value());
   const std::string name = one.router.value() + " (incarnation " +
                            ToHex(one.incarnation.value()) + ")";
@@ -78,7 +78,7 @@
          "its last answers are accounted for, before you release.\n";
 }
 
-// How much the fold gave back for this router and budget.
+// Tokens that the fold released for this router and budget.
 core::Tokens ReleasedBy(const std::vector<ledger::Effect>& effects,
                         const Quarantine& one,
                         const std::string& budget) {
@@ -160,7 +160,7 @@
   return session.printer().Fail(
       {ErrorId::kOperatorUsage, "--yes", "nothing was released without it"},
       {{"at_stake", core::Value(chosen).holding.held().value()}},
-      Stakes(core::Value(chosen), arguments.budget));
+      DescribeRisk(core::Value(chosen), arguments.budget));
 }
 
 }  // namespace coppervalve::cli
--- a/apps/coppervalve/session.cc
+++ b/apps/coppervalve/session.cc
@@ -16,9 +16,9 @@
 
 uint64_t RandomNumber() {
   std::random_device device;
-  constexpr unsigned kHalf = 32;
+  constexpr unsigned kHalfBits = 32;
   const uint64_t high = device();
-  return (high << kHalf) | device();
+  return (high << kHalfBits) | device();
 }
 
 std::string ReadAll(std::istream& stream) {
@@ -37,7 +37,7 @@
     return core::Error{ErrorId::kSettingMissing, "--log",
                        "give it or set COPPERVALVE_LOG"};
   }
-  LogView view(LogClient(m_options.log, m_options.patience));
+  LogView view(LogClient(m_options.log, m_options.call_timeout));
   const core::Status opened = view.Open(start, observer);
   if (!core::IsOk(opened)) {
     return core::Failure(opened);
@@ -49,7 +49,7 @@
                                           v1::Record record) const {
   if (m_options.operator_name.empty()) {
     return core::Error{ErrorId::kSettingMissing, "--operator",
-                       "give your name or set COPPERVALVE_OPERATOR"};
+                       "specify your name or set COPPERVALVE_OPERATOR"};
   }
   v1::Entry entry;
   entry.set_writer("operator:" + m_options.operator_name);
@@ -64,7 +64,7 @@
                                     const v1::Entry& entry,
                                     const LogView::Observer& observer) const {
   const core::Result<core::LogOffset> appended = view.client().Append(entry);
-  // Also after a failed append: its reply may be all that was lost.
+  // Also read after a failed append: possibly only its reply was lost.
   core::Status read = view.CatchUp(std::chrono::milliseconds(0), observer);
   if (!core::IsOk(appended)) {
     return core::Failure(appended);
--- a/apps/coppervalved/daemon.cc
+++ b/apps/coppervalved/daemon.cc
@@ -21,22 +21,22 @@
 
 namespace {
 
-constexpr unsigned kBitsOfSeed = 32;
-constexpr int kMinutesADay = 24 * 60;
+constexpr unsigned kSeedHalfBits = 32;
+constexpr int kMinutesPerDay = 24 * 60;
 
 pcg64 SeededGenerator() {
   std::random_device device;
   const uint64_t high = device();
   const uint64_t low = device();
-  return pcg64((high << kBitsOfSeed) | low);
+  return pcg64((high << kSeedHalfBits) | low);
 }
 
-// UTC minute of the day at a time of the decision clock.
+// Converts a time of the decision clock to the UTC minute of the day.
 uint32_t MinuteOfDay(core::TimePoint time) {
   const auto wall = std::chrono::system_clock::now() + (time - net::BootNow());
   const auto minutes =
       std::chrono::duration_cast<std::chrono::minutes>(wall.time_since_epoch());
-  return static_cast<uint32_t>(minutes.count() % kMinutesADay);
+  return static_cast<uint32_t>(minutes.count() % kMinutesPerDay);
 }
 
 router::RouterSettings RouterSettingsOf(const Settings& settings) {
@@ -52,10 +52,10 @@
   return result;
 }
 
-/// The decision core with what it needs of chance and the calendar.
-class Brain {
+/// The router core with its random generator and wall clock.
+class DecisionCore {
  public:
-  explicit Brain(const Settings& settings)
+  explicit DecisionCore(const Settings& settings)
       : m_generator(SeededGenerator()),
         m_core(RouterSettingsOf(settings),
                {[this] { return m_generator(); }, MinuteOfDay}),
@@ -68,7 +68,7 @@
     return actions;
   }
 
-  /// From any thread.
+  /// Thread-safe.
   core::Incarnation incarnation() const {
     return core::Incarnation(m_incarnation.load());
   }
@@ -87,8 +87,8 @@
   return signals;
 }
 
-// Waits for signals on a thread of its own, which ends with the process: each
-// asks for a drain, and only the first one counts.
+// Waits for signals on a separate thread that runs until the process exits.
+// Each signal requests a drain; requests after the first have no effect.
 void DrainOnSignal(net::Shell& shell, const sigset_t& signals) {
   std::thread([&shell, signals] {
     while (true) {
@@ -100,10 +100,10 @@
   }).detach();
 }
 
-net::ShellHooks HooksOf(Brain& brain, telemetry::RouterMetrics& metrics) {
+net::ShellHooks HooksOf(DecisionCore& decision_core, telemetry::RouterMetrics& metrics) {
   net::ShellHooks hooks;
-  hooks.handler = [&brain](core::TimePoint now, const router::Event& event) {
-    return brain.Handle(now, event);
+  hooks.handler = [&decision_core](core::TimePoint now, const router::Event& event) {
+    return decision_core.Handle(now, event);
   };
   hooks.on_event = [&metrics](core::TimePoint now, const router::Event& event) {
     metrics.OnEvent(now, event);
@@ -117,7 +117,7 @@
   };
   hooks.log = telemetry::WriteLine;
   hooks.metrics_text = [&metrics] { return metrics.Text(); };
-  hooks.incarnation = [&brain] { return brain.incarnation(); };
+  hooks.incarnation = [&decision_core] { return decision_core.incarnation(); };
   return hooks;
 }
 
@@ -130,17 +130,19 @@
 }  // namespace
 
 core::Status RunDaemon(const Settings& settings) {
-  // A caller that closes while its answer is written must not end the process.
+  // A caller that disconnects while its answer is written must not terminate
+  // the process.
   signal(SIGPIPE, SIG_IGN);
-  // Blocked before any thread starts, so that all inherit it and only the
-  // waiting one takes the signals.
+  // Blocked before any thread starts, so that all threads inherit the mask and
+  // only the signal thread receives the signals.
   const sigset_t signals = StopSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   telemetry::OpenLog(settings.log_level);
-  // Lives as long as the process: the waiting thread refers to it.
+  // Static, because the detached signal thread refers to the shell until the
+  // process exits.
   static telemetry::RouterMetrics metrics;
-  static Brain brain(settings);
-  static net::Shell shell(settings.shell, HooksOf(brain, metrics));
+  static DecisionCore decision_core(settings);
+  static net::Shell shell(settings.shell, HooksOf(decision_core, metrics));
   core::Status started = shell.Start();
   if (!core::IsOk(started)) {
     return started;
--- a/apps/coppervalved/setting_table.cc
+++ b/apps/coppervalved/setting_table.cc
@@ -18,10 +18,10 @@
 constexpr size_t kMaxNameBytes = 64;
 constexpr const char* kNameRule = "1 to 64 of a-z, 0-9, '-', '_', '.'";
 constexpr const char* kListenRule = "ip:port or [ip]:port";
-constexpr const char* kReachRule =
+constexpr const char* kReachableRule =
     "ip:port that others can connect to, port not 0";
-constexpr const char* kDayOfMillis = "1 to 86400000 (ms)";
-constexpr int64_t kMillisADay = 86'400'000;
+constexpr const char* kMillisRule = "1 to 86400000 (ms)";
+constexpr int64_t kMillisPerDay = 86'400'000;
 
 bool IsName(const std::string& text) {
   const auto allowed = [](char c) {
@@ -32,7 +32,7 @@
          std::all_of(text.begin(), text.end(), allowed);
 }
 
-std::optional<int64_t> Whole(const std::string& text) {
+std::optional<int64_t> ParseInteger(const std::string& text) {
   int64_t number = 0;
   const char* last = text.data() + text.size();
   const auto [end, failed] = std::from_chars(text.data(), last, number);
@@ -71,7 +71,7 @@
       };
 }
 
-Store Reach(std::function<std::string&(Settings&)> field) {
+Store Reachable(std::function<std::string&(Settings&)> field) {
   return
       [field = std::move(field)](Settings& settings, const std::string& text) {
         field(settings) = text;
@@ -80,12 +80,12 @@
 }
 
 Store Size(std::function<size_t&(Settings&)> field,
-           int64_t least,
-           int64_t most) {
-  return [field = std::move(field), least, most](Settings& settings,
+           int64_t min_value,
+           int64_t max_value) {
+  return [field = std::move(field), min_value, max_value](Settings& settings,
                                                  const std::string& text) {
-    const auto number = Whole(text);
-    if (!number || *number < least || *number > most) {
+    const auto number = ParseInteger(text);
+    if (!number || *number < min_value || *number > max_value) {
       return false;
     }
     field(settings) = static_cast<size_t>(*number);
@@ -96,8 +96,8 @@
 Store Millis(std::function<milliseconds&(Settings&)> field) {
   return
       [field = std::move(field)](Settings& settings, const std::string& text) {
-        const auto number = Whole(text);
-        if (!number || *number < 1 || *number > kMillisADay) {
+        const auto number = ParseInteger(text);
+        if (!number || *number < 1 || *number > kMillisPerDay) {
           return false;
         }
         field(settings) = milliseconds(*number);
@@ -138,32 +138,32 @@
        Listen([](Settings & s) -> auto& { return s.shell.caller_listen; })});
   table.push_back(
       {"caller-advertise", "",
-       "Address told to callers; that of --caller-listen when empty",
-       kReachRule, false, false,
-       Reach([](Settings & s) -> auto& { return s.caller_advertise; })});
+       "Address advertised to callers; default: --caller-listen",
+       kReachableRule, false, false,
+       Reachable([](Settings & s) -> auto& { return s.caller_advertise; })});
   table.push_back(
-      {"peer-listen", "", "Where other routers connect; empty: no links",
+      {"peer-listen", "", "Address on which other routers connect; empty: disabled",
        kListenRule, false, false,
        Listen([](Settings & s) -> auto& { return s.shell.peer_listen; })});
   table.push_back(
       {"peer-advertise", "",
-       "Address told to other routers; that of --peer-listen when empty",
-       kReachRule, false, false,
-       Reach([](Settings & s) -> auto& { return s.peer_advertise; })});
-  table.push_back({"operator-listen", "", "Where operators and metrics connect",
+       "Address advertised to other routers; default: --peer-listen",
+       kReachableRule, false, false,
+       Reachable([](Settings & s) -> auto& { return s.peer_advertise; })});
+  table.push_back({"operator-listen", "", "Address for operators and metrics",
                    kListenRule, true, false, Listen([](Settings & s) -> auto& {
                      return s.shell.operator_listen;
                    })});
   table.push_back(
       {"operator-advertise", "",
-       "Address told to operators; that of --operator-listen when empty",
-       kReachRule, false, false,
-       Reach([](Settings & s) -> auto& { return s.operator_advertise; })});
+       "Address advertised to operators; default: --operator-listen",
+       kReachableRule, false, false,
+       Reachable([](Settings & s) -> auto& { return s.operator_advertise; })});
   table.push_back(
-      {"log", "", "The platform's log service", kReachRule, true, false,
-       Reach([](Settings & s) -> auto& { return s.shell.log_address; })});
-  table.push_back({"vm-list", "", "The platform's VM list; empty: not asked",
-                   kReachRule, false, false, Reach([](Settings & s) -> auto& {
+      {"log", "", "The platform's log service", kReachableRule, true, false,
+       Reachable([](Settings & s) -> auto& { return s.shell.log_address; })});
+  table.push_back({"vm-list", "", "Address of the platform's VM list; empty: not used",
+                   kReachableRule, false, false, Reachable([](Settings & s) -> auto& {
                      return s.shell.vm_list_address;
                    })});
 }
@@ -174,31 +174,31 @@
                      return s.shell.operator_token;
                    })});
   table.push_back(
-      {"operator-token-file", "", "File that holds the token",
+      {"operator-token-file", "", "File that contains the operator token",
        "a readable file", false, false,
        Text([](Settings & s) -> auto& { return s.operator_token_file; })});
   table.push_back(
       {"peer-secret", "", "Secret shared by all routers", "any text", false,
        true, Text([](Settings & s) -> auto& { return s.shell.peer_secret; })});
-  table.push_back({"peer-secret-file", "", "File that holds the secret",
+  table.push_back({"peer-secret-file", "", "File that contains the peer secret",
                    "a readable file", false, false, Text([
                    ](Settings & s) -> auto& { return s.peer_secret_file; })});
 }
 
 void AddBounds(std::vector<SettingSpec>& table) {
   table.push_back(
-      {"traffic-threads", "2", "Threads for connections", "1 to 64", false,
+      {"traffic-threads", "2", "Threads that serve connections", "1 to 64", false,
        false,
        Size(
            [](Settings & s) -> auto& { return s.shell.traffic_threads; }, 1,
            64)});
   table.push_back(
-      {"max-connections", "8192", "Open connections a port", "1 to 1000000",
+      {"max-connections", "8192", "Maximum open connections per port", "1 to 1000000",
        false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.caller.max_connections; },
            1, 1'000'000)});
-  table.push_back({"max-header-bytes", "16384", "Header of a request",
+  table.push_back({"max-header-bytes", "16384", "Maximum header size of a request",
                    "1024 to 1048576", false, false,
                    Size(
                        [](Settings & s) -> auto& {
@@ -206,13 +206,13 @@
                        },
                        1024, 1'048'576)});
   table.push_back(
-      {"max-body-bytes", "1048576", "Body of a request", "1024 to 16777216",
+      {"max-body-bytes", "1048576", "Maximum body size of a request", "1024 to 16777216",
        false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.caller.max_body_bytes; },
            1024, 16'777'216)});
   table.push_back(
-      {"max-answer-bytes", "8388608", "Answer that comes in one piece",
+      {"max-answer-bytes", "8388608", "Maximum size of an answer that is not streamed",
        "1024 to 1073741824", false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.max_answer_bytes; }, 1024,
@@ -225,7 +225,7 @@
            [](Settings & s) -> auto& { return s.shell.max_kept_answer_bytes; },
            0, 1'073'741'824)});
   table.push_back(
-      {"max-kept-bytes", "134217728", "All answers kept", "0 to 17179869184",
+      {"max-kept-bytes", "134217728", "Maximum total size of kept answers", "0 to 17179869184",
        false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.max_kept_bytes; }, 0,
@@ -233,45 +233,45 @@
 }
 
 void AddTimes(std::vector<SettingSpec>& table) {
-  const auto add = [&table](std::string name, std::string fallback,
+  const auto add = [&table](std::string name, std::string default_value,
                             std::string help,
                             std::function<milliseconds&(Settings&)> field) {
-    table.push_back({std::move(name), std::move(fallback), std::move(help),
-                     kDayOfMillis, false, false, Millis(std::move(field))});
+    table.push_back({std::move(name), std::move(default_value), std::move(help),
+                     kMillisRule, false, false, Millis(std::move(field))});
   };
   add(
-      "header-timeout-ms", "10000", "For the whole header of a request",
+      "header-timeout-ms", "10000", "Time to receive the complete header of a request",
       [](Settings & s) -> auto& { return s.shell.caller.header_timeout; });
   add(
-      "body-timeout-ms", "30000", "For the whole body of a request",
+      "body-timeout-ms", "30000", "Time to receive the complete body of a request",
       [](Settings & s) -> auto& { return s.shell.caller.body_timeout; });
   add(
-      "idle-timeout-ms", "75000", "Between two requests of a connection",
+      "idle-timeout-ms", "75000", "Idle time between two requests on a connection",
       [](Settings & s) -> auto& { return s.shell.caller.idle_timeout; });
   add(
-      "write-timeout-ms", "30000", "For a caller to take a part of an answer",
+      "write-timeout-ms", "30000", "Time for a caller to accept a part of an answer",
       [](Settings & s) -> auto& { return s.shell.caller.write_timeout; });
   add(
-      "connect-timeout-ms", "1000", "To connect to an upstream",
+      "connect-timeout-ms", "1000", "Time to connect to an upstream",
       [](Settings & s) -> auto& { return s.shell.connect_timeout; });
   add(
-      "log-timeout-ms", "3000", "For the log service to answer",
+      "log-timeout-ms", "3000", "Time for the log service to answer",
       [](Settings & s) -> auto& { return s.shell.log_timeout; });
   add(
-      "probe-timeout-ms", "1000", "For an upstream to answer a probe",
+      "probe-timeout-ms", "1000", "Time for an upstream to answer a probe",
       [](Settings & s) -> auto& { return s.shell.probe_timeout; });
   add(
-      "order-timeout-ms", "30000", "For an engine to acknowledge an order",
+      "order-timeout-ms", "30000", "Time for an engine to acknowledge an order",
       [](Settings & s) -> auto& { return s.shell.order_timeout; });
   add(
-      "vm-list-interval-ms", "2000", "Between two looks at the VM list",
+      "vm-list-interval-ms", "2000", "Interval between reads of the VM list",
       [](Settings & s) -> auto& { return s.shell.vm_list_interval; });
   add(
       "drain-patience-ms", "30000",
-      "For returning budgets at the end when the log is out",
+      "Time to return budgets while draining if the log is unavailable",
       [](Settings & s) -> auto& { return s.drain_timeout; });
   add(
-      "close-patience-ms", "10000", "For open connections to end at the end",
+      "close-patience-ms", "10000", "Time for open connections to finish during shutdown",
       [](Settings & s) -> auto& { return s.shell.close_timeout; });
 }
 
@@ -282,7 +282,7 @@
   AddSecrets(table);
   AddBounds(table);
   AddTimes(table);
-  table.push_back({"log-level", "info", "Least level of log lines",
+  table.push_back({"log-level", "info", "Minimum level of log lines",
                    "info, warning or error", false, false, StoreLogLevel});
   return table;
 }
--- a/src/logclient/snapshot_policy.cc
+++ b/src/logclient/snapshot_policy.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr uint64_t kWhole = 1000;
+constexpr uint64_t kPermille = 1000;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 
 void SnapshotPolicy::OnSnapshotSeen(core::LogOffset offset) {
   m_last_snapshot = std::max(m_last_snapshot, offset);
-  m_turn.reset();
+  m_due_at.reset();
 }
 
 bool SnapshotPolicy::IsDue(core::TimePoint now,
@@ -28,18 +28,18 @@
                            const std::vector<core::RouterId>& live) {
   const uint64_t last = m_last_snapshot.value();
   if (range.next.value() < last + Spacing(range)) {
-    m_turn.reset();
+    m_due_at.reset();
     return false;
   }
-  if (!m_turn) {
-    m_turn =
+  if (!m_due_at) {
+    m_due_at =
         now + m_options.takeover_delay * static_cast<int64_t>(RankOfSelf(live));
   }
-  if (now < *m_turn) {
+  if (now < *m_due_at) {
     return false;
   }
   const auto round = static_cast<int64_t>(std::max<size_t>(live.size(), 1));
-  m_turn = now + m_options.takeover_delay * round;
+  m_due_at = now + m_options.takeover_delay * round;
   return true;
 }
 
@@ -48,26 +48,26 @@
     return core::Ok();
   }
   return core::Error{core::ErrorId::kSnapshotInvalid, m_self.value(),
-                     "larger than the bound: " + std::to_string(size.value())};
+                     "larger than the maximum size: " + std::to_string(size.value())};
 }
 
 uint64_t SnapshotPolicy::Spacing(const LogRange& range) const {
   const uint64_t retained =
       range.next.value() -
       std::min(range.next.value(), range.first_retained.value());
-  const uint64_t share = retained * m_options.spacing_permille / kWhole;
+  const uint64_t share = retained * m_options.spacing_permille / kPermille;
   if (range.first_retained.value() == 0) {
     return std::max(share, m_options.min_spacing);
   }
-  // Once entries expire, the retained range is the true bound: a fixed least
-  // distance could be longer than it and leave no snapshot in it at all.
+  // Once entries expire, the retained range is the limit: a fixed minimum
+  // distance could exceed it and leave no snapshot in the range.
   return std::max<uint64_t>(share, 1);
 }
 
 size_t SnapshotPolicy::RankOfSelf(
     const std::vector<core::RouterId>& live) const {
-  // All routers fold the same last snapshot, so they rank each other alike; the
-  // changing key spreads the work.
+  // All routers fold the same last snapshot and so compute the same ranking.
+  // The key changes with each snapshot, which distributes the work.
   const std::string key = "snapshot:" + std::to_string(m_last_snapshot.value());
   const uint64_t own = core::RendezvousRank(key, m_self.value());
   size_t ahead = 0;
--- a/src/logclient/writer.cc
+++ b/src/logclient/writer.cc
@@ -18,18 +18,18 @@
   const core::Bytes size(static_cast<int64_t>(record.ByteSizeLong()));
   const bool too_many = backlog_records() >= m_options.max_backlog_records;
   const bool too_large = backlog_bytes() + size > m_options.max_backlog_bytes;
-  // The log may be out for long while requests keep coming. Without a bound the
-  // router would die of its memory and lose all that it has still to report;
-  // dropping the oldest would lose it as surely. Refusing the new record lets
-  // the caller refuse the work that it stands for.
+  // Requests may keep arriving during a long outage of the log. An unbounded
+  // queue would exhaust memory and lose all unreported records when the router
+  // crashes, and dropping the oldest would lose them too. Rejecting the new
+  // record lets the caller refuse the corresponding work.
   if (too_many || too_large) {
     return core::Error{core::ErrorId::kBacklogFull, m_writer,
                        too_many ? "records" : "bytes"};
   }
-  m_waiting.push_back({std::move(record), size, urgency});
-  m_waiting_bytes += size;
+  m_queue.push_back({std::move(record), size, urgency});
+  m_queued_bytes += size;
   if (urgency == Urgency::kUrgent) {
-    ++m_urgent_waiting;
+    ++m_urgent_records;
   }
   return core::Ok();
 }
@@ -42,8 +42,9 @@
   if (!m_outstanding && !IsDue(now)) {
     return std::nullopt;
   }
-  // The log takes several hundred appends a second from the whole fleet. Urgent
-  // records and repeats pass the batch interval, so they are counted here.
+  // The log accepts several hundred appends per second from the whole fleet.
+  // Urgent records and retries bypass the batch interval, so the rate limit
+  // applies to them as well.
   if (!m_rate.TryTake(now)) {
     return std::nullopt;
   }
@@ -64,7 +65,7 @@
   }
   m_in_flight = false;
   m_last_offset = offset;
-  Settle();
+  ConfirmOutstanding();
 }
 
 void Writer::OnFailed(core::TimePoint now) {
@@ -72,10 +73,10 @@
     return;
   }
   m_in_flight = false;
-  // A failed append may have taken effect: its reply was lost. Sending its
-  // records under a new sequence would fold them twice (a grant taken twice);
-  // dropping them could lose them. The same bytes are kept for the repeat, and
-  // the fold ignores the sequence it already has.
+  // A failed append may have taken effect with only its reply lost. Sending its
+  // records under a new sequence could fold them twice (e.g. take a grant
+  // twice), and dropping them could lose them. The retry sends the same bytes,
+  // and the fold ignores a sequence that it has already seen.
   m_retry_at = now + m_backoff.NextDelay();
 }
 
@@ -83,18 +84,17 @@
   if (!m_outstanding || sequence < m_outstanding->sequence) {
     return;
   }
-  // When the repeat is still in flight, its late report finds nothing
-  // outstanding; m_in_flight stays set, so that the report cannot be taken for
-  // that of a newer entry.
-  Settle();
+  // A retry may still be in flight. m_in_flight stays set until its outcome is
+  // reported, so that the report is not attributed to a newer entry.
+  ConfirmOutstanding();
 }
 
 size_t Writer::backlog_records() const {
-  return m_waiting.size() + (m_outstanding ? m_outstanding->records : 0);
+  return m_queue.size() + (m_outstanding ? m_outstanding->records : 0);
 }
 
 core::Bytes Writer::backlog_bytes() const {
-  return m_waiting_bytes +
+  return m_queued_bytes +
          (m_outstanding ? m_outstanding->record_bytes : core::Bytes());
 }
 
@@ -102,21 +102,21 @@
   return m_outstanding ? now - m_outstanding->first_sent : core::Duration();
 }
 
-bool Writer::LogIsOut(core::TimePoint now) const {
+bool Writer::LogIsUnavailable(core::TimePoint now) const {
   return m_outstanding && OutstandingAge(now) >= m_options.outage_after;
 }
 
 bool Writer::IsDue(core::TimePoint now) const {
-  if (m_urgent_waiting > 0) {
+  if (m_urgent_records > 0) {
     return true;
   }
   if (!m_last_new_entry) {
-    // No keep-alive before the first record: the log must not see an entry of
-    // this incarnation before its join.
-    return !m_waiting.empty();
+    // No keep-alive before the first record: the join must be the first entry
+    // of this incarnation in the log.
+    return !m_queue.empty();
   }
   const core::Duration quiet = now - *m_last_new_entry;
-  return quiet >= (m_waiting.empty() ? m_options.keep_alive_interval
+  return quiet >= (m_queue.empty() ? m_options.keep_alive_interval
                                      : m_options.batch_interval);
 }
 
@@ -134,8 +134,8 @@
   Outstanding built;
   built.sequence = m_last_sequence;
   built.first_sent = now;
-  while (!m_waiting.empty() && built.records < m_options.max_entry_records) {
-    Waiting& next = m_waiting.front();
+  while (!m_queue.empty() && built.records < m_options.max_entry_records) {
+    QueuedRecord& next = m_queue.front();
     const bool fits =
         built.record_bytes + next.size <= m_options.max_entry_bytes;
     if (!fits && built.records > 0) {
@@ -144,23 +144,23 @@
     *entry.add_records() = std::move(next.record);
     ++built.records;
     built.record_bytes += next.size;
-    m_waiting_bytes -= next.size;
+    m_queued_bytes -= next.size;
     if (next.urgency == Urgency::kUrgent) {
-      --m_urgent_waiting;
+      --m_urgent_records;
     }
-    m_waiting.pop_front();
+    m_queue.pop_front();
   }
   built.bytes = entry.SerializeAsString();
   return built;
 }
 
-void Writer::Settle() {
+void Writer::ConfirmOutstanding() {
   m_backoff.Reset();
   m_retry_at.reset();
   if (!m_outstanding) {
     return;
   }
-  m_settled_sequence = m_outstanding->sequence;
+  m_confirmed_sequence = m_outstanding->sequence;
   m_outstanding.reset();
 }
 
