--- a/bench/budget/main.cc
+++ b/bench/budget/main.cc
@@ -1,5 +1,6 @@
-// Budgets under the standard schedules: `bench-budget [--only NAME]`. Real
-// router cores in virtual time; the same figures on every machine.
+// Measures budgets under the standard schedules: `bench-budget [--only NAME]`.
+// Runs real router cores in virtual time, so the figures are the same on every
+// machine.
 #include <CLI/CLI.hpp>
 
 #include <algorithm>  // max
@@ -35,7 +36,7 @@
          static_cast<double>(std::max<uint64_t>(outcome.total.wishes, 1));
 }
 
-/// @brief Prints the figures of one schedule beside the baseline's.
+/// @brief Prints the figures of one schedule next to the baseline's.
 class Comparison {
  public:
   Comparison(Report& report,
@@ -117,8 +118,8 @@
                    "tickets");
   }
 
-  /// How many times fewer wishes are lost than by the baseline; a count of 0
-  /// is taken as 1.
+  /// Prints how many times fewer requests are lost than with the baseline; a
+  /// count of 0 is taken as 1.
   void PrintRatio() {
     const auto own = std::max<uint64_t>(m_own.total.lost, 1);
     const double ratio =
--- a/bench/budget/report.h
+++ b/bench/budget/report.h
@@ -6,7 +6,7 @@
 
 namespace coppervalve::bench {
 
-/// @brief Which values a figure may have.
+/// @brief The allowed values of a figure.
 struct Bound {
   enum class Kind { kAtMost, kAtLeast };
 
@@ -14,10 +14,10 @@
   double value = 0;
 };
 
-/// @brief Prints figures and remembers whether one broke its bound.
+/// @brief Prints figures and remembers whether one exceeded its bound.
 class Report {
  public:
-  /// @param bound nothing: the figure is only printed, for comparison
+  /// @param bound if empty, the figure is only printed for comparison
   void Print(const std::string& name,
              double value,
              const std::string& unit,
--- a/bench/budget/schedules.cc
+++ b/bench/budget/schedules.cc
@@ -13,7 +13,7 @@
 constexpr size_t kAccounts = 3;
 constexpr size_t kSmallSide = 3;  ///< of 7 routers
 
-/// About 1,900 tokens a second and account.
+/// About 1,900 tokens per second and account.
 trial::LoadOptions EvenLoad(int64_t prepaid) {
   trial::LoadOptions load;
   load.accounts = kAccounts;
@@ -38,8 +38,8 @@
   }
 }
 
-/// One side sees neither the other nor the log: it works from what it holds
-/// and doesn't learn of the top-ups.
+/// Partitions the fleet. One side also loses the log: it serves from its
+/// holdings and does not learn of the top-ups.
 void PlayPartition(Stage& stage, LogSide with_log) {
   stage.Run(seconds(30));
   CutSides(stage, true, with_log);
@@ -93,8 +93,8 @@
   }
 }
 
-/// One budget that all routers draw on runs dry; then top-ups bring less than
-/// the callers ask for.
+/// Exhausts a budget that all routers draw on, then tops it up by less than the
+/// callers request.
 void PlayNearExhaustion(Stage& stage) {
   stage.Run(seconds(40));
   for (int top_up = 0; top_up < 24; ++top_up) {
@@ -114,7 +114,7 @@
 }  // namespace
 
 std::vector<Schedule> StandardSchedules() {
-  // Few enough to be the chance of one run, not a policy that refuses.
+  // Small enough to be random variation of one run, not refusals by the policy.
   constexpr double kFewWishes = 5;
   constexpr double kFewTickets = 20;
   ScheduleBounds served;
--- a/bench/budget/schedules.h
+++ b/bench/budget/schedules.h
@@ -11,30 +11,30 @@
 
 namespace coppervalve::bench {
 
-/// @brief Most wishes of each class that may be lost.
+/// @brief Highest allowed number of lost requests of each class.
 struct LostBounds {
   double gate = 0;
   double interactive = 0;
   double batch = 0;
 };
 
-/// @brief Bounds of what a schedule may come to under the default policy. The
-/// virtual run repeats exactly, so a bound is the measured figure and a margin
-/// for changes that are meant.
+/// @brief Bounds on the figures of a schedule under the default policy. Runs in
+/// virtual time are deterministic, so a bound is the measured figure plus a
+/// margin for intended changes.
 struct ScheduleBounds {
-  LostBounds lost;            ///< wishes
-  double whole = 0;           ///< wishes, at least
-  double false_ends = 0;      ///< wishes
-  double false_refusals = 0;  ///< tickets
+  LostBounds lost;            ///< requests
+  double whole = 0;           ///< requests, at least
+  double false_ends = 0;      ///< requests
+  double false_refusals = 0;  ///< client attempts
   double stranded = 0;        ///< tokens
-  double appends = 0;         ///< per thousand wishes
-  double peer_messages = 0;   ///< per thousand wishes
-  double fewer_losses = 0;    ///< at least, than the baseline; 0: no bound
+  double appends = 0;         ///< per thousand requests
+  double peer_messages = 0;   ///< per thousand requests
+  double fewer_losses = 0;    ///< lowest ratio to the baseline; 0: no bound
   double crash_stranded = 0;  ///< tokens per crash
   double crash_return = 0;    ///< seconds
 };
 
-/// @brief Load and faults over virtual time.
+/// @brief The load and the faults of one run in virtual time.
 struct Schedule {
   std::string name;
   uint64_t seed = 1;
--- a/bench/budget/stage.cc
+++ b/bench/budget/stage.cc
@@ -9,7 +9,7 @@
 
 constexpr core::Duration kWarmUp = std::chrono::seconds(3);
 constexpr core::Duration kCheckEvery = std::chrono::milliseconds(200);
-/// Four tries of 15 s each, and pauses between them.
+/// Four attempts of 15 s each, and the pauses between them.
 constexpr core::Duration kLastWords = std::chrono::seconds(75);
 
 trial::FleetOptions OptionsOf(uint64_t seed,
--- a/bench/budget/stage.h
+++ b/bench/budget/stage.h
@@ -17,9 +17,10 @@
 
 namespace coppervalve::bench {
 
-/// @brief What one schedule came to under one sizing policy.
+/// @brief Result of one schedule under one sizing policy.
 struct Outcome {
-  int64_t overspend = 0;  ///< most tokens used past paid-in, over all budgets
+  int64_t overspend =
+      0;  ///< most tokens used beyond those paid in, all budgets
   uint64_t violations = 0;
   std::map<v1::AdmissionClass, trial::ClassCount> classes;
   trial::ClassCount total;
@@ -27,22 +28,22 @@
   uint64_t log_appends = 0;
   uint64_t peer_messages = 0;
   uint64_t crashes = 0;
-  uint64_t crashes_returned = 0;  ///< whose spare tokens came back
-  core::Duration return_time{};   ///< mean, of those
+  uint64_t crashes_returned = 0;  ///< whose spare tokens were released
+  core::Duration return_time{};   ///< mean over those
 };
 
-/// @brief A fleet of 7 with its callers and its auditor, for one schedule.
+/// @brief Runs one schedule on a fleet of 7 with its load and its audit.
 class Stage {
  public:
   Stage(uint64_t seed,
         const trial::LoadOptions& load,
         const budget::SizingPolicy& sizing);
 
-  /// @brief Lets the routers join and the callers begin.
+  /// @brief Starts the routers, then the load.
   void Start();
-  /// @brief Runs on in virtual time, and audits on the way.
+  /// @brief Advances virtual time and checks the invariants regularly.
   void Run(core::Duration duration);
-  /// @brief Ends new wishes, waits for those in progress and counts.
+  /// @brief Stops new requests, waits for those in progress and counts.
   Outcome Finish();
 
   void TopUp(size_t budget, core::Tokens tokens);
--- a/bench/capacity/allocations.cc
+++ b/bench/capacity/allocations.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The bench has one thread, so plain counters do.
+// The bench has one thread, so plain counters suffice.
 uint64_t allocation_calls = 0;
 int64_t allocation_live_bytes = 0;
 int64_t allocation_peak_bytes = 0;
--- a/bench/capacity/allocations.h
+++ b/bench/capacity/allocations.h
@@ -5,16 +5,16 @@
 
 namespace coppervalve::bench {
 
-/// @brief What the replaced operators new and delete of this program counted.
+/// @brief Counts of this program's replaced operators new and delete.
 struct AllocationCount {
   uint64_t calls = 0;      ///< calls of operator new
   int64_t live_bytes = 0;  ///< usable bytes not yet freed
-  int64_t peak_bytes = 0;  ///< most of them since ResetPeak()
+  int64_t peak_bytes = 0;  ///< highest live_bytes since ResetPeak()
 };
 
 AllocationCount CountAllocations();
 void ResetPeak();
-/// @brief Gives freed memory back to the system, so that it is not resident.
+/// @brief Returns freed memory to the system, so that it is not resident.
 void TrimFreedMemory();
 
 /// @return processor time of the calling thread
--- a/bench/capacity/changes.cc
+++ b/bench/capacity/changes.cc
@@ -1,6 +1,6 @@
-// What one change of the fleet costs a router core at the size to design for: a
-// retirement, a join, a configuration, a start from a snapshot; and what its
-// own crash would strand.
+// Measures what a change of the fleet costs a router core at the design size: a
+// retirement, a join, a configuration, a start from a snapshot; and the tokens
+// that its own crash would strand.
 #include <algorithm>  // max
 #include <string>     // string
 #include <utility>    // move
@@ -23,8 +23,8 @@
 constexpr double kNanosecondsPerMillisecond = 1e6;
 constexpr double kMebibyte = 1 << 20;
 constexpr core::Duration kSettleTime = std::chrono::seconds(30);
-/// Enough entries for a snapshot and its checkpoint, and time for the turn of
-/// the last of seven routers.
+/// Enough entries for a snapshot and its checkpoint, and enough time for the
+/// last of seven routers to be due.
 constexpr size_t kSnapshotEntries = 600;
 constexpr core::Duration kSnapshotTime = std::chrono::seconds(150);
 constexpr core::Duration kChangeTime = std::chrono::milliseconds(20);
@@ -34,7 +34,7 @@
          kMicrosecondsPerMillisecond;
 }
 
-/// @brief Lets the core read one entry that others wrote.
+/// @brief Measures the core reading one entry written by others.
 double CostOfEntry(CoreDriver& driver, const v1::Entry& entry) {
   driver.ResetTraffic();
   driver.Append(entry);
@@ -122,8 +122,8 @@
                  "count", 1'700);
 }
 
-/// @brief Whether a router appends a snapshot that is due, or refuses it as too
-/// large.
+/// @brief Reports whether a router appends a snapshot that is due, or rejects
+/// it as too large.
 void ReportSnapshots(Figures& figures,
                      const std::string& name,
                      size_t budgets) {
--- a/bench/capacity/contacts.cc
+++ b/bench/capacity/contacts.cc
@@ -1,5 +1,5 @@
-// Who sends heartbeats to whom: the graph of contacts that the members' views
-// settle on, and the size of a heartbeat.
+// Measures the graph of heartbeat contacts that the members' views converge to,
+// and the size of a heartbeat.
 #include <algorithm>  // max
 #include <map>        // map
 #include <memory>     // unique_ptr
@@ -41,7 +41,7 @@
   uint64_t messages = 0;  ///< in the last round
   size_t most_sent = 0;
   size_t most_received = 0;
-  double choose_us = 0;  ///< PeersToContact, once settled
+  double choose_us = 0;  ///< PeersToContact, after convergence
 };
 
 Graph Settle(size_t count) {
--- a/bench/capacity/control.cc
+++ b/bench/capacity/control.cc
@@ -1,5 +1,5 @@
-// The control cost of one node at the size to design for, worked out from
-// measured rates and costs, as multiples of the letter's limits.
+// Computes the control cost of one node at the design size from measured rates
+// and costs, as multiples of the required limits.
 #include "bench/capacity/measures.h"
 #include "bench/capacity/sizes.h"
 
@@ -10,10 +10,10 @@
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr double kCheckpointEntries = 256;
 constexpr double kKeepAlivesPerSecond = 1.0 / 3;
-/// One after the other, 10 ms each: the log of a busy fleet is never at its
-/// end.
+/// Consecutive reads of 10 ms each: in a busy fleet no read waits at the end of
+/// the log.
 constexpr double kReadsPerSecond = 100;
-/// The least that the log service takes of "several hundred".
+/// Lowest append rate of the log service, which takes "several hundred".
 constexpr double kLogAppendsPerSecond = 300;
 
 }  // namespace
--- a/bench/capacity/core_driver.cc
+++ b/bench/capacity/core_driver.cc
@@ -19,7 +19,7 @@
 constexpr core::Bytes kPromptBytes{1'600};
 constexpr core::Tokens kPromptTokens{400};
 constexpr core::Tokens kMaxOutput{512};
-/// A reply ends with the entry that passes this size.
+/// A reply ends with the entry that exceeds this size.
 constexpr size_t kReadBytes = 1 << 20;
 constexpr core::Duration kJoinTime = std::chrono::seconds(1);
 
@@ -91,7 +91,8 @@
   m_core = std::make_unique<router::RouterCore>(
       MakeSettings(),
       router::RouterHooks{[this] {
-                            // SplitMix64: the same run on every machine.
+                            // SplitMix64, so that runs are the same on every
+                            // machine.
                             m_random += 0x9E3779B97F4A7C15ULL;
                             uint64_t z = m_random;
                             z = (z ^ (z >> 30U)) * 0xBF58476D1CE4E5B9ULL;
@@ -242,8 +243,8 @@
   m_replies.push_back(std::move(reply));
 }
 
-// Contacts answer; those that chose this router are not simulated here, see
-// contacts.cc for their number.
+// The contacts of this router answer. Routers that chose it as a contact are
+// not simulated; contacts.cc measures their number.
 void CoreDriver::SendHeartbeats() {
   const std::unordered_set<std::string> contacts =
       std::exchange(m_contacts, {});
--- a/bench/capacity/core_driver.h
+++ b/bench/capacity/core_driver.h
@@ -20,7 +20,7 @@
 
 namespace coppervalve::bench {
 
-/// @brief What handling the events of one kind cost.
+/// @brief Cost of handling the events of one kind.
 struct EventCost {
   uint64_t events = 0;
   uint64_t allocations = 0;
@@ -30,7 +30,7 @@
   double CpuMicrosecondsEach() const;
 };
 
-/// @brief Messages and their encoded bytes, without framing of the transport.
+/// @brief Messages and their encoded bytes, without transport framing.
 struct Volume {
   uint64_t count = 0;
   uint64_t bytes = 0;
@@ -38,7 +38,7 @@
   void Add(size_t size);
 };
 
-/// @brief What the core did since the last reset.
+/// @brief Activity of the core since the last reset.
 struct Traffic {
   std::array<EventCost, std::variant_size_v<router::Event>> costs;
   Volume appended;  ///< entries of this router
@@ -63,7 +63,7 @@
   int64_t CpuNanoseconds() const;
 };
 
-/// @brief How requests reach the core under test.
+/// @brief Request load of the core under test.
 struct RequestLoad {
   double per_second = 0;
   size_t accounts = 1;
@@ -72,13 +72,13 @@
   core::Tokens output;
 };
 
-/// @brief One router's share of the peak at the size to design for.
-/// @param accounts how many client accounts it comes from
+/// @brief One router's share of the peak load at the design size.
+/// @param accounts number of client accounts that send it
 RequestLoad ShareOfPeak(size_t accounts);
 
-/// @brief One real router core, fed by hand in virtual time: a log that the
-/// rest of the fleet has written, a witness that answers at once, contacts that
-/// send heartbeats, engines that always answer.
+/// @brief Drives one real router core in virtual time. Simulates the log
+/// entries of the rest of the fleet, a witness that answers immediately,
+/// contacts that send heartbeats, and engines that always answer.
 class CoreDriver {
  public:
   explicit CoreDriver(const FleetSizes& sizes);
@@ -86,7 +86,7 @@
   CoreDriver(const CoreDriver&) = delete;
   CoreDriver& operator=(const CoreDriver&) = delete;
 
-  /// @brief Lets the core read what the fleet wrote, and join.
+  /// @brief Lets the core read the fleet's entries and join.
   void Start();
   void Advance(core::Duration time);
   void SetLoad(const RequestLoad& load) { m_load = load; }
@@ -99,7 +99,7 @@
   const FleetSizes& sizes() const { return m_sizes; }
   const Traffic& traffic() const { return m_traffic; }
   void ResetTraffic() { m_traffic = {}; }
-  /// @brief The next sequence of another router, taken.
+  /// @brief Consumes the next sequence number of another router.
   uint64_t NextSequence(size_t router) { return ++m_sequences[router]; }
   uint64_t log_end() const { return m_log_base + m_log.size(); }
 
--- a/bench/capacity/figure.h
+++ b/bench/capacity/figure.h
@@ -6,10 +6,10 @@
 
 namespace coppervalve::bench {
 
-/// @brief Prints figures and remembers whether one broke its bound.
+/// @brief Prints figures and remembers whether one exceeded its bound.
 ///
-/// Bounds are put on counts, bytes and ratios of counts only: they are the same
-/// on any machine. They guard against regressions; a bound above the letter's
+/// Only counts, bytes and ratios of counts have bounds, since they are the same
+/// on any machine. Bounds guard against regressions; a bound above the required
 /// control limit is a cost that docs/CAPACITY.md lists as not met.
 class Figures {
  public:
@@ -17,7 +17,8 @@
               double value,
               const std::string& unit,
               double bound);
-  /// @brief Information that depends on the machine, or follows from others.
+  /// @brief Prints a figure that has no bound, since it depends on the machine
+  /// or follows from others.
   void Inform(const std::string& name, double value, const std::string& unit);
   bool exceeded() const { return m_exceeded; }
 
--- a/bench/capacity/fleet_records.cc
+++ b/bench/capacity/fleet_records.cc
@@ -65,8 +65,8 @@
 std::string NumberedId(const std::string& kind, size_t number) {
   constexpr size_t kDigits = 16;
   char digits[kDigits];
-  // Longer than what std::string keeps without an allocation, as ids of
-  // operators often are: copies then show in the count of allocations.
+  // Longer than std::string's internal buffer, as operators' ids often are, so
+  // that copies show in the allocation count.
   std::snprintf(digits, sizeof(digits), "-site-%05zu", number);
   return kind + digits;
 }
--- a/bench/capacity/fleet_records.h
+++ b/bench/capacity/fleet_records.h
@@ -12,7 +12,7 @@
 
 namespace coppervalve::bench {
 
-/// @brief Failure domains of the size to design for.
+/// @brief Failure domains at the design size.
 inline constexpr size_t kFailureDomains = 8;
 
 /// @brief The synthetic operators' file: account i draws on budget i, engine i
@@ -27,7 +27,7 @@
 core::Incarnation IncarnationOf(size_t number);
 core::FailureDomainId FailureDomainOf(size_t number);
 
-/// @brief An entry of a router with nothing in it yet.
+/// @brief An entry of a router, without records.
 v1::Entry EntryOf(size_t router, uint64_t sequence, uint64_t seen_offset);
 v1::Entry PublishEntry(const v1::Configuration& configuration,
                        uint64_t based_on);
--- a/bench/capacity/fold.cc
+++ b/bench/capacity/fold.cc
@@ -1,5 +1,5 @@
-// What folding the log costs: per entry, per record, per checkpoint and per
-// snapshot, by members and budgets in view.
+// Measures the cost of applying the log: per entry, per record, per checkpoint
+// and per snapshot, by number of members and budgets.
 #include <string>  // string, to_string
 #include <vector>  // vector
 
@@ -36,7 +36,7 @@
           static_cast<double>(spent) / kNanosecondsPerMicrosecond};
 }
 
-/// @brief A fold without a router around it, and the writers' sequences.
+/// @brief A fold without a router, and the writers' sequence numbers.
 class FoldFixture {
  public:
   FoldFixture(const FleetSizes& sizes, uint64_t checkpoint_interval)
@@ -74,7 +74,7 @@
     return entry;
   }
 
-  /// @brief Serialized entries, as they come from the log.
+  /// @brief Measures applying serialized entries, as read from the log.
   Cost CostOfEntries(size_t records) {
     Cost sum;
     for (size_t i = 0; i < kEntries; ++i) {
--- a/bench/capacity/idle.cc
+++ b/bench/capacity/idle.cc
@@ -1,5 +1,5 @@
-// An idle router core: what a tick, a heartbeat and a folded keep-alive cost by
-// members, budgets and upstreams in view.
+// Measures an idle router core: the cost of a tick, a heartbeat and an applied
+// keep-alive, by number of members, budgets and upstreams.
 #include <string>  // string, to_string
 
 #include "bench/capacity/core_driver.h"
--- a/bench/capacity/main.cc
+++ b/bench/capacity/main.cc
@@ -23,7 +23,7 @@
       {"placement", [&] { MeasurePlacement(figures); }},
   };
   std::string only;
-  CLI::App app("Costs of one router core at the size to design for.");
+  CLI::App app("Measures the costs of one router core at the design size.");
   app.add_option(
       "--only", only,
       "measure one topic: memory, fold, contacts, idle, requests, changes, "
--- a/bench/capacity/measures.h
+++ b/bench/capacity/measures.h
@@ -3,25 +3,25 @@
 
 #include "bench/capacity/figure.h"
 
-/// One function per topic; each measures alone and prints its figures.
+/// One function per topic; each runs independently and prints its figures.
 namespace coppervalve::bench {
 
-/// @brief Rates and costs that the control summary is worked out from.
+/// @brief Rates and costs that the control summary is computed from.
 struct ControlInputs {
   double heartbeats_per_second = 0;
   double heartbeat_bytes = 0;
   double fold_us_per_entry = 0;
   double fold_us_per_spend_record = 0;
   double checkpoint_us = 0;
-  double pump_us = 0;             ///< of an event without work of its own
-  double request_core_share = 0;  ///< of the events of its share of requests
-  double upkeep_core_share = 0;   ///< of ticks, peers and own appends under it
+  double pump_us = 0;             ///< of an event that requires no work
+  double request_core_share = 0;  ///< for its share of the requests
+  double upkeep_core_share = 0;   ///< for ticks, peers and appends meanwhile
   double appends_per_second = 0;  ///< of one router under its share
   double append_bytes_per_second = 0;
   double records_per_second = 0;
   double raise_bytes_per_second = 0;
   double configuration_bytes = 0;
-  double configuration_us = 0;  ///< of a core to take one
+  double configuration_us = 0;  ///< for a core to apply one
 };
 
 void MeasureMemory(Figures& figures);
@@ -32,7 +32,7 @@
 void MeasureChanges(Figures& figures, ControlInputs& inputs);
 void MeasureRules(Figures& figures);
 void MeasurePlacement(Figures& figures);
-/// @brief Works out a node's control cost from what the others measured.
+/// @brief Computes a node's control cost from the other measurements.
 void ReportControl(Figures& figures, const ControlInputs& inputs);
 
 }  // namespace coppervalve::bench
--- a/bench/capacity/memory.cc
+++ b/bench/capacity/memory.cc
@@ -1,5 +1,5 @@
-// Memory of one router core: the whole at the size to design for, and what one
-// more of each kind adds.
+// Measures the memory of one router core: the total at the design size, and the
+// increase per object of each kind.
 #include <memory>  // unique_ptr
 #include <string>  // string
 
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr double kMebibyte = 1 << 20;
-/// Small enough to build fast, large enough that the rest is noise.
+/// Small enough to build fast, large enough that fixed costs are negligible.
 constexpr FleetSizes kBase{7, 1'000, 1'000, 100, 100, 38, 0};
 
 double LiveBytesOf(const FleetSizes& sizes) {
@@ -51,7 +51,8 @@
   figures.Inform("memory_core_resident_" + name,
                  static_cast<double>(ResidentBytes() - resident) / kMebibyte,
                  "MiB");
-  // The driver's own freed memory is in the above: the file that it built.
+  // The figure above includes memory that the driver has freed: the
+  // configuration that it built.
   TrimFreedMemory();
   figures.Inform("memory_core_resident_trimmed_" + name,
                  static_cast<double>(ResidentBytes() - resident) / kMebibyte,
@@ -63,7 +64,8 @@
 void MeasureMemory(Figures& figures) {
   FleetSizes without_holdings = kDesign;
   without_holdings.holders = 0;
-  // First: later growth would be served from what earlier ones gave back.
+  // These run first, since later growth would be served from memory that
+  // earlier runs freed.
   ReportWhole(figures, "design", kDesign, 256);
   ReportWhole(figures, "design_no_holdings", without_holdings, 256);
   ReportWhole(figures, "today", kToday, 0.2);
--- a/bench/capacity/placement.cc
+++ b/bench/capacity/placement.cc
@@ -1,5 +1,5 @@
-// One placement by the number of upstreams, and the look for probes that every
-// event pays for.
+// Measures one placement by number of upstreams, and the check for due probes
+// that every event performs.
 #include "coppervalve/routing/placement.h"
 
 #include <algorithm>  // max
--- a/bench/capacity/requests.cc
+++ b/bench/capacity/requests.cc
@@ -1,5 +1,5 @@
-// One router under its share of the peak: cost of a request's events, and what
-// it appends and sends.
+// Measures one router under its share of the peak load: the cost of a request's
+// events, and what the router appends and sends.
 #include <string>  // string
 
 #include "bench/capacity/core_driver.h"
@@ -12,8 +12,8 @@
 
 constexpr core::Duration kWarmUp = std::chrono::seconds(20);
 constexpr double kMeasuredSeconds = 10;
-/// Volumes are averaged over more than two refills of a holding, which is asked
-/// for again after a fifth of ten minutes' demand.
+/// Volumes are averaged over more than two refills of a holding. A refill is
+/// requested after a fifth of ten minutes' demand.
 constexpr core::Duration kVolumeWarmUp = std::chrono::seconds(240);
 constexpr double kVolumeSeconds = 300;
 constexpr double kNanosecondsPerSecond = 1e9;
@@ -28,7 +28,7 @@
   return std::chrono::seconds(static_cast<int64_t>(seconds));
 }
 
-/// @return of one core
+/// @return share of one core
 double ShareOf(int64_t cpu_ns) {
   return static_cast<double>(cpu_ns) / kNanosecondsPerSecond / kMeasuredSeconds;
 }
@@ -37,7 +37,7 @@
   return static_cast<double>(count) / kVolumeSeconds;
 }
 
-/// @brief What the events of requests cost.
+/// @brief Reports the cost of request events.
 void ReportCosts(Figures& figures,
                  const std::string& suffix,
                  const FleetSizes& sizes,
@@ -74,8 +74,8 @@
   inputs.upkeep_core_share = all - requests - reads;
 }
 
-/// @brief What one router appends and sends. It depends on the budgets that it
-/// serves, not on those in view, so that a small fleet shows it.
+/// @brief Reports what one router appends and sends. This depends on the
+/// budgets that it serves, not on all budgets, so a small fleet suffices.
 void ReportVolumes(Figures& figures,
                    const std::string& suffix,
                    const RequestLoad& load,
@@ -95,8 +95,8 @@
   const Traffic& traffic = driver.traffic();
   figures.AtMost("appends" + suffix, Rate(traffic.appended.count), "per_s",
                  bounds.appends_per_second);
-  // The other routers of the driver take no snapshots, so that this one takes
-  // them all: they are counted by themselves.
+  // The simulated routers take no snapshots, so this one takes all of them.
+  // They are therefore counted separately.
   const Volume snapshots = traffic.RecordsOf(v1::Record::kSnapshot);
   const uint64_t bytes = traffic.appended.bytes - snapshots.bytes;
   figures.AtMost("append_bytes" + suffix, Rate(bytes), "bytes_per_s",
--- a/bench/capacity/rules.cc
+++ b/bench/capacity/rules.cc
@@ -1,4 +1,4 @@
-// One rule match by the number of rules: the index against trying every rule.
+// Measures one rule match by number of rules: the index against a linear scan.
 #include <string>   // string, to_string
 #include <variant>  // holds_alternative
 
@@ -24,7 +24,7 @@
 Cost CostOfMatches(const FleetSizes& sizes, const Match& match) {
   Cost cost;
   for (size_t i = 0; i < kMatches; ++i) {
-    // Spread over all rules, so that the linear way meets half of them.
+    // Spread over all rules, so that the linear scan visits half of them.
     const size_t rule = i * sizes.rules / kMatches;
     rules::RequestFacts facts;
     facts.account = core::AccountId(NumberedId("account", rule));
--- a/bench/capacity/sizes.h
+++ b/bench/capacity/sizes.h
@@ -7,7 +7,7 @@
 
 namespace coppervalve::bench {
 
-/// @brief What one router core has in view.
+/// @brief Number of objects that one router core knows.
 struct FleetSizes {
   size_t members = 7;
   size_t budgets = 20;
@@ -19,10 +19,10 @@
   size_t holders = 0;
 };
 
-/// @brief A site of today, larger than either of the two.
+/// @brief A typical site, larger than either of the two existing ones.
 inline constexpr FleetSizes kToday{};
 
-/// @brief The size to design for. An address list names eight routers, so up to
+/// @brief The design size. An address list names eight routers, so up to
 /// eight hold a budget.
 inline constexpr FleetSizes kDesign{840, 73'000, 41'000, 10'000, 10'000, 38, 8};
 
@@ -30,13 +30,13 @@
 
 inline constexpr std::array<size_t, 4> kMemberSteps{7, 50, 200, 840};
 
-/// @brief Requests a second of the whole fleet at its peak.
+/// @brief Requests per second of the entire fleet at its peak.
 inline constexpr double kDesignRequestsPerSecond = 64'000;
 inline constexpr double kDesignTokensPerSecond = 25e6;
 inline constexpr double kDesignConfigChangesPerDay = 10'000;
 inline constexpr double kSecondsPerDay = 86'400;
 
-/// @brief What the letter lets a node spend on control.
+/// @brief Required limits on a node's control cost.
 inline constexpr double kControlCoreShare = 0.023;
 inline constexpr double kControlBytesPerSecond = 3'000;
 inline constexpr double kControlMemoryBytes = 256.0 * (1 << 20);
--- a/bench/fuzz/main.cc
+++ b/bench/fuzz/main.cc
@@ -1,5 +1,5 @@
-// Random runs of a fleet under faults: `fuzz-router --seeds N [--first S]`.
-// A seed that breaks an invariant prints its trace; the same seed repeats it.
+// Runs a fleet under random faults: `fuzz-router --seeds N [--first S]`. A seed
+// that violates an invariant prints its trace; the same seed repeats the run.
 #include <CLI/CLI.hpp>
 
 #include <cstdint>   // uint64_t
--- a/include/coppervalve/config/check.h
+++ b/include/coppervalve/config/check.h
@@ -7,8 +7,8 @@
 
 namespace coppervalve::config {
 
-/// @brief Checks what a schema cannot: ids, references, ranges, and rules that
-/// can never match.
+/// @brief Checks what the schema cannot express: ids, references, ranges, and
+/// rules that can never match.
 /// @return all findings; empty when the configuration may be published
 /// @complexity linear in the configuration, plus for each rule the earlier
 /// rules that share its first account and its first model or service
--- a/include/coppervalve/config/diff.h
+++ b/include/coppervalve/config/diff.h
@@ -17,8 +17,8 @@
   friend bool operator==(const Change&, const Change&) = default;
 };
 
-/// @brief What differs, by path. Accounts, budgets, upstreams and rules are
-/// paired by id; a changed order of rules is a change of its own.
+/// @brief Lists the differences by path. Accounts, budgets, upstreams and rules
+/// are matched by id; a changed order of rules is a change of its own.
 /// @return empty iff the configurations are equal
 /// @complexity linear in the sizes of both, times log for the pairing
 std::vector<Change> Diff(const v1::Configuration& older,
--- a/include/coppervalve/config/limits.h
+++ b/include/coppervalve/config/limits.h
@@ -13,7 +13,7 @@
   core::Bytes max_body;
   core::Tokens default_max_output;  ///< when the caller gives none
   core::Tokens max_output;
-  uint32_t queue_capacity = 0;  ///< requests a router
+  uint32_t queue_capacity = 0;  ///< requests per router
   core::Duration batch_queue{};
   core::Duration interactive_queue{};
   core::Duration gate_queue{};
@@ -30,11 +30,11 @@
   core::Duration QueueFor(v1::AdmissionClass admission_class) const;
 };
 
-/// @brief Attempts of a request whose rule gives no number.
+/// @brief Attempts per request when its rule sets none.
 inline constexpr uint32_t kDefaultMaxAttempts = 3;
-/// @brief Requests in progress at an upstream that gives no number.
+/// @brief Requests in progress per upstream when its entry sets none.
 inline constexpr uint32_t kDefaultMaxConcurrency = 64;
-/// @brief One budget token for one token of work.
+/// @brief Default price: one budget token per token of work.
 inline constexpr uint32_t kDefaultPricePermille = 1000;
 
 /// @brief Applies the documented defaults.
--- a/include/coppervalve/config/parse.h
+++ b/include/coppervalve/config/parse.h
@@ -15,10 +15,10 @@
 /// `$.rules[3].when.accounts[0]`.
 using Findings = std::vector<core::Error>;
 
-/// @brief A checked configuration, or all reasons to refuse the file.
+/// @brief A checked configuration, or all reasons to reject the file.
 using ParseResult = std::variant<v1::Configuration, Findings>;
 
-/// @brief Reads and checks an operators' file: syntax, schema, then meaning.
+/// @brief Reads and checks an operators' file: syntax, schema, then semantics.
 /// @param json the file's text
 /// @return the configuration, or at least one finding
 /// @complexity linear in the size of the text, plus CheckMeaning
--- a/include/coppervalve/config/rule_index.h
+++ b/include/coppervalve/config/rule_index.h
@@ -13,10 +13,10 @@
 namespace coppervalve::config {
 
 /// @brief Finds the rules whose account, model and service conditions may hold
-/// for a request, in rule order, without looking at the others.
+/// for a request, in rule order, without visiting the others.
 class RuleIndex {
  public:
-  /// @brief Walks the candidates of one lookup in ascending rule order.
+  /// @brief Iterates over the candidates of one lookup in ascending rule order.
   class Cursor {
    public:
     /// @brief Value of Next() after the last candidate.
@@ -34,7 +34,7 @@
     size_t m_next[kBuckets] = {};
   };
 
-  /// @brief Adds a rule behind those added before.
+  /// @brief Adds a rule after those added before.
   /// @complexity linear in the number of its accounts, models and services
   void Add(const v1::When& when);
 
--- a/include/coppervalve/config/tables.h
+++ b/include/coppervalve/config/tables.h
@@ -47,8 +47,8 @@
 using UpstreamIds = std::vector<core::UpstreamId>;
 using SharedUpstreamIds = std::shared_ptr<const UpstreamIds>;
 
-/// @brief The immutable view of one configuration that requests are decided
-/// with. Safe to read from several threads. All lookups take constant time.
+/// @brief Immutable lookup tables of one configuration, used to decide
+/// requests. Safe to read from several threads. All lookups take constant time.
 class Tables {
  public:
   explicit Tables(const v1::Configuration& configuration);
--- a/include/coppervalve/trial/audit.h
+++ b/include/coppervalve/trial/audit.h
@@ -14,40 +14,40 @@
 
 namespace coppervalve::trial {
 
-/// @brief What broke, in words for the trace.
+/// @brief A violated invariant, described for the trace.
 struct Violation {
   std::string invariant;  ///< "I1" to "I9", see docs/INVARIANTS.md
   std::string what;
 };
 
-/// @brief Tokens of all budgets together, as an outsider counts them.
+/// @brief Token totals of all budgets, from the log and the upstreams' records.
 struct TokenCount {
   int64_t paid_in = 0;
-  int64_t used = 0;      ///< by the upstreams' own records
-  int64_t billed = 0;    ///< of the log
-  int64_t free = 0;      ///< of the log
-  int64_t held = 0;      ///< by live routers, of the log
+  int64_t used = 0;      ///< according to the upstreams' records
+  int64_t billed = 0;    ///< according to the log
+  int64_t free = 0;      ///< according to the log
+  int64_t held = 0;      ///< by live routers, according to the log
   int64_t stranded = 0;  ///< quarantined or written off beyond what was used
 };
 
-/// @brief Checks the invariants from the outside: the log's entries and the
-/// upstreams' records, never the routers' own counts.
+/// @brief Checks the invariants independently: from the log's entries and the
+/// upstreams' records, never from the routers' own counts.
 class Audit {
  public:
   explicit Audit(Fleet& fleet);
 
-  /// @brief Checks what has happened since the last call.
+  /// @brief Checks everything since the last call.
   /// @complexity linear in what is new, plus nodes and budgets
   std::vector<Violation> Check();
   /// @brief Compares all folds that are at the same offset, and all holdings.
   /// @complexity linear in the state
   std::vector<Violation> CheckFolds();
-  /// @brief A router starts an attempt now: it must not work under a version
+  /// @brief Called when a router starts an attempt. It must not use a version
   /// that was replaced longer ago than the freshness bound.
   void OnDispatch(size_t node);
   TokenCount Count() const;
-  /// @return whether one counter with the whole truth had tokens for the wish,
-  /// and `besides` for others
+  /// @return whether a single exact counter has tokens for the request after
+  /// `others` are taken
   bool WouldRun(const Wish& wish, core::Tokens besides = core::Tokens(0)) const;
   const ledger::Fold& fold() const { return m_fold; }
 
@@ -68,9 +68,9 @@
   std::unordered_map<size_t, uint64_t> m_ticket_runs;  ///< by ticket
   std::unordered_map<core::Hash128, uint64_t> m_bills;
   std::vector<uint64_t> m_versions;
-  /// When each version came into force, by version; and what broke since the
-  /// last Check().
+  /// When each version came into force, by version.
   std::vector<core::TimePoint> m_in_force_since;
+  /// Found by OnDispatch() since the last Check().
   std::vector<Violation> m_late_dispatches;
   size_t m_orders_seen = 0;
   std::unordered_map<core::UpstreamId, core::FencingNumber> m_newest_order;
--- a/include/coppervalve/trial/chaos.h
+++ b/include/coppervalve/trial/chaos.h
@@ -12,7 +12,7 @@
 
 namespace coppervalve::trial {
 
-/// @brief Which faults a random run may contain, and how often.
+/// @brief Length of a random run and rate of its faults.
 struct ChaosOptions {
   uint64_t seed = 1;
   core::Duration faults_for = std::chrono::seconds(90);
@@ -22,7 +22,7 @@
   uint64_t log_retain = 0;
 };
 
-/// @brief What one random run came to.
+/// @brief Result of a random run.
 struct ChaosResult {
   std::vector<Violation> violations;
   std::vector<std::string> trace;  ///< faults in order, with their times
--- a/include/coppervalve/trial/engine_orders.h
+++ b/include/coppervalve/trial/engine_orders.h
@@ -18,16 +18,17 @@
   v1::OrderIssued order;
 };
 
-/// @brief What the engines were ordered to do, in the order of arrival.
+/// @brief Records the orders that took effect at engines, in order of arrival.
 class EngineOrders {
  public:
-  /// @brief Learns which engines check fencing numbers.
+  /// @brief Sets which engines check fencing numbers.
   void Configure(const v1::Configuration& configuration);
-  /// @return false: refused, since an engine that checks has a newer number
+  /// @return false if refused: the engine checks fencing numbers and has
+  /// applied a newer one
   bool Arrive(AppliedOrder order);
 
   const std::vector<AppliedOrder>& applied() const { return m_applied; }
-  /// @return those that took effect at one engine, in order of arrival
+  /// @return the numbers applied at one engine, in order of arrival
   std::vector<core::FencingNumber> At(const std::string& upstream) const;
 
  private:
--- a/include/coppervalve/trial/fake_log.h
+++ b/include/coppervalve/trial/fake_log.h
@@ -18,7 +18,7 @@
   explicit FakeLog(uint64_t retain = 0) : m_retain(retain) {}
 
   core::LogOffset Append(std::string entry);
-  /// @brief Appends an operator's record, written after reading to the end.
+  /// @brief Appends a record as an operator that has read the log to its end.
   core::LogOffset AppendAsOperator(const std::string& name, v1::Record record);
   v1::ReadReply Read(core::LogOffset from) const;
 
--- a/include/coppervalve/trial/fleet.h
+++ b/include/coppervalve/trial/fleet.h
@@ -19,16 +19,16 @@
 
 namespace coppervalve::trial {
 
-/// @brief How one attempt goes at an upstream.
+/// @brief Outcome of an attempt at an upstream.
 enum class AttemptFate : uint8_t {
   kAnswered,
   kNotSent,   ///< no connection
-  kDeclined,  ///< the upstream says that it did not run
-  kCut,       ///< it ran in part, then the connection closed
-  kSilent,    ///< it ran, and nothing comes back
+  kDeclined,  ///< the upstream reports that it did not run
+  kCut,       ///< ran in part, then the connection closed
+  kSilent,    ///< ran, but no reply arrives
 };
 
-/// @brief What a fleet is made of.
+/// @brief Settings of a simulated fleet.
 struct FleetOptions {
   size_t routers = 7;
   uint64_t seed = 1;
@@ -39,16 +39,16 @@
   core::Duration log_delay = std::chrono::milliseconds(4);
 };
 
-/// @brief State of a node's way to the log.
+/// @brief State of a node's connection to the log.
 struct LogLink {
   bool up = true;
-  double lose_replies = 0;  ///< probability that a reply is lost after effect
+  double lose_replies = 0;  ///< probability of losing a reply after the append
   core::Duration extra_delay{};
 };
 
-/// @brief A few real decision cores on fakes of the log, the network, the
-/// upstreams and the callers, in virtual time. A test driver at the cores'
-/// interface, not a model of machines.
+/// @brief Runs real router cores in virtual time against fakes of the log, the
+/// network, the upstreams and the callers. It drives the cores through their
+/// interface and does not model machines.
 class Fleet {
  public:
   explicit Fleet(FleetOptions options);
@@ -59,36 +59,36 @@
   void Run(core::Duration duration);
   void StartAll();
 
-  // What operators do.
+  // Operators' actions.
   void Publish(v1::Configuration configuration);
   void TopUp(const core::BudgetId& budget, core::Tokens tokens);
 
   void Order(const core::UpstreamId& upstream, const std::string& model);
-  /// @brief Settles an order after a look at the engine.
+  /// @brief Settles an order after checking the engine.
   void SettleOrder(const core::UpstreamId& upstream,
                    core::FencingNumber fencing);
 
-  // What callers do.
-  /// @return the number of the new wish
+  // Callers' actions.
+  /// @return the index of the new request
   size_t Wants(Wish wish);
   void SetKey(size_t wish, std::string key) {
     m_wishes[wish].key = std::move(key);
   }
-  /// @return the number of the new ticket
+  /// @return the index of the new attempt
   size_t Send(size_t wish, size_t node);
   void CloseTicket(size_t ticket);
 
-  // What fails.
+  // Faults and hooks.
   void Cut(size_t a, size_t b, bool cut);
   void CutAll(size_t node, bool cut);
   bool IsCut(size_t a, size_t b) const;
   LogLink& log_link(size_t node) { return m_log_links[node]; }
   void SetFate(std::function<AttemptFate()> fate) { m_fate = std::move(fate); }
-  /// @brief Whether engines say how many tokens they used.
+  /// @brief Sets whether engines report the tokens they used.
   void SetReportsUsage(bool reports) { m_reports_usage = reports; }
   bool reports_usage() const { return m_reports_usage; }
   AttemptFate NextFate() { return m_fate ? m_fate() : AttemptFate::kAnswered; }
-  /// @brief Called when a ticket ends.
+  /// @brief Called when a client attempt ends.
   void SetOnTicket(std::function<void(size_t ticket)> on_ticket) {
     m_on_ticket = std::move(on_ticket);
   }
@@ -98,7 +98,7 @@
     m_on_line = std::move(on_line);
   }
 
-  // What nodes use.
+  // Interface for the nodes.
   void EndTicket(size_t ticket, Ticket::State state);
   size_t Execute(size_t ticket, core::Tokens used);
   Node* FindRouter(const core::RouterId& router);
--- a/include/coppervalve/trial/load.h
+++ b/include/coppervalve/trial/load.h
@@ -15,48 +15,48 @@
 
 namespace coppervalve::trial {
 
-/// @brief What callers do.
+/// @brief Load that the callers generate.
 struct LoadOptions {
   size_t accounts = 3;
   int64_t prepaid = 200'000;  ///< of each account's budget
-  double per_second = 20;     ///< new wishes over all accounts
+  double per_second = 20;     ///< new requests over all accounts
   double draft_share = 0.4;   ///< BATCH model work
   double hold_share = 0.2;    ///< non-idempotent GATE calls of a service
   double keyed_share = 0.9;   ///< of idempotent work; calls always have a key
   double bound_share = 0.7;   ///< of keyed work: origin-bound keys
-  size_t max_tries = 4;       ///< of one wish
+  size_t max_tries = 4;       ///< of one request
   core::Duration caller_patience = std::chrono::seconds(15);
   uint32_t gate_reserve_permille = 50;
-  /// How many times more callers the last router has than the first.
+  /// Ratio of the callers of the last router to those of the first.
   double uneven = 1;
 };
 
-/// @brief How wishes of one class ended.
+/// @brief Results of the client requests of one class.
 struct ClassCount {
   uint64_t wishes = 0;
   uint64_t whole = 0;
-  uint64_t refused = 0;         ///< last word: not run
-  uint64_t unknown = 0;         ///< last word: outcome unknown
-  uint64_t open = 0;            ///< no last word yet
-  uint64_t false_refusals = 0;  ///< for want of tokens that were there
-  uint64_t false_ends = 0;      ///< wishes whose last word was one of them
-  /// Wishes that one counter with the whole truth would have run besides all
-  /// that ran: like false_ends, but each token that was there counts once.
+  uint64_t refused = 0;         ///< final result: not run
+  uint64_t unknown = 0;         ///< final result: outcome unknown
+  uint64_t open = 0;            ///< no final result yet
+  uint64_t false_refusals = 0;  ///< for lack of tokens although available
+  uint64_t false_ends = 0;      ///< requests that ended in one
+  /// Requests that a single exact counter would have run in addition to those
+  /// that ran: like false_final_refusals, but each available token counts once.
   uint64_t lost = 0;
 };
 
-/// @brief The configuration that the load needs: accounts "a0".., a budget
+/// @brief The configuration for the load: accounts "a0".., a budget
 /// "b0".. each, four engines and one service.
 v1::Configuration TrialConfiguration(const LoadOptions& options);
 
-/// @brief Callers that ask, wait, lose patience and try again elsewhere.
+/// @brief Simulates callers that send requests, time out and retry elsewhere.
 class Load {
  public:
   Load(Fleet& fleet, Audit& audit, LoadOptions options);
 
-  /// @brief Starts new wishes at the given rate from now on.
+  /// @brief Starts generating requests at the configured rate.
   void Start();
-  /// @brief Starts no new ones; those in progress go on.
+  /// @brief Stops generating requests; those in progress continue.
   void Stop() { m_running = false; }
   void SetRate(double per_second) { m_options.per_second = per_second; }
 
--- a/include/coppervalve/trial/node.h
+++ b/include/coppervalve/trial/node.h
@@ -20,15 +20,15 @@
 
 class Fleet;
 
-/// @brief How a request that a peer relayed ended there.
+/// @brief Result of a request forwarded to a peer.
 struct RelayEnd {
-  bool answered = false;  ///< wholly: an answer, or a refusal
+  bool answered = false;  ///< with a complete answer or a refusal
   bool sent = false;      ///< the peer may have run it
   std::optional<router::Refuse> refusal;
 };
 
-/// @brief One VM with one router process: the real decision core in a shell
-/// that carries its actions out in virtual time.
+/// @brief A VM with one router process: a real router core whose actions are
+/// executed in virtual time.
 class Node {
  public:
   Node(Fleet& fleet, size_t index);
@@ -41,15 +41,15 @@
   void Resume();
   void Drain();
 
-  /// @brief Takes an event as the shell would: now, or once resumed.
+  /// @brief Delivers an event to the core: now, or after Resume() if paused.
   void Deliver(router::Event event);
-  /// @brief A caller's request arrives.
+  /// @brief Receives a caller's request.
   void Open(size_t ticket);
-  /// @brief The caller of a ticket closes its connection.
+  /// @brief Handles a caller's closed connection.
   void Hang(size_t ticket);
-  /// @brief A peer relays a request to this node.
+  /// @brief Receives a request forwarded by a peer.
   /// @param done called once
-  /// @return the request's id here, if it was taken
+  /// @return the request's id at this node, if it was accepted
   std::optional<core::RequestId> OpenForward(
       core::Incarnation to,
       size_t ticket,
@@ -66,10 +66,11 @@
   uint64_t peer_bytes() const { return m_peer_bytes; }
 
  private:
-  /// What the shell knows of one request.
+  /// State of one request outside the core.
   struct Call {
     size_t ticket = 0;
-    std::function<void(const RelayEnd&)> relay;  ///< for a peer
+    std::function<void(const RelayEnd&)>
+        relay;  ///< set for a request of a peer
     std::vector<core::RequestId> joiners;
     std::optional<core::RequestId> leader;
     bool done = false;
@@ -107,7 +108,7 @@
 
   Fleet& m_fleet;
   size_t m_index;
-  uint64_t m_life = 0;  ///< grows with each start; stale callbacks do nothing
+  uint64_t m_life = 0;  ///< grows with each start; stale callbacks are ignored
   std::unique_ptr<router::RouterCore> m_core;
   bool m_paused = false;
   bool m_exiting = false;
--- a/include/coppervalve/trial/records.h
+++ b/include/coppervalve/trial/records.h
@@ -13,7 +13,8 @@
 
 namespace coppervalve::trial {
 
-/// @brief What a caller wants, with the truth that no router knows beforehand.
+/// @brief A request of a caller, with the actual token counts that no router
+/// knows in advance.
 struct Wish {
   core::AccountId account;
   core::BudgetId budget;
@@ -28,11 +29,11 @@
   core::Duration duration{};
   std::string key;  ///< empty: none
 
-  /// @return what the work costs at the price of one
+  /// @return the cost at a price of one budget token per token
   core::Tokens Cost() const { return prompt + output; }
 };
 
-/// @brief One run at an upstream, as the upstream itself records it.
+/// @brief A run at an upstream, as recorded by the upstream.
 struct Execution {
   size_t wish = 0;
   size_t ticket = 0;
@@ -40,7 +41,7 @@
   bool whole = false;
 };
 
-/// @brief One try of a wish at one router, as the caller sees it.
+/// @brief One attempt of a client request at one router, as the caller sees it.
 struct Ticket {
   enum class State : uint8_t { kOpen, kWhole, kRefused, kBroken };
 
@@ -50,7 +51,7 @@
   std::optional<core::ErrorId> error;
   core::RunState run_state = core::RunState::kUnknown;
   std::optional<core::Duration> retry_after;
-  size_t answer_of_wish = 0;  ///< whose answer it got; with kWhole
+  size_t answer_of_wish = 0;  ///< the request that was answered; with kComplete
   core::TimePoint opened;
   core::TimePoint ended;
 };
--- a/include/coppervalve/trial/timeline.h
+++ b/include/coppervalve/trial/timeline.h
@@ -10,14 +10,14 @@
 
 namespace coppervalve::trial {
 
-/// @brief Virtual time: runs what was scheduled, in order of time and then of
-/// scheduling. Nothing else moves the clock.
+/// @brief Virtual clock that runs scheduled actions in order of time, then of
+/// scheduling. Nothing else advances it.
 class Timeline {
  public:
   core::TimePoint now() const { return m_now; }
   /// @param delay from now on; not negative
   void After(core::Duration delay, std::function<void()> action);
-  /// @brief Runs all that is due up to and including `end`.
+  /// @brief Runs all actions that are due up to and including `end`.
   void RunUntil(core::TimePoint end);
 
  private:
--- a/src/config/check.cc
+++ b/src/config/check.cc
@@ -10,7 +10,8 @@
 
 using core::ErrorId;
 
-// A configuration is one record of the log and one message to each router.
+// A configuration is stored as one log record and sent to each router as one
+// message.
 constexpr size_t kMaxRecordBytes = size_t{4} << 20U;
 constexpr int kMaxItems = 10'000;
 constexpr size_t kMaxNameSize = 200;
@@ -83,9 +84,9 @@
                              std::to_string(before.prepaid_tokens())};
     }
     if (after.account() != before.account()) {
-      return core::Error{
-          ErrorId::kConfigPrepaidShrinks, path + ".account",
-          "what '" + before.account() + "' prepaid may not change hands"};
+      return core::Error{ErrorId::kConfigPrepaidShrinks, path + ".account",
+                         "the owner '" + before.account() +
+                             "' of a published budget may not change"};
     }
   }
   return core::Ok();
--- a/src/config/check_accounts.cc
+++ b/src/config/check_accounts.cc
@@ -8,7 +8,8 @@
 using core::ErrorId;
 
 constexpr int64_t kMaxRate = 1'000'000;
-// 10^15: sums of a million such amounts still fit 64 bits after pricing.
+// 10^15, so that sums of a million such amounts still fit 64 bits after
+// pricing.
 constexpr int64_t kMaxPrepaid = 1'000'000'000'000'000;
 constexpr int64_t kWholePermille = 1000;
 
--- a/src/config/check_limits.cc
+++ b/src/config/check_limits.cc
@@ -12,13 +12,14 @@
 struct LimitRange {
   const char* field;
   uint32_t (v1::Limits::*value)() const;
-  uint32_t low;  // of a given value; 0 takes the default
+  uint32_t low;  // lowest value that may be set; 0 selects the default
   uint32_t high;
 };
 
 constexpr uint32_t kHourMs = 3'600'000;
 
-// Routers append at least every 3 s: a shorter silence is no sign of death.
+// Routers append at least every 3 s, so a shorter timeout would retire live
+// routers.
 constexpr uint32_t kMinRetireAfterMs = 4'000;
 
 constexpr auto kRanges = std::to_array<LimitRange>({
--- a/src/config/check_rules.cc
+++ b/src/config/check_rules.cc
@@ -18,7 +18,7 @@
 constexpr int64_t kMinutesOfDay = 1440;
 constexpr size_t kMaxReasonSize = 200;
 
-// Calls check(text, path) for each text and reports repeated ones.
+// Calls check(text, path) for each string and reports duplicates.
 template <typename Check>
 void CheckList(const Texts& list,
                const std::string& path,
@@ -72,7 +72,7 @@
     const std::string& name = when.headers(i).name();
     if (report.CheckPresent(name, item_path + ".name") && !IsHeaderName(name)) {
       report.Add(ErrorId::kConfigBadValue, item_path + ".name",
-                 "not a header's name");
+                 "not a valid header name");
     }
     if (!IsPrintable(when.headers(i).equals())) {
       report.Add(ErrorId::kConfigBadValue, item_path + ".equals",
@@ -135,8 +135,9 @@
                 report.Add(ErrorId::kConfigUnknownReference, item_path,
                            "no upstream '" + id + "'");
               } else if (!ServesAny(*found->second, rule.when())) {
-                report.Add(ErrorId::kConfigBadValue, item_path,
-                           "'" + id + "' serves nothing that `when` names");
+                report.Add(
+                    ErrorId::kConfigBadValue, item_path,
+                    "'" + id + "' serves no model or service named in `when`");
               }
             });
 }
--- a/src/config/check_upstreams.cc
+++ b/src/config/check_upstreams.cc
@@ -25,7 +25,7 @@
         ItemPath(path + ".models", static_cast<size_t>(i));
     if (!IsModelName(model)) {
       report.Add(ErrorId::kConfigBadValue, model_path,
-                 "not a model's name: 1 to 128 of A-Z a-z 0-9 . _ - : /");
+                 "not a valid model name: 1 to 128 of A-Z a-z 0-9 . _ - : /");
       continue;
     }
     report.CheckNew(model, model_path, models);
@@ -88,7 +88,8 @@
                "'" + upstream.address() + "' is not ip:port");
     return;
   }
-  // Two upstreams at one address would double its cap on requests in progress.
+  // Two upstreams with one address would double the limit on requests in
+  // progress there.
   report.CheckNew(upstream.address(), path, addresses);
 }
 
--- a/src/config/diff.cc
+++ b/src/config/diff.cc
@@ -16,7 +16,7 @@
 using google::protobuf::Message;
 using google::protobuf::Reflection;
 
-constexpr int kSingle = -1;  // protobuf's index of a field that is no list
+constexpr int kSingle = -1;  // protobuf's index of a field that is not repeated
 
 std::string MessageJson(const Message& message) {
   google::protobuf::util::JsonPrintOptions options;
@@ -166,8 +166,8 @@
              ValueJson(newer, field, after.position.at(id)));
       }
     }
-    // Only the order among items that both have: an inserted rule is one
-    // change.
+    // Compares the order of common items only, so that an inserted rule counts
+    // as one change.
     Note(path, OrderJson(before, after), OrderJson(after, before));
   }
 
--- a/src/config/json_tree.cc
+++ b/src/config/json_tree.cc
@@ -12,8 +12,8 @@
 using boost::json::string_view;
 
 // Builds the tree from the parser's callbacks. Boost.JSON's own values keep
-// only the last of two members with one name, which would hide a mistake such
-// as a budget's amount given twice.
+// only the last of two members with the same name, which would hide mistakes
+// such as a budget amount given twice.
 class TreeBuilder {
  public:
   // NOLINTBEGIN(readability-identifier-naming): names given by Boost.JSON.
--- a/src/config/json_tree.h
+++ b/src/config/json_tree.h
@@ -12,7 +12,8 @@
 
 struct JsonMember;
 
-/// @brief One JSON value as written: repeated names and number literals kept.
+/// @brief A JSON value as written, with duplicate names and number literals
+/// kept.
 struct JsonNode {
   enum class Kind : uint8_t {
     kNull,
@@ -35,7 +36,7 @@
   JsonNode value;
 };
 
-/// @return how a kind is called in messages
+/// @return the name of a kind for messages
 std::string_view NameOf(JsonNode::Kind kind);
 
 /// @brief Reads one JSON document.
--- a/src/config/meaning.h
+++ b/src/config/meaning.h
@@ -32,7 +32,7 @@
   void CheckNewId(const std::string& id,
                   const std::string& path,
                   std::unordered_map<std::string, std::string>& seen);
-  /// @brief Requires the text to be new to `seen` (text to its first path).
+  /// @brief Requires a text that `seen` (text to its first path) lacks.
   void CheckNew(const std::string& text,
                 const std::string& path,
                 std::unordered_map<std::string, std::string>& seen);
@@ -42,7 +42,7 @@
                   int64_t high,
                   const std::string& path);
   /// @brief Requires a text that is not empty.
-  /// @return whether it is there
+  /// @return whether the text is present
   bool CheckPresent(std::string_view text, const std::string& path);
 
   Findings TakeFindings() { return std::move(m_findings); }
@@ -65,8 +65,8 @@
                 const Names& names,
                 Report& report);
 void CheckLimits(const v1::Limits& limits, Report& report);
-/// @brief Finds rules that no request can reach: their own conditions exclude
-/// each other, or one earlier rule matches all that they match.
+/// @brief Reports rules that no request can reach: their conditions contradict
+/// each other, or an earlier rule matches every request that they match.
 void CheckReachability(const v1::Configuration& configuration, Report& report);
 
 }  // namespace coppervalve::config
--- a/src/config/parse.cc
+++ b/src/config/parse.cc
@@ -29,8 +29,8 @@
   if (!core::IsOk(tree)) {
     return Findings{core::Failure(tree)};
   }
-  // protobuf's own messages name neither the path nor more than one finding,
-  // so it converts only what is known to fit.
+  // protobuf's own errors give no path and report only the first problem, so
+  // only JSON that passed the schema check is converted.
   Findings findings =
       CheckSchema(core::Value(tree), *v1::Configuration::descriptor());
   if (!findings.empty()) {
--- a/src/config/reachability.cc
+++ b/src/config/reachability.cc
@@ -25,8 +25,8 @@
   list.erase(std::unique(list.begin(), list.end()), list.end());
 }
 
-// The same conditions with sorted lists. Every request comes from a configured
-// account, so a rule that lists them all restricts nothing.
+// Returns the conditions with sorted lists. Every request comes from a
+// configured account, so a rule that lists them all restricts nothing.
 v1::When Normalized(const v1::When& when, int accounts) {
   v1::When normal = when;
   SortUnique(*normal.mutable_accounts());
@@ -117,7 +117,7 @@
          WindowsCover(outer, inner);
 }
 
-// @return why no request meets the conditions; empty when one may
+// @return why no request can meet the conditions; empty if one can
 std::string_view Contradiction(const v1::When& when) {
   if (!when.models().empty() && !when.services().empty()) {
     return "a request names a model or a service, never both";
@@ -141,8 +141,8 @@
 size_t CoveringRule(const v1::When& when,
                     const RuleIndex& index,
                     const std::vector<v1::When>& earlier) {
-  // A covering rule names each account and each target of `when`, or none: the
-  // first ones find it.
+  // A covering rule names all accounts and all targets of `when`, or none, so
+  // a lookup by the first ones finds it.
   RuleIndex::Cursor cursor =
       index.Find(FirstOf(when.accounts()), FirstOf(when.models()),
                  FirstOf(when.services()));
--- a/src/config/rule_index.cc
+++ b/src/config/rule_index.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Id of "not restricted" in a bucket's key.
+// Id that stands for "not restricted" in a bucket's key.
 constexpr uint32_t kAny = 0;
-// A rule that names many accounts and many targets is kept by account only:
-// one entry a pair would make the index much larger than the file.
+// A rule that names many accounts and many targets is indexed by account only:
+// one entry per pair would make the index much larger than the file.
 constexpr size_t kMaxEntriesPerRule = 64;
 
 constexpr std::string_view kAccount = "account:";
@@ -43,7 +43,7 @@
 }
 
 void RuleIndex::Add(const v1::When& when) {
-  // Sets, so that a list that repeats an id enters the rule once a bucket.
+  // Sets, so that a list with duplicate ids adds the rule once per bucket.
   std::set<uint32_t> accounts;
   for (const std::string& account : when.accounts()) {
     accounts.insert(Intern(kAccount, account));
@@ -76,7 +76,8 @@
   const uint32_t account_id = IdOf(kAccount, account);
   const uint32_t target_id =
       model.empty() ? IdOf(kService, service) : IdOf(kModel, model);
-  // A name that no rule mentions has the id kAny: its buckets would come twice.
+  // A name that no rule mentions has the id kAny. Its buckets are skipped,
+  // since they would be visited twice.
   Cursor cursor;
   cursor.m_buckets[0] = BucketOf(kAny, kAny);
   if (account_id != kAny) {
--- a/src/config/schema_walk.cc
+++ b/src/config/schema_walk.cc
@@ -38,8 +38,8 @@
   }
 }
 
-// protobuf's JSON mapping writes 64-bit numbers as strings, so that canonical
-// output must be readable again.
+// protobuf's JSON mapping writes 64-bit numbers as strings; they are accepted
+// so that canonical output can be read again.
 bool MayBeQuoted(const FieldDescriptor& field) {
   return field.cpp_type() == FieldDescriptor::CPPTYPE_INT64 ||
          field.cpp_type() == FieldDescriptor::CPPTYPE_UINT64;
--- a/src/config/values.h
+++ b/src/config/values.h
@@ -3,7 +3,7 @@
 
 #include <string_view>  // string_view
 
-/// Shapes of single values in the operators' file.
+/// Format checks for single values in the operators' file.
 namespace coppervalve::config {
 
 /// @return whether the text is an id: 1 to 64 of A-Z a-z 0-9 . _ -
--- a/src/trial/audit.cc
+++ b/src/trial/audit.cc
@@ -128,8 +128,8 @@
     }
     if (ticket.state == Ticket::State::kWhole &&
         ticket.answer_of_wish != ticket.wish) {
-      found.push_back(
-          {"I3", "ticket " + std::to_string(i) + " got another's answer"});
+      found.push_back({"I3", "ticket " + std::to_string(i) +
+                                 " got the answer of another request"});
     }
   }
 }
@@ -192,7 +192,7 @@
       continue;
     }
     if (node.core().fold().Digest() != digest) {
-      found.push_back({"I1", RouterName(i).value() + " has another state"});
+      found.push_back({"I1", RouterName(i).value() + " has a different state"});
     }
   }
   return found;
@@ -213,7 +213,7 @@
   return count;
 }
 
-// The counter keeps the operator's order that a share is for GATE work only.
+// Applies the gate reserve: a share of the balance is for GATE work only.
 bool Audit::WouldRun(const Wish& wish, core::Tokens besides) const {
   const ledger::Budget* budget = m_fold.FindBudget(wish.budget);
   if (budget == nullptr) {
--- a/src/trial/chaos.cc
+++ b/src/trial/chaos.cc
@@ -20,7 +20,7 @@
 constexpr Duration kWarmUp = seconds(3);
 constexpr size_t kMaxViolations = 5;
 
-/// @brief Picks faults at random and undoes each after a random time.
+/// @brief Injects random faults and undoes each after a random time.
 class Chaos {
  public:
   Chaos(Fleet& fleet,
@@ -36,7 +36,7 @@
     ScheduleOrder();
   }
 
-  /// @brief Undoes all faults and starts what is down.
+  /// @brief Undoes all faults and starts the routers that are down.
   void Stop() {
     m_running = false;
     m_fleet.SetFate([] { return AttemptFate::kAnswered; });
@@ -92,8 +92,8 @@
     });
   }
 
-  // An operator orders one engine after the other, and settles what stays open
-  // for good.
+  // Issues an operator's order to one engine after the other, and settles the
+  // orders that no router can end any more.
   void OrderOne() {
     const core::UpstreamId upstream("engine-" + std::to_string(m_orders % 4));
     m_fleet.Order(upstream, "model-" + std::to_string(m_orders++));
@@ -106,8 +106,9 @@
     }
   }
 
-  // Settled only when the router that took it cannot send it any more: its
-  // process has gone, or has been running without a pause since the last look.
+  // An order may be settled only when the router that took it can no longer
+  // send it. This holds if, in two consecutive checks, its process was not
+  // paused and either its incarnation was gone or the order was no longer open.
   bool HasLookedAt(const ledger::Order& order) {
     const Node* node = m_fleet.FindRouter(order.holder);
     const bool halted = node->alive() && node->paused();
@@ -186,20 +187,20 @@
   }
 
   void CutPeers(size_t n) {
-    Note("cut from peers", n);
+    Note("partitioned from peers", n);
     m_fleet.CutAll(n, true);
     UndoLater(seconds(10), [this, n] { m_fleet.CutAll(n, false); });
   }
 
   void CutOneLink(size_t n) {
     const size_t other = RandomNode();
-    Note("cut one link", n);
+    Note("partitioned from one peer", n);
     m_fleet.Cut(n, other, true);
     UndoLater(seconds(10), [this, n, other] { m_fleet.Cut(n, other, false); });
   }
 
   void CutLog(size_t n) {
-    Note("cut from log", n);
+    Note("disconnected from log", n);
     m_fleet.log_link(n).up = false;
     UndoLater(seconds(12), [this, n] { m_fleet.log_link(n).up = true; });
   }
@@ -210,7 +211,7 @@
   }
 
   void LoseReplies(size_t n) {
-    Note("log replies get lost", n);
+    Note("log replies are lost", n);
     m_fleet.log_link(n).lose_replies = 0.5;
     UndoLater(seconds(10), [this, n] { m_fleet.log_link(n).lose_replies = 0; });
   }
@@ -223,12 +224,12 @@
   }
 
   void LogOut() {
-    Note("log out for all", 0);
+    Note("log unavailable for all", 0);
     for (size_t i = 0; i < m_fleet.size(); ++i) {
       m_fleet.log_link(i).up = false;
     }
     UndoLater(seconds(12), [this] {
-      Note("log back", 0);
+      Note("log available again", 0);
       for (size_t i = 0; i < m_fleet.size(); ++i) {
         m_fleet.log_link(i).up = true;
       }
@@ -286,7 +287,7 @@
   bool m_running = false;
   double m_failing = 0.02;
   uint64_t m_orders = 0;
-  std::set<core::FencingNumber> m_looked;  ///< by the operator, once
+  std::set<core::FencingNumber> m_looked;  ///< orders that passed one check
 };
 
 }  // namespace
--- a/src/trial/fleet.cc
+++ b/src/trial/fleet.cc
@@ -88,7 +88,7 @@
   m_tickets.push_back(ticket);
   const size_t number = m_tickets.size() - 1;
   if (!m_nodes[node]->alive()) {
-    // The connection is refused: truly nothing ran.
+    // The connection is refused, so nothing ran.
     m_tickets[number].run_state = core::RunState::kNotRun;
     EndTicket(number, Ticket::State::kRefused);
     return number;
--- a/src/trial/load.cc
+++ b/src/trial/load.cc
@@ -140,7 +140,7 @@
 
 size_t Load::PickNode() {
   const auto size = static_cast<double>(m_fleet.size());
-  // The density grows from 1 to `uneven` in a straight line over the routers.
+  // The density grows linearly from 1 to `load_skew` over the routers.
   const double rise = m_options.uneven - 1;
   double share = Share();
   if (rise > 0) {
@@ -202,8 +202,9 @@
   m_fleet.timeline().After(pause, [this, wish_number] { Try(wish_number); });
 }
 
-// Under overload the same few tokens, on their way between routers, would be
-// held against each refusal in turn, though they suffice for one wish only.
+// Counts each available token once: under overload the same few tokens in
+// transfer between routers would otherwise make every refusal count as lost,
+// although they suffice for one request only.
 void Load::EndFalsely(size_t number) {
   Pending& pending = m_pending[number];
   const Wish& wish = m_fleet.wishes()[number];
--- a/src/trial/node.cc
+++ b/src/trial/node.cc
@@ -58,8 +58,8 @@
   ScheduleTick();
 }
 
-// Callers see their connections break; peers that had relayed to this node
-// learn that the answer is not whole.
+// The callers' connections break; peers that forwarded a request to this node
+// learn that the answer is incomplete.
 void Node::Kill() {
   ++m_life;
   m_core.reset();
@@ -326,7 +326,7 @@
   });
   Later(wish.duration, [this, action, wish, output, run, wish_number] {
     m_fleet.executions()[run].whole = true;
-    // The bytes reach the caller while the control thread is told.
+    // The caller receives the answer while the control thread is notified.
     router::AttemptDone done;
     done.request = action.request;
     done.attempt = action.attempt;
@@ -357,8 +357,8 @@
   Later(kUpstreamDelay, [this, action] { RunOrder(action); });
 }
 
-// A pause may fall between the decision and its first byte, however close to
-// each other they are: the order then leaves when the process resumes.
+// A pause may fall between the decision to send an order and its first byte;
+// the order is then sent when the process resumes.
 void Node::RunOrder(const router::SendOrder& action) {
   if (m_paused) {
     Later(kPollStep, [this, action] { RunOrder(action); });
@@ -431,7 +431,8 @@
     relay->there =
         peer->OpenForward(action.incarnation, ticket, action.account, end);
   });
-  // A relay that is given up resets its stream: the peer's caller is gone.
+  // A forward that times out resets its stream, which the peer sees as a
+  // disconnected caller.
   Later(kForwardTimeout, [=] {
     if (!relay->ended && relay->there.has_value()) {
       peer->Deliver(router::CallerGone{*relay->there});
@@ -490,7 +491,8 @@
     Later(kLogTimeout, [this, failed] { Deliver(failed); });
     return;
   }
-  // What was sent takes effect even if the sender dies before the reply.
+  // An append that was sent takes effect even if the sender is killed before
+  // the reply.
   m_fleet.timeline().After(delay / 2, [this, life = m_life,
                                        entry = action.entry, delay, failed] {
     const core::LogOffset offset = m_fleet.log().Append(entry);
--- a/tests/config/unit-parse.cc
+++ b/tests/config/unit-parse.cc
@@ -44,7 +44,7 @@
   return findings != nullptr ? *findings : config::Findings{};
 }
 
-// The good file with one text replaced by another.
+// Returns the valid file with one text replaced by another.
 std::string With(const std::string& from, const std::string& to) {
   std::string json = kGood;
   const size_t at = json.find(from);
@@ -52,7 +52,7 @@
   return json.replace(at, from.size(), to);
 }
 
-// The good file with one more rule before the last one.
+// Returns the valid file with one more rule before the last one.
 std::string WithRule(const std::string& when) {
   return With(R"({"id": "rest")", R"({"id": "extra", "when": )" + when +
                                       R"(, "then": {"refuse": {"reason": "x"}}},
@@ -86,7 +86,7 @@
 TEST_GROUP(Successor){};
 // clang-format on
 
-TEST(Parse, a_good_file_has_no_findings) {
+TEST(Parse, a_valid_file_has_no_findings) {
   UNSIGNED_LONGS_EQUAL(0, FindingsOf(kGood).size());
   LONGS_EQUAL(2000, Good().budgets(1).prepaid_tokens());
 }
@@ -142,7 +142,7 @@
              ErrorId::kConfigBadValue, "$.rules[1].then.refuse");
 }
 
-TEST(Parse, duplicate_ids_keys_and_addresses_are_refused) {
+TEST(Parse, duplicate_ids_and_addresses_are_refused) {
   CheckFound(With(R"("id": "gate")", R"("id": "tours")"),
              ErrorId::kConfigDuplicateId, "$.accounts[1].id");
   CheckFound(With("10.0.0.2", "10.0.0.1"), ErrorId::kConfigDuplicateId,
@@ -177,7 +177,7 @@
   UNSIGNED_LONGS_EQUAL(0, FindingsOf(With("10.0.0.1:80", "[::1]:80")).size());
 }
 
-TEST(Parse, references_to_nothing_are_refused) {
+TEST(Parse, unknown_references_are_refused) {
   CheckFound(With(R"("budget": "sales")", R"("budget": "x")"),
              ErrorId::kConfigUnknownReference, "$.accounts[0].budget");
   CheckFound(With(R"("account": "gate")", R"("account": "x")"),
