--- a/bench/budget/stage.cc
+++ b/bench/budget/schedule_runner.cc
@@ -1,4 +1,4 @@
-#include "bench/budget/stage.h"
+#include "bench/budget/schedule_runner.h"
 
 #include <algorithm>  // max, min
 #include <string>     // to_string
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr core::Duration kWarmUp = std::chrono::seconds(3);
-constexpr core::Duration kCheckEvery = std::chrono::milliseconds(200);
+constexpr core::Duration kCheckInterval = std::chrono::milliseconds(200);
 /// Four attempts of 15 s each, and the pauses between them.
-constexpr core::Duration kLastWords = std::chrono::seconds(75);
+constexpr core::Duration kMaxRequestTime = std::chrono::seconds(75);
 
 trial::FleetOptions OptionsOf(uint64_t seed,
                               const budget::SizingPolicy& sizing) {
@@ -22,58 +22,59 @@
 
 }  // namespace
 
-Stage::Stage(uint64_t seed,
-             const trial::LoadOptions& load,
-             const budget::SizingPolicy& sizing)
+ScheduleRunner::ScheduleRunner(uint64_t seed,
+                               const trial::LoadOptions& load,
+                               const budget::SizingPolicy& sizing)
     : m_fleet(OptionsOf(seed, sizing)),
       m_audit(m_fleet),
       m_load_options(load),
       m_load(m_fleet, m_audit, load) {}
 
-void Stage::Start() {
+void ScheduleRunner::Start() {
   m_fleet.Publish(trial::TrialConfiguration(m_load_options));
   m_fleet.StartAll();
   Run(kWarmUp);
   m_load.Start();
 }
 
-void Stage::Run(core::Duration duration) {
+void ScheduleRunner::Run(core::Duration duration) {
   const core::TimePoint end = m_fleet.now() + duration;
   while (m_fleet.now() < end) {
-    m_fleet.Run(std::min(kCheckEvery, end - m_fleet.now()));
+    m_fleet.Run(std::min(kCheckInterval, end - m_fleet.now()));
     Check();
   }
 }
 
-void Stage::Check() {
+void ScheduleRunner::Check() {
   m_outcome.violations += m_audit.Check().size();
   CountOverspend();
-  WatchCrashes();
+  UpdateCrashes();
 }
 
-void Stage::CountOverspend() {
+void ScheduleRunner::CountOverspend() {
   const auto& executions = m_fleet.executions();
   for (; m_executions_seen < executions.size(); ++m_executions_seen) {
     const trial::Execution& run = executions[m_executions_seen];
-    m_used[m_fleet.wishes()[run.wish].budget] += run.used.value();
+    m_used[m_fleet.client_requests()[run.client_request].budget] +=
+        run.used.value();
   }
-  int64_t past = 0;
+  int64_t overspent = 0;
   for (const auto& [id, used] : m_used) {
     const ledger::Budget* budget = m_audit.fold().FindBudget(id);
     const int64_t paid_in = budget == nullptr ? 0 : budget->paid_in.value();
-    past += std::max<int64_t>(used - paid_in, 0);
+    overspent += std::max<int64_t>(used - paid_in, 0);
   }
-  m_outcome.overspend = std::max(m_outcome.overspend, past);
+  m_outcome.overspend = std::max(m_outcome.overspend, overspent);
 }
 
-void Stage::Kill(size_t node) {
+void ScheduleRunner::Kill(size_t node) {
   trial::Node& victim = m_fleet.node(node);
   m_crashes.push_back({trial::RouterName(node), victim.core().incarnation(),
                        m_fleet.now(), false});
   victim.Kill();
 }
 
-core::Tokens Stage::ReleasedOf(const Crash& crash) const {
+core::Tokens ScheduleRunner::ReleasedTokens(const Crash& crash) const {
   core::Tokens released;
   const ledger::Member* member =
       m_audit.fold().FindMember(crash.router, crash.incarnation);
@@ -86,9 +87,9 @@
   return released;
 }
 
-void Stage::WatchCrashes() {
+void ScheduleRunner::UpdateCrashes() {
   for (Crash& crash : m_crashes) {
-    if (crash.returned || ReleasedOf(crash) == core::Tokens(0)) {
+    if (crash.returned || ReleasedTokens(crash) == core::Tokens(0)) {
       continue;
     }
     crash.returned = true;
@@ -97,13 +98,13 @@
   }
 }
 
-void Stage::TopUp(size_t budget, core::Tokens tokens) {
+void ScheduleRunner::TopUp(size_t budget, core::Tokens tokens) {
   m_fleet.TopUp(core::BudgetId("b" + std::to_string(budget)), tokens);
 }
 
-Outcome Stage::Finish() {
+Outcome ScheduleRunner::Finish() {
   m_load.Stop();
-  Run(kLastWords);
+  Run(kMaxRequestTime);
   m_outcome.violations += m_audit.CheckFolds().size();
   m_outcome.classes = m_load.Count();
   m_outcome.total = m_load.Total();
--- a/bench/budget/stage.h
+++ b/bench/budget/schedule_runner.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_BENCH_BUDGET_STAGE_H_
-#define COPPERVALVE_BENCH_BUDGET_STAGE_H_
+#ifndef COPPERVALVE_BENCH_BUDGET_SCHEDULE_RUNNER_H_
+#define COPPERVALVE_BENCH_BUDGET_SCHEDULE_RUNNER_H_
 
 #include <cstddef>        // size_t
 #include <cstdint>        // int64_t, uint64_t
@@ -13,7 +13,7 @@
 #include "coppervalve/core/units.h"
 #include "coppervalve/trial/audit.h"
 #include "coppervalve/trial/fleet.h"
-#include "coppervalve/trial/load.h"
+#include "coppervalve/trial/load_generator.h"
 
 namespace coppervalve::bench {
 
@@ -33,11 +33,11 @@
 };
 
 /// @brief Runs one schedule on a fleet of 7 with its load and its audit.
-class Stage {
+class ScheduleRunner {
  public:
-  Stage(uint64_t seed,
-        const trial::LoadOptions& load,
-        const budget::SizingPolicy& sizing);
+  ScheduleRunner(uint64_t seed,
+                 const trial::LoadOptions& load,
+                 const budget::SizingPolicy& sizing);
 
   /// @brief Starts the routers, then the load.
   void Start();
@@ -62,13 +62,13 @@
 
   void Check();
   void CountOverspend();
-  void WatchCrashes();
-  core::Tokens ReleasedOf(const Crash& crash) const;
+  void UpdateCrashes();
+  core::Tokens ReleasedTokens(const Crash& crash) const;
 
   trial::Fleet m_fleet;
   trial::Audit m_audit;
   trial::LoadOptions m_load_options;
-  trial::Load m_load;
+  trial::LoadGenerator m_load;
   Outcome m_outcome;
   std::vector<Crash> m_crashes;
   size_t m_executions_seen = 0;
@@ -77,4 +77,4 @@
 
 }  // namespace coppervalve::bench
 
-#endif  // COPPERVALVE_BENCH_BUDGET_STAGE_H_
+#endif  // COPPERVALVE_BENCH_BUDGET_SCHEDULE_RUNNER_H_
--- a/bench/budget/schedules.h
+++ b/bench/budget/schedules.h
@@ -6,8 +6,8 @@
 #include <string>      // string
 #include <vector>      // vector
 
-#include "bench/budget/stage.h"
-#include "coppervalve/trial/load.h"
+#include "bench/budget/schedule_runner.h"
+#include "coppervalve/trial/load_generator.h"
 
 namespace coppervalve::bench {
 
@@ -22,14 +22,14 @@
 /// virtual time are deterministic, so a bound is the measured figure plus a
 /// margin for intended changes.
 struct ScheduleBounds {
-  LostBounds lost;            ///< requests
-  double whole = 0;           ///< requests, at least
-  double false_ends = 0;      ///< requests
-  double false_refusals = 0;  ///< client attempts
-  double stranded = 0;        ///< tokens
-  double appends = 0;         ///< per thousand requests
-  double peer_messages = 0;   ///< per thousand requests
-  double fewer_losses = 0;    ///< lowest ratio to the baseline; 0: no bound
+  LostBounds lost;                  ///< requests
+  double complete = 0;              ///< requests, at least
+  double false_final_refusals = 0;  ///< requests
+  double false_refusals = 0;        ///< client attempts
+  double stranded = 0;              ///< tokens
+  double appends = 0;               ///< per thousand requests
+  double peer_messages = 0;         ///< per thousand requests
+  double min_loss_ratio = 0;  ///< lowest ratio to the baseline; 0: no bound
   double crash_stranded = 0;  ///< tokens per crash
   double crash_return = 0;    ///< seconds
 };
@@ -39,7 +39,7 @@
   std::string name;
   uint64_t seed = 1;
   trial::LoadOptions load;
-  std::function<void(Stage&)> play;
+  std::function<void(ScheduleRunner&)> play;
   ScheduleBounds bounds;
 };
 
--- a/bench/capacity/changes.cc
+++ b/bench/capacity/changes.cc
@@ -60,32 +60,33 @@
   const size_t gone = kDesign.members - 1;
   const v1::Entry retire =
       RetireEntry(gone, driver.NextSequence(1), driver.log_end());
-  figures.AtMost("change_retirement_record",
-                 static_cast<double>(retire.ByteSizeLong()), "bytes", 120);
-  figures.Inform("change_retirement_cpu", CostOfEntry(driver, retire), "ms");
-  figures.AtMost(
+  figures.CheckAtMost("change_retirement_record",
+                      static_cast<double>(retire.ByteSizeLong()), "bytes", 120);
+  figures.PrintUnbounded("change_retirement_cpu", CostOfEntry(driver, retire),
+                         "ms");
+  figures.CheckAtMost(
       "change_retirement_allocations",
       static_cast<double>(driver.traffic().Of<router::LogRead>().allocations),
       "calls", 13'000);
 
   v1::Entry join = JoinEntry(gone, driver.log_end());
   join.set_incarnation(join.incarnation() + kDesign.members);
-  figures.AtMost("change_join_record", static_cast<double>(join.ByteSizeLong()),
-                 "bytes", 200);
-  figures.Inform("change_join_cpu", CostOfEntry(driver, join), "ms");
+  figures.CheckAtMost("change_join_record",
+                      static_cast<double>(join.ByteSizeLong()), "bytes", 200);
+  figures.PrintUnbounded("change_join_cpu", CostOfEntry(driver, join), "ms");
 
   const uint64_t version = driver.core().fold().config_version().value();
   const v1::Entry publish = PublishEntry(MakeConfiguration(kDesign), version);
   const int64_t live = CountAllocations().live_bytes;
   ResetPeak();
   const double taken = CostOfEntry(driver, publish);
-  figures.AtMost(
+  figures.CheckAtMost(
       "change_configuration_peak",
       static_cast<double>(CountAllocations().peak_bytes - live) / kMebibyte,
       "MiB", 150);
-  figures.Inform("change_configuration_cpu", taken, "ms");
+  figures.PrintUnbounded("change_configuration_cpu", taken, "ms");
   inputs.configuration_us = taken * kMicrosecondsPerMillisecond;
-  figures.AtMost(
+  figures.CheckAtMost(
       "change_configuration_version",
       static_cast<double>(driver.core().fold().config_version().value()),
       "count", static_cast<double>(version + 1));
@@ -107,19 +108,21 @@
     ceiling.set_tokens(status.ceiling());
   }
   const budget::BookTotals& totals = book.Totals();
-  figures.Inform("crash_strands_with_witness", static_cast<double>(ahead),
-                 "tokens");
-  figures.Inform("crash_strands_in_progress",
-                 static_cast<double>(totals.reserved.value()), "tokens");
-  figures.Inform("crash_strands_without_witness", static_cast<double>(held),
-                 "tokens");
-  figures.AtMost("crash_strands_share",
-                 static_cast<double>(ahead) / static_cast<double>(held),
-                 "ratio", 0.1);
-  figures.AtMost("crash_narrowing_record",
-                 static_cast<double>(narrowed.ByteSizeLong()), "bytes", 20'000);
-  figures.AtMost("crash_budgets_held", static_cast<double>(totals.budgets),
-                 "count", 1'700);
+  figures.PrintUnbounded("crash_strands_with_witness",
+                         static_cast<double>(ahead), "tokens");
+  figures.PrintUnbounded("crash_strands_in_progress",
+                         static_cast<double>(totals.reserved.value()),
+                         "tokens");
+  figures.PrintUnbounded("crash_strands_without_witness",
+                         static_cast<double>(held), "tokens");
+  figures.CheckAtMost("crash_strands_share",
+                      static_cast<double>(ahead) / static_cast<double>(held),
+                      "ratio", 0.1);
+  figures.CheckAtMost("crash_narrowing_record",
+                      static_cast<double>(narrowed.ByteSizeLong()), "bytes",
+                      20'000);
+  figures.CheckAtMost("crash_budgets_held", static_cast<double>(totals.budgets),
+                      "count", 1'700);
 }
 
 /// @brief Reports whether a router appends a snapshot that is due, or rejects
@@ -127,7 +130,7 @@
 void ReportSnapshots(Figures& figures,
                      const std::string& name,
                      size_t budgets) {
-  FleetSizes sizes = kToday;
+  FleetSizes sizes = kTypicalSite;
   sizes.budgets = budgets;
   CoreDriver driver(sizes);
   driver.Start();
@@ -136,12 +139,12 @@
   }
   driver.Advance(kSnapshotTime);
   const Traffic& traffic = driver.traffic();
-  figures.Inform(
+  figures.PrintUnbounded(
       "snapshots_written_" + name,
       static_cast<double>(traffic.RecordsOf(v1::Record::kSnapshot).count),
       "count");
-  figures.Inform("snapshots_refused_" + name,
-                 static_cast<double>(traffic.alarms), "count");
+  figures.PrintUnbounded("snapshots_refused_" + name,
+                         static_cast<double>(traffic.error_lines), "count");
 }
 
 void ReportStart(Figures& figures, const ledger::Fold& fold) {
@@ -150,12 +153,12 @@
   v1::FoldState state;
   state.ParseFromString(bytes);
   const auto loaded = ledger::Fold::FromState(state);
-  figures.Inform("start_from_snapshot_cpu",
-                 static_cast<double>(ThreadCpuNanoseconds() - start) /
-                     kNanosecondsPerMillisecond,
-                 "ms");
-  figures.AtMost("start_from_snapshot_errors", core::IsOk(loaded) ? 0 : 1,
-                 "count", 0);
+  figures.PrintUnbounded("start_from_snapshot_cpu",
+                         static_cast<double>(ThreadCpuNanoseconds() - start) /
+                             kNanosecondsPerMillisecond,
+                         "ms");
+  figures.CheckAtMost("start_from_snapshot_errors", core::IsOk(loaded) ? 0 : 1,
+                      "count", 0);
 }
 
 }  // namespace
@@ -170,7 +173,7 @@
   driver.SetLoad({});
   ReportChanges(figures, driver, inputs);
   ReportStart(figures, driver.core().fold());
-  ReportSnapshots(figures, "today", kToday.budgets);
+  ReportSnapshots(figures, "today", kTypicalSite.budgets);
   ReportSnapshots(figures, "budgets_73000", kDesign.budgets);
 }
 
--- a/bench/capacity/core_driver.cc
+++ b/bench/capacity/core_driver.cc
@@ -157,7 +157,7 @@
   cost.allocations += CountAllocations().calls - allocations;
   ++cost.events;
   for (const router::Action& action : actions) {
-    std::visit([this](const auto& a) { Do(a); }, action);
+    std::visit([this](const auto& a) { ExecuteAction(a); }, action);
   }
 }
 
@@ -206,11 +206,11 @@
   Handle(router::LogAppended{core::LogOffset(log_end() - 1)});
 }
 
-void CoreDriver::Do(const router::ReadLog& action) {
+void CoreDriver::ExecuteAction(const router::ReadLog& action) {
   m_read = PendingRead{action.from.value(), m_now + action.wait};
 }
 
-void CoreDriver::Do(const router::AppendLog& action) {
+void CoreDriver::ExecuteAction(const router::AppendLog& action) {
   m_append = action.entry;
   m_traffic.appended.Add(action.entry.size());
   v1::Entry entry;
@@ -222,7 +222,7 @@
 
 // ---- Peers -----------------------------------------------------------------
 
-void CoreDriver::Do(const router::SendPeer& action) {
+void CoreDriver::ExecuteAction(const router::SendPeer& action) {
   const v1::PeerMessage& message = action.message;
   const size_t size = message.ByteSizeLong();
   if (message.has_heartbeat()) {
@@ -234,7 +234,7 @@
     m_traffic.other_messages.Add(size);
     return;
   }
-  m_traffic.raises.Add(size);
+  m_traffic.ceiling_raises.Add(size);
   v1::PeerMessage reply;
   reply.set_from_router(action.router.value());
   reply.set_from_incarnation(message.to_incarnation());
@@ -318,26 +318,27 @@
   }
 }
 
-void CoreDriver::Do(const router::Dispatch& action) {
+void CoreDriver::ExecuteAction(const router::Dispatch& action) {
   ++m_traffic.dispatches;
   const Attempt attempt{action.request, action.attempt};
   m_first_tokens.emplace(m_now + kFirstToken, attempt);
   m_attempts.emplace(m_now + m_load.answer_time, attempt);
 }
 
-void CoreDriver::Do(const router::Refuse& action) {
+void CoreDriver::ExecuteAction(const router::Refuse& action) {
   ++m_traffic.refusals;
   m_traffic.last_refusal = action.error.subject + ": " + action.error.detail;
 }
 
-void CoreDriver::Do(const router::LogLine& action) {
+void CoreDriver::ExecuteAction(const router::LogLine& action) {
   if (action.level != router::LogLine::Level::kError) {
     return;
   }
-  ++m_traffic.alarms;
-  m_traffic.last_alarm = action.event;
+  ++m_traffic.error_lines;
+  m_traffic.last_error_line = action.event;
   for (const auto& [name, value] : action.fields) {
-    m_traffic.last_alarm.append(" ").append(name).append("=").append(value);
+    m_traffic.last_error_line.append(" ").append(name).append("=").append(
+        value);
   }
 }
 
--- a/bench/capacity/core_driver.h
+++ b/bench/capacity/core_driver.h
@@ -46,13 +46,13 @@
   std::map<v1::Record::BodyCase, Volume> records;
   Volume read;            ///< entries read, of all routers
   Volume heartbeats;      ///< sent
-  Volume raises;          ///< ceilings sent to the witness
+  Volume ceiling_raises;  ///< ceilings sent to the witness
   Volume other_messages;  ///< sent
   uint64_t dispatches = 0;
   uint64_t refusals = 0;
-  uint64_t alarms = 0;
+  uint64_t error_lines = 0;
   std::string last_refusal;
-  std::string last_alarm;
+  std::string last_error_line;
 
   Volume RecordsOf(v1::Record::BodyCase kind) const;
   uint64_t RecordCount() const;
@@ -114,14 +114,14 @@
   router::RequestArrived MakeRequest();
   void EndRequests();
 
-  void Do(const router::Dispatch& action);
-  void Do(const router::Refuse& action);
-  void Do(const router::ReadLog& action);
-  void Do(const router::AppendLog& action);
-  void Do(const router::SendPeer& action);
-  void Do(const router::LogLine& action);
+  void ExecuteAction(const router::Dispatch& action);
+  void ExecuteAction(const router::Refuse& action);
+  void ExecuteAction(const router::ReadLog& action);
+  void ExecuteAction(const router::AppendLog& action);
+  void ExecuteAction(const router::SendPeer& action);
+  void ExecuteAction(const router::LogLine& action);
   template <typename Other>
-  void Do(const Other& /*action*/) {}
+  void ExecuteAction(const Other& /*action*/) {}
 
   struct PendingRead {
     uint64_t from = 0;
--- a/bench/capacity/figure.cc
+++ b/bench/capacity/figure.cc
@@ -4,18 +4,18 @@
 
 namespace coppervalve::bench {
 
-void Figures::AtMost(const std::string& name,
-                     double value,
-                     const std::string& unit,
-                     double bound) {
+void Figures::CheckAtMost(const std::string& name,
+                          double value,
+                          const std::string& unit,
+                          double bound) {
   const bool ok = value <= bound;
   m_exceeded = m_exceeded || !ok;
   Print(name, value, unit, bound, ok);
 }
 
-void Figures::Inform(const std::string& name,
-                     double value,
-                     const std::string& unit) {
+void Figures::PrintUnbounded(const std::string& name,
+                             double value,
+                             const std::string& unit) {
   Print(name, value, unit, std::nullopt, true);
 }
 
--- a/bench/capacity/figure.h
+++ b/bench/capacity/figure.h
@@ -13,13 +13,15 @@
 /// control limit is a cost that docs/CAPACITY.md lists as not met.
 class Figures {
  public:
-  void AtMost(const std::string& name,
-              double value,
-              const std::string& unit,
-              double bound);
+  void CheckAtMost(const std::string& name,
+                   double value,
+                   const std::string& unit,
+                   double bound);
   /// @brief Prints a figure that has no bound, since it depends on the machine
   /// or follows from others.
-  void Inform(const std::string& name, double value, const std::string& unit);
+  void PrintUnbounded(const std::string& name,
+                      double value,
+                      const std::string& unit);
   bool exceeded() const { return m_exceeded; }
 
  private:
--- a/bench/capacity/fold.cc
+++ b/bench/capacity/fold.cc
@@ -112,9 +112,10 @@
     FoldFixture fixture(WithMembers(members), 0);
     const std::string suffix = "_members_" + std::to_string(members);
     const Cost idle = fixture.CostOfEntries(0);
-    figures.AtMost("fold_allocations_per_keep_alive" + suffix, idle.allocations,
-                   "calls", 6);
-    figures.Inform("fold_cpu_per_keep_alive" + suffix, idle.cpu_us, "us");
+    figures.CheckAtMost("fold_allocations_per_keep_alive" + suffix,
+                        idle.allocations, "calls", 6);
+    figures.PrintUnbounded("fold_cpu_per_keep_alive" + suffix, idle.cpu_us,
+                           "us");
   }
 }
 
@@ -124,15 +125,16 @@
   const Cost loaded = fixture.CostOfEntries(kRecordsPerEntry);
   const Cost record{(loaded.allocations - idle.allocations) / kRecordsPerEntry,
                     (loaded.cpu_us - idle.cpu_us) / kRecordsPerEntry};
-  figures.AtMost("fold_allocations_per_entry_design", idle.allocations, "calls",
-                 6);
-  figures.AtMost("fold_allocations_per_spend_record_design", record.allocations,
-                 "calls", 7);
-  figures.Inform("fold_cpu_per_entry_design", idle.cpu_us, "us");
-  figures.Inform("fold_cpu_per_spend_record_design", record.cpu_us, "us");
+  figures.CheckAtMost("fold_allocations_per_entry_design", idle.allocations,
+                      "calls", 6);
+  figures.CheckAtMost("fold_allocations_per_spend_record_design",
+                      record.allocations, "calls", 7);
+  figures.PrintUnbounded("fold_cpu_per_entry_design", idle.cpu_us, "us");
+  figures.PrintUnbounded("fold_cpu_per_spend_record_design", record.cpu_us,
+                         "us");
   inputs.fold_us_per_entry = idle.cpu_us;
   inputs.fold_us_per_spend_record = record.cpu_us;
-  figures.AtMost("fold_errors", fixture.failed() ? 1 : 0, "count", 0);
+  figures.CheckAtMost("fold_errors", fixture.failed() ? 1 : 0, "count", 0);
 }
 
 void ReportWholeState(Figures& figures,
@@ -144,12 +146,13 @@
   const Cost digest = CostOf([&] { (void)fixture.fold().Digest(); });
   v1::FoldState state;
   const Cost encode = CostOf([&] { state = fixture.fold().ToState(); });
-  figures.AtMost("snapshot_size_" + name,
-                 static_cast<double>(state.ByteSizeLong()) / kMebibyte, "MiB",
-                 snapshot_bound);
-  figures.Inform("snapshot_encode_cpu_" + name, encode.cpu_us, "us");
-  figures.Inform("checkpoint_cpu_" + name, digest.cpu_us, "us");
-  figures.Inform("checkpoint_allocations_" + name, digest.allocations, "calls");
+  figures.CheckAtMost("snapshot_size_" + name,
+                      static_cast<double>(state.ByteSizeLong()) / kMebibyte,
+                      "MiB", snapshot_bound);
+  figures.PrintUnbounded("snapshot_encode_cpu_" + name, encode.cpu_us, "us");
+  figures.PrintUnbounded("checkpoint_cpu_" + name, digest.cpu_us, "us");
+  figures.PrintUnbounded("checkpoint_allocations_" + name, digest.allocations,
+                         "calls");
   if (inputs != nullptr) {
     inputs->checkpoint_us = digest.cpu_us;
   }
@@ -165,9 +168,11 @@
     const auto tables = config::Compile(*fixture.fold().configuration());
     const rules::RuleSet rules(*fixture.fold().configuration(), tables);
   });
-  figures.AtMost("configuration_size_design", bytes / kMebibyte, "MiB", 12);
-  figures.Inform("configuration_fold_cpu_design", fold.cpu_us, "us");
-  figures.Inform("configuration_compile_cpu_design", compile.cpu_us, "us");
+  figures.CheckAtMost("configuration_size_design", bytes / kMebibyte, "MiB",
+                      12);
+  figures.PrintUnbounded("configuration_fold_cpu_design", fold.cpu_us, "us");
+  figures.PrintUnbounded("configuration_compile_cpu_design", compile.cpu_us,
+                         "us");
   inputs.configuration_bytes = bytes;
 }
 
@@ -176,7 +181,7 @@
 void MeasureFold(Figures& figures, ControlInputs& inputs) {
   ReportByMembers(figures);
   ReportEntries(figures, inputs);
-  ReportWholeState(figures, "today", kToday, 0.02, nullptr);
+  ReportWholeState(figures, "today", kTypicalSite, 0.02, nullptr);
   FleetSizes no_holdings = kDesign;
   no_holdings.holders = 0;
   ReportWholeState(figures, "design_no_holdings", no_holdings, 16, nullptr);
--- a/bench/capacity/idle.cc
+++ b/bench/capacity/idle.cc
@@ -28,19 +28,19 @@
   const EventCost& tick = traffic.Of<router::Tick>();
   const EventCost& heard = traffic.Of<router::PeerReceived>();
   const EventCost& read = traffic.Of<router::LogRead>();
-  figures.AtMost("idle_allocations_per_tick" + suffix, tick.AllocationsEach(),
-                 "calls", bounds.tick_allocations);
-  figures.AtMost("idle_allocations_per_heartbeat" + suffix,
-                 heard.AllocationsEach(), "calls",
-                 bounds.heartbeat_allocations);
-  figures.AtMost("idle_allocations_per_read" + suffix, read.AllocationsEach(),
-                 "calls", bounds.read_allocations);
-  figures.Inform("idle_cpu_per_tick" + suffix, tick.CpuMicrosecondsEach(),
-                 "us");
-  figures.Inform("idle_cpu_per_heartbeat" + suffix, heard.CpuMicrosecondsEach(),
-                 "us");
-  figures.Inform("idle_cpu_per_read" + suffix, read.CpuMicrosecondsEach(),
-                 "us");
+  figures.CheckAtMost("idle_allocations_per_tick" + suffix,
+                      tick.AllocationsEach(), "calls", bounds.tick_allocations);
+  figures.CheckAtMost("idle_allocations_per_heartbeat" + suffix,
+                      heard.AllocationsEach(), "calls",
+                      bounds.heartbeat_allocations);
+  figures.CheckAtMost("idle_allocations_per_read" + suffix,
+                      read.AllocationsEach(), "calls", bounds.read_allocations);
+  figures.PrintUnbounded("idle_cpu_per_tick" + suffix,
+                         tick.CpuMicrosecondsEach(), "us");
+  figures.PrintUnbounded("idle_cpu_per_heartbeat" + suffix,
+                         heard.CpuMicrosecondsEach(), "us");
+  figures.PrintUnbounded("idle_cpu_per_read" + suffix,
+                         read.CpuMicrosecondsEach(), "us");
 }
 
 /// @return processor time of a tick, in microseconds
@@ -57,16 +57,18 @@
   ReportEvents(figures, suffix, traffic, bounds);
   const double share = static_cast<double>(traffic.CpuNanoseconds()) /
                        kNanosecondsPerSecond / kMeasuredSeconds;
-  figures.Inform("idle_core_share" + suffix, share * 100, "percent");
-  figures.AtMost("idle_log_written" + suffix,
-                 static_cast<double>(traffic.appended.bytes) / kMeasuredSeconds,
-                 "bytes_per_s", 20);
-  figures.Inform("idle_log_read" + suffix,
-                 static_cast<double>(traffic.read.bytes) / kMeasuredSeconds,
-                 "bytes_per_s");
-  figures.Inform("idle_entries_read" + suffix,
-                 static_cast<double>(traffic.read.count) / kMeasuredSeconds,
-                 "per_s");
+  figures.PrintUnbounded("idle_core_share" + suffix, share * 100, "percent");
+  figures.CheckAtMost(
+      "idle_log_written" + suffix,
+      static_cast<double>(traffic.appended.bytes) / kMeasuredSeconds,
+      "bytes_per_s", 20);
+  figures.PrintUnbounded(
+      "idle_log_read" + suffix,
+      static_cast<double>(traffic.read.bytes) / kMeasuredSeconds,
+      "bytes_per_s");
+  figures.PrintUnbounded(
+      "idle_entries_read" + suffix,
+      static_cast<double>(traffic.read.count) / kMeasuredSeconds, "per_s");
   return traffic.Of<router::Tick>().CpuMicrosecondsEach();
 }
 
@@ -74,19 +76,20 @@
 
 void MeasureIdle(Figures& figures, ControlInputs& inputs) {
   for (const size_t members : kMemberSteps) {
-    FleetSizes sizes = kToday;
+    FleetSizes sizes = kTypicalSite;
     sizes.members = members;
     const auto count = static_cast<double>(members);
     Run(figures, "_members_" + std::to_string(members), sizes,
         {60 + 1.25 * count, 40 + 1.25 * count, 80 + 1.5 * count});
   }
-  FleetSizes budgets = kToday;
+  FleetSizes budgets = kTypicalSite;
   budgets.budgets = 73'000;
   Run(figures, "_budgets_73000", budgets, {45, 30, 80});
-  FleetSizes upstreams = kToday;
+  FleetSizes upstreams = kTypicalSite;
   upstreams.upstreams = 10'000;
   Run(figures, "_upstreams_10000", upstreams, {45, 30, 80});
-  inputs.pump_us = Run(figures, "_design", kDesign, {1'200, 1'200, 1'600});
+  inputs.idle_event_us =
+      Run(figures, "_design", kDesign, {1'200, 1'200, 1'600});
 }
 
 }  // namespace coppervalve::bench
--- a/bench/capacity/measures.h
+++ b/bench/capacity/measures.h
@@ -13,7 +13,7 @@
   double fold_us_per_entry = 0;
   double fold_us_per_spend_record = 0;
   double checkpoint_us = 0;
-  double pump_us = 0;             ///< of an event that requires no work
+  double idle_event_us = 0;       ///< of an event that requires no work
   double request_core_share = 0;  ///< for its share of the requests
   double upkeep_core_share = 0;   ///< for ticks, peers and appends meanwhile
   double appends_per_second = 0;  ///< of one router under its share
--- a/bench/capacity/memory.cc
+++ b/bench/capacity/memory.cc
@@ -31,7 +31,7 @@
                  double added,
                  double bound) {
   const double slope = (LiveBytesOf(more) - LiveBytesOf(fewer)) / added;
-  figures.AtMost("memory_slope_" + what, slope, "bytes", bound);
+  figures.CheckAtMost("memory_slope_" + what, slope, "bytes", bound);
 }
 
 void ReportWhole(Figures& figures,
@@ -44,19 +44,19 @@
   CoreDriver driver(sizes);
   driver.SetKeepAlives(false);
   driver.Start();
-  figures.AtMost(
+  figures.CheckAtMost(
       "memory_core_allocated_" + name,
       static_cast<double>(CountAllocations().live_bytes - live) / kMebibyte,
       "MiB", bound);
-  figures.Inform("memory_core_resident_" + name,
-                 static_cast<double>(ResidentBytes() - resident) / kMebibyte,
-                 "MiB");
+  figures.PrintUnbounded(
+      "memory_core_resident_" + name,
+      static_cast<double>(ResidentBytes() - resident) / kMebibyte, "MiB");
   // The figure above includes memory that the driver has freed: the
   // configuration that it built.
   TrimFreedMemory();
-  figures.Inform("memory_core_resident_trimmed_" + name,
-                 static_cast<double>(ResidentBytes() - resident) / kMebibyte,
-                 "MiB");
+  figures.PrintUnbounded(
+      "memory_core_resident_trimmed_" + name,
+      static_cast<double>(ResidentBytes() - resident) / kMebibyte, "MiB");
 }
 
 }  // namespace
@@ -68,7 +68,7 @@
   // earlier runs freed.
   ReportWhole(figures, "design", kDesign, 256);
   ReportWhole(figures, "design_no_holdings", without_holdings, 256);
-  ReportWhole(figures, "today", kToday, 0.2);
+  ReportWhole(figures, "today", kTypicalSite, 0.2);
 
   FleetSizes more = kBase;
   more.members = 840;
--- a/bench/capacity/placement.cc
+++ b/bench/capacity/placement.cc
@@ -64,20 +64,20 @@
     }
     const int64_t probed = ThreadCpuNanoseconds();
     const std::string suffix = "_" + std::to_string(count);
-    figures.AtMost(
+    figures.CheckAtMost(
         "placement_allocations" + suffix,
         static_cast<double>(chosen_allocations - allocations) / kPlacements,
         "calls", 40);
-    figures.AtMost("placement_considered" + suffix, static_cast<double>(most),
-                   "candidates", 256);
-    figures.Inform("placement_cpu" + suffix,
-                   static_cast<double>(chosen - start) / kPlacements /
-                       kNanosecondsPerMicrosecond,
-                   "us");
-    figures.Inform("probes_due_cpu" + suffix,
-                   static_cast<double>(probed - chosen) / kPlacements /
-                       kNanosecondsPerMicrosecond,
-                   "us");
+    figures.CheckAtMost("placement_considered" + suffix,
+                        static_cast<double>(most), "candidates", 256);
+    figures.PrintUnbounded("placement_cpu" + suffix,
+                           static_cast<double>(chosen - start) / kPlacements /
+                               kNanosecondsPerMicrosecond,
+                           "us");
+    figures.PrintUnbounded("probes_due_cpu" + suffix,
+                           static_cast<double>(probed - chosen) / kPlacements /
+                               kNanosecondsPerMicrosecond,
+                           "us");
   }
 }
 
--- a/bench/capacity/requests.cc
+++ b/bench/capacity/requests.cc
@@ -54,22 +54,25 @@
   const EventCost& arrived = traffic.Of<router::RequestArrived>();
   const EventCost& token = traffic.Of<router::AttemptFirstToken>();
   const EventCost& done = traffic.Of<router::AttemptDone>();
-  figures.AtMost("request_allocations" + suffix,
-                 arrived.AllocationsEach() + token.AllocationsEach() +
-                     done.AllocationsEach(),
-                 "calls", bound);
-  figures.Inform("request_cpu_arrived" + suffix, arrived.CpuMicrosecondsEach(),
-                 "us");
-  figures.Inform("request_cpu_first_token" + suffix,
-                 token.CpuMicrosecondsEach(), "us");
-  figures.Inform("request_cpu_done" + suffix, done.CpuMicrosecondsEach(), "us");
-  figures.AtMost("request_refusals" + suffix,
-                 static_cast<double>(traffic.refusals), "count", 0);
+  figures.CheckAtMost("request_allocations" + suffix,
+                      arrived.AllocationsEach() + token.AllocationsEach() +
+                          done.AllocationsEach(),
+                      "calls", bound);
+  figures.PrintUnbounded("request_cpu_arrived" + suffix,
+                         arrived.CpuMicrosecondsEach(), "us");
+  figures.PrintUnbounded("request_cpu_first_token" + suffix,
+                         token.CpuMicrosecondsEach(), "us");
+  figures.PrintUnbounded("request_cpu_done" + suffix,
+                         done.CpuMicrosecondsEach(), "us");
+  figures.CheckAtMost("request_refusals" + suffix,
+                      static_cast<double>(traffic.refusals), "count", 0);
   const double requests = ShareOf(arrived.cpu_ns + token.cpu_ns + done.cpu_ns);
   const double all = ShareOf(traffic.CpuNanoseconds());
   const double reads = ShareOf(traffic.Of<router::LogRead>().cpu_ns);
-  figures.Inform("request_core_share" + suffix, requests * 100, "percent");
-  figures.Inform("all_events_core_share" + suffix, all * 100, "percent");
+  figures.PrintUnbounded("request_core_share" + suffix, requests * 100,
+                         "percent");
+  figures.PrintUnbounded("all_events_core_share" + suffix, all * 100,
+                         "percent");
   inputs.request_core_share = requests;
   inputs.upkeep_core_share = all - requests - reads;
 }
@@ -81,7 +84,7 @@
                    const RequestLoad& load,
                    const VolumeBounds& bounds,
                    ControlInputs& inputs) {
-  FleetSizes sizes = kToday;
+  FleetSizes sizes = kTypicalSite;
   sizes.accounts = load.accounts;
   sizes.budgets = load.accounts;
   sizes.models = kDesign.models;
@@ -93,60 +96,62 @@
   driver.ResetTraffic();
   driver.Advance(Seconds(kVolumeSeconds));
   const Traffic& traffic = driver.traffic();
-  figures.AtMost("appends" + suffix, Rate(traffic.appended.count), "per_s",
-                 bounds.appends_per_second);
+  figures.CheckAtMost("appends" + suffix, Rate(traffic.appended.count), "per_s",
+                      bounds.appends_per_second);
   // The simulated routers take no snapshots, so this one takes all of them.
   // They are therefore counted separately.
   const Volume snapshots = traffic.RecordsOf(v1::Record::kSnapshot);
   const uint64_t bytes = traffic.appended.bytes - snapshots.bytes;
-  figures.AtMost("append_bytes" + suffix, Rate(bytes), "bytes_per_s",
-                 bounds.append_bytes_per_second);
-  figures.Inform("append_records" + suffix, Rate(traffic.RecordCount()),
-                 "per_s");
-  figures.Inform("append_records_spend" + suffix,
-                 Rate(traffic.RecordsOf(v1::Record::kSpendReported).count),
-                 "per_s");
-  figures.Inform("append_records_grant" + suffix,
-                 Rate(traffic.RecordsOf(v1::Record::kAllotmentRequested).count),
-                 "per_s");
-  figures.Inform("append_records_return" + suffix,
-                 Rate(traffic.RecordsOf(v1::Record::kAllotmentReturned).count),
-                 "per_s");
-  figures.Inform("raise_messages" + suffix, Rate(traffic.raises.count),
-                 "per_s");
-  figures.AtMost("raise_bytes" + suffix, Rate(traffic.raises.bytes),
-                 "bytes_per_s", bounds.raise_bytes_per_second);
-  figures.AtMost("volume_refusals" + suffix,
-                 static_cast<double>(traffic.refusals), "count", 0);
+  figures.CheckAtMost("append_bytes" + suffix, Rate(bytes), "bytes_per_s",
+                      bounds.append_bytes_per_second);
+  figures.PrintUnbounded("append_records" + suffix, Rate(traffic.RecordCount()),
+                         "per_s");
+  figures.PrintUnbounded(
+      "append_records_spend" + suffix,
+      Rate(traffic.RecordsOf(v1::Record::kSpendReported).count), "per_s");
+  figures.PrintUnbounded(
+      "append_records_grant" + suffix,
+      Rate(traffic.RecordsOf(v1::Record::kAllotmentRequested).count), "per_s");
+  figures.PrintUnbounded(
+      "append_records_return" + suffix,
+      Rate(traffic.RecordsOf(v1::Record::kAllotmentReturned).count), "per_s");
+  figures.PrintUnbounded("raise_messages" + suffix,
+                         Rate(traffic.ceiling_raises.count), "per_s");
+  figures.CheckAtMost("raise_bytes" + suffix,
+                      Rate(traffic.ceiling_raises.bytes), "bytes_per_s",
+                      bounds.raise_bytes_per_second);
+  figures.CheckAtMost("volume_refusals" + suffix,
+                      static_cast<double>(traffic.refusals), "count", 0);
   inputs.appends_per_second = Rate(traffic.appended.count);
   inputs.append_bytes_per_second = Rate(bytes);
   inputs.records_per_second = Rate(traffic.RecordCount());
-  inputs.raise_bytes_per_second = Rate(traffic.raises.bytes);
+  inputs.raise_bytes_per_second = Rate(traffic.ceiling_raises.bytes);
 }
 
 }  // namespace
 
 void MeasureRequests(Figures& figures, ControlInputs& inputs) {
-  RequestLoad today;
-  today.per_second = 20;
-  today.accounts = kToday.accounts;
-  today.answer_time = std::chrono::seconds(2);
-  today.output = core::Tokens(390);
-  FleetSizes members = kToday;
+  RequestLoad typical_load;
+  typical_load.per_second = 20;
+  typical_load.accounts = kTypicalSite.accounts;
+  typical_load.answer_time = std::chrono::seconds(2);
+  typical_load.output = core::Tokens(390);
+  FleetSizes members = kTypicalSite;
   members.members = kDesign.members;
-  FleetSizes upstreams = kToday;
+  FleetSizes upstreams = kTypicalSite;
   upstreams.upstreams = kDesign.upstreams;
   const RequestLoad one_address =
       ShareOfPeak(kDesign.accounts / kDesign.members);
   const RequestLoad all_addresses =
       ShareOfPeak(kDesign.accounts * kAddressesPerAccount / kDesign.members);
 
-  ReportCosts(figures, "_today", kToday, today, 200, inputs);
-  ReportCosts(figures, "_members_840", members, today, 3'200, inputs);
-  ReportCosts(figures, "_upstreams_10000", upstreams, today, 200, inputs);
+  ReportCosts(figures, "_today", kTypicalSite, typical_load, 200, inputs);
+  ReportCosts(figures, "_members_840", members, typical_load, 3'200, inputs);
+  ReportCosts(figures, "_upstreams_10000", upstreams, typical_load, 200,
+              inputs);
   ReportCosts(figures, "_design", kDesign, all_addresses, 3'200, inputs);
 
-  ReportVolumes(figures, "_today", today, {1.5, 900, 600}, inputs);
+  ReportVolumes(figures, "_today", typical_load, {1.5, 900, 600}, inputs);
   ReportVolumes(figures, "_share_one_address", one_address, {2.5, 4'500, 3'500},
                 inputs);
   ReportVolumes(figures, "_share", all_addresses, {6, 6'000, 3'500}, inputs);
--- a/bench/capacity/rules.cc
+++ b/bench/capacity/rules.cc
@@ -57,12 +57,13 @@
     const Cost linear = CostOfMatches(
         sizes, [&](const auto& facts) { return rules.MatchLinear(facts); });
     const std::string suffix = "_" + std::to_string(count);
-    figures.AtMost("rule_match_allocations" + suffix, indexed.allocations,
-                   "calls", 8);
-    figures.Inform("rule_match_cpu" + suffix, indexed.cpu_us, "us");
-    figures.Inform("rule_match_linear_cpu" + suffix, linear.cpu_us, "us");
-    figures.Inform("rule_match_linear_to_indexed" + suffix,
-                   linear.cpu_us / indexed.cpu_us, "ratio");
+    figures.CheckAtMost("rule_match_allocations" + suffix, indexed.allocations,
+                        "calls", 8);
+    figures.PrintUnbounded("rule_match_cpu" + suffix, indexed.cpu_us, "us");
+    figures.PrintUnbounded("rule_match_linear_cpu" + suffix, linear.cpu_us,
+                           "us");
+    figures.PrintUnbounded("rule_match_linear_to_indexed" + suffix,
+                           linear.cpu_us / indexed.cpu_us, "ratio");
   }
 }
 
--- a/bench/capacity/sizes.h
+++ b/bench/capacity/sizes.h
@@ -20,7 +20,7 @@
 };
 
 /// @brief A typical site, larger than either of the two existing ones.
-inline constexpr FleetSizes kToday{};
+inline constexpr FleetSizes kTypicalSite{};
 
 /// @brief The design size. An address list names eight routers, so up to
 /// eight hold a budget.
--- a/bench/fuzz/main.cc
+++ b/bench/fuzz/main.cc
@@ -15,14 +15,15 @@
 void Print(uint64_t seed, const ChaosResult& result) {
   std::cout << "seed " << seed
             << (result.violations.empty() ? " ok" : " FAILED") << ": wishes "
-            << result.total.wishes << " whole " << result.total.whole
-            << " refused " << result.total.refused << " unknown "
-            << result.total.unknown << " open " << result.total.open
-            << " false refusals " << result.total.false_refusals << " used "
-            << result.tokens.used << " of " << result.tokens.paid_in
-            << " stranded " << result.tokens.stranded << " retirements "
-            << result.retirements << " orders applied " << result.orders_applied
-            << " appends " << result.log_appends << '\n';
+            << result.total.client_requests << " whole "
+            << result.total.complete << " refused " << result.total.refused
+            << " unknown " << result.total.unknown << " open "
+            << result.total.open << " false refusals "
+            << result.total.false_refusals << " used " << result.tokens.used
+            << " of " << result.tokens.paid_in << " stranded "
+            << result.tokens.stranded << " retirements " << result.retirements
+            << " orders applied " << result.orders_applied << " appends "
+            << result.log_appends << '\n';
   if (result.violations.empty()) {
     return;
   }
@@ -47,16 +48,16 @@
   CLI11_PARSE(app, argc, argv);
 
   uint64_t failed = 0;
-  uint64_t wishes = 0;
-  uint64_t whole = 0;
+  uint64_t client_requests = 0;
+  uint64_t complete = 0;
   uint64_t false_refusals = 0;
   uint64_t orders_applied = 0;
   for (uint64_t seed = first; seed < first + seeds; ++seed) {
     options.seed = seed;
     const ChaosResult result = coppervalve::trial::RunChaos(options);
     failed += result.violations.empty() ? 0 : 1;
-    wishes += result.total.wishes;
-    whole += result.total.whole;
+    client_requests += result.total.client_requests;
+    complete += result.total.complete;
     false_refusals += result.total.false_refusals;
     orders_applied += result.orders_applied;
     if (!quiet || !result.violations.empty()) {
@@ -64,7 +65,7 @@
     }
   }
   std::cout << "fuzz: " << seeds - failed << " seeds passed, " << failed
-            << " failed; wishes " << wishes << " whole " << whole
+            << " failed; wishes " << client_requests << " whole " << complete
             << " false refusals " << false_refusals << " orders applied "
             << orders_applied << '\n';
   return failed == 0 ? 0 : 1;
--- a/include/coppervalve/config/check.h
+++ b/include/coppervalve/config/check.h
@@ -12,7 +12,7 @@
 /// @return all findings; empty when the configuration may be published
 /// @complexity linear in the configuration, plus for each rule the earlier
 /// rules that share its first account and its first model or service
-Findings CheckMeaning(const v1::Configuration& configuration);
+Findings CheckSemantics(const v1::Configuration& configuration);
 
 /// @brief Checks that one configuration may follow another: a budget keeps its
 /// owner, is not removed, and its prepaid tokens do not shrink.
--- a/include/coppervalve/config/limits.h
+++ b/include/coppervalve/config/limits.h
@@ -9,7 +9,7 @@
 namespace coppervalve::config {
 
 /// @brief The fleet-wide limits with their defaults applied.
-struct LimitsView {
+struct EffectiveLimits {
   core::Bytes max_body;
   core::Tokens default_max_output;  ///< when the caller gives none
   core::Tokens max_output;
@@ -24,7 +24,8 @@
   core::Duration retire_after{};
   core::Duration address_lifetime{};
 
-  friend bool operator==(const LimitsView&, const LimitsView&) = default;
+  friend bool operator==(const EffectiveLimits&,
+                         const EffectiveLimits&) = default;
 
   /// @return the longest wait in the queue of a class
   core::Duration QueueFor(v1::AdmissionClass admission_class) const;
@@ -38,7 +39,7 @@
 inline constexpr uint32_t kDefaultPricePermille = 1000;
 
 /// @brief Applies the documented defaults.
-LimitsView ViewOf(const v1::Limits& limits);
+EffectiveLimits ResolveLimits(const v1::Limits& limits);
 
 }  // namespace coppervalve::config
 
--- a/include/coppervalve/config/parse.h
+++ b/include/coppervalve/config/parse.h
@@ -21,7 +21,7 @@
 /// @brief Reads and checks an operators' file: syntax, schema, then semantics.
 /// @param json the file's text
 /// @return the configuration, or at least one finding
-/// @complexity linear in the size of the text, plus CheckMeaning
+/// @complexity linear in the size of the text, plus CheckSemantics
 ParseResult ParseOperatorsFile(std::string_view json);
 
 }  // namespace coppervalve::config
--- a/include/coppervalve/config/tables.h
+++ b/include/coppervalve/config/tables.h
@@ -71,14 +71,14 @@
   const std::vector<Account>& accounts() const { return m_accounts; }
   const std::vector<Budget>& budgets() const { return m_budgets; }
   const std::vector<Upstream>& upstreams() const { return m_upstreams; }
-  const LimitsView& limits() const { return m_limits; }
+  const EffectiveLimits& limits() const { return m_limits; }
 
  private:
   void AddAccounts(const v1::Configuration& configuration);
   void AddBudgets(const v1::Configuration& configuration);
   void AddUpstreams(const v1::Configuration& configuration);
 
-  LimitsView m_limits;
+  EffectiveLimits m_limits;
   std::vector<Account> m_accounts;
   std::vector<Budget> m_budgets;
   std::vector<Upstream> m_upstreams;
--- a/include/coppervalve/trial/audit.h
+++ b/include/coppervalve/trial/audit.h
@@ -48,15 +48,16 @@
   TokenCount Count() const;
   /// @return whether a single exact counter has tokens for the request after
   /// `others` are taken
-  bool WouldRun(const Wish& wish, core::Tokens besides = core::Tokens(0)) const;
+  bool HasTokensFor(const ClientRequest& client_request,
+                    core::Tokens others = core::Tokens(0)) const;
   const ledger::Fold& fold() const { return m_fold; }
 
  private:
-  void FoldNew(std::vector<Violation>& found);
+  void ApplyNewEntries(std::vector<Violation>& found);
   void CheckSpend(std::vector<Violation>& found);
-  void CheckExecutions(std::vector<Violation>& found);
-  void CheckTickets(std::vector<Violation>& found);
-  std::string Describe(const Ticket& ticket) const;
+  void CheckHoldings(std::vector<Violation>& found);
+  void CheckClientAttempts(std::vector<Violation>& found);
+  std::string Describe(const ClientAttempt& client_attempt) const;
   void CheckVersions(std::vector<Violation>& found);
   void CheckOrders(std::vector<Violation>& found);
 
@@ -64,14 +65,16 @@
   ledger::Fold m_fold;
   size_t m_executions_seen = 0;
   std::unordered_map<core::BudgetId, int64_t> m_used;
-  std::unordered_map<size_t, uint64_t> m_runs;         ///< by wish
-  std::unordered_map<size_t, uint64_t> m_ticket_runs;  ///< by ticket
+  std::unordered_map<size_t, uint64_t>
+      m_runs_by_request;  ///< by client_request
+  std::unordered_map<size_t, uint64_t>
+      m_runs_by_attempt;  ///< by client_attempt
   std::unordered_map<core::Hash128, uint64_t> m_bills;
   std::vector<uint64_t> m_versions;
   /// When each version came into force, by version.
   std::vector<core::TimePoint> m_in_force_since;
   /// Found by OnDispatch() since the last Check().
-  std::vector<Violation> m_late_dispatches;
+  std::vector<Violation> m_stale_dispatches;
   size_t m_orders_seen = 0;
   std::unordered_map<core::UpstreamId, core::FencingNumber> m_newest_order;
   std::vector<core::Incarnation> m_incarnations;
--- a/include/coppervalve/trial/chaos.h
+++ b/include/coppervalve/trial/chaos.h
@@ -8,16 +8,17 @@
 #include "coppervalve/core/units.h"
 #include "coppervalve/trial/audit.h"
 #include "coppervalve/trial/fleet.h"
-#include "coppervalve/trial/load.h"
+#include "coppervalve/trial/load_generator.h"
 
 namespace coppervalve::trial {
 
 /// @brief Length of a random run and rate of its faults.
 struct ChaosOptions {
   uint64_t seed = 1;
-  core::Duration faults_for = std::chrono::seconds(90);
-  core::Duration calm_after = std::chrono::seconds(60);
-  core::Duration mean_gap = std::chrono::seconds(2);  ///< between faults
+  core::Duration fault_duration = std::chrono::seconds(90);
+  core::Duration recovery_duration = std::chrono::seconds(60);
+  core::Duration mean_fault_interval =
+      std::chrono::seconds(2);  ///< between faults
   int64_t prepaid = 60'000;
   uint64_t log_retain = 0;
 };
--- a/include/coppervalve/trial/engine_orders.h
+++ b/include/coppervalve/trial/engine_orders.h
@@ -25,14 +25,14 @@
   void Configure(const v1::Configuration& configuration);
   /// @return false if refused: the engine checks fencing numbers and has
   /// applied a newer one
-  bool Arrive(AppliedOrder order);
+  bool Apply(AppliedOrder order);
 
   const std::vector<AppliedOrder>& applied() const { return m_applied; }
   /// @return the numbers applied at one engine, in order of arrival
-  std::vector<core::FencingNumber> At(const std::string& upstream) const;
+  std::vector<core::FencingNumber> AppliedAt(const std::string& upstream) const;
 
  private:
-  std::set<core::UpstreamId> m_checking;
+  std::set<core::UpstreamId> m_fencing_engines;
   std::vector<AppliedOrder> m_applied;
 };
 
--- a/include/coppervalve/trial/fleet.h
+++ b/include/coppervalve/trial/fleet.h
@@ -20,12 +20,12 @@
 namespace coppervalve::trial {
 
 /// @brief Outcome of an attempt at an upstream.
-enum class AttemptFate : uint8_t {
+enum class AttemptOutcome : uint8_t {
   kAnswered,
-  kNotSent,   ///< no connection
-  kDeclined,  ///< the upstream reports that it did not run
-  kCut,       ///< ran in part, then the connection closed
-  kSilent,    ///< ran, but no reply arrives
+  kNotSent,    ///< no connection
+  kDeclined,   ///< the upstream reports that it did not run
+  kTruncated,  ///< ran in part, then the connection closed
+  kSilent,     ///< ran, but no reply arrives
 };
 
 /// @brief Settings of a simulated fleet.
@@ -70,27 +70,32 @@
 
   // Callers' actions.
   /// @return the index of the new request
-  size_t Wants(Wish wish);
-  void SetKey(size_t wish, std::string key) {
-    m_wishes[wish].key = std::move(key);
+  size_t AddRequest(ClientRequest client_request);
+  void SetKey(size_t client_request, std::string key) {
+    m_client_requests[client_request].key = std::move(key);
   }
   /// @return the index of the new attempt
-  size_t Send(size_t wish, size_t node);
-  void CloseTicket(size_t ticket);
+  size_t Send(size_t client_request, size_t node);
+  void CloseClientAttempt(size_t client_attempt);
 
   // Faults and hooks.
-  void Cut(size_t a, size_t b, bool cut);
-  void CutAll(size_t node, bool cut);
-  bool IsCut(size_t a, size_t b) const;
+  void SetPartitioned(size_t a, size_t b, bool partitioned);
+  void SetPartitionedFromAll(size_t node, bool partitioned);
+  bool IsPartitioned(size_t a, size_t b) const;
   LogLink& log_link(size_t node) { return m_log_links[node]; }
-  void SetFate(std::function<AttemptFate()> fate) { m_fate = std::move(fate); }
+  void SetAttemptOutcome(std::function<AttemptOutcome()> attempt_outcome) {
+    m_attempt_outcome = std::move(attempt_outcome);
+  }
   /// @brief Sets whether engines report the tokens they used.
   void SetReportsUsage(bool reports) { m_reports_usage = reports; }
   bool reports_usage() const { return m_reports_usage; }
-  AttemptFate NextFate() { return m_fate ? m_fate() : AttemptFate::kAnswered; }
+  AttemptOutcome NextAttemptOutcome() {
+    return m_attempt_outcome ? m_attempt_outcome() : AttemptOutcome::kAnswered;
+  }
   /// @brief Called when a client attempt ends.
-  void SetOnTicket(std::function<void(size_t ticket)> on_ticket) {
-    m_on_ticket = std::move(on_ticket);
+  void SetOnAttemptEnded(
+      std::function<void(size_t client_attempt)> on_attempt_ended) {
+    m_on_attempt_ended = std::move(on_attempt_ended);
   }
   /// @brief Called for each log line of a router.
   void SetOnLogLine(
@@ -99,11 +104,11 @@
   }
 
   // Interface for the nodes.
-  void EndTicket(size_t ticket, Ticket::State state);
-  size_t Execute(size_t ticket, core::Tokens used);
+  void EndClientAttempt(size_t client_attempt, ClientAttempt::State state);
+  size_t RecordExecution(size_t client_attempt, core::Tokens used);
   Node* FindRouter(const core::RouterId& router);
   uint64_t Random();
-  double RandomShare();
+  double RandomFraction();
   void OnLogLine(size_t node, const router::LogLine& line);
 
   Timeline& timeline() { return m_timeline; }
@@ -113,26 +118,28 @@
   const FleetOptions& options() const { return m_options; }
   size_t size() const { return m_nodes.size(); }
   Node& node(size_t index) { return *m_nodes[index]; }
-  const std::vector<Wish>& wishes() const { return m_wishes; }
-  std::vector<Ticket>& tickets() { return m_tickets; }
+  const std::vector<ClientRequest>& client_requests() const {
+    return m_client_requests;
+  }
+  std::vector<ClientAttempt>& client_attempts() { return m_client_attempts; }
   std::vector<Execution>& executions() { return m_executions; }
   uint64_t config_version() const { return m_config_version; }
 
  private:
-  struct Chance;
+  struct RandomGenerator;
 
   FleetOptions m_options;
   Timeline m_timeline;
   FakeLog m_log;
   EngineOrders m_engine_orders;
-  std::unique_ptr<Chance> m_chance;
+  std::unique_ptr<RandomGenerator> m_random_generator;
   std::vector<LogLink> m_log_links;
-  std::set<std::pair<size_t, size_t>> m_cuts;
-  std::vector<Wish> m_wishes;
-  std::vector<Ticket> m_tickets;
+  std::set<std::pair<size_t, size_t>> m_partitioned_links;
+  std::vector<ClientRequest> m_client_requests;
+  std::vector<ClientAttempt> m_client_attempts;
   std::vector<Execution> m_executions;
-  std::function<AttemptFate()> m_fate;
-  std::function<void(size_t)> m_on_ticket;
+  std::function<AttemptOutcome()> m_attempt_outcome;
+  std::function<void(size_t)> m_on_attempt_ended;
   std::function<void(size_t, const router::LogLine&)> m_on_line;
   bool m_reports_usage = true;
   uint64_t m_config_version = 0;
--- a/include/coppervalve/trial/load.h
+++ b/include/coppervalve/trial/load_generator.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_TRIAL_LOAD_H_
-#define COPPERVALVE_TRIAL_LOAD_H_
+#ifndef COPPERVALVE_TRIAL_LOAD_GENERATOR_H_
+#define COPPERVALVE_TRIAL_LOAD_GENERATOR_H_
 
 #include <array>          // array
 #include <cstdint>        // uint64_t
@@ -15,31 +15,31 @@
 
 namespace coppervalve::trial {
 
-/// @brief Load that the callers generate.
+/// @brief LoadGenerator that the callers generate.
 struct LoadOptions {
   size_t accounts = 3;
   int64_t prepaid = 200'000;  ///< of each account's budget
   double per_second = 20;     ///< new requests over all accounts
-  double draft_share = 0.4;   ///< BATCH model work
-  double hold_share = 0.2;    ///< non-idempotent GATE calls of a service
+  double batch_share = 0.4;   ///< BATCH model work
+  double gate_share = 0.2;    ///< non-idempotent GATE calls of a service
   double keyed_share = 0.9;   ///< of idempotent work; calls always have a key
-  double bound_share = 0.7;   ///< of keyed work: origin-bound keys
-  size_t max_tries = 4;       ///< of one request
-  core::Duration caller_patience = std::chrono::seconds(15);
+  double origin_bound_share = 0.7;  ///< of keyed work: origin-bound keys
+  size_t max_attempts = 4;          ///< of one request
+  core::Duration caller_timeout = std::chrono::seconds(15);
   uint32_t gate_reserve_permille = 50;
   /// Ratio of the callers of the last router to those of the first.
-  double uneven = 1;
+  double load_skew = 1;
 };
 
 /// @brief Results of the client requests of one class.
 struct ClassCount {
-  uint64_t wishes = 0;
-  uint64_t whole = 0;
-  uint64_t refused = 0;         ///< final result: not run
-  uint64_t unknown = 0;         ///< final result: outcome unknown
-  uint64_t open = 0;            ///< no final result yet
-  uint64_t false_refusals = 0;  ///< for lack of tokens although available
-  uint64_t false_ends = 0;      ///< requests that ended in one
+  uint64_t client_requests = 0;
+  uint64_t complete = 0;
+  uint64_t refused = 0;               ///< final result: not run
+  uint64_t unknown = 0;               ///< final result: outcome unknown
+  uint64_t open = 0;                  ///< no final result yet
+  uint64_t false_refusals = 0;        ///< for lack of tokens although available
+  uint64_t false_final_refusals = 0;  ///< requests that ended in one
   /// Requests that a single exact counter would have run in addition to those
   /// that ran: like false_final_refusals, but each available token counts once.
   uint64_t lost = 0;
@@ -50,9 +50,9 @@
 v1::Configuration TrialConfiguration(const LoadOptions& options);
 
 /// @brief Simulates callers that send requests, time out and retry elsewhere.
-class Load {
+class LoadGenerator {
  public:
-  Load(Fleet& fleet, Audit& audit, LoadOptions options);
+  LoadGenerator(Fleet& fleet, Audit& audit, LoadOptions options);
 
   /// @brief Starts generating requests at the configured rate.
   void Start();
@@ -65,20 +65,20 @@
 
  private:
   struct Pending {
-    size_t tries = 0;
-    std::optional<size_t> ticket;
+    size_t attempts = 0;
+    std::optional<size_t> client_attempt;
     bool ended = false;
-    bool false_end = false;
+    bool false_final_refusal = false;
     bool lost = false;
   };
 
   void ScheduleNext();
-  Wish MakeWish();
-  void Try(size_t wish);
-  void OnTicket(size_t ticket);
-  void EndFalsely(size_t wish);
+  ClientRequest MakeClientRequest();
+  void SendAttempt(size_t client_request);
+  void OnAttemptEnded(size_t client_attempt);
+  void RecordFalseFinalRefusal(size_t client_request);
   size_t PickNode();
-  double Share();
+  double NextFraction();
 
   Fleet& m_fleet;
   Audit& m_audit;
@@ -92,4 +92,4 @@
 
 }  // namespace coppervalve::trial
 
-#endif  // COPPERVALVE_TRIAL_LOAD_H_
+#endif  // COPPERVALVE_TRIAL_LOAD_GENERATOR_H_
--- a/include/coppervalve/trial/node.h
+++ b/include/coppervalve/trial/node.h
@@ -21,7 +21,7 @@
 class Fleet;
 
 /// @brief Result of a request forwarded to a peer.
-struct RelayEnd {
+struct ForwardResult {
   bool answered = false;  ///< with a complete answer or a refusal
   bool sent = false;      ///< the peer may have run it
   std::optional<router::Refuse> refusal;
@@ -44,17 +44,17 @@
   /// @brief Delivers an event to the core: now, or after Resume() if paused.
   void Deliver(router::Event event);
   /// @brief Receives a caller's request.
-  void Open(size_t ticket);
+  void ReceiveRequest(size_t client_attempt);
   /// @brief Handles a caller's closed connection.
-  void Hang(size_t ticket);
+  void OnCallerDisconnected(size_t client_attempt);
   /// @brief Receives a request forwarded by a peer.
   /// @param done called once
   /// @return the request's id at this node, if it was accepted
-  std::optional<core::RequestId> OpenForward(
+  std::optional<core::RequestId> ReceiveForward(
       core::Incarnation to,
-      size_t ticket,
+      size_t client_attempt,
       core::AccountId account,
-      std::function<void(const RelayEnd&)> done);
+      std::function<void(const ForwardResult&)> done);
 
   bool alive() const { return m_core != nullptr; }
   bool paused() const { return m_paused; }
@@ -68,53 +68,55 @@
  private:
   /// State of one request outside the core.
   struct Call {
-    size_t ticket = 0;
-    std::function<void(const RelayEnd&)>
+    size_t client_attempt = 0;
+    std::function<void(const ForwardResult&)>
         relay;  ///< set for a request of a peer
     std::vector<core::RequestId> joiners;
     std::optional<core::RequestId> leader;
     bool done = false;
-    std::optional<size_t> answer_of_wish;
+    std::optional<size_t> answered_request;
   };
 
   core::RequestId NewCall(Call call);
-  router::RequestArrived ArrivalOf(core::RequestId id, size_t ticket) const;
+  router::RequestArrived ArrivalOf(core::RequestId id,
+                                   size_t client_attempt) const;
   void Handle(const router::Event& event);
   void ScheduleTick();
-  void Later(core::Duration delay, std::function<void()> action);
-
-  void Do(const router::Dispatch& action);
-  void Do(const router::Refuse& action);
-  void Do(const router::JoinAnswer& action);
-  void Do(const router::ForgetAnswer& action);
-  void Do(const router::Forward& action);
-  void Do(const router::CancelAttempt& action);
-  void Do(const router::ReplyJson& action);
-  void Do(const router::ReadLog& action);
-  void Do(const router::AppendLog& action);
-  void Do(const router::SendPeer& action);
-  void Do(const router::ProbeUpstream& action);
-  void Do(const router::SendOrder& action);
-  void Do(const router::LogLine& action);
-  void Do(const router::Exit& action);
+  void Schedule(core::Duration delay, std::function<void()> action);
+
+  void ExecuteAction(const router::Dispatch& action);
+  void ExecuteAction(const router::Refuse& action);
+  void ExecuteAction(const router::JoinAnswer& action);
+  void ExecuteAction(const router::ForgetAnswer& action);
+  void ExecuteAction(const router::Forward& action);
+  void ExecuteAction(const router::CancelAttempt& action);
+  void ExecuteAction(const router::ReplyJson& action);
+  void ExecuteAction(const router::ReadLog& action);
+  void ExecuteAction(const router::AppendLog& action);
+  void ExecuteAction(const router::SendPeer& action);
+  void ExecuteAction(const router::ProbeUpstream& action);
+  void ExecuteAction(const router::SendOrder& action);
+  void ExecuteAction(const router::LogLine& action);
+  void ExecuteAction(const router::Exit& action);
 
   void Poll(const router::ReadLog& read, core::TimePoint until);
   void RunAttempt(const router::Dispatch& action);
   void RunOrder(const router::SendOrder& action);
-  void EndForward(core::RequestId id, const RelayEnd& end);
-  void Complete(core::RequestId id, size_t answer_of_wish);
+  void EndForward(core::RequestId id, const ForwardResult& end);
+  void Complete(core::RequestId id, size_t answered_request);
   void Fail(core::RequestId id, const router::Refuse& refuse);
-  void EndRefused(size_t ticket, const router::Refuse& refuse);
+  void EndRefused(size_t client_attempt, const router::Refuse& refuse);
 
   Fleet& m_fleet;
   size_t m_index;
-  uint64_t m_life = 0;  ///< grows with each start; stale callbacks are ignored
+  uint64_t m_generation =
+      0;  ///< grows with each start; stale callbacks are ignored
   std::unique_ptr<router::RouterCore> m_core;
   bool m_paused = false;
   bool m_exiting = false;
   std::deque<router::Event> m_mailbox;
   std::unordered_map<core::RequestId, Call> m_calls;
-  std::map<size_t, core::RequestId> m_by_ticket;
+  std::map<size_t, core::RequestId> m_call_by_attempt;
   uint64_t m_last_request = 0;
   uint64_t m_peer_messages = 0;
   uint64_t m_peer_bytes = 0;
--- a/include/coppervalve/trial/records.h
+++ b/include/coppervalve/trial/records.h
@@ -15,7 +15,7 @@
 
 /// @brief A request of a caller, with the actual token counts that no router
 /// knows in advance.
-struct Wish {
+struct ClientRequest {
   core::AccountId account;
   core::BudgetId budget;
   v1::AdmissionClass admission_class = v1::INTERACTIVE;
@@ -35,23 +35,24 @@
 
 /// @brief A run at an upstream, as recorded by the upstream.
 struct Execution {
-  size_t wish = 0;
-  size_t ticket = 0;
+  size_t client_request = 0;
+  size_t client_attempt = 0;
   core::Tokens used;
-  bool whole = false;
+  bool complete = false;
 };
 
 /// @brief One attempt of a client request at one router, as the caller sees it.
-struct Ticket {
-  enum class State : uint8_t { kOpen, kWhole, kRefused, kBroken };
+struct ClientAttempt {
+  enum class State : uint8_t { kOpen, kComplete, kRefused, kDisconnected };
 
-  size_t wish = 0;
+  size_t client_request = 0;
   size_t node = 0;
   State state = State::kOpen;
   std::optional<core::ErrorId> error;
   core::RunState run_state = core::RunState::kUnknown;
   std::optional<core::Duration> retry_after;
-  size_t answer_of_wish = 0;  ///< the request that was answered; with kComplete
+  size_t answered_request =
+      0;  ///< the request that was answered; with kComplete
   core::TimePoint opened;
   core::TimePoint ended;
 };
--- a/src/config/check.cc
+++ b/src/config/check.cc
@@ -2,7 +2,7 @@
 
 #include <unordered_map>  // unordered_map
 
-#include "meaning.h"
+#include "semantic_checks.h"
 
 namespace coppervalve::config {
 
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-Findings CheckMeaning(const v1::Configuration& configuration) {
+Findings CheckSemantics(const v1::Configuration& configuration) {
   Report size_report;
   CheckSizes(configuration, size_report);
   Findings too_large = size_report.TakeFindings();
@@ -49,7 +49,7 @@
     return too_large;
   }
   Report report;
-  const Names names(configuration);
+  const DefinedNames names(configuration);
   report.CheckPresent(configuration.name(), "$.name");
   CheckAccounts(configuration, names, report);
   CheckBudgets(configuration, names, report);
--- a/src/config/check_accounts.cc
+++ b/src/config/check_accounts.cc
@@ -1,4 +1,4 @@
-#include "meaning.h"
+#include "semantic_checks.h"
 #include "values.h"
 
 namespace coppervalve::config {
@@ -28,14 +28,14 @@
 }  // namespace
 
 void CheckAccounts(const v1::Configuration& configuration,
-                   const Names& names,
+                   const DefinedNames& names,
                    Report& report) {
   std::unordered_map<std::string, std::string> ids;
   std::unordered_map<std::string, std::string> keys;
   for (int i = 0; i < configuration.accounts_size(); ++i) {
     const v1::Account& account = configuration.accounts(i);
     const std::string path = ItemPath("$.accounts", static_cast<size_t>(i));
-    report.CheckNewId(account.id(), path + ".id", ids);
+    report.CheckUniqueId(account.id(), path + ".id", ids);
     if (report.CheckPresent(account.budget(), path + ".budget") &&
         !names.budgets.contains(account.budget())) {
       report.Add(ErrorId::kConfigUnknownReference, path + ".budget",
@@ -51,19 +51,19 @@
                    "must be 64 lower-case hex digits");
         continue;
       }
-      report.CheckNew(key, key_path, keys);
+      report.CheckUnique(key, key_path, keys);
     }
   }
 }
 
 void CheckBudgets(const v1::Configuration& configuration,
-                  const Names& names,
+                  const DefinedNames& names,
                   Report& report) {
   std::unordered_map<std::string, std::string> ids;
   for (int i = 0; i < configuration.budgets_size(); ++i) {
     const v1::Budget& budget = configuration.budgets(i);
     const std::string path = ItemPath("$.budgets", static_cast<size_t>(i));
-    report.CheckNewId(budget.id(), path + ".id", ids);
+    report.CheckUniqueId(budget.id(), path + ".id", ids);
     if (report.CheckPresent(budget.account(), path + ".account") &&
         !names.accounts.contains(budget.account())) {
       report.Add(ErrorId::kConfigUnknownReference, path + ".account",
--- a/src/config/check_limits.cc
+++ b/src/config/check_limits.cc
@@ -1,7 +1,7 @@
 #include <array>  // to_array
 
 #include "coppervalve/config/limits.h"
-#include "meaning.h"
+#include "semantic_checks.h"
 
 namespace coppervalve::config {
 
@@ -52,8 +52,8 @@
                         std::string("$.limits.") + range.field);
     }
   }
-  const LimitsView view = ViewOf(limits);
-  if (view.default_max_output > view.max_output) {
+  const EffectiveLimits resolved = ResolveLimits(limits);
+  if (resolved.default_max_output > resolved.max_output) {
     report.Add(ErrorId::kConfigBadValue, "$.limits.default_max_output_tokens",
                "more than max_output_tokens");
   }
--- a/src/config/check_rules.cc
+++ b/src/config/check_rules.cc
@@ -1,6 +1,6 @@
 #include <algorithm>  // any_of
 
-#include "meaning.h"
+#include "semantic_checks.h"
 #include "values.h"
 
 namespace coppervalve::config {
@@ -8,7 +8,7 @@
 namespace {
 
 using core::ErrorId;
-using Texts = google::protobuf::RepeatedPtrField<std::string>;
+using StringList = google::protobuf::RepeatedPtrField<std::string>;
 
 constexpr int64_t kMaxPromptBytes = 1'000'000'000;
 constexpr int64_t kMaxOutputTokens = 10'000'000;
@@ -20,19 +20,19 @@
 
 // Calls check(text, path) for each string and reports duplicates.
 template <typename Check>
-void CheckList(const Texts& list,
+void CheckList(const StringList& list,
                const std::string& path,
                Report& report,
                Check check) {
   std::unordered_map<std::string, std::string> seen;
   for (int i = 0; i < list.size(); ++i) {
     const std::string item_path = ItemPath(path, static_cast<size_t>(i));
-    report.CheckNew(list.Get(i), item_path, seen);
+    report.CheckUnique(list.Get(i), item_path, seen);
     check(list.Get(i), item_path);
   }
 }
 
-void CheckReferences(const Texts& list,
+void CheckReferences(const StringList& list,
                      const std::string& path,
                      const std::unordered_set<std::string>& known,
                      const std::string& kind,
@@ -46,14 +46,14 @@
             });
 }
 
-void CheckShapes(const Texts& list,
-                 const std::string& path,
-                 bool (*has_shape)(std::string_view),
-                 const std::string& expected,
-                 Report& report) {
+void CheckFormats(const StringList& list,
+                  const std::string& path,
+                  bool (*is_valid)(std::string_view),
+                  const std::string& expected,
+                  Report& report) {
   CheckList(list, path, report,
             [&](const std::string& text, const std::string& item_path) {
-              if (!has_shape(text)) {
+              if (!is_valid(text)) {
                 report.Add(ErrorId::kConfigBadValue, item_path, expected);
               }
             });
@@ -83,7 +83,7 @@
 
 void CheckWhen(const v1::When& when,
                const std::string& path,
-               const Names& names,
+               const DefinedNames& names,
                Report& report) {
   CheckReferences(when.accounts(), path + ".accounts", names.accounts,
                   "account", report);
@@ -91,10 +91,10 @@
                   report);
   CheckReferences(when.services(), path + ".services", names.services,
                   "service", report);
-  CheckShapes(when.path_prefixes(), path + ".path_prefixes", IsPathPrefix,
-              "a path starts with / and is printable ASCII", report);
-  CheckShapes(when.methods(), path + ".methods", IsMethod,
-              "a method is written in upper-case letters", report);
+  CheckFormats(when.path_prefixes(), path + ".path_prefixes", IsPathPrefix,
+               "a path starts with / and is printable ASCII", report);
+  CheckFormats(when.methods(), path + ".methods", IsMethod,
+               "a method is written in upper-case letters", report);
   CheckHeaders(when, path, report);
   report.CheckRange(when.min_prompt_bytes(), 0, kMaxPromptBytes,
                     path + ".min_prompt_bytes");
@@ -109,7 +109,7 @@
 }
 
 template <typename Wanted>
-bool Intersects(const Wanted& wanted, const Texts& served) {
+bool Intersects(const Wanted& wanted, const StringList& served) {
   return std::any_of(served.begin(), served.end(), [&](const auto& one) {
     return std::find(wanted.begin(), wanted.end(), one) != wanted.end();
   });
@@ -126,7 +126,7 @@
 
 void CheckCandidates(const v1::Rule& rule,
                      const std::string& path,
-                     const Names& names,
+                     const DefinedNames& names,
                      Report& report) {
   CheckList(rule.then().route().upstreams(), path, report,
             [&](const std::string& id, const std::string& item_path) {
@@ -144,7 +144,7 @@
 
 void CheckRoute(const v1::Rule& rule,
                 const std::string& path,
-                const Names& names,
+                const DefinedNames& names,
                 Report& report) {
   const v1::Route& route = rule.then().route();
   CheckCandidates(rule, path + ".upstreams", names, report);
@@ -176,13 +176,13 @@
 }  // namespace
 
 void CheckRules(const v1::Configuration& configuration,
-                const Names& names,
+                const DefinedNames& names,
                 Report& report) {
   std::unordered_map<std::string, std::string> ids;
   for (int i = 0; i < configuration.rules_size(); ++i) {
     const v1::Rule& rule = configuration.rules(i);
     const std::string path = ItemPath("$.rules", static_cast<size_t>(i));
-    report.CheckNewId(rule.id(), path + ".id", ids);
+    report.CheckUniqueId(rule.id(), path + ".id", ids);
     CheckWhen(rule.when(), path + ".when", names, report);
     if (rule.then().has_route()) {
       CheckRoute(rule, path + ".then.route", names, report);
--- a/src/config/check_upstreams.cc
+++ b/src/config/check_upstreams.cc
@@ -1,4 +1,4 @@
-#include "meaning.h"
+#include "semantic_checks.h"
 #include "values.h"
 
 namespace coppervalve::config {
@@ -28,7 +28,7 @@
                  "not a valid model name: 1 to 128 of A-Z a-z 0-9 . _ - : /");
       continue;
     }
-    report.CheckNew(model, model_path, models);
+    report.CheckUnique(model, model_path, models);
   }
   const auto check_absent = [&](bool absent, const char* field) {
     if (!absent) {
@@ -90,7 +90,7 @@
   }
   // Two upstreams with one address would double the limit on requests in
   // progress there.
-  report.CheckNew(upstream.address(), path, addresses);
+  report.CheckUnique(upstream.address(), path, addresses);
 }
 
 }  // namespace
@@ -101,7 +101,7 @@
   for (int i = 0; i < configuration.upstreams_size(); ++i) {
     const v1::Upstream& upstream = configuration.upstreams(i);
     const std::string path = ItemPath("$.upstreams", static_cast<size_t>(i));
-    report.CheckNewId(upstream.id(), path + ".id", ids);
+    report.CheckUniqueId(upstream.id(), path + ".id", ids);
     CheckAddress(upstream, path + ".address", addresses, report);
     const std::string domain_path = path + ".failure_domain";
     if (report.CheckPresent(upstream.failure_domain(), domain_path) &&
--- a/src/config/diff.cc
+++ b/src/config/diff.cc
@@ -16,7 +16,8 @@
 using google::protobuf::Message;
 using google::protobuf::Reflection;
 
-constexpr int kSingle = -1;  // protobuf's index of a field that is not repeated
+constexpr int kNotRepeated =
+    -1;  // protobuf's index of a field that is not repeated
 
 std::string MessageJson(const Message& message) {
   google::protobuf::util::JsonPrintOptions options;
@@ -33,12 +34,13 @@
   const Reflection& reflection = *message.GetReflection();
   std::string text;
   if (field.cpp_type() == FieldDescriptor::CPPTYPE_MESSAGE) {
-    return MessageJson(index == kSingle ? reflection.GetMessage(message, &field)
-                                        : reflection.GetRepeatedMessage(
-                                              message, &field, index));
+    return MessageJson(
+        index == kNotRepeated
+            ? reflection.GetMessage(message, &field)
+            : reflection.GetRepeatedMessage(message, &field, index));
   }
   if (field.cpp_type() == FieldDescriptor::CPPTYPE_STRING) {
-    text = index == kSingle
+    text = index == kNotRepeated
                ? reflection.GetString(message, &field)
                : reflection.GetRepeatedString(message, &field, index);
     return boost::json::serialize(boost::json::string_view(text));
@@ -59,7 +61,7 @@
 
 std::string SingleJson(const Message& message, const FieldDescriptor& field) {
   return message.GetReflection()->HasField(message, &field)
-             ? ValueJson(message, field, kSingle)
+             ? ValueJson(message, field, kNotRepeated)
              : std::string();
 }
 
@@ -93,7 +95,7 @@
         CompareById(older, newer, field, path);
         return;
       }
-      Note(path, ListJson(older, field), ListJson(newer, field));
+      AddChange(path, ListJson(older, field), ListJson(newer, field));
       return;
     }
     const Reflection& reflection = *older.GetReflection();
@@ -104,7 +106,7 @@
               reflection.GetMessage(newer, &field), path);
       return;
     }
-    Note(path, SingleJson(older, field), SingleJson(newer, field));
+    AddChange(path, SingleJson(older, field), SingleJson(newer, field));
   }
 
   // The items of one list: position by id, and the ids in the file's order.
@@ -152,7 +154,7 @@
       const int i = before.position.at(id);
       const auto found = after.position.find(id);
       if (found == after.position.end()) {
-        Note(item_path, ValueJson(older, field, i), {});
+        AddChange(item_path, ValueJson(older, field, i), {});
         continue;
       }
       const Reflection& reflection = *older.GetReflection();
@@ -162,16 +164,16 @@
     }
     for (const std::string& id : after.order) {
       if (!before.position.contains(id)) {
-        Note(ItemPath(path, id), {},
-             ValueJson(newer, field, after.position.at(id)));
+        AddChange(ItemPath(path, id), {},
+                  ValueJson(newer, field, after.position.at(id)));
       }
     }
     // Compares the order of common items only, so that an inserted rule counts
     // as one change.
-    Note(path, OrderJson(before, after), OrderJson(after, before));
+    AddChange(path, OrderJson(before, after), OrderJson(after, before));
   }
 
-  void Note(std::string path, std::string before, std::string after) {
+  void AddChange(std::string path, std::string before, std::string after) {
     if (before != after) {
       m_changes.push_back(
           {std::move(path), std::move(before), std::move(after)});
--- a/src/config/json_tree.cc
+++ b/src/config/json_tree.cc
@@ -78,14 +78,14 @@
   bool Close() {
     JsonNode node = std::move(m_open.back());
     m_open.pop_back();
-    return Place(std::move(node));
+    return AddToParent(std::move(node));
   }
 
   bool Add(JsonNode::Kind kind) {
     JsonNode node;
     node.kind = kind;
     node.text = TakeText();
-    return Place(std::move(node));
+    return AddToParent(std::move(node));
   }
 
   bool AddNumber(string_view part) {
@@ -94,7 +94,7 @@
     return Add(fraction ? JsonNode::Kind::kFraction : JsonNode::Kind::kInteger);
   }
 
-  bool Place(JsonNode node) {
+  bool AddToParent(JsonNode node) {
     if (m_open.empty()) {
       m_root = std::move(node);
     } else if (m_open.back().kind == JsonNode::Kind::kArray) {
--- a/src/config/limits.cc
+++ b/src/config/limits.cc
@@ -23,13 +23,14 @@
 constexpr uint32_t kRetireAfterMs = 10'000;
 constexpr uint32_t kAddressLifetimeMs = 10'000;
 
-uint32_t Or(uint32_t value, uint32_t fallback) {
+uint32_t ValueOrDefault(uint32_t value, uint32_t fallback) {
   return value != 0 ? value : fallback;
 }
 
 }  // namespace
 
-core::Duration LimitsView::QueueFor(v1::AdmissionClass admission_class) const {
+core::Duration EffectiveLimits::QueueFor(
+    v1::AdmissionClass admission_class) const {
   switch (admission_class) {
     case v1::GATE:
       return gate_queue;
@@ -40,29 +41,35 @@
   }
 }
 
-LimitsView ViewOf(const v1::Limits& limits) {
-  LimitsView view;
-  view.max_body = core::Bytes(Or(limits.max_body_bytes(), kMaxBodyBytes));
-  view.default_max_output =
-      core::Tokens(Or(limits.default_max_output_tokens(), kDefaultMaxOutput));
-  view.max_output = core::Tokens(Or(limits.max_output_tokens(), kMaxOutput));
-  view.queue_capacity = Or(limits.queue_capacity(), kQueueCapacity);
-  view.batch_queue = milliseconds(Or(limits.batch_queue_ms(), kBatchQueueMs));
-  view.interactive_queue =
-      milliseconds(Or(limits.interactive_queue_ms(), kInteractiveQueueMs));
-  view.gate_queue = milliseconds(Or(limits.gate_queue_ms(), kGateQueueMs));
-  view.first_token_timeout =
-      milliseconds(Or(limits.first_token_timeout_ms(), kFirstTokenTimeoutMs));
-  view.inter_token_timeout =
-      milliseconds(Or(limits.inter_token_timeout_ms(), kInterTokenTimeoutMs));
-  view.config_freshness =
-      milliseconds(Or(limits.config_freshness_ms(), kConfigFreshnessMs));
-  view.answer_keep = seconds(Or(limits.answer_keep_s(), kAnswerKeepS));
-  view.retire_after =
-      milliseconds(Or(limits.retire_after_ms(), kRetireAfterMs));
-  view.address_lifetime =
-      milliseconds(Or(limits.address_lifetime_ms(), kAddressLifetimeMs));
-  return view;
+EffectiveLimits ResolveLimits(const v1::Limits& limits) {
+  EffectiveLimits resolved;
+  resolved.max_body =
+      core::Bytes(ValueOrDefault(limits.max_body_bytes(), kMaxBodyBytes));
+  resolved.default_max_output = core::Tokens(
+      ValueOrDefault(limits.default_max_output_tokens(), kDefaultMaxOutput));
+  resolved.max_output =
+      core::Tokens(ValueOrDefault(limits.max_output_tokens(), kMaxOutput));
+  resolved.queue_capacity =
+      ValueOrDefault(limits.queue_capacity(), kQueueCapacity);
+  resolved.batch_queue =
+      milliseconds(ValueOrDefault(limits.batch_queue_ms(), kBatchQueueMs));
+  resolved.interactive_queue = milliseconds(
+      ValueOrDefault(limits.interactive_queue_ms(), kInteractiveQueueMs));
+  resolved.gate_queue =
+      milliseconds(ValueOrDefault(limits.gate_queue_ms(), kGateQueueMs));
+  resolved.first_token_timeout = milliseconds(
+      ValueOrDefault(limits.first_token_timeout_ms(), kFirstTokenTimeoutMs));
+  resolved.inter_token_timeout = milliseconds(
+      ValueOrDefault(limits.inter_token_timeout_ms(), kInterTokenTimeoutMs));
+  resolved.config_freshness = milliseconds(
+      ValueOrDefault(limits.config_freshness_ms(), kConfigFreshnessMs));
+  resolved.answer_keep =
+      seconds(ValueOrDefault(limits.answer_keep_s(), kAnswerKeepS));
+  resolved.retire_after =
+      milliseconds(ValueOrDefault(limits.retire_after_ms(), kRetireAfterMs));
+  resolved.address_lifetime = milliseconds(
+      ValueOrDefault(limits.address_lifetime_ms(), kAddressLifetimeMs));
+  return resolved;
 }
 
 }  // namespace coppervalve::config
--- a/src/config/parse.cc
+++ b/src/config/parse.cc
@@ -7,7 +7,7 @@
 
 #include "coppervalve/config/check.h"
 #include "json_tree.h"
-#include "schema_walk.h"
+#include "schema_checker.h"
 
 namespace coppervalve::config {
 
@@ -43,7 +43,7 @@
     return Findings{
         {ErrorId::kConfigSyntax, "$", std::string(status.message())}};
   }
-  findings = CheckMeaning(configuration);
+  findings = CheckSemantics(configuration);
   if (!findings.empty()) {
     return findings;
   }
--- a/src/config/reachability.cc
+++ b/src/config/reachability.cc
@@ -2,16 +2,16 @@
 #include <vector>     // vector
 
 #include "coppervalve/config/rule_index.h"
-#include "meaning.h"
+#include "semantic_checks.h"
 
 namespace coppervalve::config {
 
 namespace {
 
 using core::ErrorId;
-using Texts = google::protobuf::RepeatedPtrField<std::string>;
+using StringList = google::protobuf::RepeatedPtrField<std::string>;
 
-std::string Lowered(std::string text) {
+std::string ToLower(std::string text) {
   for (char& c : text) {
     if (c >= 'A' && c <= 'Z') {
       c = static_cast<char>(c - 'A' + 'a');
@@ -20,7 +20,7 @@
   return text;
 }
 
-void SortUnique(Texts& list) {
+void SortUnique(StringList& list) {
   std::sort(list.begin(), list.end());
   list.erase(std::unique(list.begin(), list.end()), list.end());
 }
@@ -37,12 +37,12 @@
     normal.clear_accounts();
   }
   for (v1::HeaderMatch& header : *normal.mutable_headers()) {
-    header.set_name(Lowered(header.name()));
+    header.set_name(ToLower(header.name()));
   }
   return normal;
 }
 
-bool ListCovers(const Texts& outer, const Texts& inner) {
+bool ListCovers(const StringList& outer, const StringList& inner) {
   if (outer.empty()) {
     return true;
   }
@@ -50,7 +50,7 @@
          std::includes(outer.begin(), outer.end(), inner.begin(), inner.end());
 }
 
-bool PathsCover(const Texts& outer, const Texts& inner) {
+bool PathsCover(const StringList& outer, const StringList& inner) {
   if (outer.empty()) {
     return true;
   }
@@ -85,7 +85,7 @@
 constexpr uint32_t kMinutesOfDay = 1440;
 
 // Minutes from `from` to `minute`, going forward around midnight.
-uint32_t Forward(uint32_t from, uint32_t minute) {
+uint32_t MinutesAfter(uint32_t from, uint32_t minute) {
   return (minute + kMinutesOfDay - from) % kMinutesOfDay;
 }
 
@@ -101,9 +101,11 @@
     return false;
   }
   const v1::TimeWindow& narrow = inner.time_window();
-  const uint32_t wide_size = Forward(wide.from_minute(), wide.until_minute());
-  const uint32_t start = Forward(wide.from_minute(), narrow.from_minute());
-  const uint32_t size = Forward(narrow.from_minute(), narrow.until_minute());
+  const uint32_t wide_size =
+      MinutesAfter(wide.from_minute(), wide.until_minute());
+  const uint32_t start = MinutesAfter(wide.from_minute(), narrow.from_minute());
+  const uint32_t size =
+      MinutesAfter(narrow.from_minute(), narrow.until_minute());
   return size != 0 && start + size <= wide_size;
 }
 
@@ -133,7 +135,7 @@
   return {};
 }
 
-std::string_view FirstOf(const Texts& list) {
+std::string_view FirstOf(const StringList& list) {
   return list.empty() ? std::string_view() : std::string_view(list.Get(0));
 }
 
--- a/src/config/schema_walk.cc
+++ b/src/config/schema_checker.cc
@@ -1,4 +1,4 @@
-#include "schema_walk.h"
+#include "schema_checker.h"
 
 #include <charconv>  // from_chars
 #include <cstdint>   // int64_t, uint32_t, uint64_t
@@ -61,7 +61,7 @@
   return names;
 }
 
-class SchemaWalk {
+class SchemaChecker {
  public:
   void CheckObject(const JsonNode& node,
                    const Descriptor& type,
@@ -180,9 +180,9 @@
 }  // namespace
 
 Findings CheckSchema(const JsonNode& root, const Descriptor& type) {
-  SchemaWalk walk;
-  walk.CheckObject(root, type, "$");
-  return walk.TakeFindings();
+  SchemaChecker checker;
+  checker.CheckObject(root, type, "$");
+  return checker.TakeFindings();
 }
 
 }  // namespace coppervalve::config
--- a/src/config/schema_walk.h
+++ b/src/config/schema_checker.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_CONFIG_SCHEMA_WALK_H_
-#define COPPERVALVE_CONFIG_SCHEMA_WALK_H_
+#ifndef COPPERVALVE_CONFIG_SCHEMA_CHECKER_H_
+#define COPPERVALVE_CONFIG_SCHEMA_CHECKER_H_
 
 #include <google/protobuf/descriptor.h>
 
@@ -18,4 +18,4 @@
 
 }  // namespace coppervalve::config
 
-#endif  // COPPERVALVE_CONFIG_SCHEMA_WALK_H_
+#endif  // COPPERVALVE_CONFIG_SCHEMA_CHECKER_H_
--- a/src/config/meaning.cc
+++ b/src/config/semantic_checks.cc
@@ -1,4 +1,4 @@
-#include "meaning.h"
+#include "semantic_checks.h"
 
 #include <utility>  // move
 
@@ -8,7 +8,7 @@
 
 using core::ErrorId;
 
-Names::Names(const v1::Configuration& configuration) {
+DefinedNames::DefinedNames(const v1::Configuration& configuration) {
   for (const v1::Account& account : configuration.accounts()) {
     accounts.insert(account.id());
   }
@@ -26,9 +26,9 @@
   m_findings.push_back({id, std::move(path), std::move(detail)});
 }
 
-void Report::CheckNewId(const std::string& id,
-                        const std::string& path,
-                        std::unordered_map<std::string, std::string>& seen) {
+void Report::CheckUniqueId(const std::string& id,
+                           const std::string& path,
+                           std::unordered_map<std::string, std::string>& seen) {
   if (!CheckPresent(id, path)) {
     return;
   }
@@ -37,12 +37,12 @@
         "'" + id + "' is not an id: 1 to 64 of A-Z a-z 0-9 . _ -");
     return;
   }
-  CheckNew(id, path, seen);
+  CheckUnique(id, path, seen);
 }
 
-void Report::CheckNew(const std::string& text,
-                      const std::string& path,
-                      std::unordered_map<std::string, std::string>& seen) {
+void Report::CheckUnique(const std::string& text,
+                         const std::string& path,
+                         std::unordered_map<std::string, std::string>& seen) {
   const auto [first, is_new] = seen.emplace(text, path);
   if (!is_new) {
     Add(ErrorId::kConfigDuplicateId, path,
--- a/src/config/meaning.h
+++ b/src/config/semantic_checks.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_CONFIG_MEANING_H_
-#define COPPERVALVE_CONFIG_MEANING_H_
+#ifndef COPPERVALVE_CONFIG_SEMANTIC_CHECKS_H_
+#define COPPERVALVE_CONFIG_SEMANTIC_CHECKS_H_
 
 #include <cstdint>        // int64_t
 #include <string>         // string
@@ -10,12 +10,12 @@
 #include "coppervalve/config.pb.h"
 #include "coppervalve/config/parse.h"
 
-/// The parts of CheckMeaning, one per list of the operators' file.
+/// The parts of CheckSemantics, one per list of the operators' file.
 namespace coppervalve::config {
 
 /// @brief All ids that a configuration defines, for references.
-struct Names {
-  explicit Names(const v1::Configuration& configuration);
+struct DefinedNames {
+  explicit DefinedNames(const v1::Configuration& configuration);
 
   std::unordered_set<std::string> accounts;
   std::unordered_set<std::string> budgets;
@@ -29,13 +29,13 @@
  public:
   void Add(core::ErrorId id, std::string path, std::string detail);
   /// @brief Requires a well-formed id that is not in `seen` yet.
-  void CheckNewId(const std::string& id,
-                  const std::string& path,
-                  std::unordered_map<std::string, std::string>& seen);
+  void CheckUniqueId(const std::string& id,
+                     const std::string& path,
+                     std::unordered_map<std::string, std::string>& seen);
   /// @brief Requires a text that `seen` (text to its first path) lacks.
-  void CheckNew(const std::string& text,
-                const std::string& path,
-                std::unordered_map<std::string, std::string>& seen);
+  void CheckUnique(const std::string& text,
+                   const std::string& path,
+                   std::unordered_map<std::string, std::string>& seen);
   /// @brief Requires low <= value <= high.
   void CheckRange(int64_t value,
                   int64_t low,
@@ -55,14 +55,14 @@
 std::string ItemPath(std::string_view list, size_t position);
 
 void CheckAccounts(const v1::Configuration& configuration,
-                   const Names& names,
+                   const DefinedNames& names,
                    Report& report);
 void CheckBudgets(const v1::Configuration& configuration,
-                  const Names& names,
+                  const DefinedNames& names,
                   Report& report);
 void CheckUpstreams(const v1::Configuration& configuration, Report& report);
 void CheckRules(const v1::Configuration& configuration,
-                const Names& names,
+                const DefinedNames& names,
                 Report& report);
 void CheckLimits(const v1::Limits& limits, Report& report);
 /// @brief Reports rules that no request can reach: their conditions contradict
@@ -71,4 +71,4 @@
 
 }  // namespace coppervalve::config
 
-#endif  // COPPERVALVE_CONFIG_MEANING_H_
+#endif  // COPPERVALVE_CONFIG_SEMANTIC_CHECKS_H_
--- a/src/config/tables.cc
+++ b/src/config/tables.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-Upstream ViewOf(const v1::Upstream& upstream) {
+Upstream MakeUpstream(const v1::Upstream& upstream) {
   Upstream view;
   view.id = core::UpstreamId(upstream.id());
   view.kind = upstream.kind();
@@ -29,13 +29,13 @@
 }
 
 template <typename Key>
-std::unordered_map<Key, SharedUpstreamIds> Freeze(
+std::unordered_map<Key, SharedUpstreamIds> ToShared(
     std::unordered_map<Key, UpstreamIds> lists) {
-  std::unordered_map<Key, SharedUpstreamIds> frozen;
+  std::unordered_map<Key, SharedUpstreamIds> shared;
   for (auto& [key, list] : lists) {
-    frozen.emplace(key, std::make_shared<const UpstreamIds>(std::move(list)));
+    shared.emplace(key, std::make_shared<const UpstreamIds>(std::move(list)));
   }
-  return frozen;
+  return shared;
 }
 
 template <typename Key>
@@ -58,7 +58,7 @@
 }  // namespace
 
 Tables::Tables(const v1::Configuration& configuration)
-    : m_limits(config::ViewOf(configuration.limits())),
+    : m_limits(ResolveLimits(configuration.limits())),
       m_no_upstreams(std::make_shared<const UpstreamIds>()) {
   AddAccounts(configuration);
   AddBudgets(configuration);
@@ -97,7 +97,7 @@
   std::unordered_map<core::ModelId, UpstreamIds> by_model;
   std::unordered_map<core::ServiceId, UpstreamIds> by_service;
   for (const v1::Upstream& upstream : configuration.upstreams()) {
-    Upstream view = ViewOf(upstream);
+    Upstream view = MakeUpstream(upstream);
     if (!m_upstream_by_id.emplace(view.id, m_upstreams.size()).second) {
       continue;
     }
@@ -109,8 +109,8 @@
     }
     m_upstreams.push_back(std::move(view));
   }
-  m_upstreams_by_model = Freeze(std::move(by_model));
-  m_upstreams_by_service = Freeze(std::move(by_service));
+  m_upstreams_by_model = ToShared(std::move(by_model));
+  m_upstreams_by_service = ToShared(std::move(by_service));
 }
 
 const Account* Tables::FindAccount(const core::AccountId& id) const {
--- a/src/config/values.cc
+++ b/src/config/values.cc
@@ -30,8 +30,10 @@
 }
 
 template <typename Predicate>
-bool SizedAndAll(std::string_view text, size_t most, Predicate predicate) {
-  return !text.empty() && text.size() <= most &&
+bool HasSizeAndAll(std::string_view text,
+                   size_t max_size,
+                   Predicate predicate) {
+  return !text.empty() && text.size() <= max_size &&
          std::all_of(text.begin(), text.end(), predicate);
 }
 
@@ -54,13 +56,13 @@
 }  // namespace
 
 bool IsId(std::string_view text) {
-  return SizedAndAll(text, kMaxIdSize, [](char c) {
+  return HasSizeAndAll(text, kMaxIdSize, [](char c) {
     return IsAlphanumeric(c) || IsOneOf(c, "._-");
   });
 }
 
 bool IsModelName(std::string_view text) {
-  return SizedAndAll(text, kMaxModelSize, [](char c) {
+  return HasSizeAndAll(text, kMaxModelSize, [](char c) {
     return IsAlphanumeric(c) || IsOneOf(c, "._-:/");
   });
 }
@@ -85,13 +87,13 @@
 }
 
 bool IsHeaderName(std::string_view text) {
-  return SizedAndAll(text, kMaxHeaderNameSize, [](char c) {
+  return HasSizeAndAll(text, kMaxHeaderNameSize, [](char c) {
     return IsAlphanumeric(c) || IsOneOf(c, "!#$%&'*+-.^_`|~");
   });
 }
 
 bool IsMethod(std::string_view text) {
-  return SizedAndAll(text, kMaxMethodSize, IsUpper);
+  return HasSizeAndAll(text, kMaxMethodSize, IsUpper);
 }
 
 bool IsPrintable(std::string_view text) {
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -203,7 +203,7 @@
   m_table.OnSent(now, work.id);
   m_upstreams.OnDispatch(work.upstream);
 
-  const config::LimitsView& limits = m_parts.configured.tables().limits();
+  const config::EffectiveLimits& limits = m_parts.configured.tables().limits();
   Dispatch dispatch;
   dispatch.request = work.id;
   dispatch.attempt = work.attempt;
--- a/src/router/flow_arrival.cc
+++ b/src/router/flow_arrival.cc
@@ -149,7 +149,7 @@
     RefuseAtOnce(event.request, core::Failure(account), std::nullopt);
     return std::nullopt;
   }
-  const config::LimitsView& limits = m_parts.configured.tables().limits();
+  const config::EffectiveLimits& limits = m_parts.configured.tables().limits();
   rules::RequestFacts facts;
   facts.account = core::Value(account)->id;
   facts.model = core::ModelId(event.model);
--- a/src/router/session.cc
+++ b/src/router/session.cc
@@ -254,7 +254,7 @@
     return;
   }
   m_flow.OnConfigured();
-  const config::LimitsView& limits = m_configured.tables().limits();
+  const config::EffectiveLimits& limits = m_configured.tables().limits();
   m_peers.SetFreshnessBound(limits.config_freshness);
   m_peers.SetRetireAfter(limits.retire_after);
   m_addresses.SetLifetime(limits.address_lifetime);
--- a/src/rules/rule_set.cc
+++ b/src/rules/rule_set.cc
@@ -82,7 +82,7 @@
 
 Route RuleSet::CompileRoute(const v1::Rule& rule) const {
   const v1::Route& route = rule.then().route();
-  const config::LimitsView& limits = m_tables->limits();
+  const config::EffectiveLimits& limits = m_tables->limits();
   Route compiled;
   compiled.rule = core::RuleId(rule.id());
   compiled.candidates = m_no_upstreams;
--- a/src/trial/audit.cc
+++ b/src/trial/audit.cc
@@ -17,8 +17,10 @@
   return router::RouterSettings{}.fold;
 }
 
-std::string ErrorOf(const Ticket& ticket) {
-  return ticket.error.has_value() ? core::ErrorCode(*ticket.error) : "none";
+std::string ErrorOf(const ClientAttempt& client_attempt) {
+  return client_attempt.error.has_value()
+             ? core::ErrorCode(*client_attempt.error)
+             : "none";
 }
 
 }  // namespace
@@ -31,12 +33,12 @@
 
 std::vector<Violation> Audit::Check() {
   std::vector<Violation> found;
-  FoldNew(found);
+  ApplyNewEntries(found);
   CheckSpend(found);
-  CheckExecutions(found);
-  CheckTickets(found);
+  CheckHoldings(found);
+  CheckClientAttempts(found);
   CheckVersions(found);
-  for (Violation& violation : std::exchange(m_late_dispatches, {})) {
+  for (Violation& violation : std::exchange(m_stale_dispatches, {})) {
     found.push_back(std::move(violation));
   }
   CheckOrders(found);
@@ -51,12 +53,12 @@
       m_fleet.now() - m_in_force_since[next] <= kFreshnessBound) {
     return;
   }
-  m_late_dispatches.push_back(
+  m_stale_dispatches.push_back(
       {"I8", RouterName(node).value() + " worked under version " +
                  std::to_string(version) + " after it was replaced"});
 }
 
-void Audit::FoldNew(std::vector<Violation>& found) {
+void Audit::ApplyNewEntries(std::vector<Violation>& found) {
   while (m_fold.next_offset() < m_fleet.log().end()) {
     const v1::ReadReply reply = m_fleet.log().Read(m_fold.next_offset());
     for (const v1::LoggedEntry& logged : reply.entries()) {
@@ -84,13 +86,15 @@
   const auto& executions = m_fleet.executions();
   for (; m_executions_seen < executions.size(); ++m_executions_seen) {
     const Execution& run = executions[m_executions_seen];
-    const Wish& wish = m_fleet.wishes()[run.wish];
-    m_used[wish.budget] += run.used.value();
-    ++m_runs[run.wish];
-    ++m_ticket_runs[run.ticket];
-    if (wish.non_idempotent && m_runs[run.wish] > 1) {
+    const ClientRequest& client_request =
+        m_fleet.client_requests()[run.client_request];
+    m_used[client_request.budget] += run.used.value();
+    ++m_runs_by_request[run.client_request];
+    ++m_runs_by_attempt[run.client_attempt];
+    if (client_request.non_idempotent &&
+        m_runs_by_request[run.client_request] > 1) {
       found.push_back(
-          {"I5", "wish " + std::to_string(run.wish) + " ran twice"});
+          {"I5", "wish " + std::to_string(run.client_request) + " ran twice"});
     }
   }
   for (const auto& [id, used] : m_used) {
@@ -103,7 +107,7 @@
   }
 }
 
-void Audit::CheckExecutions(std::vector<Violation>& found) {
+void Audit::CheckHoldings(std::vector<Violation>& found) {
   for (size_t i = 0; i < m_fleet.size(); ++i) {
     Node& node = m_fleet.node(i);
     if (!node.alive()) {
@@ -116,18 +120,20 @@
   }
 }
 
-void Audit::CheckTickets(std::vector<Violation>& found) {
-  const auto& tickets = m_fleet.tickets();
-  for (size_t i = 0; i < tickets.size(); ++i) {
-    const Ticket& ticket = tickets[i];
-    const bool refused = ticket.state == Ticket::State::kRefused &&
-                         ticket.run_state == core::RunState::kNotRun;
-    if (refused && m_ticket_runs.contains(i)) {
-      found.push_back({"I4", "ticket " + std::to_string(i) +
-                                 " ran but was refused: " + Describe(ticket)});
+void Audit::CheckClientAttempts(std::vector<Violation>& found) {
+  const auto& client_attempts = m_fleet.client_attempts();
+  for (size_t i = 0; i < client_attempts.size(); ++i) {
+    const ClientAttempt& client_attempt = client_attempts[i];
+    const bool refused =
+        client_attempt.state == ClientAttempt::State::kRefused &&
+        client_attempt.run_state == core::RunState::kNotRun;
+    if (refused && m_runs_by_attempt.contains(i)) {
+      found.push_back(
+          {"I4", "ticket " + std::to_string(i) +
+                     " ran but was refused: " + Describe(client_attempt)});
     }
-    if (ticket.state == Ticket::State::kWhole &&
-        ticket.answer_of_wish != ticket.wish) {
+    if (client_attempt.state == ClientAttempt::State::kComplete &&
+        client_attempt.answered_request != client_attempt.client_request) {
       found.push_back({"I3", "ticket " + std::to_string(i) +
                                  " got the answer of another request"});
     }
@@ -169,17 +175,19 @@
   }
 }
 
-std::string Audit::Describe(const Ticket& ticket) const {
-  const Wish& wish = m_fleet.wishes()[ticket.wish];
-  return "wish " + std::to_string(ticket.wish) + " at " +
-         RouterName(ticket.node).value() + " key " + wish.key +
-         (wish.non_idempotent ? " non-idempotent" : "") + " error " +
-         ErrorOf(ticket);
+std::string Audit::Describe(const ClientAttempt& client_attempt) const {
+  const ClientRequest& client_request =
+      m_fleet.client_requests()[client_attempt.client_request];
+  return "wish " + std::to_string(client_attempt.client_request) + " at " +
+         RouterName(client_attempt.node).value() + " key " +
+         client_request.key +
+         (client_request.non_idempotent ? " non-idempotent" : "") + " error " +
+         ErrorOf(client_attempt);
 }
 
 std::vector<Violation> Audit::CheckFolds() {
   std::vector<Violation> found;
-  FoldNew(found);
+  ApplyNewEntries(found);
   const core::Status status = m_fold.CheckConservation();
   if (!core::IsOk(status)) {
     found.push_back({"I1", core::ToString(core::Failure(status))});
@@ -214,16 +222,18 @@
 }
 
 // Applies the gate reserve: a share of the balance is for GATE work only.
-bool Audit::WouldRun(const Wish& wish, core::Tokens besides) const {
-  const ledger::Budget* budget = m_fold.FindBudget(wish.budget);
+bool Audit::HasTokensFor(const ClientRequest& client_request,
+                         core::Tokens others) const {
+  const ledger::Budget* budget = m_fold.FindBudget(client_request.budget);
   if (budget == nullptr) {
     return false;
   }
-  const auto used = m_used.find(wish.budget);
+  const auto used = m_used.find(client_request.budget);
   const int64_t spent = used == m_used.end() ? 0 : used->second;
   ledger::Budget counter = *budget;
-  counter.free = budget->paid_in - core::Tokens(spent) - besides;
-  return counter.Available(wish.admission_class) >= wish.Cost();
+  counter.free = budget->paid_in - core::Tokens(spent) - others;
+  return counter.Available(client_request.admission_class) >=
+         client_request.Cost();
 }
 
 }  // namespace coppervalve::trial
--- a/src/trial/chaos.cc
+++ b/src/trial/chaos.cc
@@ -15,23 +15,23 @@
 
 namespace {
 
-constexpr Duration kCheckEvery = milliseconds(100);
-constexpr Duration kOrderEvery = seconds(3);
+constexpr Duration kCheckInterval = milliseconds(100);
+constexpr Duration kOrderInterval = seconds(3);
 constexpr Duration kWarmUp = seconds(3);
 constexpr size_t kMaxViolations = 5;
 
 /// @brief Injects random faults and undoes each after a random time.
-class Chaos {
+class FaultInjector {
  public:
-  Chaos(Fleet& fleet,
-        const Audit& audit,
-        ChaosOptions options,
-        std::vector<std::string>& trace)
+  FaultInjector(Fleet& fleet,
+                const Audit& audit,
+                ChaosOptions options,
+                std::vector<std::string>& trace)
       : m_fleet(fleet), m_audit(audit), m_options(options), m_trace(trace) {}
 
   void Start() {
     m_running = true;
-    m_fleet.SetFate([this] { return NextFate(); });
+    m_fleet.SetAttemptOutcome([this] { return NextAttemptOutcome(); });
     ScheduleNext();
     ScheduleOrder();
   }
@@ -39,10 +39,10 @@
   /// @brief Undoes all faults and starts the routers that are down.
   void Stop() {
     m_running = false;
-    m_fleet.SetFate([] { return AttemptFate::kAnswered; });
+    m_fleet.SetAttemptOutcome([] { return AttemptOutcome::kAnswered; });
     for (size_t i = 0; i < m_fleet.size(); ++i) {
       m_fleet.log_link(i) = LogLink{};
-      m_fleet.CutAll(i, false);
+      m_fleet.SetPartitionedFromAll(i, false);
       Node& node = m_fleet.node(i);
       if (node.alive() && node.paused()) {
         node.Resume();
@@ -51,11 +51,11 @@
         node.Start();
       }
     }
-    Note("all faults undone", 0);
+    AddTrace("all faults undone", 0);
   }
 
  private:
-  void Note(const std::string& what, size_t node) {
+  void AddTrace(const std::string& what, size_t node) {
     const auto at = std::chrono::duration_cast<milliseconds>(
                         m_fleet.now().time_since_epoch())
                         .count();
@@ -64,7 +64,7 @@
   }
 
   Duration RandomTime(Duration mean) {
-    const double share = -std::log(1.0 - m_fleet.RandomShare());
+    const double share = -std::log(1.0 - m_fleet.RandomFraction());
     return Duration(
         static_cast<int64_t>(share * static_cast<double>(mean.count())));
   }
@@ -74,7 +74,7 @@
   }
 
   void ScheduleNext() {
-    m_fleet.timeline().After(RandomTime(m_options.mean_gap), [this] {
+    m_fleet.timeline().After(RandomTime(m_options.mean_fault_interval), [this] {
       if (!m_running) {
         return;
       }
@@ -84,9 +84,9 @@
   }
 
   void ScheduleOrder() {
-    m_fleet.timeline().After(kOrderEvery, [this] {
+    m_fleet.timeline().After(kOrderInterval, [this] {
       if (m_running) {
-        OrderOne();
+        IssueOrder();
         ScheduleOrder();
       }
     });
@@ -94,11 +94,11 @@
 
   // Issues an operator's order to one engine after the other, and settles the
   // orders that no router can end any more.
-  void OrderOne() {
+  void IssueOrder() {
     const core::UpstreamId upstream("engine-" + std::to_string(m_orders % 4));
     m_fleet.Order(upstream, "model-" + std::to_string(m_orders++));
     for (const ledger::Order* order : m_audit.fold().Orders()) {
-      if (order->settled() || !order->taken() || !HasLookedAt(*order)) {
+      if (order->settled() || !order->taken() || !MaySettle(*order)) {
         continue;
       }
       m_fleet.SettleOrder(core::UpstreamId(order->order.upstream()),
@@ -109,20 +109,20 @@
   // An order may be settled only when the router that took it can no longer
   // send it. This holds if, in two consecutive checks, its process was not
   // paused and either its incarnation was gone or the order was no longer open.
-  bool HasLookedAt(const ledger::Order& order) {
+  bool MaySettle(const ledger::Order& order) {
     const Node* node = m_fleet.FindRouter(order.holder);
-    const bool halted = node->alive() && node->paused();
+    const bool paused_now = node->alive() && node->paused();
     const bool live = m_audit.fold().FindLive(order.holder) != nullptr &&
                       m_audit.fold().FindLive(order.holder)->incarnation ==
                           order.holder_incarnation;
-    if (halted || (live && order.open())) {
-      m_looked.erase(order.fencing);
+    if (paused_now || (live && order.open())) {
+      m_settle_candidates.erase(order.fencing);
       return false;
     }
-    return !m_looked.insert(order.fencing).second;
+    return !m_settle_candidates.insert(order.fencing).second;
   }
 
-  void UndoLater(Duration mean, std::function<void()> undo) {
+  void ScheduleUndo(Duration mean, std::function<void()> undo) {
     m_fleet.timeline().After(RandomTime(mean), [this, undo = std::move(undo)] {
       if (m_running) {
         undo();
@@ -137,15 +137,15 @@
         [this](size_t n) { KillOne(n); },
         [this](size_t n) { PauseOne(n); },
         [this](size_t n) { PauseOne(n); },
-        [this](size_t n) { CutPeers(n); },
-        [this](size_t n) { CutLog(n); },
+        [this](size_t n) { PartitionFromPeers(n); },
+        [this](size_t n) { DisconnectLog(n); },
         [this](size_t n) { LoseReplies(n); },
         [this](size_t n) { SlowLog(n); },
-        [this](size_t) { LogOut(); },
-        [this](size_t n) { CutOneLink(n); },
+        [this](size_t) { StartLogOutage(); },
+        [this](size_t n) { PartitionOneLink(n); },
         [this](size_t n) { DrainOne(n); },
         [this](size_t) { TopUpOne(); },
-        [this](size_t) { BreakUpstreams(); },
+        [this](size_t) { FailUpstreams(); },
         [this](size_t n) { Isolate(n); },
         [this](size_t) { Publish(); },
     };
@@ -157,15 +157,15 @@
     if (!node.alive()) {
       return;
     }
-    Note("kill", n);
+    AddTrace("kill", n);
     node.Kill();
     StartLater(n);
   }
 
   void StartLater(size_t n) {
-    UndoLater(seconds(5), [this, n] {
+    ScheduleUndo(seconds(5), [this, n] {
       if (!m_fleet.node(n).alive()) {
-        Note("start", n);
+        AddTrace("start", n);
         m_fleet.node(n).Start();
       }
     });
@@ -176,60 +176,63 @@
     if (!node.alive() || node.paused()) {
       return;
     }
-    Note("pause", n);
+    AddTrace("pause", n);
     node.Pause();
-    UndoLater(seconds(12), [this, n] {
+    ScheduleUndo(seconds(12), [this, n] {
       if (m_fleet.node(n).alive() && m_fleet.node(n).paused()) {
-        Note("resume", n);
+        AddTrace("resume", n);
         m_fleet.node(n).Resume();
       }
     });
   }
 
-  void CutPeers(size_t n) {
-    Note("partitioned from peers", n);
-    m_fleet.CutAll(n, true);
-    UndoLater(seconds(10), [this, n] { m_fleet.CutAll(n, false); });
+  void PartitionFromPeers(size_t n) {
+    AddTrace("partitioned from peers", n);
+    m_fleet.SetPartitionedFromAll(n, true);
+    ScheduleUndo(seconds(10),
+                 [this, n] { m_fleet.SetPartitionedFromAll(n, false); });
   }
 
-  void CutOneLink(size_t n) {
+  void PartitionOneLink(size_t n) {
     const size_t other = RandomNode();
-    Note("partitioned from one peer", n);
-    m_fleet.Cut(n, other, true);
-    UndoLater(seconds(10), [this, n, other] { m_fleet.Cut(n, other, false); });
+    AddTrace("partitioned from one peer", n);
+    m_fleet.SetPartitioned(n, other, true);
+    ScheduleUndo(seconds(10),
+                 [this, n, other] { m_fleet.SetPartitioned(n, other, false); });
   }
 
-  void CutLog(size_t n) {
-    Note("disconnected from log", n);
+  void DisconnectLog(size_t n) {
+    AddTrace("disconnected from log", n);
     m_fleet.log_link(n).up = false;
-    UndoLater(seconds(12), [this, n] { m_fleet.log_link(n).up = true; });
+    ScheduleUndo(seconds(12), [this, n] { m_fleet.log_link(n).up = true; });
   }
 
   void Isolate(size_t n) {
-    CutPeers(n);
-    CutLog(n);
+    PartitionFromPeers(n);
+    DisconnectLog(n);
   }
 
   void LoseReplies(size_t n) {
-    Note("log replies are lost", n);
+    AddTrace("log replies are lost", n);
     m_fleet.log_link(n).lose_replies = 0.5;
-    UndoLater(seconds(10), [this, n] { m_fleet.log_link(n).lose_replies = 0; });
+    ScheduleUndo(seconds(10),
+                 [this, n] { m_fleet.log_link(n).lose_replies = 0; });
   }
 
   void SlowLog(size_t n) {
-    Note("slow log", n);
+    AddTrace("slow log", n);
     m_fleet.log_link(n).extra_delay = milliseconds(800);
-    UndoLater(seconds(10),
-              [this, n] { m_fleet.log_link(n).extra_delay = Duration{}; });
+    ScheduleUndo(seconds(10),
+                 [this, n] { m_fleet.log_link(n).extra_delay = Duration{}; });
   }
 
-  void LogOut() {
-    Note("log unavailable for all", 0);
+  void StartLogOutage() {
+    AddTrace("log unavailable for all", 0);
     for (size_t i = 0; i < m_fleet.size(); ++i) {
       m_fleet.log_link(i).up = false;
     }
-    UndoLater(seconds(12), [this] {
-      Note("log available again", 0);
+    ScheduleUndo(seconds(12), [this] {
+      AddTrace("log available again", 0);
       for (size_t i = 0; i < m_fleet.size(); ++i) {
         m_fleet.log_link(i).up = true;
       }
@@ -241,11 +244,11 @@
     if (!node.alive() || node.paused()) {
       return;
     }
-    Note("drain", n);
+    AddTrace("drain", n);
     node.Drain();
-    UndoLater(seconds(20), [this, n] {
+    ScheduleUndo(seconds(20), [this, n] {
       if (!m_fleet.node(n).alive()) {
-        Note("start", n);
+        AddTrace("start", n);
         m_fleet.node(n).Start();
       }
     });
@@ -253,31 +256,31 @@
 
   void TopUpOne() {
     const auto budget = std::to_string(m_fleet.Random() % 3);
-    Note("top-up b" + budget, 0);
+    AddTrace("top-up b" + budget, 0);
     m_fleet.TopUp(core::BudgetId("b" + budget), core::Tokens(10'000));
   }
 
   void Publish() {
-    Note("publish", 0);
+    AddTrace("publish", 0);
     LoadOptions options;
     options.prepaid = m_options.prepaid;
     m_fleet.Publish(TrialConfiguration(options));
   }
 
-  void BreakUpstreams() {
-    Note("upstreams fail", 0);
-    m_failing = 0.4;
-    UndoLater(seconds(8), [this] { m_failing = 0.02; });
+  void FailUpstreams() {
+    AddTrace("upstreams fail", 0);
+    m_failure_probability = 0.4;
+    ScheduleUndo(seconds(8), [this] { m_failure_probability = 0.02; });
   }
 
-  AttemptFate NextFate() {
-    if (m_fleet.RandomShare() >= m_failing) {
-      return AttemptFate::kAnswered;
+  AttemptOutcome NextAttemptOutcome() {
+    if (m_fleet.RandomFraction() >= m_failure_probability) {
+      return AttemptOutcome::kAnswered;
     }
-    constexpr AttemptFate kFates[] = {AttemptFate::kNotSent,
-                                      AttemptFate::kDeclined, AttemptFate::kCut,
-                                      AttemptFate::kSilent};
-    return kFates[m_fleet.Random() % std::size(kFates)];
+    constexpr AttemptOutcome kOutcomes[] = {
+        AttemptOutcome::kNotSent, AttemptOutcome::kDeclined,
+        AttemptOutcome::kTruncated, AttemptOutcome::kSilent};
+    return kOutcomes[m_fleet.Random() % std::size(kOutcomes)];
   }
 
   Fleet& m_fleet;
@@ -285,9 +288,10 @@
   ChaosOptions m_options;
   std::vector<std::string>& m_trace;
   bool m_running = false;
-  double m_failing = 0.02;
+  double m_failure_probability = 0.02;
   uint64_t m_orders = 0;
-  std::set<core::FencingNumber> m_looked;  ///< orders that passed one check
+  std::set<core::FencingNumber>
+      m_settle_candidates;  ///< orders that passed one check
 };
 
 }  // namespace
@@ -316,13 +320,13 @@
   });
   LoadOptions load_options;
   load_options.prepaid = options.prepaid;
-  Load load(fleet, audit, load_options);
-  Chaos chaos(fleet, audit, options, result.trace);
+  LoadGenerator load(fleet, audit, load_options);
+  FaultInjector injector(fleet, audit, options, result.trace);
 
   const auto run_checked = [&](Duration duration) {
     const core::TimePoint end = fleet.now() + duration;
     while (fleet.now() < end && result.violations.size() < kMaxViolations) {
-      fleet.Run(kCheckEvery);
+      fleet.Run(kCheckInterval);
       for (Violation& violation : audit.Check()) {
         result.trace.push_back("VIOLATION " + violation.invariant + " " +
                                violation.what);
@@ -335,11 +339,11 @@
   fleet.StartAll();
   run_checked(kWarmUp);
   load.Start();
-  chaos.Start();
-  run_checked(options.faults_for);
-  chaos.Stop();
+  injector.Start();
+  run_checked(options.fault_duration);
+  injector.Stop();
   load.Stop();
-  run_checked(options.calm_after);
+  run_checked(options.recovery_duration);
   for (Violation& violation : audit.CheckFolds()) {
     result.violations.push_back(std::move(violation));
   }
--- a/src/trial/engine_orders.cc
+++ b/src/trial/engine_orders.cc
@@ -6,28 +6,28 @@
 namespace coppervalve::trial {
 
 void EngineOrders::Configure(const v1::Configuration& configuration) {
-  m_checking.clear();
+  m_fencing_engines.clear();
   for (const v1::Upstream& upstream : configuration.upstreams()) {
     if (upstream.checks_fencing()) {
-      m_checking.insert(core::UpstreamId(upstream.id()));
+      m_fencing_engines.insert(core::UpstreamId(upstream.id()));
     }
   }
 }
 
-bool EngineOrders::Arrive(AppliedOrder order) {
-  const bool overtaken = std::any_of(
+bool EngineOrders::Apply(AppliedOrder order) {
+  const bool has_newer = std::any_of(
       m_applied.begin(), m_applied.end(), [&order](const AppliedOrder& other) {
         return other.upstream == order.upstream &&
                other.fencing > order.fencing;
       });
-  if (overtaken && m_checking.contains(order.upstream)) {
+  if (has_newer && m_fencing_engines.contains(order.upstream)) {
     return false;
   }
   m_applied.push_back(std::move(order));
   return true;
 }
 
-std::vector<core::FencingNumber> EngineOrders::At(
+std::vector<core::FencingNumber> EngineOrders::AppliedAt(
     const std::string& upstream) const {
   std::vector<core::FencingNumber> numbers;
   for (const AppliedOrder& order : m_applied) {
--- a/src/trial/fake_log.cc
+++ b/src/trial/fake_log.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr uint64_t kMaxEntriesPerRead = 500;
-constexpr uint64_t kOperatorIncarnations = 0xC0FFEE00;
+constexpr uint64_t kFirstOperatorIncarnation = 0xC0FFEE00;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
                                           v1::Record record) {
   v1::Entry entry;
   entry.set_writer("operator:" + name);
-  entry.set_incarnation(kOperatorIncarnations + ++m_operator_entries);
+  entry.set_incarnation(kFirstOperatorIncarnation + ++m_operator_entries);
   entry.set_sequence(1);
   entry.set_seen_offset(end().value());
   *entry.add_records() = std::move(record);
--- a/src/trial/fleet.cc
+++ b/src/trial/fleet.cc
@@ -7,8 +7,8 @@
 
 namespace coppervalve::trial {
 
-struct Fleet::Chance {
-  explicit Chance(uint64_t seed) : generator(seed) {}
+struct Fleet::RandomGenerator {
+  explicit RandomGenerator(uint64_t seed) : generator(seed) {}
   pcg64 generator;
 };
 
@@ -19,7 +19,7 @@
 Fleet::Fleet(FleetOptions options)
     : m_options(std::move(options)),
       m_log(m_options.log_retain),
-      m_chance(std::make_unique<Chance>(m_options.seed)),
+      m_random_generator(std::make_unique<RandomGenerator>(m_options.seed)),
       m_log_links(m_options.routers) {
   for (size_t i = 0; i < m_options.routers; ++i) {
     m_nodes.push_back(std::make_unique<Node>(*this, i));
@@ -75,73 +75,74 @@
   m_log.AppendAsOperator("trial", std::move(record));
 }
 
-size_t Fleet::Wants(Wish wish) {
-  m_wishes.push_back(std::move(wish));
-  return m_wishes.size() - 1;
+size_t Fleet::AddRequest(ClientRequest client_request) {
+  m_client_requests.push_back(std::move(client_request));
+  return m_client_requests.size() - 1;
 }
 
-size_t Fleet::Send(size_t wish, size_t node) {
-  Ticket ticket;
-  ticket.wish = wish;
-  ticket.node = node;
-  ticket.opened = now();
-  m_tickets.push_back(ticket);
-  const size_t number = m_tickets.size() - 1;
+size_t Fleet::Send(size_t client_request, size_t node) {
+  ClientAttempt client_attempt;
+  client_attempt.client_request = client_request;
+  client_attempt.node = node;
+  client_attempt.opened = now();
+  m_client_attempts.push_back(client_attempt);
+  const size_t number = m_client_attempts.size() - 1;
   if (!m_nodes[node]->alive()) {
     // The connection is refused, so nothing ran.
-    m_tickets[number].run_state = core::RunState::kNotRun;
-    EndTicket(number, Ticket::State::kRefused);
+    m_client_attempts[number].run_state = core::RunState::kNotRun;
+    EndClientAttempt(number, ClientAttempt::State::kRefused);
     return number;
   }
-  m_nodes[node]->Open(number);
+  m_nodes[node]->ReceiveRequest(number);
   return number;
 }
 
-void Fleet::CloseTicket(size_t ticket) {
-  if (m_tickets[ticket].state != Ticket::State::kOpen) {
+void Fleet::CloseClientAttempt(size_t client_attempt) {
+  if (m_client_attempts[client_attempt].state != ClientAttempt::State::kOpen) {
     return;
   }
-  Node& node = *m_nodes[m_tickets[ticket].node];
-  EndTicket(ticket, Ticket::State::kBroken);
-  node.Hang(ticket);
+  Node& node = *m_nodes[m_client_attempts[client_attempt].node];
+  EndClientAttempt(client_attempt, ClientAttempt::State::kDisconnected);
+  node.OnCallerDisconnected(client_attempt);
 }
 
-void Fleet::EndTicket(size_t number, Ticket::State state) {
-  Ticket& ticket = m_tickets[number];
-  if (ticket.state != Ticket::State::kOpen) {
+void Fleet::EndClientAttempt(size_t number, ClientAttempt::State state) {
+  ClientAttempt& client_attempt = m_client_attempts[number];
+  if (client_attempt.state != ClientAttempt::State::kOpen) {
     return;
   }
-  ticket.state = state;
-  ticket.ended = now();
-  if (m_on_ticket) {
-    m_on_ticket(number);
+  client_attempt.state = state;
+  client_attempt.ended = now();
+  if (m_on_attempt_ended) {
+    m_on_attempt_ended(number);
   }
 }
 
-size_t Fleet::Execute(size_t ticket, core::Tokens used) {
-  m_executions.push_back({m_tickets[ticket].wish, ticket, used, false});
+size_t Fleet::RecordExecution(size_t client_attempt, core::Tokens used) {
+  m_executions.push_back({m_client_attempts[client_attempt].client_request,
+                          client_attempt, used, false});
   return m_executions.size() - 1;
 }
 
-void Fleet::Cut(size_t a, size_t b, bool cut) {
+void Fleet::SetPartitioned(size_t a, size_t b, bool partitioned) {
   const auto link = std::minmax(a, b);
-  if (cut) {
-    m_cuts.insert(link);
+  if (partitioned) {
+    m_partitioned_links.insert(link);
   } else {
-    m_cuts.erase(link);
+    m_partitioned_links.erase(link);
   }
 }
 
-void Fleet::CutAll(size_t node, bool cut) {
+void Fleet::SetPartitionedFromAll(size_t node, bool partitioned) {
   for (size_t other = 0; other < m_nodes.size(); ++other) {
     if (other != node) {
-      Cut(node, other, cut);
+      SetPartitioned(node, other, partitioned);
     }
   }
 }
 
-bool Fleet::IsCut(size_t a, size_t b) const {
-  return m_cuts.contains(std::minmax(a, b));
+bool Fleet::IsPartitioned(size_t a, size_t b) const {
+  return m_partitioned_links.contains(std::minmax(a, b));
 }
 
 Node* Fleet::FindRouter(const core::RouterId& router) {
@@ -154,10 +155,10 @@
 }
 
 uint64_t Fleet::Random() {
-  return m_chance->generator();
+  return m_random_generator->generator();
 }
 
-double Fleet::RandomShare() {
+double Fleet::RandomFraction() {
   return static_cast<double>(Random() >> 11U) * 0x1.0p-53;
 }
 
--- a/src/trial/node.cc
+++ b/src/trial/node.cc
@@ -16,7 +16,7 @@
 constexpr Duration kUpstreamDelay = std::chrono::milliseconds(1);
 constexpr Duration kFirstToken = std::chrono::milliseconds(20);
 constexpr Duration kLogTimeout = std::chrono::milliseconds(500);
-constexpr Duration kPollStep = std::chrono::milliseconds(10);
+constexpr Duration kPollInterval = std::chrono::milliseconds(10);
 constexpr Duration kProbeTime = std::chrono::milliseconds(20);
 constexpr Duration kOrderTimeout = std::chrono::seconds(5);
 constexpr Duration kForwardTimeout = std::chrono::seconds(3);
@@ -41,7 +41,7 @@
 Node::Node(Fleet& fleet, size_t index) : m_fleet(fleet), m_index(index) {}
 
 void Node::Start() {
-  ++m_life;
+  ++m_generation;
   m_paused = false;
   m_exiting = false;
   m_core = std::make_unique<router::RouterCore>(
@@ -61,19 +61,20 @@
 // The callers' connections break; peers that forwarded a request to this node
 // learn that the answer is incomplete.
 void Node::Kill() {
-  ++m_life;
+  ++m_generation;
   m_core.reset();
   m_mailbox.clear();
-  m_by_ticket.clear();
+  m_call_by_attempt.clear();
   const auto calls = std::exchange(m_calls, {});
   for (const auto& [id, call] : calls) {
     if (call.done) {
       continue;
     }
-    if (call.relay) {
-      call.relay({false, true, {}});
+    if (call.on_forward_done) {
+      call.on_forward_done({false, true, {}});
     } else {
-      m_fleet.EndTicket(call.ticket, Ticket::State::kBroken);
+      m_fleet.EndClientAttempt(call.client_attempt,
+                               ClientAttempt::State::kDisconnected);
     }
   }
 }
@@ -96,17 +97,17 @@
   Deliver(router::DrainAsked{});
 }
 
-void Node::Later(Duration delay, std::function<void()> action) {
-  m_fleet.timeline().After(delay,
-                           [this, life = m_life, action = std::move(action)] {
-                             if (life == m_life) {
-                               action();
-                             }
-                           });
+void Node::Schedule(Duration delay, std::function<void()> action) {
+  m_fleet.timeline().After(
+      delay, [this, generation = m_generation, action = std::move(action)] {
+        if (generation == m_generation) {
+          action();
+        }
+      });
 }
 
 void Node::ScheduleTick() {
-  Later(m_fleet.options().tick, [this] {
+  Schedule(m_fleet.options().tick, [this] {
     if (!m_paused) {
       Handle(router::Tick{});
     }
@@ -129,7 +130,7 @@
 
 void Node::Handle(const router::Event& event) {
   for (const router::Action& action : m_core->Handle(m_fleet.now(), event)) {
-    std::visit([this](const auto& a) { Do(a); }, action);
+    std::visit([this](const auto& a) { ExecuteAction(a); }, action);
   }
   if (m_exiting) {
     Kill();
@@ -144,70 +145,77 @@
   return id;
 }
 
-router::RequestArrived Node::ArrivalOf(RequestId id, size_t ticket) const {
-  const Wish& wish = m_fleet.wishes()[m_fleet.tickets()[ticket].wish];
+router::RequestArrived Node::ArrivalOf(RequestId id,
+                                       size_t client_attempt) const {
+  const ClientRequest& client_request =
+      m_fleet.client_requests()[m_fleet.client_attempts()[client_attempt]
+                                    .client_request];
   router::RequestArrived event;
   event.request = id;
   event.method = "POST";
-  event.path = wish.model.empty() ? "/v1/services/" + wish.service
-                                  : "/v1/chat/completions";
-  event.api_key = "demo-" + wish.account.value();
-  event.body_hash =
-      core::HashOf(std::to_string(m_fleet.tickets()[ticket].wish));
-  event.body_size = wish.body_size;
-  event.model = wish.model;
-  event.service = core::ServiceId(wish.service);
-  event.max_output_tokens = wish.max_output;
-  event.idempotency_key = wish.key;
+  event.path = client_request.model.empty()
+                   ? "/v1/services/" + client_request.service
+                   : "/v1/chat/completions";
+  event.api_key = "demo-" + client_request.account.value();
+  event.body_hash = core::HashOf(
+      std::to_string(m_fleet.client_attempts()[client_attempt].client_request));
+  event.body_size = client_request.body_size;
+  event.model = client_request.model;
+  event.service = core::ServiceId(client_request.service);
+  event.max_output_tokens = client_request.max_output;
+  event.idempotency_key = client_request.key;
   return event;
 }
 
-void Node::Open(size_t ticket) {
-  const RequestId id = NewCall({ticket, nullptr, {}, {}, false, {}});
-  m_by_ticket[ticket] = id;
-  Deliver(ArrivalOf(id, ticket));
+void Node::ReceiveRequest(size_t client_attempt) {
+  const RequestId id = NewCall({client_attempt, nullptr, {}, {}, false, {}});
+  m_call_by_attempt[client_attempt] = id;
+  Deliver(ArrivalOf(id, client_attempt));
 }
 
-void Node::Hang(size_t ticket) {
-  const auto found = m_by_ticket.find(ticket);
-  if (found != m_by_ticket.end()) {
+void Node::OnCallerDisconnected(size_t client_attempt) {
+  const auto found = m_call_by_attempt.find(client_attempt);
+  if (found != m_call_by_attempt.end()) {
     Deliver(router::CallerGone{found->second});
   }
 }
 
-std::optional<RequestId> Node::OpenForward(
+std::optional<RequestId> Node::ReceiveForward(
     core::Incarnation to,
-    size_t ticket,
+    size_t client_attempt,
     core::AccountId account,
-    std::function<void(const RelayEnd&)> done) {
+    std::function<void(const ForwardResult&)> done) {
   if (!alive() || to != m_core->incarnation()) {
     done({false, false, {}});
     return std::nullopt;
   }
-  const RequestId id = NewCall({ticket, std::move(done), {}, {}, false, {}});
-  router::RequestArrived event = ArrivalOf(id, ticket);
+  const RequestId id =
+      NewCall({client_attempt, std::move(done), {}, {}, false, {}});
+  router::RequestArrived event = ArrivalOf(id, client_attempt);
   event.forwarded_account = std::move(account);
   Deliver(std::move(event));
   return id;
 }
 
-void Node::Complete(RequestId id, size_t answer_of_wish) {
+void Node::Complete(RequestId id, size_t answered_request) {
   const auto found = m_calls.find(id);
   if (found == m_calls.end()) {
     return;
   }
   Call& call = found->second;
   call.done = true;
-  call.answer_of_wish = answer_of_wish;
-  if (call.relay) {
-    call.relay({true, true, {}});
+  call.answered_request = answered_request;
+  if (call.on_forward_done) {
+    call.on_forward_done({true, true, {}});
   } else {
-    m_fleet.tickets()[call.ticket].answer_of_wish = answer_of_wish;
-    m_fleet.EndTicket(call.ticket, Ticket::State::kWhole);
+    m_fleet.client_attempts()[call.client_attempt].answered_request =
+        answered_request;
+    m_fleet.EndClientAttempt(call.client_attempt,
+                             ClientAttempt::State::kComplete);
   }
   const std::vector<RequestId> joiners = std::exchange(call.joiners, {});
   for (const RequestId joiner : joiners) {
-    Complete(joiner, answer_of_wish);
+    Complete(joiner, answered_request);
   }
 }
 
@@ -218,62 +226,62 @@
   }
   Call& call = found->second;
   call.done = true;
-  if (call.relay) {
-    call.relay({true, true, refuse});
+  if (call.on_forward_done) {
+    call.on_forward_done({true, true, refuse});
     return;
   }
-  EndRefused(call.ticket, refuse);
+  EndRefused(call.client_attempt, refuse);
 }
 
 void Node::EndRefused(size_t number, const router::Refuse& refuse) {
-  Ticket& ticket = m_fleet.tickets()[number];
-  if (ticket.state != Ticket::State::kOpen) {
+  ClientAttempt& client_attempt = m_fleet.client_attempts()[number];
+  if (client_attempt.state != ClientAttempt::State::kOpen) {
     return;
   }
-  ticket.error = refuse.error.id;
-  ticket.run_state = refuse.run_state;
-  ticket.retry_after = refuse.retry_after;
-  m_fleet.EndTicket(number, Ticket::State::kRefused);
+  client_attempt.error = refuse.error.id;
+  client_attempt.run_state = refuse.run_state;
+  client_attempt.retry_after = refuse.retry_after;
+  m_fleet.EndClientAttempt(number, ClientAttempt::State::kRefused);
 }
 
-void Node::Do(const router::Refuse& action) {
+void Node::ExecuteAction(const router::Refuse& action) {
   Fail(action.request, action);
 }
 
-void Node::Do(const router::JoinAnswer& action) {
+void Node::ExecuteAction(const router::JoinAnswer& action) {
   const auto leader = m_calls.find(action.leader);
   const auto joiner = m_calls.find(action.request);
   if (leader == m_calls.end() || joiner == m_calls.end()) {
     return;
   }
-  if (leader->second.answer_of_wish.has_value()) {
-    Complete(action.request, *leader->second.answer_of_wish);
+  if (leader->second.answered_request.has_value()) {
+    Complete(action.request, *leader->second.answered_request);
     return;
   }
   leader->second.joiners.push_back(action.request);
 }
 
-void Node::Do(const router::ForgetAnswer& action) {
+void Node::ExecuteAction(const router::ForgetAnswer& action) {
   m_calls.erase(action.request);
 }
 
-void Node::Do(const router::ReplyJson& action) {
+void Node::ExecuteAction(const router::ReplyJson& action) {
   (void)action;
 }
 
-void Node::Do(const router::LogLine& action) {
+void Node::ExecuteAction(const router::LogLine& action) {
   m_fleet.OnLogLine(m_index, action);
 }
 
-void Node::Do(const router::Exit& action) {
+void Node::ExecuteAction(const router::Exit& action) {
   (void)action;
   m_exiting = true;
 }
 
 // ---- Upstreams -------------------------------------------------------------
 
-void Node::Do(const router::Dispatch& action) {
-  Later(kUpstreamDelay, [this, action] { RunAttempt(action); });
+void Node::ExecuteAction(const router::Dispatch& action) {
+  Schedule(kUpstreamDelay, [this, action] { RunAttempt(action); });
 }
 
 void Node::RunAttempt(const router::Dispatch& action) {
@@ -281,26 +289,30 @@
   if (found == m_calls.end()) {
     return;
   }
-  const size_t ticket = found->second.ticket;
-  const size_t wish_number = m_fleet.tickets()[ticket].wish;
-  const Wish wish = m_fleet.wishes()[wish_number];
-  const AttemptFate fate = m_fleet.NextFate();
-  if (fate == AttemptFate::kNotSent) {
+  const size_t client_attempt = found->second.client_attempt;
+  const size_t client_request_index =
+      m_fleet.client_attempts()[client_attempt].client_request;
+  const ClientRequest client_request =
+      m_fleet.client_requests()[client_request_index];
+  const AttemptOutcome attempt_outcome = m_fleet.NextAttemptOutcome();
+  if (attempt_outcome == AttemptOutcome::kNotSent) {
     Deliver(router::AttemptNotSent{
         action.request,
         action.attempt,
         {core::ErrorId::kUpstreamFailed, action.upstream.value(), "refused"}});
     return;
   }
-  if (fate == AttemptFate::kDeclined) {
+  if (attempt_outcome == AttemptOutcome::kDeclined) {
     Deliver(router::AttemptDeclined{action.request, action.attempt, 429,
                                     std::nullopt, std::nullopt});
     return;
   }
-  const core::Tokens output = std::min(wish.output, action.max_output_tokens);
-  const size_t run = m_fleet.Execute(ticket, wish.prompt + output);
-  if (fate == AttemptFate::kSilent) {
-    Later(action.first_token_timeout, [this, action] {
+  const core::Tokens output =
+      std::min(client_request.output, action.max_output_tokens);
+  const size_t run =
+      m_fleet.RecordExecution(client_attempt, client_request.prompt + output);
+  if (attempt_outcome == AttemptOutcome::kSilent) {
+    Schedule(action.first_token_timeout, [this, action] {
       Deliver(router::AttemptFailed{
           action.request,
           action.attempt,
@@ -310,8 +322,8 @@
     });
     return;
   }
-  if (fate == AttemptFate::kCut) {
-    Later(wish.duration / 2, [this, action] {
+  if (attempt_outcome == AttemptOutcome::kTruncated) {
+    Schedule(client_request.duration / 2, [this, action] {
       Deliver(router::AttemptFailed{
           action.request,
           action.attempt,
@@ -321,189 +333,196 @@
     });
     return;
   }
-  Later(std::min(kFirstToken, wish.duration), [this, action] {
+  Schedule(std::min(kFirstToken, client_request.duration), [this, action] {
     Deliver(router::AttemptFirstToken{action.request, action.attempt});
   });
-  Later(wish.duration, [this, action, wish, output, run, wish_number] {
-    m_fleet.executions()[run].whole = true;
-    // The caller receives the answer while the control thread is notified.
-    router::AttemptDone done;
-    done.request = action.request;
-    done.attempt = action.attempt;
-    if (action.model_work && m_fleet.reports_usage()) {
-      done.usage = router::Usage{wish.prompt, output};
-    }
-    if (m_paused) {
-      m_mailbox.push_back(done);
-      return;
-    }
-    Complete(action.request, wish_number);
-    Deliver(done);
-  });
-}
-
-void Node::Do(const router::CancelAttempt& action) {
+  Schedule(client_request.duration,
+           [this, action, client_request, output, run, client_request_index] {
+             m_fleet.executions()[run].complete = true;
+             // The caller receives the answer while the control thread is
+             // notified.
+             router::AttemptDone done;
+             done.request = action.request;
+             done.attempt = action.attempt;
+             if (action.model_work && m_fleet.reports_usage()) {
+               done.usage = router::Usage{client_request.prompt, output};
+             }
+             if (m_paused) {
+               m_mailbox.push_back(done);
+               return;
+             }
+             Complete(action.request, client_request_index);
+             Deliver(done);
+           });
+}
+
+void Node::ExecuteAction(const router::CancelAttempt& action) {
   (void)action;
 }
 
-void Node::Do(const router::ProbeUpstream& action) {
-  Later(kProbeTime, [this, action] {
-    const bool healthy = m_fleet.NextFate() == AttemptFate::kAnswered;
+void Node::ExecuteAction(const router::ProbeUpstream& action) {
+  Schedule(kProbeTime, [this, action] {
+    const bool healthy =
+        m_fleet.NextAttemptOutcome() == AttemptOutcome::kAnswered;
     Deliver(router::ProbeEnded{action.upstream, healthy, std::nullopt});
   });
 }
 
-void Node::Do(const router::SendOrder& action) {
-  Later(kUpstreamDelay, [this, action] { RunOrder(action); });
+void Node::ExecuteAction(const router::SendOrder& action) {
+  Schedule(kUpstreamDelay, [this, action] { RunOrder(action); });
 }
 
 // A pause may fall between the decision to send an order and its first byte;
 // the order is then sent when the process resumes.
 void Node::RunOrder(const router::SendOrder& action) {
   if (m_paused) {
-    Later(kPollStep, [this, action] { RunOrder(action); });
+    Schedule(kPollInterval, [this, action] { RunOrder(action); });
     return;
   }
   router::OrderSent ended{action.upstream, action.fencing};
-  const AttemptFate fate = m_fleet.NextFate();
-  if (fate == AttemptFate::kNotSent || fate == AttemptFate::kDeclined) {
-    ended.outcome = fate == AttemptFate::kNotSent
+  const AttemptOutcome attempt_outcome = m_fleet.NextAttemptOutcome();
+  if (attempt_outcome == AttemptOutcome::kNotSent ||
+      attempt_outcome == AttemptOutcome::kDeclined) {
+    ended.outcome = attempt_outcome == AttemptOutcome::kNotSent
                         ? orders::SendOutcome::kNotSent
                         : orders::SendOutcome::kRefused;
     Deliver(ended);
     return;
   }
-  const bool taken = m_fleet.engine_orders().Arrive(
+  const bool taken = m_fleet.engine_orders().Apply(
       {action.upstream, action.fencing, action.order});
   ended.outcome =
       taken ? orders::SendOutcome::kDone : orders::SendOutcome::kRefused;
-  if (fate != AttemptFate::kAnswered) {
+  if (attempt_outcome != AttemptOutcome::kAnswered) {
     ended.outcome = orders::SendOutcome::kUnknown;
-    Later(kOrderTimeout, [this, ended] { Deliver(ended); });
+    Schedule(kOrderTimeout, [this, ended] { Deliver(ended); });
     return;
   }
-  Later(kUpstreamDelay, [this, ended] { Deliver(ended); });
+  Schedule(kUpstreamDelay, [this, ended] { Deliver(ended); });
 }
 
 // ---- Peers -----------------------------------------------------------------
 
-void Node::Do(const router::SendPeer& action) {
+void Node::ExecuteAction(const router::SendPeer& action) {
   ++m_peer_messages;
   m_peer_bytes += action.message.ByteSizeLong();
   Node* peer = m_fleet.FindRouter(action.router);
   if (peer == nullptr || !peer->alive() ||
-      m_fleet.IsCut(m_index, peer->index())) {
-    Later(kPollStep,
-          [this, action] { Deliver(router::PeerSendFailed{action.router}); });
+      m_fleet.IsPartitioned(m_index, peer->index())) {
+    Schedule(kPollInterval, [this, action] {
+      Deliver(router::PeerSendFailed{action.router});
+    });
     return;
   }
-  m_fleet.timeline().After(m_fleet.options().peer_delay,
-                           [this, peer, message = action.message] {
-                             if (!m_fleet.IsCut(m_index, peer->index())) {
-                               peer->Deliver(router::PeerReceived{message});
-                             }
-                           });
+  m_fleet.timeline().After(
+      m_fleet.options().peer_delay, [this, peer, message = action.message] {
+        if (!m_fleet.IsPartitioned(m_index, peer->index())) {
+          peer->Deliver(router::PeerReceived{message});
+        }
+      });
 }
 
-void Node::Do(const router::Forward& action) {
+void Node::ExecuteAction(const router::Forward& action) {
   const auto found = m_calls.find(action.request);
   if (found == m_calls.end()) {
     return;
   }
-  const size_t ticket = found->second.ticket;
+  const size_t client_attempt = found->second.client_attempt;
   Node* peer = m_fleet.FindRouter(action.router);
-  struct Relay {
+  struct PendingForward {
     bool ended = false;
     std::optional<RequestId> there;
   };
-  auto relay = std::make_shared<Relay>();
-  const auto end = [this, id = action.request, relay](const RelayEnd& how) {
-    if (!std::exchange(relay->ended, true)) {
-      Later(m_fleet.options().peer_delay,
-            [this, id, how] { EndForward(id, how); });
+  auto pending_forward = std::make_shared<PendingForward>();
+  const auto end = [this, id = action.request,
+                    pending_forward](const ForwardResult& result) {
+    if (!std::exchange(pending_forward->ended, true)) {
+      Schedule(m_fleet.options().peer_delay,
+               [this, id, result] { EndForward(id, result); });
     }
   };
-  if (peer == nullptr || m_fleet.IsCut(m_index, peer->index())) {
+  if (peer == nullptr || m_fleet.IsPartitioned(m_index, peer->index())) {
     end({false, false, {}});
     return;
   }
   m_fleet.timeline().After(m_fleet.options().peer_delay, [=] {
-    relay->there =
-        peer->OpenForward(action.incarnation, ticket, action.account, end);
+    pending_forward->there = peer->ReceiveForward(
+        action.incarnation, client_attempt, action.account, end);
   });
   // A forward that times out resets its stream, which the peer sees as a
   // disconnected caller.
-  Later(kForwardTimeout, [=] {
-    if (!relay->ended && relay->there.has_value()) {
-      peer->Deliver(router::CallerGone{*relay->there});
+  Schedule(kForwardTimeout, [=] {
+    if (!pending_forward->ended && pending_forward->there.has_value()) {
+      peer->Deliver(router::CallerGone{*pending_forward->there});
     }
     end({false, true, {}});
   });
 }
 
-void Node::EndForward(RequestId id, const RelayEnd& end) {
+void Node::EndForward(RequestId id, const ForwardResult& end) {
   const auto call = m_calls.find(id);
   if (call == m_calls.end()) {
     return;
   }
-  const size_t ticket = call->second.ticket;
+  const size_t client_attempt = call->second.client_attempt;
   if (end.answered && end.refusal.has_value()) {
     call->second.done = true;
-    EndRefused(ticket, *end.refusal);
+    EndRefused(client_attempt, *end.refusal);
   } else if (end.answered && !call->second.done) {
-    Complete(id, m_fleet.tickets()[ticket].wish);
+    Complete(id, m_fleet.client_attempts()[client_attempt].client_request);
   }
   Deliver(router::ForwardEnded{id, end.answered, end.sent, false});
 }
 
 // ---- The log ---------------------------------------------------------------
 
-void Node::Do(const router::ReadLog& action) {
-  Later(m_fleet.options().log_delay / 2,
-        [this, action] { Poll(action, m_fleet.now() + action.wait); });
+void Node::ExecuteAction(const router::ReadLog& action) {
+  Schedule(m_fleet.options().log_delay / 2,
+           [this, action] { Poll(action, m_fleet.now() + action.wait); });
 }
 
 void Node::Poll(const router::ReadLog& read, core::TimePoint until) {
   const LogLink& link = m_fleet.log_link(m_index);
   if (!link.up) {
-    Later(kLogTimeout, [this] {
+    Schedule(kLogTimeout, [this] {
       Deliver(router::LogReadFailed{
           {core::ErrorId::kLogUnavailable, "log", "down"}});
     });
     return;
   }
   if (m_fleet.log().end() <= read.from && m_fleet.now() < until) {
-    Later(kPollStep, [this, read, until] { Poll(read, until); });
+    Schedule(kPollInterval, [this, read, until] { Poll(read, until); });
     return;
   }
-  Later(m_fleet.options().log_delay / 2 + link.extra_delay,
-        [this, reply = m_fleet.log().Read(read.from)] {
-          Deliver(router::LogRead{reply});
-        });
+  Schedule(m_fleet.options().log_delay / 2 + link.extra_delay,
+           [this, reply = m_fleet.log().Read(read.from)] {
+             Deliver(router::LogRead{reply});
+           });
 }
 
-void Node::Do(const router::AppendLog& action) {
+void Node::ExecuteAction(const router::AppendLog& action) {
   const LogLink& link = m_fleet.log_link(m_index);
   const Duration delay = m_fleet.options().log_delay + link.extra_delay;
   const router::LogAppendFailed failed{
       {core::ErrorId::kLogUnavailable, "log", "no reply"}};
   if (!link.up) {
-    Later(kLogTimeout, [this, failed] { Deliver(failed); });
+    Schedule(kLogTimeout, [this, failed] { Deliver(failed); });
     return;
   }
   // An append that was sent takes effect even if the sender is killed before
   // the reply.
-  m_fleet.timeline().After(delay / 2, [this, life = m_life,
+  m_fleet.timeline().After(delay / 2, [this, generation = m_generation,
                                        entry = action.entry, delay, failed] {
     const core::LogOffset offset = m_fleet.log().Append(entry);
-    if (life != m_life) {
+    if (generation != m_generation) {
       return;
     }
-    if (m_fleet.RandomShare() < m_fleet.log_link(m_index).lose_replies) {
-      Later(kLogTimeout, [this, failed] { Deliver(failed); });
+    if (m_fleet.RandomFraction() < m_fleet.log_link(m_index).lose_replies) {
+      Schedule(kLogTimeout, [this, failed] { Deliver(failed); });
       return;
     }
-    Later(delay / 2, [this, offset] { Deliver(router::LogAppended{offset}); });
+    Schedule(delay / 2,
+             [this, offset] { Deliver(router::LogAppended{offset}); });
   });
 }
 
--- a/tests/config/unit-parse.cc
+++ b/tests/config/unit-parse.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr const char* kGood = R"({
+constexpr const char* kValidFile = R"({
   "name": "castle",
   "accounts": [
     {"id": "tours", "budget": "sales", "api_key_sha256":
@@ -46,7 +46,7 @@
 
 // Returns the valid file with one text replaced by another.
 std::string With(const std::string& from, const std::string& to) {
-  std::string json = kGood;
+  std::string json = kValidFile;
   const size_t at = json.find(from);
   CHECK(at != std::string::npos);
   return json.replace(at, from.size(), to);
@@ -74,8 +74,8 @@
   CHECK_TEXT(found, all.c_str());
 }
 
-v1::Configuration Good() {
-  return std::get<v1::Configuration>(config::ParseOperatorsFile(kGood));
+v1::Configuration ValidConfiguration() {
+  return std::get<v1::Configuration>(config::ParseOperatorsFile(kValidFile));
 }
 
 }  // namespace
@@ -87,12 +87,12 @@
 // clang-format on
 
 TEST(Parse, a_valid_file_has_no_findings) {
-  UNSIGNED_LONGS_EQUAL(0, FindingsOf(kGood).size());
-  LONGS_EQUAL(2000, Good().budgets(1).prepaid_tokens());
+  UNSIGNED_LONGS_EQUAL(0, FindingsOf(kValidFile).size());
+  LONGS_EQUAL(2000, ValidConfiguration().budgets(1).prepaid_tokens());
 }
 
 TEST(Parse, canonical_json_reads_back_to_an_equal_configuration) {
-  const v1::Configuration good = Good();
+  const v1::Configuration good = ValidConfiguration();
   const config::ParseResult again =
       config::ParseOperatorsFile(config::ToJson(good));
   const auto* read = std::get_if<v1::Configuration>(&again);
@@ -105,7 +105,7 @@
   UNSIGNED_LONGS_EQUAL(1, findings.size());
   CHECK(findings[0].id == ErrorId::kConfigSyntax);
   STRCMP_CONTAINS("line 2, column 11", findings[0].detail.c_str());
-  CheckFound(std::string(kGood) + "x", ErrorId::kConfigSyntax, "$");
+  CheckFound(std::string(kValidFile) + "x", ErrorId::kConfigSyntax, "$");
   CheckFound("", ErrorId::kConfigSyntax, "$");
 }
 
@@ -262,7 +262,7 @@
 }
 
 TEST(Successor, prepaid_tokens_may_grow_but_not_shrink_vanish_or_move) {
-  const v1::Configuration older = Good();
+  const v1::Configuration older = ValidConfiguration();
   v1::Configuration newer = older;
   newer.mutable_budgets(0)->set_prepaid_tokens(1001);
   CHECK(core::IsOk(config::CheckSuccessor(older, newer)));
@@ -278,7 +278,7 @@
 }
 
 TEST(Successor, a_diff_pairs_items_by_id_and_names_a_changed_order) {
-  const v1::Configuration older = Good();
+  const v1::Configuration older = ValidConfiguration();
   v1::Configuration newer = older;
   newer.mutable_budgets(1)->set_prepaid_tokens(3000);
   newer.mutable_rules()->SwapElements(0, 1);
--- a/tests/config/unit-tables.cc
+++ b/tests/config/unit-tables.cc
@@ -47,7 +47,7 @@
 TEST(Tables, an_absent_limit_takes_its_default) {
   v1::Limits limits;
   limits.set_gate_queue_ms(500);
-  const config::LimitsView view = config::ViewOf(limits);
+  const config::EffectiveLimits view = config::ResolveLimits(limits);
   CHECK(view.QueueFor(v1::GATE) == std::chrono::milliseconds(500));
   CHECK(view.QueueFor(v1::BATCH) == std::chrono::seconds(60));
   CHECK(view.max_body == core::Bytes(1 << 20));
--- a/tests/router/fleet_fixture.h
+++ b/tests/router/fleet_fixture.h
@@ -9,7 +9,7 @@
 #include "coppervalve/request/key_name.h"
 #include "coppervalve/trial/audit.h"
 #include "coppervalve/trial/fleet.h"
-#include "coppervalve/trial/load.h"
+#include "coppervalve/trial/load_generator.h"
 
 namespace coppervalve::trial {
 
@@ -40,34 +40,34 @@
   }
 
   /// @brief A seat hold: it must not run twice.
-  Wish Hold(std::string key) const {
-    Wish wish;
-    wish.account = core::AccountId("a0");
-    wish.budget = core::BudgetId("b0");
-    wish.admission_class = v1::GATE;
-    wish.non_idempotent = true;
-    wish.service = "holds";
-    wish.body_size = core::Bytes(40);
-    wish.prompt = core::Tokens(5);
-    wish.duration = std::chrono::milliseconds(5);
-    wish.key = std::move(key);
-    return wish;
+  ClientRequest Hold(std::string key) const {
+    ClientRequest client_request;
+    client_request.account = core::AccountId("a0");
+    client_request.budget = core::BudgetId("b0");
+    client_request.admission_class = v1::GATE;
+    client_request.non_idempotent = true;
+    client_request.service = "holds";
+    client_request.body_size = core::Bytes(40);
+    client_request.prompt = core::Tokens(5);
+    client_request.duration = std::chrono::milliseconds(5);
+    client_request.key = std::move(key);
+    return client_request;
   }
 
   /// @brief A draft that takes `duration` and 300 tokens.
-  Wish Draft(std::string key, core::Duration duration) const {
-    Wish wish;
-    wish.account = core::AccountId("a0");
-    wish.budget = core::BudgetId("b0");
-    wish.admission_class = v1::BATCH;
-    wish.model = "draft";
-    wish.body_size = core::Bytes(400);
-    wish.prompt = core::Tokens(100);
-    wish.max_output = core::Tokens(200);
-    wish.output = core::Tokens(200);
-    wish.duration = duration;
-    wish.key = std::move(key);
-    return wish;
+  ClientRequest Draft(std::string key, core::Duration duration) const {
+    ClientRequest client_request;
+    client_request.account = core::AccountId("a0");
+    client_request.budget = core::BudgetId("b0");
+    client_request.admission_class = v1::BATCH;
+    client_request.model = "draft";
+    client_request.body_size = core::Bytes(400);
+    client_request.prompt = core::Tokens(100);
+    client_request.max_output = core::Tokens(200);
+    client_request.output = core::Tokens(200);
+    client_request.duration = duration;
+    client_request.key = std::move(key);
+    return client_request;
   }
 
   std::string Prefix(size_t node) {
@@ -75,15 +75,17 @@
         {RouterName(node), fleet.node(node).core().incarnation()});
   }
 
-  uint64_t RunsOf(size_t wish) {
+  uint64_t RunsOf(size_t client_request) {
     uint64_t runs = 0;
     for (const Execution& run : fleet.executions()) {
-      runs += run.wish == wish ? 1 : 0;
+      runs += run.client_request == client_request ? 1 : 0;
     }
     return runs;
   }
 
-  Ticket::State StateOf(size_t ticket) { return fleet.tickets()[ticket].state; }
+  ClientAttempt::State StateOf(size_t client_attempt) {
+    return fleet.client_attempts()[client_attempt].state;
+  }
   std::string Phase(size_t node) {
     return fleet.node(node).core().Status(fleet.now()).phase();
   }
--- a/tests/router/unit-fleet.cc
+++ b/tests/router/unit-fleet.cc
@@ -13,41 +13,41 @@
   LoadOptions options;
   options.prepaid = 10'000'000;
   RunningFleet run({}, options);
-  Load load(run.fleet, run.audit, options);
+  LoadGenerator load(run.fleet, run.audit, options);
   load.Start();
   run.Run(seconds(30));
   load.Stop();
   run.Run(seconds(20));
   CHECK(run.audit.CheckFolds().empty());
   const ClassCount total = load.Total();
-  CHECK(total.wishes > 400);
-  LONGS_EQUAL(total.wishes, total.whole);
+  CHECK(total.client_requests > 400);
+  LONGS_EQUAL(total.client_requests, total.complete);
   LONGS_EQUAL(0, total.false_refusals);
   const TokenCount count = run.audit.Count();
   LONGS_EQUAL(count.used, count.billed);
 }
 
 // Callers go on asking the router that is being shut down; a second SIGTERM
-// comes while it drains. Each request in progress ends with its whole answer,
-// the holdings go back, and then the process ends by itself.
+// comes while it drains. Each request in progress ends with its complete
+// answer, the holdings go back, and then the process ends by itself.
 TEST(Fleet, a_drain_under_load_cuts_off_nothing_and_gives_everything_back) {
   LoadOptions options;
   options.prepaid = 10'000'000;
   RunningFleet run({}, options);
-  std::vector<size_t> tickets;
+  std::vector<size_t> client_attempts;
   for (int i = 0; i < 20; ++i) {
-    const size_t wish =
-        run.fleet.Wants(run.Draft("drain-" + std::to_string(i), seconds(6)));
-    run.fleet.SetKey(wish, run.Prefix(2) + "d" + std::to_string(i));
-    tickets.push_back(run.fleet.Send(wish, 2));
+    const size_t client_request = run.fleet.AddRequest(
+        run.Draft("drain-" + std::to_string(i), seconds(6)));
+    run.fleet.SetKey(client_request, run.Prefix(2) + "d" + std::to_string(i));
+    client_attempts.push_back(run.fleet.Send(client_request, 2));
   }
   run.Run(seconds(1));
   run.fleet.node(2).Drain();
   run.Run(seconds(1));
   run.fleet.node(2).Drain();
   run.Run(seconds(40));
-  for (const size_t ticket : tickets) {
-    CHECK(run.StateOf(ticket) == Ticket::State::kWhole);
+  for (const size_t client_attempt : client_attempts) {
+    CHECK(run.StateOf(client_attempt) == ClientAttempt::State::kComplete);
   }
   CHECK_FALSE(run.fleet.node(2).alive());
   for (const ledger::Member* member : run.audit.fold().RetiredMembers()) {
@@ -66,7 +66,7 @@
   options.prepaid = 40'000;
   options.accounts = 1;
   RunningFleet run({}, options);
-  Load load(run.fleet, run.audit, options);
+  LoadGenerator load(run.fleet, run.audit, options);
   load.Start();
   run.Run(seconds(5));
   const core::Incarnation before = run.fleet.node(1).core().incarnation();
@@ -90,7 +90,7 @@
   options.prepaid = 1'000'000;
   options.accounts = 1;
   RunningFleet run({}, options);
-  Load load(run.fleet, run.audit, options);
+  LoadGenerator load(run.fleet, run.audit, options);
   load.Start();
   run.Run(seconds(10));
   const auto status = run.fleet.node(3).core().Status(run.fleet.now());
@@ -119,11 +119,11 @@
     LONGS_EQUAL(i == 4 ? 1 : 2, run.Version(i));
   }
   STRCMP_EQUAL("stale", run.Phase(4).c_str());
-  const size_t ticket =
-      run.fleet.Send(run.fleet.Wants(run.Draft("k", seconds(1))), 4);
+  const size_t client_attempt =
+      run.fleet.Send(run.fleet.AddRequest(run.Draft("k", seconds(1))), 4);
   run.Run(seconds(2));
-  CHECK(run.StateOf(ticket) == Ticket::State::kRefused ||
-        run.StateOf(ticket) == Ticket::State::kWhole);
+  CHECK(run.StateOf(client_attempt) == ClientAttempt::State::kRefused ||
+        run.StateOf(client_attempt) == ClientAttempt::State::kComplete);
   run.fleet.log_link(4).up = true;
   run.Run(seconds(8));
   LONGS_EQUAL(2, run.Version(4));
@@ -138,7 +138,7 @@
   for (size_t a = 0; a < 4; ++a) {
     run.fleet.log_link(a).up = false;
     for (size_t b = 4; b < run.fleet.size(); ++b) {
-      run.fleet.Cut(a, b, true);
+      run.fleet.SetPartitioned(a, b, true);
     }
   }
   run.Run(seconds(1));
@@ -150,7 +150,7 @@
   STRCMP_EQUAL("active", run.Phase(0).c_str());
   for (size_t a = 0; a < 4; ++a) {
     run.fleet.log_link(a).up = true;
-    run.fleet.CutAll(a, false);
+    run.fleet.SetPartitionedFromAll(a, false);
   }
   run.Run(seconds(20));
   for (size_t i = 0; i < run.fleet.size(); ++i) {
@@ -166,17 +166,17 @@
   run.fleet.node(2).Pause();
   run.fleet.Publish(TrialConfiguration(run.load_options));
   run.Run(seconds(9));
-  std::vector<size_t> tickets;
+  std::vector<size_t> client_attempts;
   for (int i = 0; i < 10; ++i) {
     const std::string key = run.Prefix(2) + "r" + std::to_string(i);
-    tickets.push_back(
-        run.fleet.Send(run.fleet.Wants(run.Draft(key, seconds(1))), 2));
+    client_attempts.push_back(
+        run.fleet.Send(run.fleet.AddRequest(run.Draft(key, seconds(1))), 2));
   }
   LONGS_EQUAL(1, run.Version(2));
   run.fleet.node(2).Resume();
   run.Run(seconds(5));
-  for (const size_t ticket : tickets) {
-    CHECK(run.fleet.tickets()[ticket].error ==
+  for (const size_t client_attempt : client_attempts) {
+    CHECK(run.fleet.client_attempts()[client_attempt].error ==
           core::ErrorId::kConfigurationStale);
   }
   LONGS_EQUAL(2, run.Version(2));
@@ -196,7 +196,7 @@
   run.fleet.log_link(0).up = false;
   for (size_t a = 0; a < 4; ++a) {
     for (size_t b = 4; b < run.fleet.size(); ++b) {
-      run.fleet.Cut(a, b, true);
+      run.fleet.SetPartitioned(a, b, true);
     }
   }
   run.Run(seconds(12));
@@ -215,9 +215,9 @@
   LoadOptions options;
   options.prepaid = 30'000'000;
   options.per_second = 10;
-  options.bound_share = 1;
+  options.origin_bound_share = 1;
   RunningFleet run({}, options);
-  Load load(run.fleet, run.audit, options);
+  LoadGenerator load(run.fleet, run.audit, options);
   load.Start();
   run.Run(seconds(20));
   for (size_t i = 0; i < run.fleet.size(); ++i) {
@@ -231,8 +231,8 @@
   load.Stop();
   run.Run(seconds(20));
   const ClassCount total = load.Total();
-  CHECK(total.wishes > 5000);
-  LONGS_EQUAL(total.wishes, total.whole);
+  CHECK(total.client_requests > 5000);
+  LONGS_EQUAL(total.client_requests, total.complete);
   CHECK(run.audit.CheckFolds().empty());
 }
 
@@ -246,7 +246,7 @@
   options.prepaid = 100'000'000;
   options.per_second = 40;
   RunningFleet run(fleet_options, options);
-  Load load(run.fleet, run.audit, options);
+  LoadGenerator load(run.fleet, run.audit, options);
   load.Start();
   run.Run(seconds(60));
   run.fleet.node(5).Pause();
@@ -266,10 +266,10 @@
 TEST(Fleet, an_answer_without_usage_costs_what_was_reserved) {
   RunningFleet run;
   run.fleet.SetReportsUsage(false);
-  const size_t wish = run.fleet.Wants(run.Draft("", seconds(1)));
-  const size_t ticket = run.fleet.Send(wish, 0);
+  const size_t client_request = run.fleet.AddRequest(run.Draft("", seconds(1)));
+  const size_t client_attempt = run.fleet.Send(client_request, 0);
   run.Run(seconds(5));
-  CHECK(run.StateOf(ticket) == Ticket::State::kWhole);
+  CHECK(run.StateOf(client_attempt) == ClientAttempt::State::kComplete);
   const TokenCount count = run.audit.Count();
   CHECK(count.billed >= count.used);
   CHECK(count.used > 0);
@@ -280,25 +280,25 @@
 TEST(Fleet, a_full_outage_of_the_upstreams_is_refused_without_a_retry_storm) {
   LoadOptions options;
   options.prepaid = 10'000'000;
-  options.max_tries = 1;
-  options.draft_share = 0;
-  options.hold_share = 0;
+  options.max_attempts = 1;
+  options.batch_share = 0;
+  options.gate_share = 0;
   RunningFleet run({}, options);
   uint64_t attempts = 0;
-  run.fleet.SetFate([] { return AttemptFate::kNotSent; });
+  run.fleet.SetAttemptOutcome([] { return AttemptOutcome::kNotSent; });
   run.fleet.SetOnLogLine([&](size_t, const router::LogLine& line) {
     attempts += line.event == "routed" ? 1 : 0;
   });
-  Load load(run.fleet, run.audit, options);
+  LoadGenerator load(run.fleet, run.audit, options);
   load.Start();
   run.Run(seconds(30));
   load.Stop();
   run.Run(seconds(15));
   const ClassCount total = load.Total();
-  CHECK(total.wishes > 400);
-  LONGS_EQUAL(total.wishes, total.refused);
+  CHECK(total.client_requests > 400);
+  LONGS_EQUAL(total.client_requests, total.refused);
   // Two attempts a request would be a storm; ejection keeps it below one.
-  CHECK(attempts < total.wishes);
+  CHECK(attempts < total.client_requests);
 }
 
 // The VM list says that an upstream leaves. No dispatch goes there any more,
@@ -323,7 +323,7 @@
       to_leaving += name == "upstream" && value == "engine-1" ? 1 : 0;
     }
   });
-  Load load(run.fleet, run.audit, run.load_options);
+  LoadGenerator load(run.fleet, run.audit, run.load_options);
   load.Start();
   run.Run(seconds(10));
   CHECK(routed > 50);
