--- a/bench/capacity/contacts.cc
+++ b/bench/capacity/contacts.cc
@@ -1,5 +1,5 @@
-// Who sends heartbeats to whom: the graph of contacts that the members' views
-// settle on, and the size of a heartbeat.
+// Measures the graph of heartbeat contacts that the members' views converge to,
+// and the size of a heartbeat.
 #include <algorithm>  // max
 #include <map>        // map
 #include <memory>     // unique_ptr
@@ -41,10 +41,10 @@
   uint64_t messages = 0;  ///< in the last round
   size_t most_sent = 0;
   size_t most_received = 0;
-  double choose_us = 0;  ///< PeersToContact, once settled
+  double choose_us = 0;  ///< PeersToContact, after convergence
 };
 
-Graph Settle(size_t count) {
+Graph Converge(size_t count) {
   const std::vector<Member> members = MembersOf(count);
   std::map<MemberId, size_t> index;
   std::vector<std::unique_ptr<PeerView>> views;
@@ -106,16 +106,16 @@
 
 void MeasureContacts(Figures& figures, ControlInputs& inputs) {
   for (const size_t members : kMemberSteps) {
-    const Graph graph = Settle(members);
+    const Graph graph = Converge(members);
     const std::string suffix = "_members_" + std::to_string(members);
     const double mean =
         static_cast<double>(graph.messages) / static_cast<double>(members);
-    figures.AtMost("heartbeats_sent_per_router" + suffix, mean, "per_s", 16);
-    figures.AtMost("heartbeats_sent_most" + suffix,
+    figures.CheckAtMost("heartbeats_sent_per_router" + suffix, mean, "per_s", 16);
+    figures.CheckAtMost("heartbeats_sent_most" + suffix,
                    static_cast<double>(graph.most_sent), "per_s", 24);
-    figures.AtMost("heartbeats_received_most" + suffix,
+    figures.CheckAtMost("heartbeats_received_most" + suffix,
                    static_cast<double>(graph.most_received), "per_s", 30);
-    figures.Inform("heartbeat_choose_cpu" + suffix, graph.choose_us, "us");
+    figures.PrintUnbounded("heartbeat_choose_cpu" + suffix, graph.choose_us, "us");
     inputs.heartbeats_per_second = mean;
   }
   const PeerView view(MembersOf(1).front());
@@ -124,10 +124,10 @@
   plain.mutable_heartbeat()->clear_spares();
   plain.mutable_heartbeat()->clear_demands();
   inputs.heartbeat_bytes = static_cast<double>(full.ByteSizeLong());
-  figures.AtMost("heartbeat_size_full", inputs.heartbeat_bytes, "bytes", 1'200);
-  figures.AtMost("heartbeat_size_plain",
+  figures.CheckAtMost("heartbeat_size_full", inputs.heartbeat_bytes, "bytes", 1'200);
+  figures.CheckAtMost("heartbeat_size_plain",
                  static_cast<double>(plain.ByteSizeLong()), "bytes", 80);
-  figures.AtMost("heartbeat_spares_that_fit", full.heartbeat().spares_size(),
+  figures.CheckAtMost("heartbeat_spares_that_fit", full.heartbeat().spares_size(),
                  "count", static_cast<double>(kFullSpares));
 }
 
--- a/bench/capacity/core_driver.cc
+++ b/bench/capacity/core_driver.cc
@@ -19,7 +19,7 @@
 constexpr core::Bytes kPromptBytes{1'600};
 constexpr core::Tokens kPromptTokens{400};
 constexpr core::Tokens kMaxOutput{512};
-/// A reply ends with the entry that passes this size.
+/// A reply ends with the entry that exceeds this size.
 constexpr size_t kReadBytes = 1 << 20;
 constexpr core::Duration kJoinTime = std::chrono::seconds(1);
 
@@ -91,7 +91,8 @@
   m_core = std::make_unique<router::RouterCore>(
       MakeSettings(),
       router::RouterHooks{[this] {
-                            // SplitMix64: the same run on every machine.
+                            // SplitMix64, so that runs are the same on every
+                            // machine.
                             m_random += 0x9E3779B97F4A7C15ULL;
                             uint64_t z = m_random;
                             z = (z ^ (z >> 30U)) * 0xBF58476D1CE4E5B9ULL;
@@ -156,7 +157,7 @@
   cost.allocations += CountAllocations().calls - allocations;
   ++cost.events;
   for (const router::Action& action : actions) {
-    std::visit([this](const auto& a) { Do(a); }, action);
+    std::visit([this](const auto& a) { ExecuteAction(a); }, action);
   }
 }
 
@@ -205,11 +206,11 @@
   Handle(router::LogAppended{core::LogOffset(log_end() - 1)});
 }
 
-void CoreDriver::Do(const router::ReadLog& action) {
+void CoreDriver::ExecuteAction(const router::ReadLog& action) {
   m_read = PendingRead{action.from.value(), m_now + action.wait};
 }
 
-void CoreDriver::Do(const router::AppendLog& action) {
+void CoreDriver::ExecuteAction(const router::AppendLog& action) {
   m_append = action.entry;
   m_traffic.appended.Add(action.entry.size());
   v1::Entry entry;
@@ -221,7 +222,7 @@
 
 // ---- Peers -----------------------------------------------------------------
 
-void CoreDriver::Do(const router::SendPeer& action) {
+void CoreDriver::ExecuteAction(const router::SendPeer& action) {
   const v1::PeerMessage& message = action.message;
   const size_t size = message.ByteSizeLong();
   if (message.has_heartbeat()) {
@@ -233,7 +234,7 @@
     m_traffic.other_messages.Add(size);
     return;
   }
-  m_traffic.raises.Add(size);
+  m_traffic.ceiling_raises.Add(size);
   v1::PeerMessage reply;
   reply.set_from_router(action.router.value());
   reply.set_from_incarnation(message.to_incarnation());
@@ -242,8 +243,8 @@
   m_replies.push_back(std::move(reply));
 }
 
-// Contacts answer; those that chose this router are not simulated here, see
-// contacts.cc for their number.
+// The contacts of this router answer. Routers that chose it as a contact are
+// not simulated; contacts.cc measures their number.
 void CoreDriver::SendHeartbeats() {
   const std::unordered_set<std::string> contacts =
       std::exchange(m_contacts, {});
@@ -317,26 +318,26 @@
   }
 }
 
-void CoreDriver::Do(const router::Dispatch& action) {
+void CoreDriver::ExecuteAction(const router::Dispatch& action) {
   ++m_traffic.dispatches;
   const Attempt attempt{action.request, action.attempt};
   m_first_tokens.emplace(m_now + kFirstToken, attempt);
   m_attempts.emplace(m_now + m_load.answer_time, attempt);
 }
 
-void CoreDriver::Do(const router::Refuse& action) {
+void CoreDriver::ExecuteAction(const router::Refuse& action) {
   ++m_traffic.refusals;
   m_traffic.last_refusal = action.error.subject + ": " + action.error.detail;
 }
 
-void CoreDriver::Do(const router::LogLine& action) {
+void CoreDriver::ExecuteAction(const router::LogLine& action) {
   if (action.level != router::LogLine::Level::kError) {
     return;
   }
-  ++m_traffic.alarms;
-  m_traffic.last_alarm = action.event;
+  ++m_traffic.error_lines;
+  m_traffic.last_error_line = action.event;
   for (const auto& [name, value] : action.fields) {
-    m_traffic.last_alarm.append(" ").append(name).append("=").append(value);
+    m_traffic.last_error_line.append(" ").append(name).append("=").append(value);
   }
 }
 
--- a/bench/capacity/core_driver.h
+++ b/bench/capacity/core_driver.h
@@ -20,7 +20,7 @@
 
 namespace coppervalve::bench {
 
-/// @brief What handling the events of one kind cost.
+/// @brief Cost of handling the events of one kind.
 struct EventCost {
   uint64_t events = 0;
   uint64_t allocations = 0;
@@ -30,7 +30,7 @@
   double CpuMicrosecondsEach() const;
 };
 
-/// @brief Messages and their encoded bytes, without framing of the transport.
+/// @brief Messages and their encoded bytes, without transport framing.
 struct Volume {
   uint64_t count = 0;
   uint64_t bytes = 0;
@@ -38,7 +38,7 @@
   void Add(size_t size);
 };
 
-/// @brief What the core did since the last reset.
+/// @brief Activity of the core since the last reset.
 struct Traffic {
   std::array<EventCost, std::variant_size_v<router::Event>> costs;
   Volume appended;  ///< entries of this router
@@ -46,13 +46,13 @@
   std::map<v1::Record::BodyCase, Volume> records;
   Volume read;            ///< entries read, of all routers
   Volume heartbeats;      ///< sent
-  Volume raises;          ///< ceilings sent to the witness
+  Volume ceiling_raises;          ///< ceilings sent to the witness
   Volume other_messages;  ///< sent
   uint64_t dispatches = 0;
   uint64_t refusals = 0;
-  uint64_t alarms = 0;
+  uint64_t error_lines = 0;
   std::string last_refusal;
-  std::string last_alarm;
+  std::string last_error_line;
 
   Volume RecordsOf(v1::Record::BodyCase kind) const;
   uint64_t RecordCount() const;
@@ -63,7 +63,7 @@
   int64_t CpuNanoseconds() const;
 };
 
-/// @brief How requests reach the core under test.
+/// @brief Request load of the core under test.
 struct RequestLoad {
   double per_second = 0;
   size_t accounts = 1;
@@ -72,13 +72,13 @@
   core::Tokens output;
 };
 
-/// @brief One router's share of the peak at the size to design for.
-/// @param accounts how many client accounts it comes from
+/// @brief One router's share of the peak load at the design size.
+/// @param accounts number of client accounts that send it
 RequestLoad ShareOfPeak(size_t accounts);
 
-/// @brief One real router core, fed by hand in virtual time: a log that the
-/// rest of the fleet has written, a witness that answers at once, contacts that
-/// send heartbeats, engines that always answer.
+/// @brief Drives one real router core in virtual time. Simulates the log
+/// entries of the rest of the fleet, a witness that answers immediately,
+/// contacts that send heartbeats, and engines that always answer.
 class CoreDriver {
  public:
   explicit CoreDriver(const FleetSizes& sizes);
@@ -86,7 +86,7 @@
   CoreDriver(const CoreDriver&) = delete;
   CoreDriver& operator=(const CoreDriver&) = delete;
 
-  /// @brief Lets the core read what the fleet wrote, and join.
+  /// @brief Lets the core read the fleet's entries and join.
   void Start();
   void Advance(core::Duration time);
   void SetLoad(const RequestLoad& load) { m_load = load; }
@@ -99,7 +99,7 @@
   const FleetSizes& sizes() const { return m_sizes; }
   const Traffic& traffic() const { return m_traffic; }
   void ResetTraffic() { m_traffic = {}; }
-  /// @brief The next sequence of another router, taken.
+  /// @brief Consumes the next sequence number of another router.
   uint64_t NextSequence(size_t router) { return ++m_sequences[router]; }
   uint64_t log_end() const { return m_log_base + m_log.size(); }
 
@@ -114,14 +114,14 @@
   router::RequestArrived MakeRequest();
   void EndRequests();
 
-  void Do(const router::Dispatch& action);
-  void Do(const router::Refuse& action);
-  void Do(const router::ReadLog& action);
-  void Do(const router::AppendLog& action);
-  void Do(const router::SendPeer& action);
-  void Do(const router::LogLine& action);
+  void ExecuteAction(const router::Dispatch& action);
+  void ExecuteAction(const router::Refuse& action);
+  void ExecuteAction(const router::ReadLog& action);
+  void ExecuteAction(const router::AppendLog& action);
+  void ExecuteAction(const router::SendPeer& action);
+  void ExecuteAction(const router::LogLine& action);
   template <typename Other>
-  void Do(const Other& /*action*/) {}
+  void ExecuteAction(const Other& /*action*/) {}
 
   struct PendingRead {
     uint64_t from = 0;
--- a/bench/capacity/figure.cc
+++ b/bench/capacity/figure.cc
@@ -4,7 +4,7 @@
 
 namespace coppervalve::bench {
 
-void Figures::AtMost(const std::string& name,
+void Figures::CheckAtMost(const std::string& name,
                      double value,
                      const std::string& unit,
                      double bound) {
@@ -13,7 +13,7 @@
   Print(name, value, unit, bound, ok);
 }
 
-void Figures::Inform(const std::string& name,
+void Figures::PrintUnbounded(const std::string& name,
                      double value,
                      const std::string& unit) {
   Print(name, value, unit, std::nullopt, true);
--- a/bench/capacity/placement.cc
+++ b/bench/capacity/placement.cc
@@ -1,5 +1,5 @@
-// One placement by the number of upstreams, and the look for probes that every
-// event pays for.
+// Measures one placement by number of upstreams, and the check for due probes
+// that every event performs.
 #include "coppervalve/routing/placement.h"
 
 #include <algorithm>  // max
@@ -64,17 +64,17 @@
     }
     const int64_t probed = ThreadCpuNanoseconds();
     const std::string suffix = "_" + std::to_string(count);
-    figures.AtMost(
+    figures.CheckAtMost(
         "placement_allocations" + suffix,
         static_cast<double>(chosen_allocations - allocations) / kPlacements,
         "calls", 40);
-    figures.AtMost("placement_considered" + suffix, static_cast<double>(most),
+    figures.CheckAtMost("placement_considered" + suffix, static_cast<double>(most),
                    "candidates", 256);
-    figures.Inform("placement_cpu" + suffix,
+    figures.PrintUnbounded("placement_cpu" + suffix,
                    static_cast<double>(chosen - start) / kPlacements /
                        kNanosecondsPerMicrosecond,
                    "us");
-    figures.Inform("probes_due_cpu" + suffix,
+    figures.PrintUnbounded("probes_due_cpu" + suffix,
                    static_cast<double>(probed - chosen) / kPlacements /
                        kNanosecondsPerMicrosecond,
                    "us");
--- a/bench/capacity/requests.cc
+++ b/bench/capacity/requests.cc
@@ -1,5 +1,5 @@
-// One router under its share of the peak: cost of a request's events, and what
-// it appends and sends.
+// Measures one router under its share of the peak load: the cost of a request's
+// events, and what the router appends and sends.
 #include <string>  // string
 
 #include "bench/capacity/core_driver.h"
@@ -12,8 +12,8 @@
 
 constexpr core::Duration kWarmUp = std::chrono::seconds(20);
 constexpr double kMeasuredSeconds = 10;
-/// Volumes are averaged over more than two refills of a holding, which is asked
-/// for again after a fifth of ten minutes' demand.
+/// Volumes are averaged over more than two refills of a holding. A refill is
+/// requested after a fifth of ten minutes' demand.
 constexpr core::Duration kVolumeWarmUp = std::chrono::seconds(240);
 constexpr double kVolumeSeconds = 300;
 constexpr double kNanosecondsPerSecond = 1e9;
@@ -28,7 +28,7 @@
   return std::chrono::seconds(static_cast<int64_t>(seconds));
 }
 
-/// @return of one core
+/// @return share of one core
 double ShareOf(int64_t cpu_ns) {
   return static_cast<double>(cpu_ns) / kNanosecondsPerSecond / kMeasuredSeconds;
 }
@@ -37,7 +37,7 @@
   return static_cast<double>(count) / kVolumeSeconds;
 }
 
-/// @brief What the events of requests cost.
+/// @brief Reports the cost of request events.
 void ReportCosts(Figures& figures,
                  const std::string& suffix,
                  const FleetSizes& sizes,
@@ -54,34 +54,34 @@
   const EventCost& arrived = traffic.Of<router::RequestArrived>();
   const EventCost& token = traffic.Of<router::AttemptFirstToken>();
   const EventCost& done = traffic.Of<router::AttemptDone>();
-  figures.AtMost("request_allocations" + suffix,
+  figures.CheckAtMost("request_allocations" + suffix,
                  arrived.AllocationsEach() + token.AllocationsEach() +
                      done.AllocationsEach(),
                  "calls", bound);
-  figures.Inform("request_cpu_arrived" + suffix, arrived.CpuMicrosecondsEach(),
+  figures.PrintUnbounded("request_cpu_arrived" + suffix, arrived.CpuMicrosecondsEach(),
                  "us");
-  figures.Inform("request_cpu_first_token" + suffix,
+  figures.PrintUnbounded("request_cpu_first_token" + suffix,
                  token.CpuMicrosecondsEach(), "us");
-  figures.Inform("request_cpu_done" + suffix, done.CpuMicrosecondsEach(), "us");
-  figures.AtMost("request_refusals" + suffix,
+  figures.PrintUnbounded("request_cpu_done" + suffix, done.CpuMicrosecondsEach(), "us");
+  figures.CheckAtMost("request_refusals" + suffix,
                  static_cast<double>(traffic.refusals), "count", 0);
   const double requests = ShareOf(arrived.cpu_ns + token.cpu_ns + done.cpu_ns);
   const double all = ShareOf(traffic.CpuNanoseconds());
   const double reads = ShareOf(traffic.Of<router::LogRead>().cpu_ns);
-  figures.Inform("request_core_share" + suffix, requests * 100, "percent");
-  figures.Inform("all_events_core_share" + suffix, all * 100, "percent");
+  figures.PrintUnbounded("request_core_share" + suffix, requests * 100, "percent");
+  figures.PrintUnbounded("all_events_core_share" + suffix, all * 100, "percent");
   inputs.request_core_share = requests;
   inputs.upkeep_core_share = all - requests - reads;
 }
 
-/// @brief What one router appends and sends. It depends on the budgets that it
-/// serves, not on those in view, so that a small fleet shows it.
+/// @brief Reports what one router appends and sends. This depends on the
+/// budgets that it serves, not on all budgets, so a small fleet suffices.
 void ReportVolumes(Figures& figures,
                    const std::string& suffix,
                    const RequestLoad& load,
                    const VolumeBounds& bounds,
                    ControlInputs& inputs) {
-  FleetSizes sizes = kToday;
+  FleetSizes sizes = kTypicalSite;
   sizes.accounts = load.accounts;
   sizes.budgets = load.accounts;
   sizes.models = kDesign.models;
@@ -93,60 +93,60 @@
   driver.ResetTraffic();
   driver.Advance(Seconds(kVolumeSeconds));
   const Traffic& traffic = driver.traffic();
-  figures.AtMost("appends" + suffix, Rate(traffic.appended.count), "per_s",
+  figures.CheckAtMost("appends" + suffix, Rate(traffic.appended.count), "per_s",
                  bounds.appends_per_second);
-  // The other routers of the driver take no snapshots, so that this one takes
-  // them all: they are counted by themselves.
+  // The simulated routers take no snapshots, so this one takes all of them.
+  // They are therefore counted separately.
   const Volume snapshots = traffic.RecordsOf(v1::Record::kSnapshot);
   const uint64_t bytes = traffic.appended.bytes - snapshots.bytes;
-  figures.AtMost("append_bytes" + suffix, Rate(bytes), "bytes_per_s",
+  figures.CheckAtMost("append_bytes" + suffix, Rate(bytes), "bytes_per_s",
                  bounds.append_bytes_per_second);
-  figures.Inform("append_records" + suffix, Rate(traffic.RecordCount()),
+  figures.PrintUnbounded("append_records" + suffix, Rate(traffic.RecordCount()),
                  "per_s");
-  figures.Inform("append_records_spend" + suffix,
+  figures.PrintUnbounded("append_records_spend" + suffix,
                  Rate(traffic.RecordsOf(v1::Record::kSpendReported).count),
                  "per_s");
-  figures.Inform("append_records_grant" + suffix,
+  figures.PrintUnbounded("append_records_grant" + suffix,
                  Rate(traffic.RecordsOf(v1::Record::kAllotmentRequested).count),
                  "per_s");
-  figures.Inform("append_records_return" + suffix,
+  figures.PrintUnbounded("append_records_return" + suffix,
                  Rate(traffic.RecordsOf(v1::Record::kAllotmentReturned).count),
                  "per_s");
-  figures.Inform("raise_messages" + suffix, Rate(traffic.raises.count),
+  figures.PrintUnbounded("raise_messages" + suffix, Rate(traffic.ceiling_raises.count),
                  "per_s");
-  figures.AtMost("raise_bytes" + suffix, Rate(traffic.raises.bytes),
+  figures.CheckAtMost("raise_bytes" + suffix, Rate(traffic.ceiling_raises.bytes),
                  "bytes_per_s", bounds.raise_bytes_per_second);
-  figures.AtMost("volume_refusals" + suffix,
+  figures.CheckAtMost("volume_refusals" + suffix,
                  static_cast<double>(traffic.refusals), "count", 0);
   inputs.appends_per_second = Rate(traffic.appended.count);
   inputs.append_bytes_per_second = Rate(bytes);
   inputs.records_per_second = Rate(traffic.RecordCount());
-  inputs.raise_bytes_per_second = Rate(traffic.raises.bytes);
+  inputs.raise_bytes_per_second = Rate(traffic.ceiling_raises.bytes);
 }
 
 }  // namespace
 
 void MeasureRequests(Figures& figures, ControlInputs& inputs) {
-  RequestLoad today;
-  today.per_second = 20;
-  today.accounts = kToday.accounts;
-  today.answer_time = std::chrono::seconds(2);
-  today.output = core::Tokens(390);
-  FleetSizes members = kToday;
+  RequestLoad typical_load;
+  typical_load.per_second = 20;
+  typical_load.accounts = kTypicalSite.accounts;
+  typical_load.answer_time = std::chrono::seconds(2);
+  typical_load.output = core::Tokens(390);
+  FleetSizes members = kTypicalSite;
   members.members = kDesign.members;
-  FleetSizes upstreams = kToday;
+  FleetSizes upstreams = kTypicalSite;
   upstreams.upstreams = kDesign.upstreams;
   const RequestLoad one_address =
       ShareOfPeak(kDesign.accounts / kDesign.members);
   const RequestLoad all_addresses =
       ShareOfPeak(kDesign.accounts * kAddressesPerAccount / kDesign.members);
 
-  ReportCosts(figures, "_today", kToday, today, 200, inputs);
-  ReportCosts(figures, "_members_840", members, today, 3'200, inputs);
-  ReportCosts(figures, "_upstreams_10000", upstreams, today, 200, inputs);
+  ReportCosts(figures, "_today", kTypicalSite, typical_load, 200, inputs);
+  ReportCosts(figures, "_members_840", members, typical_load, 3'200, inputs);
+  ReportCosts(figures, "_upstreams_10000", upstreams, typical_load, 200, inputs);
   ReportCosts(figures, "_design", kDesign, all_addresses, 3'200, inputs);
 
-  ReportVolumes(figures, "_today", today, {1.5, 900, 600}, inputs);
+  ReportVolumes(figures, "_today", typical_load, {1.5, 900, 600}, inputs);
   ReportVolumes(figures, "_share_one_address", one_address, {2.5, 4'500, 3'500},
                 inputs);
   ReportVolumes(figures, "_share", all_addresses, {6, 6'000, 3'500}, inputs);
--- a/bench/capacity/rules.cc
+++ b/bench/capacity/rules.cc
@@ -1,4 +1,4 @@
-// One rule match by the number of rules: the index against trying every rule.
+// Measures one rule match by number of rules: the index against a linear scan.
 #include <string>   // string, to_string
 #include <variant>  // holds_alternative
 
@@ -24,7 +24,7 @@
 Cost CostOfMatches(const FleetSizes& sizes, const Match& match) {
   Cost cost;
   for (size_t i = 0; i < kMatches; ++i) {
-    // Spread over all rules, so that the linear way meets half of them.
+    // Spread over all rules, so that the linear scan visits half of them.
     const size_t rule = i * sizes.rules / kMatches;
     rules::RequestFacts facts;
     facts.account = core::AccountId(NumberedId("account", rule));
@@ -57,11 +57,11 @@
     const Cost linear = CostOfMatches(
         sizes, [&](const auto& facts) { return rules.MatchLinear(facts); });
     const std::string suffix = "_" + std::to_string(count);
-    figures.AtMost("rule_match_allocations" + suffix, indexed.allocations,
+    figures.CheckAtMost("rule_match_allocations" + suffix, indexed.allocations,
                    "calls", 8);
-    figures.Inform("rule_match_cpu" + suffix, indexed.cpu_us, "us");
-    figures.Inform("rule_match_linear_cpu" + suffix, linear.cpu_us, "us");
-    figures.Inform("rule_match_linear_to_indexed" + suffix,
+    figures.PrintUnbounded("rule_match_cpu" + suffix, indexed.cpu_us, "us");
+    figures.PrintUnbounded("rule_match_linear_cpu" + suffix, linear.cpu_us, "us");
+    figures.PrintUnbounded("rule_match_linear_to_indexed" + suffix,
                    linear.cpu_us / indexed.cpu_us, "ratio");
   }
 }
--- a/include/coppervalve/trial/fleet.h
+++ b/include/coppervalve/trial/fleet.h
@@ -19,16 +19,16 @@
 
 namespace coppervalve::trial {
 
-/// @brief How one attempt goes at an upstream.
-enum class AttemptFate : uint8_t {
+/// @brief Outcome of an attempt at an upstream.
+enum class AttemptOutcome : uint8_t {
   kAnswered,
   kNotSent,   ///< no connection
-  kDeclined,  ///< the upstream says that it did not run
-  kCut,       ///< it ran in part, then the connection closed
-  kSilent,    ///< it ran, and nothing comes back
+  kDeclined,   ///< the upstream reports that it did not run
+  kTruncated,  ///< ran in part, then the connection closed
+  kSilent,     ///< ran, but no reply arrives
 };
 
-/// @brief What a fleet is made of.
+/// @brief Settings of a simulated fleet.
 struct FleetOptions {
   size_t routers = 7;
   uint64_t seed = 1;
@@ -39,16 +39,16 @@
   core::Duration log_delay = std::chrono::milliseconds(4);
 };
 
-/// @brief State of a node's way to the log.
+/// @brief State of a node's connection to the log.
 struct LogLink {
   bool up = true;
-  double lose_replies = 0;  ///< probability that a reply is lost after effect
+  double lose_replies = 0;  ///< probability of losing a reply after the append
   core::Duration extra_delay{};
 };
 
-/// @brief A few real decision cores on fakes of the log, the network, the
-/// upstreams and the callers, in virtual time. A test driver at the cores'
-/// interface, not a model of machines.
+/// @brief Runs real router cores in virtual time against fakes of the log, the
+/// network, the upstreams and the callers. It drives the cores through their
+/// interface and does not model machines.
 class Fleet {
  public:
   explicit Fleet(FleetOptions options);
@@ -59,38 +59,38 @@
   void Run(core::Duration duration);
   void StartAll();
 
-  // What operators do.
+  // Operators' actions.
   void Publish(v1::Configuration configuration);
   void TopUp(const core::BudgetId& budget, core::Tokens tokens);
 
   void Order(const core::UpstreamId& upstream, const std::string& model);
-  /// @brief Settles an order after a look at the engine.
+  /// @brief Settles an order after checking the engine.
   void SettleOrder(const core::UpstreamId& upstream,
                    core::FencingNumber fencing);
 
-  // What callers do.
-  /// @return the number of the new wish
-  size_t Wants(Wish wish);
-  void SetKey(size_t wish, std::string key) {
-    m_wishes[wish].key = std::move(key);
+  // Callers' actions.
+  /// @return the index of the new request
+  size_t AddRequest(ClientRequest client_request);
+  void SetKey(size_t client_request, std::string key) {
+    m_client_requests[client_request].key = std::move(key);
   }
-  /// @return the number of the new ticket
-  size_t Send(size_t wish, size_t node);
-  void CloseTicket(size_t ticket);
-
-  // What fails.
-  void Cut(size_t a, size_t b, bool cut);
-  void CutAll(size_t node, bool cut);
-  bool IsCut(size_t a, size_t b) const;
+  /// @return the index of the new attempt
+  size_t Send(size_t client_request, size_t node);
+  void CloseClientAttempt(size_t client_attempt);
+
+  // Faults and hooks.
+  void SetPartitioned(size_t a, size_t b, bool partitioned);
+  void SetPartitionedFromAll(size_t node, bool partitioned);
+  bool IsPartitioned(size_t a, size_t b) const;
   LogLink& log_link(size_t node) { return m_log_links[node]; }
-  void SetFate(std::function<AttemptFate()> fate) { m_fate = std::move(fate); }
-  /// @brief Whether engines say how many tokens they used.
+  void SetAttemptOutcome(std::function<AttemptOutcome()> attempt_outcome) { m_attempt_outcome = std::move(attempt_outcome); }
+  /// @brief Sets whether engines report the tokens they used.
   void SetReportsUsage(bool reports) { m_reports_usage = reports; }
   bool reports_usage() const { return m_reports_usage; }
-  AttemptFate NextFate() { return m_fate ? m_fate() : AttemptFate::kAnswered; }
-  /// @brief Called when a ticket ends.
-  void SetOnTicket(std::function<void(size_t ticket)> on_ticket) {
-    m_on_ticket = std::move(on_ticket);
+  AttemptOutcome NextAttemptOutcome() { return m_attempt_outcome ? m_attempt_outcome() : AttemptOutcome::kAnswered; }
+  /// @brief Called when a client attempt ends.
+  void SetOnAttemptEnded(std::function<void(size_t client_attempt)> on_attempt_ended) {
+    m_on_attempt_ended = std::move(on_attempt_ended);
   }
   /// @brief Called for each log line of a router.
   void SetOnLogLine(
@@ -98,12 +98,12 @@
     m_on_line = std::move(on_line);
   }
 
-  // What nodes use.
-  void EndTicket(size_t ticket, Ticket::State state);
-  size_t Execute(size_t ticket, core::Tokens used);
+  // Interface for the nodes.
+  void EndClientAttempt(size_t client_attempt, ClientAttempt::State state);
+  size_t RecordExecution(size_t client_attempt, core::Tokens used);
   Node* FindRouter(const core::RouterId& router);
   uint64_t Random();
-  double RandomShare();
+  double RandomFraction();
   void OnLogLine(size_t node, const router::LogLine& line);
 
   Timeline& timeline() { return m_timeline; }
@@ -113,26 +113,26 @@
   const FleetOptions& options() const { return m_options; }
   size_t size() const { return m_nodes.size(); }
   Node& node(size_t index) { return *m_nodes[index]; }
-  const std::vector<Wish>& wishes() const { return m_wishes; }
-  std::vector<Ticket>& tickets() { return m_tickets; }
+  const std::vector<ClientRequest>& client_requests() const { return m_client_requests; }
+  std::vector<ClientAttempt>& client_attempts() { return m_client_attempts; }
   std::vector<Execution>& executions() { return m_executions; }
   uint64_t config_version() const { return m_config_version; }
 
  private:
-  struct Chance;
+  struct RandomGenerator;
 
   FleetOptions m_options;
   Timeline m_timeline;
   FakeLog m_log;
   EngineOrders m_engine_orders;
-  std::unique_ptr<Chance> m_chance;
+  std::unique_ptr<RandomGenerator> m_random_generator;
   std::vector<LogLink> m_log_links;
-  std::set<std::pair<size_t, size_t>> m_cuts;
-  std::vector<Wish> m_wishes;
-  std::vector<Ticket> m_tickets;
+  std::set<std::pair<size_t, size_t>> m_partitioned_links;
+  std::vector<ClientRequest> m_client_requests;
+  std::vector<ClientAttempt> m_client_attempts;
   std::vector<Execution> m_executions;
-  std::function<AttemptFate()> m_fate;
-  std::function<void(size_t)> m_on_ticket;
+  std::function<AttemptOutcome()> m_attempt_outcome;
+  std::function<void(size_t)> m_on_attempt_ended;
   std::function<void(size_t, const router::LogLine&)> m_on_line;
   bool m_reports_usage = true;
   uint64_t m_config_version = 0;
--- a/include/coppervalve/trial/records.h
+++ b/include/coppervalve/trial/records.h
@@ -13,8 +13,9 @@
 
 namespace coppervalve::trial {
 
-/// @brief What a caller wants, with the truth that no router knows beforehand.
-struct Wish {
+/// @brief A request of a caller, with the actual token counts that no router
+/// knows in advance.
+struct ClientRequest {
   core::AccountId account;
   core::BudgetId budget;
   v1::AdmissionClass admission_class = v1::INTERACTIVE;
@@ -28,29 +29,29 @@
   core::Duration duration{};
   std::string key;  ///< empty: none
 
-  /// @return what the work costs at the price of one
+  /// @return the cost at a price of one budget token per token
   core::Tokens Cost() const { return prompt + output; }
 };
 
-/// @brief One run at an upstream, as the upstream itself records it.
+/// @brief A run at an upstream, as recorded by the upstream.
 struct Execution {
-  size_t wish = 0;
-  size_t ticket = 0;
+  size_t client_request = 0;
+  size_t client_attempt = 0;
   core::Tokens used;
-  bool whole = false;
+  bool complete = false;
 };
 
-/// @brief One try of a wish at one router, as the caller sees it.
-struct Ticket {
-  enum class State : uint8_t { kOpen, kWhole, kRefused, kBroken };
+/// @brief One attempt of a client request at one router, as the caller sees it.
+struct ClientAttempt {
+  enum class State : uint8_t { kOpen, kComplete, kRefused, kDisconnected };
 
-  size_t wish = 0;
+  size_t client_request = 0;
   size_t node = 0;
   State state = State::kOpen;
   std::optional<core::ErrorId> error;
   core::RunState run_state = core::RunState::kUnknown;
   std::optional<core::Duration> retry_after;
-  size_t answer_of_wish = 0;  ///< whose answer it got; with kWhole
+  size_t answered_request = 0;  ///< the request that was answered; with kComplete
   core::TimePoint opened;
   core::TimePoint ended;
 };
--- a/src/config/check.cc
+++ b/src/config/check.cc
@@ -2,7 +2,7 @@
 
 #include <unordered_map>  // unordered_map
 
-#include "meaning.h"
+#include "semantic_checks.h"
 
 namespace coppervalve::config {
 
@@ -10,7 +10,8 @@
 
 using core::ErrorId;
 
-// A configuration is one record of the log and one message to each router.
+// A configuration is stored as one log record and sent to each router as one
+// message.
 constexpr size_t kMaxRecordBytes = size_t{4} << 20U;
 constexpr int kMaxItems = 10'000;
 constexpr size_t kMaxNameSize = 200;
@@ -40,7 +41,7 @@
 
 }  // namespace
 
-Findings CheckMeaning(const v1::Configuration& configuration) {
+Findings CheckSemantics(const v1::Configuration& configuration) {
   Report size_report;
   CheckSizes(configuration, size_report);
   Findings too_large = size_report.TakeFindings();
@@ -48,7 +49,7 @@
     return too_large;
   }
   Report report;
-  const Names names(configuration);
+  const DefinedNames names(configuration);
   report.CheckPresent(configuration.name(), "$.name");
   CheckAccounts(configuration, names, report);
   CheckBudgets(configuration, names, report);
@@ -85,7 +86,7 @@
     if (after.account() != before.account()) {
       return core::Error{
           ErrorId::kConfigPrepaidShrinks, path + ".account",
-          "what '" + before.account() + "' prepaid may not change hands"};
+          "the owner '" + before.account() + "' of a published budget may not change"};
     }
   }
   return core::Ok();
--- a/src/config/check_limits.cc
+++ b/src/config/check_limits.cc
@@ -1,7 +1,7 @@
 #include <array>  // to_array
 
 #include "coppervalve/config/limits.h"
-#include "meaning.h"
+#include "semantic_checks.h"
 
 namespace coppervalve::config {
 
@@ -12,13 +12,14 @@
 struct LimitRange {
   const char* field;
   uint32_t (v1::Limits::*value)() const;
-  uint32_t low;  // of a given value; 0 takes the default
+  uint32_t low;  // lowest value that may be set; 0 selects the default
   uint32_t high;
 };
 
 constexpr uint32_t kHourMs = 3'600'000;
 
-// Routers append at least every 3 s: a shorter silence is no sign of death.
+// Routers append at least every 3 s, so a shorter timeout would retire live
+// routers.
 constexpr uint32_t kMinRetireAfterMs = 4'000;
 
 constexpr auto kRanges = std::to_array<LimitRange>({
@@ -51,8 +52,8 @@
                         std::string("$.limits.") + range.field);
     }
   }
-  const LimitsView view = ViewOf(limits);
-  if (view.default_max_output > view.max_output) {
+  const EffectiveLimits resolved = ResolveLimits(limits);
+  if (resolved.default_max_output > resolved.max_output) {
     report.Add(ErrorId::kConfigBadValue, "$.limits.default_max_output_tokens",
                "more than max_output_tokens");
   }
--- a/src/config/check_upstreams.cc
+++ b/src/config/check_upstreams.cc
@@ -1,4 +1,4 @@
-#include "meaning.h"
+#include "semantic_checks.h"
 #include "values.h"
 
 namespace coppervalve::config {
@@ -25,10 +25,10 @@
         ItemPath(path + ".models", static_cast<size_t>(i));
     if (!IsModelName(model)) {
       report.Add(ErrorId::kConfigBadValue, model_path,
-                 "not a model's name: 1 to 128 of A-Z a-z 0-9 . _ - : /");
+                 "not a valid model name: 1 to 128 of A-Z a-z 0-9 . _ - : /");
       continue;
     }
-    report.CheckNew(model, model_path, models);
+    report.CheckUnique(model, model_path, models);
   }
   const auto check_absent = [&](bool absent, const char* field) {
     if (!absent) {
@@ -88,8 +88,9 @@
                "'" + upstream.address() + "' is not ip:port");
     return;
   }
-  // Two upstreams at one address would double its cap on requests in progress.
-  report.CheckNew(upstream.address(), path, addresses);
+  // Two upstreams with one address would double the limit on requests in
+  // progress there.
+  report.CheckUnique(upstream.address(), path, addresses);
 }
 
 }  // namespace
@@ -100,7 +101,7 @@
   for (int i = 0; i < configuration.upstreams_size(); ++i) {
     const v1::Upstream& upstream = configuration.upstreams(i);
     const std::string path = ItemPath("$.upstreams", static_cast<size_t>(i));
-    report.CheckNewId(upstream.id(), path + ".id", ids);
+    report.CheckUniqueId(upstream.id(), path + ".id", ids);
     CheckAddress(upstream, path + ".address", addresses, report);
     const std::string domain_path = path + ".failure_domain";
     if (report.CheckPresent(upstream.failure_domain(), domain_path) &&
--- a/src/config/schema_walk.cc
+++ b/src/config/schema_checker.cc
@@ -1,4 +1,4 @@
-#include "schema_walk.h"
+#include "schema_checker.h"
 
 #include <charconv>  // from_chars
 #include <cstdint>   // int64_t, uint32_t, uint64_t
@@ -38,8 +38,8 @@
   }
 }
 
-// protobuf's JSON mapping writes 64-bit numbers as strings, so that canonical
-// output must be readable again.
+// protobuf's JSON mapping writes 64-bit numbers as strings; they are accepted
+// so that canonical output can be read again.
 bool MayBeQuoted(const FieldDescriptor& field) {
   return field.cpp_type() == FieldDescriptor::CPPTYPE_INT64 ||
          field.cpp_type() == FieldDescriptor::CPPTYPE_UINT64;
@@ -61,7 +61,7 @@
   return names;
 }
 
-class SchemaWalk {
+class SchemaChecker {
  public:
   void CheckObject(const JsonNode& node,
                    const Descriptor& type,
@@ -180,9 +180,9 @@
 }  // namespace
 
 Findings CheckSchema(const JsonNode& root, const Descriptor& type) {
-  SchemaWalk walk;
-  walk.CheckObject(root, type, "$");
-  return walk.TakeFindings();
+  SchemaChecker checker;
+  checker.CheckObject(root, type, "$");
+  return checker.TakeFindings();
 }
 
 }  // namespace coppervalve::config
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -205,7 +205,7 @@
   m_table.OnSent(now, work.id);
   m_upstreams.OnDispatch(work.upstream);
 
-  const config::LimitsView& limits = m_dependencies.configured.tables().limits();
+  const config::EffectiveLimits& limits = m_dependencies.configured.tables().limits();
   Dispatch dispatch;
   dispatch.request = work.id;
   dispatch.attempt = work.attempt;
