--- a/cmake/CoppervalveTargets.cmake
+++ b/cmake/CoppervalveTargets.cmake
@@ -1,4 +1,4 @@
-# Helpers that give every library, program and test program the same shape.
+# Helpers that define all libraries, programs and test programs in a uniform way.
 
 function(coppervalve_compile_options target)
   target_compile_options(${target} PRIVATE -Wall -Wextra -Wpedantic -Wshadow -Wconversion)
@@ -59,8 +59,8 @@
   coppervalve_compile_options(${name})
 endfunction()
 
-# coppervalve_adapter(<folder> DEPS <targets...>): a library from a top-level
-# folder that translates between the product and one place where it runs; test
+# coppervalve_adapter(<folder> DEPS <targets...>): a library from a top-level folder
+# that translates between the product and one environment in which it runs; test
 # program: unit-<folder> from tests/<folder>/*.cc.
 function(coppervalve_adapter folder)
   cmake_parse_arguments(ARG "" "" "DEPS" ${ARGN})
--- a/tests/cli/errors_documented.sh
+++ b/tests/cli/errors_documented.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Every error id must have its section in docs/ERRORS.md, under the code and the
-# name that the catalogue gives it, and no section may name an id that is gone.
+# Every error id must have a section in docs/ERRORS.md under its code and name in
+# the catalogue, and no section may name an id that no longer exists.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 header=include/coppervalve/core/error.h
--- a/tests/cli/metrics_documented.sh
+++ b/tests/cli/metrics_documented.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The page of operators and the program name the same metrics of the entry
-# router, the same outcomes of its log lines and the same figures.
+# The operators' page and the program must name the same metrics of the entry
+# router, the same outcomes in its log lines and the same figures.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 page=docs/OPERATIONS.md
--- a/tests/cli/operators_tool.sh
+++ b/tests/cli/operators_tool.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs the operators' tool against the log stand-in: publishing, races, top-ups
-# under lost replies, an expired begin of the log, an unreachable log.
+# Tests the operators' tool against the log stand-in: publishing, conflicting
+# publishers, top-ups with lost replies, a log whose first entries have expired, an
+# unreachable log.
 # usage: operators_tool.sh [build folder]
 set -uo pipefail
 cd "$(dirname "$0")/../.."
@@ -17,7 +18,7 @@
 }
 trap finish EXIT
 
-# A port that the kernel just gave out, so that runs side by side do not meet.
+# A port assigned by the kernel, so that parallel runs use different ports.
 free_port() {
   python3 -c 'import socket; s=socket.socket(); s.bind(("127.0.0.1",0)); print(s.getsockname()[1])'
 }
@@ -80,9 +81,9 @@
 expect "diff names the path" 0 '$.budgets[id=night-events].prepaid_tokens' "$tool" config diff "$work/grown.json"
 expect "a change on top is version 2" 0 "accepted as version 2" "$tool" config publish "$work/grown.json" --based-on 1
 
-# Two operators start from version 1. Ana's change is in the log first; Ben must
-# learn that he lost, to whom, and what differs, and nothing of his may be in
-# force: else one of them believes in a rule that no router applies.
+# Two operators start from version 1. Ana's change is first in the log; Ben must be
+# told that his change lost, to whom, and what differs. Nothing of his change may
+# apply: otherwise he would rely on a rule that no router applies.
 expect "the second of two operators lost the race" 4 "'ana' published version 2 first" \
   "$tool" --operator ben config publish "$work/ben.json" --based-on 1
 expect "the loser is told what differs" 4 '$.limits.gate_queue_ms' \
@@ -99,9 +100,9 @@
 expect "the balance shows it once" 0 "3000500" "$tool" budget show refunds
 expect "nothing is quarantined, so nothing is released" 1 "CV-806" "$tool" budget release refunds router-1 --yes
 
-# The log takes the append and cuts the connection before its reply. The tool
-# repeats the entry, so two copies are in the log; the tokens must be paid in
-# once, and the publisher must not be told that its own change has beaten it.
+# The log accepts the append and closes the connection before its reply. The tool
+# repeats the entry, so the log has two copies; the tokens must be paid in once, and
+# the publisher must not be told that its own change is a conflict.
 control '{"mode": "lose_replies"}'
 expect "a top-up without reply is found in the log" 0 "paid 70 tokens" \
   "$tool" --timeout 2 budget top-up refunds 70 --id i-2
--- a/tests/cli/operators_tool_fleet.sh
+++ b/tests/cli/operators_tool_fleet.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the operators' tool against two live routers: confirmation of a
-# configuration, status, a router that is paused, one that is killed, a drain.
+# Tests the operators' tool against two running routers: confirmation of a
+# configuration, status, a paused router, a killed router, a drain.
 # usage: operators_tool_fleet.sh [build folder]
 set -uo pipefail
 cd "$(dirname "$0")/../.."
@@ -39,7 +39,8 @@
   fi
 }
 
-# until_output <seconds> <text> <command...>: the command's output has the text
+# until_output <seconds> <text> <command...>: waits until the command's output has
+# the text
 until_output() {
   local end=$((SECONDS + $1)) text=$2
   shift 2
@@ -79,9 +80,9 @@
 expect "a wrong token is refused" 1 "HTTP status 401" "$tool" --operator-token wrong-token status
 expect "status as JSON has the upstreams" 0 '"engine-12"' "$tool" --output json status
 
-# Router 2 is paused, as a VM that is being moved. The change is accepted, but
-# router 2 still applies the old one to whoever reaches it when it resumes:
-# --wait must not say that the change is in force.
+# Router 2 is paused, like a VM in migration. The change is accepted, but router 2
+# would still apply the old configuration to callers when it resumes: --wait must
+# not report that the change is in force.
 sed 's/"prepaid_tokens": 20000000}/"prepaid_tokens": 20000000, "release": "OPERATOR_ONLY"}/' \
   examples/boleteria.json >"$work/next.json"
 kill -STOP "${pids[2]}"
@@ -92,7 +93,7 @@
 expect "after it resumes the same command ends well" 0 "already in force as version 2, in force on 3 routers" \
   "$tool" config publish "$work/next.json" --wait 20
 
-# Two of three routers are paused. A change that only the third one follows would
+# Two of three routers are paused. Applying a change on the third one alone would
 # put two rule sets in force, so it waits, and the operator is told so.
 sed 's/"prepaid_tokens": 20000000,/"prepaid_tokens": 20000001,/' "$work/next.json" >"$work/third.json"
 kill -STOP "${pids[2]}" "${pids[3]}"
@@ -102,9 +103,9 @@
 expect "with the majority back it comes into force" 0 "version 3, in force on 3 routers" \
   "$tool" config publish "$work/third.json" --wait 20
 
-# Router 2 holds tokens of tours-desk and is killed. The budget's policy leaves
-# them quarantined, so that its account could run dry: the tool must say what is
-# at stake, release nothing without --yes, and give them back with it.
+# Router 2 holds tokens of tours-desk and is killed. The budget's policy keeps them
+# quarantined, so that its account could run out of tokens: the tool must state the
+# amount and risk, release nothing without --yes, and return them with it.
 caller=$("$tool" --output json routers | python3 -c \
   'import json, sys; print([r["caller_address"] for r in json.load(sys.stdin)["routers"] if r["router"] == "router-2"][0])')
 curl -s -o /dev/null -H "Authorization: Bearer demo-tours-desk" "http://$caller/v1/completions" \
--- a/tests/cli/platform_names.sh
+++ b/tests/cli/platform_names.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Names of the platform (paths, headers, fields) may stand in platform/, its
-# tests and its stand-in only: what decides must not depend on how it is put.
-# Also: the folder translates and stays small.
+# Names of the platform (paths, headers, fields) may occur only in platform/, its
+# tests and its stand-in: decisions must not depend on the platform's format. Also
+# checks that the folder only translates and stays small.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 status=0
@@ -27,7 +27,7 @@
   status=1
 fi
 
-# It keeps nothing and decides nothing: no clock and no chance of its own.
+# It is stateless and makes no decisions: it uses no clock and no random numbers.
 if found=$(grep -nE 'BootNow|steady_clock|system_clock|random' platform/*.cc platform/*.h); then
   echo "platform/ reads a clock or draws:"
   echo "$found"
--- a/tests/process/support.py
+++ b/tests/process/support.py
@@ -1,4 +1,4 @@
-"""What the failure tests with real processes share."""
+"""Shared base class and helpers of the process tests."""
 
 import hashlib
 import itertools
@@ -19,8 +19,8 @@
 API_KEY = "key-of-desk"
 OTHER_API_KEY = "key-of-other"
 
-# Long enough for a machine that is shared and busy: only a state that never
-# comes runs into it.
+# Generous, because the machine may be shared and busy: only a state that is never
+# reached exceeds it.
 PATIENCE_S = 60.0
 
 _DOMAINS = ["fd-a", "fd-b", "fd-c"]
@@ -36,7 +36,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """A fleet of its own for each test; none of its processes outlives it."""
+    """Starts a separate fleet for each test and ends all its processes afterwards."""
 
     def setUp(self) -> None:
         self.fleet = Fleet(os.environ.get("COPPERVALVE_BUILD", "build"))
@@ -57,7 +57,7 @@
         step_ms: float = 20,
         relayed: bool = False,
     ) -> None:
-        """Starts upstreams, each behind a relay when asked for."""
+        """Starts upstreams, each behind a relay if requested."""
         for index in range(engines):
             self.fleet.start_engine(f"engine-{index + 1}", step_ms=step_ms)
         for index in range(services):
@@ -99,17 +99,17 @@
         return routers
 
     def wait(self, condition: Callable[[], bool], what: str) -> None:
-        """Waits for a state that has to come."""
+        """Waits until the condition holds; fails the test on timeout."""
         wait_until(condition, PATIENCE_S, what)
 
     def in_background(
         self, work: Callable[..., _Result], *arguments: Any
     ) -> Future[_Result]:
-        """Runs work on a thread of the test."""
+        """Runs a function on a thread of the test's pool."""
         return self.pool.submit(work, *arguments)
 
     def prefix(self, router: Router) -> str:
-        """The key prefix that binds a request to the router's incarnation."""
+        """Returns the key prefix that binds a request to the router's incarnation."""
         for entry in self.caller.addresses(router)["addresses"]:
             if entry["address"] == router.address:
                 return entry["key_prefix"]
@@ -118,17 +118,17 @@
     def draft(
         self, router: Router, key: str, max_tokens: int = 50, stream: bool = True
     ) -> Answer:
-        """Sends one idempotent request of model work."""
+        """Sends one idempotent chat request."""
         return self.caller.chat(router, MODEL, "a prompt", max_tokens, stream, key)
 
     def hold(self, router: Router, key: str) -> Answer:
-        """Sends one non-idempotent call of the service."""
+        """Sends one non-idempotent service call."""
         return self.caller.service(router, SERVICE, "/holds", body={}, key=key)
 
     def draft_until_whole(
         self, routers: list[Router], key: str, max_tokens: int = 50
     ) -> Answer:
-        """Retries under one key, as a patient caller does."""
+        """Retries under one idempotency key until an answer is whole."""
         give_up = time.monotonic() + PATIENCE_S
         last: object = None
         for router in itertools.cycle(routers):
@@ -147,45 +147,47 @@
         raise AssertionError(f"no whole answer for {key}: {last}")
 
     def engine_runs(self, key: str = "") -> list[dict[str, Any]]:
-        """What the engines ran, all of it or under one key."""
+        """Returns the runs recorded by the engines, all or those of one key."""
         runs = itertools.chain.from_iterable(self.fleet.engine_records().values())
         return [run for run in runs if key in ("", run["key"])]
 
     def service_runs(self, key: str) -> int:
-        """How often the service ran a call, by its own records."""
+        """Returns how often the service's records show a call."""
         runs = itertools.chain.from_iterable(self.fleet.service_records().values())
         return sum(run["key"] == key for run in runs)
 
     def used_tokens(self) -> int:
-        """What the engines spent on the budget, wasted runs included."""
+        """Returns the tokens that the engines used, including wasted runs."""
         return sum(
             run["prompt_tokens"] + run["output_tokens"] for run in self.engine_runs()
         )
 
     def assert_own_answer(self, key: str, answer: Answer) -> None:
-        """The answer is whole and that of a run under the caller's key."""
+        """Asserts that the answer is whole and comes from a run under the caller's
+        key."""
         self.assertTrue(answer.whole, answer)
         request_id = answer.text.rsplit(" ", 2)[-2].rsplit(":", 1)[0]
         ids = [run["request_id"] for run in self.engine_runs(key)]
         self.assertIn(request_id, ids)
 
     def assert_refused(self, answer: Answer, error_id: str, run_state: str) -> None:
-        """The answer is a refusal of this kind."""
+        """Asserts that the answer is a refusal with this error id and run state."""
         self.assertEqual((error_id, run_state), (answer.error_id, answer.run_state))
 
     def audit(self) -> dict[str, int]:
-        """Folds the log, which must add up, and returns the budget's row."""
+        """Replays the log, asserts that balances add up, and returns the budget's
+        row."""
         result = self.fleet.tool.audit()
         self.assertEqual(0, result.exit_code, result.output + result.errors)
         rows = result.json()["budgets"]
         return next(row for row in rows if row["id"] == BUDGET)
 
     def budget(self) -> dict[str, Any]:
-        """The budget with its holdings, as folded from the log."""
+        """Returns the budget with its holdings, as replayed from the log."""
         return self.fleet.tool.require("budget", "show", BUDGET).json()
 
     def members(self) -> dict[str, dict[str, Any]]:
-        """The live members by the log."""
+        """Returns the members that the log does not show as retired."""
         listed = self.fleet.tool.require("routers").json()["routers"]
         return {
             member["router"]: member
@@ -194,14 +196,14 @@
         }
 
     def wait_retired(self, router: Router) -> None:
-        """Waits until the log has retired a router."""
+        """Waits until the log shows a router as retired."""
         self.wait(
             lambda: router.router_id not in self.members(),
             f"{router.router_id} is retired",
         )
 
     def wait_version(self, routers: Iterable[Router], version: int) -> None:
-        """Waits until a configuration is in force on routers."""
+        """Waits until the routers apply a configuration version."""
         for router in routers:
             self.wait(
                 lambda: config_version(router) == version,  # noqa: B023
@@ -209,7 +211,7 @@
             )
 
     def running_streams(self) -> int:
-        """Runs that the engines have in progress."""
+        """Returns the number of runs in progress on the engines."""
         return sum(run["state"] == "running" for run in self.engine_runs())
 
     def _start_router(
@@ -300,12 +302,12 @@
 
 
 def config_version(router: Router) -> int:
-    """The configuration that a router has in force."""
+    """Returns the configuration version that a router applies."""
     return int(router.status().get("config_version", 0))
 
 
 def budget_status(router: Router) -> dict[str, int]:
-    """What a router says about its holding of the budget."""
+    """Returns a router's own report of its holding of the budget."""
     for budget in router.status().get("budgets", []):
         if budget["id"] == BUDGET:
             numbers = {k: int(v) for k, v in budget.items() if k != "id"}
--- a/tests/process/test_bad_input.py
+++ b/tests/process/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Callers send what no router can use."""
+"""Routers reject malformed or unauthorized requests."""
 
 import http.client
 import json
@@ -16,7 +16,7 @@
     return f"{_POST}{more}Content-Length: {len(body)}\r\n\r\n{body}".encode()
 
 
-# Name, bytes on the wire, status, error.
+# Name, raw request bytes, expected status, expected error.
 _CASES = [
     ("malformed JSON", _post('{"model": '), 400, "CV-304"),
     ("JSON that is no object", _post("[1, 2]"), 400, "CV-304"),
@@ -59,10 +59,9 @@
 
 
 class BadInputTest(FleetTest):
-    # One caller sends too much, too slowly, or what is no HTTP, no JSON or not
-    # its own. It gets one clear answer with a typed error, "not run"; another
-    # caller of the same router notices nothing, and nothing of it reaches an
-    # engine.
+    # A caller sends oversized, too slow, malformed or unauthorized requests. It
+    # must get one answer with a typed error and the run state "not run". Another
+    # caller of the same router must be unaffected, and nothing may reach an engine.
     def test_each_bad_request_gets_a_typed_error_and_harms_nobody(self) -> None:
         self.start_upstreams()
         router = self.start_routers(
@@ -89,7 +88,8 @@
         self.assertEqual(good.result() + 1, len(self.engine_runs()))
 
     def check_keys(self, router: Router) -> None:
-        """A wrong API key, another account's request, and a key's other body."""
+        """Sends a wrong API key, another account's request, and another body under a
+        used key."""
         wrong = self.fleet.caller("no-such-key")
         answer = wrong.chat(router, MODEL, "x")
         self.assertEqual(401, answer.status)
@@ -106,7 +106,7 @@
         self.assert_refused(answer, "CV-308", "not_run")
 
     def work(self, router: Router, stop: threading.Event) -> int:
-        """A caller whose requests must all succeed."""
+        """Sends requests that must all succeed."""
         count = 0
         while not stop.is_set():
             self.assertTrue(self.draft(router, f"good-{count}", 5).whole)
@@ -114,7 +114,7 @@
         return count
 
     def exchange(self, router: Router, sent: bytes) -> tuple[int, dict]:
-        """Sends bytes and reads one answer until the router closes."""
+        """Sends bytes and reads one answer until the router closes the connection."""
         host, port = router.address.rsplit(":", 1)
         with socket.create_connection((host, int(port)), 30) as connection:
             try:
--- a/tests/process/test_crashing_request.py
+++ b/tests/process/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""A request that ends the upstreams that run it."""
+"""A request that crashes the upstreams that run it."""
 
 import asyncio
 import signal
@@ -7,7 +7,7 @@
 from tests.soak.http import read_message
 from tests.soak.platform import Platform, Router, play
 
-# What three upstreams ended under is given to no other.
+# A request that crashed three upstreams is sent to no other.
 _MOST_ENDED = 3
 _REPEATS = 12
 
@@ -20,7 +20,7 @@
 
 
 async def ask(port: int, text: str) -> tuple[int, dict[str, str]]:
-    """Returns the status, or 0 for an answer that broke off, and the headers."""
+    """Returns the status, or 0 for a truncated answer, and the headers."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(text.encode())
     reply, whole = await asyncio.wait_for(read_message(reader), 6)
@@ -31,12 +31,11 @@
 
 
 class CrashingRequestTest(unittest.TestCase):
-    # Drafts of many callers are cut at once, again and again: each time an engine
-    # ends under one and the same request, which its caller sends anew under a new
-    # id, to any router. Nothing remembered a request by its content, so that each
-    # router held its end against the engine alone and gave the next one away.
-    # Evidence: the same content in the log lines of every end, at all routers, and
-    # none of them refused.
+    # One request crashes each engine that runs it, and its caller retries it under
+    # a new id at any router. If routers recognize requests only by id, each blames
+    # the engine alone and sends the request to the next one, so the drafts of many
+    # callers are cut repeatedly. The log lines of all these crashes then show the
+    # same content at all routers, and no refusal.
     def test_one_request_ends_few_upstreams_however_often_it_comes(self) -> None:
         async def scenario(platform: Platform) -> None:
             for number in range(_REPEATS):
@@ -47,7 +46,7 @@
         self.assertLessEqual(len(ended), _MOST_ENDED, ended)
 
     async def send_crashing(self, platform: Platform, router: Router, number: int) -> int:
-        """Sends it once; what came of it reaches the other routers."""
+        """Sends the request once and waits until the other routers know the outcome."""
         status, _ = await ask(router.front, request(number, "poison"))
         await asyncio.sleep(1)
         if len(platform.ledger.ended) >= _MOST_ENDED:
@@ -55,15 +54,16 @@
         return status
 
     async def quarantine(self, platform: Platform) -> None:
-        """Sends it to any router until all refuse it."""
+        """Sends the request to the routers in turn until all refuse it."""
         for number in range(_REPEATS):
             if await platform.until_all_tell("quarantined_requests", 1, within=0):
                 return
             router = platform.routers[number % len(platform.routers)]
             await self.send_crashing(platform, router, number)
 
-    # A loss of all power is no way out: routers that start read what the fleet had
-    # found. Other callers of the same path and account are served all the while.
+    # The quarantine must survive a crash of all routers: restarted routers read it
+    # from the store. Other callers of the same path and account must still be
+    # served.
     def test_what_is_refused_stays_refused_when_all_routers_start_again(self) -> None:
         statuses = []
 
@@ -82,8 +82,8 @@
         self.assertLessEqual(len(ended), _MOST_ENDED, ended)
         self.assertEqual([(503, 200)] * 3, statuses)
 
-    # The store is away, so that no router hears of another: each acts on what it
-    # saw itself.
+    # The store is unreachable, so routers cannot share what they observe: each must
+    # act on the crashes that it saw itself.
     def test_a_router_alone_refuses_what_ended_three_upstreams_there(self) -> None:
         async def scenario(platform: Platform) -> None:
             platform.store.down = {router.store_port for router in platform.routers}
--- a/tests/process/test_cut.py
+++ b/tests/process/test_cut.py
@@ -1,4 +1,5 @@
-"""Routers are cut from each other and one from the log, while operators work."""
+"""Network partitions between routers, and between a router and the log, during operator
+commands."""
 
 import copy
 import json
@@ -11,10 +12,11 @@
 
 
 class CutTest(FleetTest):
-    # No router reaches another one, and router-3 does not reach the log, when a
-    # budget is topped up and a version is published that refuses all drafts. The
-    # others follow at once. router-3 cannot know of it and stops taking work
-    # before long instead of serving the old version; when the cut heals it
+    # The routers cannot reach each other, and router-3 cannot reach the log, while
+    # a budget is topped up and a version that refuses all drafts is published. The
+    # other routers apply it at once. router-3 cannot learn of it and must soon stop
+    # accepting work instead of serving the old version. After the partition heals
+    # it applies the version too, and callers get the new rule's refusal everywhere.
     # follows too, and callers get the new rule's refusal everywhere.
     def test_cut_router_refuses_as_stale_and_follows_after_the_cut(self) -> None:
         self.limits["config_freshness_ms"] = 2000
@@ -45,9 +47,9 @@
         self.assert_refused(self.draft(cut, "after"), "CV-401", "not_run")
         self.assertEqual(1_005_000, self.audit()["paid_in"])
 
-    # The routers do not reach each other while a budget that is all spent is
-    # topped up. The log alone carries the payment to each of them: callers of
-    # every router can spend it, and no more than it.
+    # The routers cannot reach each other while an exhausted budget is topped up.
+    # The log alone delivers the payment to each router: callers of every router can
+    # spend it, but no more than it.
     def test_top_up_reaches_routers_that_are_cut_from_each_other(self) -> None:
         self.max_queue_ms = 1500
         self.start_upstreams(engines=1, step_ms=2)
@@ -69,9 +71,9 @@
         self.assertEqual(2_600, row["paid_in"])
         self.assertTrue(all(budget_status(r)["reserved"] == 0 for r in routers))
 
-    # Two operators publish on top of version 1 at the same moment. One of them
-    # wins and is in force everywhere; the other is told who won, with exit code
-    # 4, and nothing of its change takes effect.
+    # Two operators publish on top of version 1 at the same moment. One succeeds and
+    # its version applies everywhere; the other is told who won, with exit code 4,
+    # and nothing of its change takes effect.
     def test_of_two_operators_at_once_one_wins_and_the_other_is_told(self) -> None:
         self.start_upstreams(engines=1)
         routers = self.start_routers()
@@ -93,7 +95,7 @@
             self.assertIn(reasons[winner], answer.body.decode())
 
     def refusing_drafts(self, reason: str) -> dict[str, Any]:
-        """The configuration with a rule that refuses all drafts."""
+        """Returns the configuration with a rule that refuses all drafts."""
         changed = copy.deepcopy(self.configuration)
         refuse = {"refuse": {"reason": reason}}
         when = {"models": [MODEL]}
@@ -109,7 +111,7 @@
         )
 
     def spend(self, router: Router, name: str) -> None:
-        """Sends drafts until the router refuses one for want of tokens."""
+        """Sends drafts until the router refuses one for lack of tokens."""
         for index in range(100):
             answer = self.draft(router, f"{name}-{router.router_id}-{index}", 100)
             if not answer.whole:
--- a/tests/process/test_drain.py
+++ b/tests/process/test_drain.py
@@ -1,4 +1,4 @@
-"""A router is asked to end (SIGTERM) while callers use it."""
+"""A router drains on SIGTERM while callers use it."""
 
 import threading
 import time
@@ -12,9 +12,9 @@
 
 class DrainTest(FleetTest):
     # Callers of router-1 hold address lists and have streams open when it gets
-    # SIGTERM, and again while it drains. It leaves the lists first and serves
-    # whoever still has an old one; nobody's request is lost, cut or refused, and
-    # the process ends by itself with 0.
+    # SIGTERM, and a second SIGTERM while it drains. It must first leave the address
+    # lists and keep serving callers with an old one. No request may be lost, cut or
+    # refused, and the process must exit by itself with code 0.
     def test_sigterm_twice_under_load_loses_no_request(self) -> None:
         self.start_upstreams()
         self.routers = self.start_routers()
@@ -46,13 +46,13 @@
         self.audit()
 
     def listed(self, router: Router) -> list[str]:
-        """The addresses that a router hands out."""
+        """Returns the addresses that a router advertises."""
         entries = self.caller.addresses(router)["addresses"]
         return [entry["address"] for entry in entries]
 
     def work(self, preferred: Router, name: str) -> int:
-        """Sends one request after the other to the preferred address while the
-        address list has it. The list is used for its lifetime."""
+        """Sends requests one by one to the preferred address while the address list
+        contains it. The list is used for its lifetime."""
         count = 0
         addresses: list[str] = []
         until = 0.0
--- a/tests/process/test_evacuation.py
+++ b/tests/process/test_evacuation.py
@@ -36,7 +36,7 @@
             before = platform.arrived_in("a")
             platform.store.down = set()
             self.assertTrue(await platform.until_all_tell("evacuated_domains", 0))
-            # The other zone takes all while these are cold.
+            # The other zone takes all requests while these engines are cold.
             await platform.send_many(5)
             self.assertGreater(platform.arrived_in("a"), before)
             self.assertEqual(platform.ledger.fell_over, [])
--- a/tests/process/test_hold.py
+++ b/tests/process/test_hold.py
@@ -1,4 +1,4 @@
-"""A seat hold, which must not run twice, meets a failing service."""
+"""Non-idempotent seat holds while the service fails."""
 
 import unittest
 
@@ -14,10 +14,10 @@
         self.start_upstreams(engines=0, services=2)
         self.routers = self.start_routers()
 
-    # The service has run the hold when its connection ends before the answer,
-    # stays silent, or ends within the answer. The caller is told that the
-    # outcome is unknown, also when it asks again, here and at another router,
-    # and also after the service is well: by the service's own records the hold
+    # The service has run the hold when its connection closes before the answer,
+    # stays silent, or closes within the answer. The caller must be told that the
+    # outcome is unknown, also when it asks again, at this or another router, and
+    # after the service has recovered. The service's records must show that the hold
     # ran once.
     def test_hold_bound_to_a_router_never_runs_twice(self) -> None:
         prefix = self.prefix(self.routers[0])
@@ -25,16 +25,16 @@
             with self.subTest(mode):
                 self.check_runs_once(mode, f"{prefix}{mode}", self.routers)
 
-    # The same under a key of the caller's own, which a router claims in the log
+    # The same under a key chosen by the caller, which a router claims in the log
     # before it runs the hold.
     def test_hold_with_a_claimed_key_never_runs_twice(self) -> None:
         for mode in ("die-before-answer", "silent", "cut"):
             with self.subTest(mode):
                 self.check_runs_once(mode, f"seat-{mode}", self.routers)
 
-    # The router dies after the hold ran and before the caller reads the answer.
-    # Another router cannot know whether it ran: it says so, runs nothing, and
-    # still says so after the retirement.
+    # The router is killed after the hold ran and before the caller reads the
+    # answer. Another router cannot know whether it ran: it must report the outcome
+    # as unknown and run nothing, also after the killed router is retired.
     def test_hold_of_a_killed_router_ends_as_unknown(self) -> None:
         origin, other = self.routers[:2]
         key = f"{self.prefix(origin)}seat"
@@ -51,9 +51,9 @@
         self.assert_unknown(other, key)
         self.assertEqual(1, self.service_runs(key))
 
-    # All routers get the same hold at once under a key of the caller's own. One
-    # runs it; the others join it or are refused, and every answer that comes is
-    # that of the one run.
+    # All routers get the same hold at once under a key chosen by the caller. One
+    # runs it; the others join it or refuse, and every answer must be that of the
+    # one run.
     def test_hold_sent_to_all_routers_at_once_runs_once(self) -> None:
         for round_number in range(5):
             key = f"seat-{round_number}"
@@ -66,7 +66,7 @@
             self.assertEqual(1, self.service_runs(key))
 
     def check_runs_once(self, mode: str, key: str, routers: list[Router]) -> None:
-        """Asks all routers, under the fault and after it."""
+        """Asks all routers, during the fault and after it."""
         for service in self.fleet.services.values():
             service.control(mode)
         for router in [routers[0], *routers]:
@@ -76,13 +76,13 @@
         for router in routers:
             self.assert_unknown(router, key)
         self.assertEqual(1, self.service_runs(key))
-        # The services are given work again before the next fault.
+        # Waits until routers send work to the services again before the next fault.
         self.wait(
             lambda: self.hold(routers[0], "").status == 200, "holds run again"
         )
 
     def assert_unknown(self, router: Router, key: str) -> None:
-        """The caller is told that the hold may have run."""
+        """Asserts that the caller is told that the hold may have run."""
         answer = self.hold(router, key)
         self.assertEqual("unknown", answer.run_state, answer)
         self.assertIn(answer.error_id, _UNKNOWN)
--- a/tests/process/test_kill.py
+++ b/tests/process/test_kill.py
@@ -5,17 +5,17 @@
 from tests.process.support import FleetTest, budget_status
 
 _STREAMS = 16
-# Each engine is given at most 4 at once by a new router.
+# A new router sends at most 4 concurrent requests to each engine.
 _RUNNING = 6
 _TOKENS = 120
 
 
 class KillTest(FleetTest):
-    # Callers read streams from router-1 when it is killed: their connections
-    # break in the middle. They send the same key to the other routers and get
-    # whole answers. Both runs used tokens, one is billed. The dead router's
-    # tokens come back to the balance by its witness, except for what it may
-    # have spent below its acknowledged ceiling; no operator acts.
+    # Callers read streams from router-1 when it is killed: their connections break
+    # mid-stream. They retry the same key at the other routers and must get whole
+    # answers. Both runs used tokens, but only one is billed. The killed router's
+    # witness returns its tokens to the balance, except those it may have spent
+    # below its acknowledged ceiling, without an operator.
     def test_kill_loses_no_request_and_strands_at_most_the_ceiling(self) -> None:
         self.start_upstreams()
         routers = self.start_routers(prepaid=100_000)
@@ -48,9 +48,9 @@
             f"at most {before['ceiling']} tokens stay in quarantine",
         )
 
-    # Two of three routers are killed at once, among them perhaps the witness of
-    # the other. The last one is less than half of the fleet; it still serves
-    # the callers of all, each answer is billed once, and nothing is overspent.
+    # Two of three routers are killed at once, possibly a router and its witness.
+    # The remaining one is less than half of the fleet; it must still serve all
+    # callers, bill each answer once, and overspend nothing.
     def test_last_router_serves_the_callers_of_two_killed_ones(self) -> None:
         self.start_upstreams()
         routers = self.start_routers(prepaid=100_000)
--- a/tests/process/test_large_table.py
+++ b/tests/process/test_large_table.py
@@ -1,4 +1,4 @@
-"""A fleet whose table of upstreams is more than the store can send to all."""
+"""A table of upstreams that is too large for the store to send to all routers."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 
 
 async def lookup(router: Router, number: int) -> int:
-    """A lookup at one router. Returns the status of its answer."""
+    """Sends a lookup to one router and returns the status of its answer."""
     status, _ = await ask(
         router.front, f"GET /lookup/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r{number}\r\n"
         "Deadline-Ms: 3000\r\nAuthorization: Token key\r\n\r\n")
@@ -19,7 +19,7 @@
 
 
 async def standing_by(platform: Platform) -> list[Router]:
-    """Routers that don't follow the table, once all are ready."""
+    """Returns the routers that don't follow the table, once all are ready."""
     assert await platform.until_all_tell("ready", 1)
     for _ in range(300):
         told = [await router.figure("follows_upstreams") for router in platform.routers]
--- a/tests/process/test_leaving.py
+++ b/tests/process/test_leaving.py
@@ -1,4 +1,4 @@
-"""The VM list says that an upstream leaves."""
+"""The VM list marks an upstream as leaving."""
 
 import unittest
 
@@ -6,9 +6,9 @@
 
 
 class LeavingTest(FleetTest):
-    # The VM of engine-1 is about to be replaced while streams run on it. Once
-    # the routers have read the list it gets no new request, by its own records,
-    # though callers go on; the streams that it has end whole.
+    # The VM of engine-1 is about to be replaced while streams run on it. Once the
+    # routers have read the list, the engine's records must show no new request
+    # although callers continue; its open streams must complete.
     def test_leaving_engine_gets_no_new_work_and_keeps_its_streams(self) -> None:
         self.start_upstreams()
         routers = self.start_routers(arguments=["--vm-list-interval-ms=300"])
@@ -42,7 +42,7 @@
         self.assertTrue({f"late-{index}" for index in range(len(late))} <= keys)
 
     def sees_leaving(self, router: Router) -> bool:
-        """Whether a router knows that engine-1 leaves."""
+        """Returns whether a router knows that engine-1 is leaving."""
         upstreams = router.status().get("upstreams", [])
         return any(
             upstream["id"] == "engine-1" and upstream["health"] == "leaving"
--- a/tests/process/test_log_faults.py
+++ b/tests/process/test_log_faults.py
@@ -1,4 +1,4 @@
-"""The platform's log loses replies, or is out for a long time."""
+"""The platform's log loses replies or is unavailable for a long time."""
 
 import time
 import unittest
@@ -6,18 +6,18 @@
 from tests.process.support import BUDGET, FleetTest, Router
 
 _TOKENS = 20
-# Longer than every timeout of the configuration and of the settings' defaults
-# for the log, and than the silence after which a router is retired.
+# Exceeds every timeout of the configuration, the default timeouts for the log, and
+# the silence after which a router is retired.
 _OUTAGE_S = 12.0
 _WARM_UP_S = 6.0
 _PAUSE_S = 0.2
 
 
 class LogFaultsTest(FleetTest):
-    # The log takes every append and answers none, while callers work and an
-    # operator pays. Writers append again; repeated records count once, a second
-    # run of the operator's command pays nothing more, and each request is
-    # billed once.
+    # The log accepts every append and answers none, while callers work and an
+    # operator tops up a budget. Writers append again: repeated records must count
+    # once, a second run of the operator's command must pay nothing more, and each
+    # request must be billed once.
     def test_lost_replies_neither_double_a_payment_nor_a_bill(self) -> None:
         self.start_upstreams()
         routers = self.start_routers(prepaid=50_000)
@@ -44,10 +44,10 @@
         )
         self.assertEqual(57_000, self.audit()["paid_in"])
 
-    # The log refuses every connection for longer than any timeout. Seat holds
-    # whose keys are bound to a router need no record before they run: all are
-    # answered, each runs once. Nobody is retired for a silence that is the
-    # log's; when it is back every hold is billed once.
+    # The log refuses every connection for longer than any timeout. Seat holds whose
+    # keys are bound to a router need no record before they run: all must be
+    # answered and each run once. No router may be retired because of the log's
+    # outage, and every hold must be billed once when the log is back.
     def test_holds_go_on_while_the_log_is_out_and_are_billed_afterwards(self) -> None:
         self.start_upstreams(engines=0, services=2)
         routers = self.start_routers(prepaid=10_000)
--- a/tests/process/test_log_outage_idle.py
+++ b/tests/process/test_log_outage_idle.py
@@ -1,4 +1,4 @@
-"""The log goes out when a budget has hardly been used."""
+"""The log becomes unavailable when a budget has hardly been used."""
 
 import unittest
 
@@ -8,10 +8,10 @@
 
 
 class LogOutageIdleTest(FleetTest):
-    # It is early morning: each router has served one seat hold when the log goes
-    # out, and then the gate opens. The budget has paid for thousands of holds
-    # and next to nothing is spent. Every hold is answered: refusing one for want
-    # of tokens would be false, and the queue at the gate builds at once.
+    # Each router has served one seat hold when the log becomes unavailable, and
+    # then the load rises. The budget has paid for thousands of holds and next to
+    # nothing is spent. Every hold must be answered: a refusal for lack of tokens
+    # would be false and would delay people at the gate at once.
     def test_budget_that_was_idle_serves_holds_during_the_outage(self) -> None:
         self.start_upstreams(engines=0, services=1)
         routers = self.start_routers(prepaid=10_000)
--- a/tests/process/test_pause.py
+++ b/tests/process/test_pause.py
@@ -1,4 +1,4 @@
-"""A router is paused (SIGSTOP) for longer than the fleet waits for it."""
+"""A router is paused (SIGSTOP) for longer than the retirement timeout."""
 
 import unittest
 
@@ -8,10 +8,10 @@
 
 
 class PauseTest(FleetTest):
-    # router-1 is paused with streams open. The log retires it, its witness gives
-    # its tokens back, the budget is topped up and the others spend all of it. On
-    # resume it must not spend what others have spent: it finishes what it has
-    # within its ceiling, joins again, and the budget stays within what was paid.
+    # router-1 is paused with open streams. The log retires it, its witness returns
+    # its tokens, the budget is topped up and the other routers spend all of it. On
+    # resume it must not spend those tokens again: it completes its streams within
+    # its ceiling and rejoins, and spending stays within what was paid.
     def test_resumed_router_cannot_overspend_and_joins_again(self) -> None:
         self.max_queue_ms = 1500
         self.start_upstreams(step_ms=4)
@@ -53,14 +53,14 @@
         self.assertGreater(row["billed"], 2_500)
 
     def draft_or_cut(self, router: Router, key: str) -> Answer | None:
-        """Sends one draft; none when the answer was cut."""
+        """Sends one draft; returns None if the answer was cut."""
         try:
             return self.draft(router, key, _TOKENS)
         except Failure:
             return None
 
     def spend_all(self, routers: list[Router], name: str) -> None:
-        """Sends drafts until each router has refused one for want of tokens."""
+        """Sends drafts until each router has refused one for lack of tokens."""
         for router in routers:
             for index in range(100):
                 answer = self.draft(router, f"{name}-{router.router_id}-{index}", 400)
--- a/tests/process/test_pause_streams.py
+++ b/tests/process/test_pause_streams.py
@@ -11,10 +11,10 @@
 
 class PauseStreamsTest(FleetTest):
     # Streams run through a router that is paused for longer than the timeout
-    # between tokens; the engines finish them, so that every byte waits in the
-    # router's sockets. On resume its timers are overdue, yet nothing was silent:
-    # each caller is handed its whole answer, which the engines have spent
-    # tokens on.
+    # between tokens; the engines complete them, so that every byte waits in the
+    # router's sockets. On resume the timers are overdue although no upstream was
+    # silent: each caller must get its whole answer, for which the engines have used
+    # tokens.
     def test_answers_that_arrived_during_the_pause_are_handed_out(self) -> None:
         self.limits["inter_token_timeout_ms"] = 500
         self.limits["retire_after_ms"] = 60_000
@@ -27,7 +27,7 @@
         self.wait(lambda: self.running_streams() == _STREAMS, "streams run")
         router.process.pause()
         self.wait(lambda: self.running_streams() == 0, "the engines have finished")
-        # The pause has to outlast the timeout; a longer one changes nothing.
+        # The pause must exceed the timeout; a longer one makes no difference.
         time.sleep(1.0)
         router.process.resume()
         cut = [a.exception() for a in answers if a.exception() is not None]
--- a/tests/process/test_silent.py
+++ b/tests/process/test_silent.py
@@ -1,4 +1,4 @@
-"""Open connections go silent for good while new ones work."""
+"""Open connections go silent permanently while new ones work."""
 
 import unittest
 
@@ -8,10 +8,10 @@
 
 
 class SilentTest(FleetTest):
-    # Streams run when something between the routers and the engines loses track
-    # of the connections; each byte sent on them is swallowed. The watchdog ends
-    # the requests, the callers ask again under the same key and get whole
-    # answers over new connections; each is billed once.
+    # A network device between routers and engines loses its connection state while
+    # streams run: all bytes sent on these connections are dropped. The watchdog
+    # must end the requests; callers retry under the same key, get whole answers
+    # over new connections, and each is billed once.
     def test_streams_on_silent_connections_end_and_succeed_by_retry(self) -> None:
         self.limits["first_token_timeout_ms"] = 2000
         self.limits["inter_token_timeout_ms"] = 1500
@@ -35,10 +35,10 @@
         for router in routers:
             self.assertTrue(self.draft(router, "new").whole)
 
-    # A kept connection to a service is forgotten on the way before a hold is
-    # sent on it. The router cannot know that the hold never arrived: the caller
-    # is told "unknown", nobody runs it twice, and the next hold, over a new
-    # connection, is answered.
+    # A network device drops the state of a kept-alive connection to a service
+    # before a hold is sent on it. The router cannot know that the hold never
+    # arrived: the caller must be told "unknown", no router may run it again, and
+    # the next hold must be answered over a new connection.
     def test_hold_on_a_silent_connection_is_not_sent_again(self) -> None:
         self.limits["first_token_timeout_ms"] = 1500
         self.start_upstreams(engines=0, services=1, relayed=True)
--- a/tests/process/test_upstream_limit.py
+++ b/tests/process/test_upstream_limit.py
@@ -1,4 +1,4 @@
-"""Upstreams that name the requests a second that they take from all routers."""
+"""Upstreams that announce a request rate limit for all routers together."""
 
 import asyncio
 import unittest
@@ -11,7 +11,8 @@
 class UpstreamLimitTest(unittest.TestCase):
     async def send_with_limits(self, platform: Platform, seconds: float,
                                limits: dict[Server, float]) -> float:
-        """Sends drafts while some upstreams name limits. Returns when they began to."""
+        """Sends drafts while some upstreams announce limits. Returns when the limits
+        began."""
         await platform.send_many(1)
         for server, limit in limits.items():
             server.limit = limit
@@ -19,7 +20,8 @@
         await platform.send_many(seconds)
         return began
 
-    # Each router goes on sending what it did to an upstream that named a limit for all.
+    # Guards against routers that each keep their own rate to an upstream although
+    # its limit applies to all routers together.
     def test_all_routers_together_keep_within_the_limit_of_an_upstream(self) -> None:
         async def scenario(platform: Platform) -> None:
             slow, slowest, *others = platform.engines
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that check every answer they get."""
+"""Callers that check every answer."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 @dataclass
 class Seen:
-    """What callers saw."""
+    """What callers observed."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
     wrong: list[str] = field(default_factory=list)  # answers that no rule allows
--- a/tests/soak/http.py
+++ b/tests/soak/http.py
@@ -1,4 +1,4 @@
-"""Just enough HTTP/1.1 over asyncio streams for the stand-ins and callers."""
+"""Minimal HTTP/1.1 over asyncio streams for the stand-ins and callers."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> Message | None:
-    """Reads up to the blank line; None when the peer closed before it."""
+    """Reads up to the blank line; returns None if the peer closed before it."""
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -33,7 +33,7 @@
 
 
 async def read_chunks(reader: asyncio.StreamReader) -> tuple[bytes, bool]:
-    """Returns the body and whether its end came."""
+    """Returns the body and whether it is complete."""
     body = b""
     while True:
         try:
@@ -47,7 +47,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[Message | None, bool]:
-    """Returns a message and whether it is whole."""
+    """Returns a message and whether it is complete."""
     message = await read_head(reader)
     if message is None:
         return None, False
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -1,4 +1,4 @@
-"""A fleet of real router processes before stand-ins of store and upstreams."""
+"""A fleet of real router processes with stand-ins for the store and the upstreams."""
 
 import asyncio
 import os
@@ -15,10 +15,10 @@
 
 PREPAID = 150_000
 ZONES = ["a", "b"]
-# Of the faults that need many requests; they spend an account of their own.
+# Rate of the faults that need many requests; these use a separate account.
 PER_SECOND = 60
 OFFICE_IDS = "rx"
-# An entry goes when its upstream was silent for a while; another start follows.
+# Seconds after an upstream ends until its entry is removed and until it restarts.
 LAPSES_AFTER = 0.6
 STARTS_AFTER = 1.0
 SETTINGS = """heartbeatMs = 1000
@@ -84,7 +84,8 @@
         await self.start()
 
     async def figure(self, name: str) -> float:
-        """A figure of the router's state, as its metrics tell; 0 when they don't."""
+        """Returns a state figure from the router's metrics, or 0 if it is not
+        available."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.metrics)
             writer.write(b"GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n")
@@ -120,7 +121,7 @@
                      {"name": "desk", "healthPath": "/healthz", "maxConnections": 300}],
         "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 65536,
                    "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
-        # The second has tokens for whatever the faults send.
+        # The second account has enough tokens for all requests sent by faults.
         "tenants": [{"name": "gate", "apiKeys": ["key"], "prepaid": prepaid},
                     {"name": "office", "apiKeys": ["office-key"], "prepaid": 100 * PREPAID}],
     }
@@ -176,7 +177,7 @@
         self.store.put("keyed.servers", server.name, server.entry())
 
     async def _begin_again(self, server: Server) -> None:
-        """An upstream that ended starts again: a new id at the old address."""
+        """Restarts an upstream that ended, with a new id at the old address."""
         await server.gone.wait()
         self.servers.remove(server)
         await asyncio.sleep(LAPSES_AFTER)
@@ -200,12 +201,13 @@
         self.store.put("keyed.op", f"evacuate/{zone}", None)
 
     def arrived_in(self, zone: str) -> int:
-        """Requests that upstreams of a zone got so far, of those that live."""
+        """Returns the number of requests received so far by the running upstreams of a
+        zone."""
         return sum(self.ledger.arrived[server.name] for server in self.servers
                    if server.zone == zone)
 
     async def send_many(self, seconds: float) -> None:
-        """Sends drafts about many things, so that all engines would get some."""
+        """Sends drafts with different prefixes, so that every engine would get some."""
         sends = []
         for number in range(int(seconds * PER_SECOND)):
             sends.append(asyncio.create_task(self.send(f"draft {number}", f"{number + 1:x}")))
@@ -213,7 +215,7 @@
         await asyncio.gather(*sends)
 
     async def send(self, body: str, prefix: str = "a") -> None:
-        """Sends a draft to some router; what comes of it is no matter."""
+        """Sends a draft to a random router and ignores the outcome."""
         router = self._random.choice(self.routers)
         self._number += 1
         text = (f"POST /draft/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {OFFICE_IDS}{self._number}\r\n"
@@ -229,7 +231,8 @@
             pass
 
     async def until_all_tell(self, figure: str, value: float, within: float = 10) -> bool:
-        """Waits until all routers tell a figure. Returns whether they did."""
+        """Waits until all routers report a value of a figure. Returns whether they
+        did."""
         for _ in range(int(within * 20)):
             told = [await router.figure(figure) for router in self.routers]
             if all(one == value for one in told):
@@ -249,7 +252,7 @@
 
 def play(scenario: Callable[[Platform], Awaitable[None]], routers: int, engines: int,
          read_mbs: float = 80.0) -> Platform:
-    """Plays a scenario of a test on a platform of its own, and ends that."""
+    """Runs a test scenario on a new platform and stops the platform."""
 
     async def run() -> Platform:
         program = os.path.join(os.environ.get("COPPERVALVE_BUILD", "build"), "coppervalved")
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -1,5 +1,5 @@
-"""Stand-ins of upstreams: an engine that streams, and a plain service. They
-record what they ran, which is what the verdict is taken from."""
+"""Stand-ins of upstreams: a streaming engine and a plain service. The verdict is based
+on their records of what they ran."""
 
 import asyncio
 import random
@@ -8,8 +8,8 @@
 from tests.soak.http import Message, answer, chunk, read_message
 
 TOKENS_PER_EVENT = 7
-# Seconds for which an engine is cold after a start in traffic, and requests that
-# it bears in any second of them, from all routers.
+# Seconds for which an engine is cold after a start under traffic, and the number of
+# requests from all routers that it can handle in any second of them.
 WARM_UP = 3.0
 MOST_WHILE_COLD = 26
 
@@ -72,7 +72,7 @@
         return count <= MOST_WHILE_COLD
 
     def die(self) -> None:
-        """Ends as a process does: nobody listens, and all connections break."""
+        """Simulates the end of a process: closes the listener and all connections."""
         if self.gone.is_set():
             return
         self.gone.set()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -17,7 +17,7 @@
 from tests.soak.servers import TOKENS_PER_EVENT
 
 ROUTERS = 5
-# Seconds from an event until all routers act on it, by the platform's bounds.
+# Seconds from an event until all routers act on it, by the platform's time limits.
 DRAIN = 2.0
 
 
@@ -59,7 +59,7 @@
                  self._return_cold, self._name_limits]
         turn: list = []
         while asyncio.get_running_loop().time() < until:
-            # All kinds come before one comes again.
+            # Every kind is used once before any is repeated.
             turn = turn or self._random.sample(kinds, len(kinds))
             fault = turn.pop()
             self.faults.append(fault.__name__.strip("_"))
@@ -118,7 +118,8 @@
             server.decline = 0
 
     async def _lapse(self) -> None:
-        """An entry goes with the store and comes back a second after it."""
+        """Removes an entry during a store outage and restores it a second
+        afterwards."""
         server = self._random.choice(self._servers)
         await self._store_down()
         self._store.put("keyed.servers", server.name, None)
@@ -126,8 +127,8 @@
         self._platform.announce(server)
 
     async def _crash_under_a_request(self) -> None:
-        """One request ends its upstreams; all routers start again in between, or
-        the configuration changes."""
+        """Sends a request that crashes upstreams; in between, all routers restart, the
+        configuration changes or the store is unavailable."""
         self._crashing += 1
         body = f"poison {self._crashing}"
         ended = self._platform.ledger.ended
@@ -152,7 +153,8 @@
         self._ended_after = max(self._ended_after, len(ended) - known)
 
     async def _leave_unheard(self) -> None:
-        """An upstream leaves while the store is away, then ends in good order."""
+        """An upstream announces its leave during a store outage, then ends in an
+        orderly way."""
         server = self._random.choice(self._platform.engines)
         ports = {router.store_port for router in self._routers}
         self._store.down = ports
@@ -168,8 +170,8 @@
         server.die()
 
     async def _evacuate(self) -> None:
-        """A zone is emptied, and taken back cold; beside it routers start again,
-        or the store is away."""
+        """Evacuates a zone and returns it cold; meanwhile routers restart or the store
+        fails."""
         zone = self._random.choice(ZONES)
         self._platform.evacuate(zone)
         if await self._platform.until_all_tell("evacuated_domains", 1):
@@ -185,15 +187,15 @@
         await self._platform.send_many(1.5)
 
     async def _return_cold(self) -> None:
-        """Half of the engines, or all, end together and come back cold under load."""
+        """Ends half of the engines, or all, together; they return cold under load."""
         engines = self._platform.engines
         for server in engines[: len(engines) // self._random.choice([1, 2])]:
             server.die()
         await self._platform.send_many(3)
 
     async def _name_limits(self) -> None:
-        """Engines name limits, one or all, and name none again; beside it the store
-        is away, or all routers start again."""
+        """One or all engines announce limits and later withdraw them; meanwhile the
+        store fails or all routers restart."""
         limit = self._random.choice([0.3, 1.0, 2.0, 5.0])
         engines = self._platform.engines
         limited = engines[: self._random.choice([1, len(engines)])]
@@ -209,7 +211,8 @@
             await overlap()
             await sends
         if overlap == self._kill_all:
-            # What a start does before it is told is not counted.
+            # Requests of a restarted router that has not yet learned the limit are
+            # not counted.
             await self._platform.until_all_tell("ready", 1)
             begin = asyncio.get_running_loop().time() + CONTACT
             await self._platform.send_many(CONTACT)
@@ -226,7 +229,7 @@
 
     async def _ask_for_a_pause(self) -> None:
         server = self._random.choice(self._platform.engines)
-        # Longer than this can take on any machine; it ends with the start.
+        # Longer than this fault takes on any machine; the restart ends it.
         server.wait = 60.0
         await asyncio.sleep(0.5)
         arrived = self._platform.ledger.arrived
@@ -236,14 +239,14 @@
         server.die()
 
     def _count_unwanted(self, arrivals: int) -> None:
-        # A router that was sent no answer of it yet learns by one request, and may
-        # have two on their way then.
+        # A router that has had no answer from this upstream learns by one request,
+        # and may have two more in flight at that time.
         self._sent_unwanted += max(0, arrivals - 3 * ROUTERS)
 
     def _verdict(self, seen) -> int:
         ledger = self._platform.ledger
         runs, prepaid = ledger.runs, self._platform.prepaid
-        # Ids that began at an engine; resumed runs count their prompt once.
+        # Ids that started at an engine; resumed runs count their prompt once.
         prompts = sum(n for i, n in ledger.prompt.items() if not i.startswith(OFFICE_IDS))
         spent = prompts + TOKENS_PER_EVENT * sum(seen.delivered.values())
         broken = {
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -51,12 +51,12 @@
         self.topic(topic).append(key, b"" if value is None else json.dumps(value).encode())
 
     def wake_readers(self) -> None:
-        """Lets go of the reads that wait for a record."""
+        """Releases the reads that wait for a record."""
         for topic in self.topics.values():
             topic.grew.set()
 
     def forget(self) -> None:
-        """Drops all records but the newest of each key."""
+        """Drops all records except the newest of each key."""
         for topic in self.topics.values():
             topic.first = topic.end
             topic.records = []
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -11,7 +11,7 @@
 echo "== lint"
 bash tools/style.sh tidy "$build"
 echo "== tests"
-# Tests that are known to fail for a fault not mended yet; see KNOWN-RED.txt.
+# Tests with known, unfixed failures; see KNOWN-RED.txt.
 known=$(sed -n 's/^\([^: #]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' || true)
 if [ -n "$known" ]; then
   echo "known red, passed over:"
--- a/tools/demo/demo.py
+++ b/tools/demo/demo.py
@@ -19,14 +19,14 @@
 from work import load_plan  # noqa: E402
 
 EXAMPLE = TOOLS.parent / "examples" / "boleteria.json"
-# Beyond the plan's own bound, for a machine that is busy with other things.
+# Added to the plan's own duration, for a busy machine.
 LOAD_LIMIT_S = 80.0
 DRAIN_LIMIT_S = 40.0
 AUDIT_LIMIT_S = 30.0
 
 
 def run_load(fleet: Fleet, scene: Scene) -> dict:
-    """Sends the work while the faults happen, and returns the load's report."""
+    """Sends the load while the faults happen, and returns the load's report."""
     plan_path = fleet.folder / "plan.json"
     report_path = fleet.folder / "load.json"
     plan_path.write_text(json.dumps(load_plan(scene.caller_addresses())))
@@ -49,7 +49,7 @@
 
 
 def start_audit(fleet: Fleet, scene: Scene) -> ManagedProcess:
-    """Starts the audit early, so that it sees entries before they expire."""
+    """Starts the audit early, so that it reads entries before they expire."""
     return fleet.start_program(
         "audit",
         "coppervalve-load",
@@ -65,7 +65,7 @@
 
 
 def finish_audit(fleet: Fleet, audit: ManagedProcess) -> dict:
-    """Lets the audit read to the end, and returns its findings."""
+    """Lets the audit read to the end of the log, and returns its findings."""
     (fleet.folder / "all-settled").touch()
     audit.wait(AUDIT_LIMIT_S)
     print(audit.output(), end="")
@@ -76,7 +76,7 @@
 
 
 def drain_fleet(fleet: Fleet) -> None:
-    """Ends all routers in good order, so that each settles what it spent."""
+    """Stops all routers gracefully, so that each settles what it spent."""
     running = [r for r in fleet.routers.values() if r.process.running]
     for router in running:
         router.process.terminate()
@@ -88,7 +88,7 @@
 
 
 def left_behind(processes: list[ManagedProcess]) -> list[str]:
-    """Names the processes that are still there; each leads its own group."""
+    """Returns the names of processes whose process group still exists."""
     left = []
     for process in processes:
         try:
@@ -100,7 +100,7 @@
 
 
 def run_demo(fleet: Fleet) -> tuple[dict, dict]:
-    """Runs the whole trial; returns the load's report and the findings."""
+    """Runs the whole demo; returns the load's report and the findings."""
     scene = Scene(fleet, EXAMPLE)
     scene.start()
     audit = start_audit(fleet, scene)
--- a/tools/demo/faults.py
+++ b/tools/demo/faults.py
@@ -1,4 +1,4 @@
-"""What breaks during the demo."""
+"""Faults injected during the demo."""
 
 import time
 from collections.abc import Callable
@@ -25,7 +25,7 @@
         ]
 
     def run_during(self, load: ManagedProcess, limit_s: float) -> None:
-        """Takes each step at its time while the load runs."""
+        """Runs each step at its time while the load runs."""
         begin = time.monotonic()
         for at, step in self._steps:
             while time.monotonic() < begin + min(at, limit_s):
--- a/tools/demo/report.py
+++ b/tools/demo/report.py
@@ -1,4 +1,4 @@
-"""The demo's last lines, all from the run's own reports."""
+"""Prints the demo's results from the run's own reports."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 
 
 def summary_line(findings: dict[str, Any]) -> str:
-    """The last line."""
+    """Returns the last line of the output."""
     return (
         f"demo: overspend {findings['overspend']} tokens, "
         f"billed twice {findings['billed_twice']}, "
@@ -33,7 +33,7 @@
 
 
 def was_clean(report: dict[str, Any], findings: dict[str, Any]) -> bool:
-    """Whether the audit found nothing and something was answered."""
+    """Returns whether the audit found nothing and some request was answered."""
     answered = sum(work["answered_whole"] for work in report["classes"])
     return bool(findings["clean"]) and answered > 0
 
--- a/tools/demo/scene.py
+++ b/tools/demo/scene.py
@@ -7,7 +7,8 @@
 from harness import Fleet, Router
 from harness.ports import is_free
 
-# Not all entries of a run fit; the demo's audit reads along.
+# The log does not retain all entries of a run; the demo's audit reads them
+# meanwhile.
 RETAINED_ENTRIES = 10_000
 VM_LAG_MS = 1_500
 STEP_MS = 5
@@ -49,21 +50,21 @@
         )
 
     def caller_addresses(self) -> list[str]:
-        """Where callers reach the routers."""
+        """Returns the addresses where callers connect to the routers."""
         return [router.address for router in self._fleet.routers.values()]
 
     def mark_leaving(self, name: str) -> None:
-        """The VM list says that this VM is going to leave."""
+        """Marks a VM as leaving in the VM list."""
         self._leaving.add(name)
         self.publish_vms()
 
     def mark_gone(self, name: str) -> None:
-        """The VM list no longer shows this VM."""
+        """Removes a VM from the VM list."""
         self._gone.add(name)
         self.publish_vms()
 
     def publish_vms(self) -> None:
-        """Gives the VM list to the platform, which shows it with a lag."""
+        """Sends the VM list to the platform, which shows it with a lag."""
         vms = [(u["id"], u["address"]) for u in self._configuration["upstreams"]]
         vms += [(r.router_id, r.address) for r in self._routers()]
         self._fleet.log.set_vms(
--- a/tools/demo/work.py
+++ b/tools/demo/work.py
@@ -1,13 +1,13 @@
-"""The work of the demo: what Boleteria's callers send in half a minute."""
+"""The demo's load: what Boleteria's callers send in half a minute."""
 
 from typing import Any
 
-# Starts of requests spread over this time.
+# Seconds over which request starts are spread.
 SECONDS = 32
 
 
 def load_plan(routers: list[str]) -> dict[str, Any]:
-    """The plan for coppervalve-load."""
+    """Returns the plan for coppervalve-load."""
     classes = [
         _drafts("itineraries", "tours-cruises", rate=12, tokens=240),
         _drafts("school-itineraries", "tours-schools", rate=5, tokens=160),
@@ -58,7 +58,7 @@
 
 
 def _night_events() -> dict[str, Any]:
-    """Asks for more than its small budget of 50,000 tokens holds."""
+    """Requests more than its small budget of 50,000 tokens holds."""
     return _work(
         "night-events",
         "night-events",
--- a/tools/harness/caller.py
+++ b/tools/harness/caller.py
@@ -1,4 +1,4 @@
-"""A simple caller: one request at a time, no retries."""
+"""A simple client: one request at a time, no retries."""
 
 import http.client
 import json
@@ -12,11 +12,11 @@
 
 
 class Failure(Exception):
-    """No whole answer came: the connection broke, or it stayed silent."""
+    """No whole answer arrived: the connection broke or timed out."""
 
 
 class HasAddress(Protocol):
-    """Where callers connect."""
+    """Something that callers can connect to."""
 
     @property
     def address(self) -> str: ...
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What came back for one request."""
+    """The answer to one request."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -35,12 +35,12 @@
 
     @property
     def run_state(self) -> str:
-        """Run state that a refusal names; empty for an answer."""
+        """The run state of a refusal; empty for an answer."""
         return self.headers.get("x-coppervalve-run-state", "")
 
     @property
     def error_id(self) -> str:
-        """Such as "CV-403"; empty when the answer names no error."""
+        """The error id, such as "CV-403"; empty if the answer has none."""
         for document in self._documents():
             error = document.get("error")
             if isinstance(error, dict):
@@ -48,7 +48,7 @@
         return ""
 
     def json(self) -> Any:
-        """The body read as JSON."""
+        """Returns the body parsed as JSON."""
         return json.loads(self.body)
 
     def _documents(self) -> list[dict[str, Any]]:
@@ -62,7 +62,7 @@
 
 
 class Caller:
-    """A client account's caller."""
+    """A client of one client account."""
 
     def __init__(self, api_key: str, timeout_s: float = _TIMEOUT_S) -> None:
         self.api_key = api_key
@@ -109,11 +109,11 @@
         return Answer(reply.status, reply.headers, reply.body, whole=whole)
 
     def addresses(self, router: HasAddress) -> dict[str, Any]:
-        """Asks which addresses of the fleet to use."""
+        """Returns the fleet's advertised addresses."""
         return self._send(router, "GET", "/v1/addresses", None, "", {}).json()
 
     def request_status(self, router: HasAddress, key: str) -> Answer:
-        """Asks what became of a keyed request."""
+        """Returns the status of a request with an idempotency key."""
         reply = self._send(router, "GET", f"/v1/requests/{key}", None, "", {})
         return Answer(reply.status, reply.headers, reply.body)
 
@@ -136,7 +136,7 @@
 
 
 def is_whole_text(text: str) -> bool:
-    """Whether a text holds each token of one answer of a stand-in, in order."""
+    """Returns whether a text holds all tokens of one stand-in answer, in order."""
     tokens = text.split(" ")
     if len(tokens) < 2 or tokens[-1] != "":
         return False
@@ -156,7 +156,7 @@
 
 
 def _events(body: bytes) -> tuple[list[dict[str, Any]], bool]:
-    """The documents of a stream, and whether it has its closing event."""
+    """Returns the documents of a stream, and whether it has its closing event."""
     documents = []
     closed = False
     for line in body.decode().splitlines():
--- a/tools/harness/fleet.py
+++ b/tools/harness/fleet.py
@@ -1,4 +1,4 @@
-"""All processes of one trial."""
+"""All processes of one test or demo."""
 
 import atexit
 import shutil
@@ -22,14 +22,14 @@
 
 
 def _exit_on_sigterm() -> None:
-    """Lets SIGTERM end the interpreter in good order, unless it is handled."""
+    """Makes SIGTERM exit the interpreter normally, unless a handler is set."""
     is_main = threading.current_thread() is threading.main_thread()
     if is_main and signal.getsignal(signal.SIGTERM) is signal.SIG_DFL:
         signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(128 + number))
 
 
 class Fleet:
-    """Starts processes and ends every one of them."""
+    """Starts processes and ends all of them."""
 
     def __init__(self, build_folder: str | Path) -> None:
         self.build_folder = Path(build_folder).resolve()
@@ -41,8 +41,8 @@
         self._log: Log | None = None
         self._tool: OperatorTool | None = None
         atexit.register(self.close)
-        # A test runner that has lost its patience sends SIGTERM, which would end
-        # the interpreter without running what atexit holds.
+        # A test runner sends SIGTERM on a timeout, which would end the interpreter
+        # without running the atexit handlers.
         _exit_on_sigterm()
 
     def __enter__(self) -> "Fleet":
@@ -58,20 +58,20 @@
 
     @property
     def log(self) -> Log:
-        """The log stand-in; start_log() first."""
+        """The log stand-in; requires start_log()."""
         if self._log is None:
             raise RuntimeError("start_log() comes first")
         return self._log
 
     @property
     def tool(self) -> OperatorTool:
-        """The operators' tool; start_log() first."""
+        """The operators' tool; requires start_log()."""
         if self._tool is None:
             raise RuntimeError("start_log() comes first")
         return self._tool
 
     def caller(self, api_key: str, timeout_s: float = 30.0) -> Caller:
-        """A caller with this API key."""
+        """Returns a caller with this API key."""
         return Caller(api_key, timeout_s)
 
     def start_log(
@@ -81,7 +81,7 @@
         max_appends: int = 0,
         vm_lag_ms: int = 0,
     ) -> Log:
-        """Starts the platform's log and VM list; 0 means no bound."""
+        """Starts the platform's log and VM list; 0 means no limit."""
         address = address or free_address()
         arguments = [
             f"--retain-entries={retain_entries}",
--- a/tools/harness/http.py
+++ b/tools/harness/http.py
@@ -17,7 +17,7 @@
     body: bytes = b""
 
     def json(self) -> Any:
-        """Returns the body read as JSON."""
+        """Returns the body parsed as JSON."""
         return json.loads(self.body)
 
 
@@ -50,7 +50,7 @@
 
 
 def answers(address: str, target: str, timeout_s: float = 1.0) -> bool:
-    """Tells whether GET answers with 200."""
+    """Returns whether GET answers with 200."""
     try:
         return call(address, "GET", target, timeout_s=timeout_s).status == 200
     except (OSError, http.client.HTTPException):
--- a/tools/harness/operators.py
+++ b/tools/harness/operators.py
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class ToolResult:
-    """How a command ended."""
+    """The result of a command."""
 
     exit_code: int
     output: str
     errors: str
 
     def json(self) -> Any:
-        """Its output read as JSON."""
+        """Returns the output parsed as JSON."""
         return json.loads(self.output)
 
 
@@ -57,7 +57,7 @@
         return ToolResult(ended.returncode, ended.stdout, ended.stderr)
 
     def require(self, *arguments: str, **options: Any) -> ToolResult:
-        """Runs a command that must end well."""
+        """Runs a command that must succeed."""
         result = self.run(*arguments, **options)
         if result.exit_code != 0:
             raise RuntimeError(
@@ -81,7 +81,7 @@
         return self.require("budget", "top-up", budget, str(tokens), "--id", payment_id)
 
     def audit(self) -> ToolResult:
-        """Folds the log and proves that balances add up."""
+        """Replays the log and checks that balances add up."""
         return self.run("audit")
 
     def write_file(self, configuration: dict[str, Any] | Path) -> Path:
--- a/tools/harness/ports.py
+++ b/tools/harness/ports.py
@@ -5,8 +5,8 @@
 
 HOST = "127.0.0.1"
 
-# Below the range from which the kernel takes ports for outgoing connections: a
-# port that was free a moment ago is then not taken by somebody's connection.
+# Below the kernel's range for outgoing connections, so that no outgoing connection
+# takes a port that was just found free.
 _FIRST_PORT = 20000
 _LAST_PORT = 31999
 _ATTEMPTS = 200
@@ -15,7 +15,7 @@
 
 
 def free_port() -> int:
-    """Returns a port that nobody listens on and that was not given out before."""
+    """Returns a port that is not in use and was not returned before."""
     for _ in range(_ATTEMPTS):
         port = random.randint(_FIRST_PORT, _LAST_PORT)
         if port not in _given_out and is_free(port):
@@ -25,7 +25,7 @@
 
 
 def is_free(port: int) -> bool:
-    """Tells whether a process could listen on the port."""
+    """Returns whether a process could listen on the port."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/tools/harness/process.py
+++ b/tools/harness/process.py
@@ -1,4 +1,4 @@
-"""One child process that ends with its owner."""
+"""A child process that ends with its owner."""
 
 import ctypes
 import os
@@ -11,12 +11,12 @@
 _PR_SET_PDEATHSIG = 1
 _TAIL_BYTES = 4000
 
-# Loaded before any fork: the child must not load libraries.
+# Loaded before any fork, because the child must not load libraries.
 _libc = ctypes.CDLL(None)
 
 
 class ProcessFailed(Exception):
-    """A process did not start, or ended when it should not have."""
+    """A process did not start, or ended unexpectedly."""
 
 
 def _die_with_parent() -> None:
@@ -24,15 +24,15 @@
 
 
 def _child_setup() -> Callable[[], None] | None:
-    # The kernel sends the signal when the thread that forked ends, so that only a
-    # child of the main thread may ask for it.
+    # The kernel sends the signal when the thread that forked ends, so only a child
+    # of the main thread may request it.
     if threading.current_thread() is threading.main_thread():
         return _die_with_parent
     return None
 
 
 class ManagedProcess:
-    """A child in a process group of its own; signals go to its pid only."""
+    """A child in its own process group; signals go to its pid only."""
 
     def __init__(
         self,
@@ -62,46 +62,46 @@
 
     @property
     def running(self) -> bool:
-        """Whether it has not ended; a stopped one runs."""
+        """Whether it has not ended; a stopped process counts as running."""
         return self._child.poll() is None
 
     @property
     def exit_code(self) -> int | None:
-        """Exit code, minus the signal's number, or None while it runs."""
+        """The exit code, the negated signal number, or None while it runs."""
         return self._child.poll()
 
     def output(self) -> str:
-        """All that it has written so far."""
+        """Returns all output written so far."""
         return self.output_path.read_text(errors="replace")
 
     def tail(self) -> str:
-        """The end of its output, for messages."""
+        """Returns the end of the output, for messages."""
         return self.output()[-_TAIL_BYTES:]
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal if it still runs."""
+        """Sends a signal if the process still runs."""
         if self.running:
             self._child.send_signal(number)
 
     def kill(self) -> None:
-        """Ends it at once (SIGKILL), as a crash of its VM would."""
+        """Kills the process (SIGKILL), as a crash of its VM would."""
         self.send_signal(signal.SIGKILL)
         self._child.wait()
 
     def pause(self) -> None:
-        """Suspends it (SIGSTOP)."""
+        """Suspends the process (SIGSTOP)."""
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it go on (SIGCONT)."""
+        """Resumes the process (SIGCONT)."""
         self.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Asks it to end (SIGTERM) without waiting."""
+        """Requests termination (SIGTERM) without waiting."""
         self.send_signal(signal.SIGTERM)
 
     def wait(self, timeout_s: float) -> int:
-        """Waits for its end and returns the exit code."""
+        """Waits for the process to end and returns the exit code."""
         try:
             return self._child.wait(timeout_s)
         except subprocess.TimeoutExpired:
@@ -110,7 +110,7 @@
             ) from None
 
     def require_running(self) -> None:
-        """Raises ProcessFailed with its output when it has ended."""
+        """Raises ProcessFailed with the output if the process has ended."""
         if not self.running:
             raise ProcessFailed(
                 f"{self.name} ended with {self.exit_code}: "
--- a/tools/harness/router.py
+++ b/tools/harness/router.py
@@ -36,7 +36,7 @@
 
     @property
     def router_id(self) -> str:
-        """Its id in the fleet."""
+        """The router id."""
         return self.process.name
 
     @property
@@ -45,11 +45,11 @@
         return self.addresses.caller
 
     def is_ready(self) -> bool:
-        """Whether it takes new work, by its own account."""
+        """Returns whether the router reports that it accepts new work."""
         return answers(self.addresses.operator, "/readyz")
 
     def wait_ready(self, timeout_s: float = _READY_S) -> None:
-        """Waits until it takes new work."""
+        """Waits until the router accepts new work."""
 
         def ready() -> bool:
             self.process.require_running()
@@ -58,7 +58,7 @@
         wait_until(ready, timeout_s, f"{self.router_id} is ready")
 
     def wait_alive(self, timeout_s: float = _READY_S) -> None:
-        """Waits until it serves its operators, ready or not."""
+        """Waits until the operator endpoint answers, ready or not."""
 
         def alive() -> bool:
             self.process.require_running()
@@ -67,15 +67,15 @@
         wait_until(alive, timeout_s, f"{self.router_id} is alive")
 
     def status(self) -> dict[str, Any]:
-        """Its own report."""
+        """Returns the router's status report."""
         return self._admin("GET", "/admin/status").json()
 
     def drain(self) -> None:
-        """Asks it to drain over its operator endpoint."""
+        """Requests a drain over the operator endpoint."""
         self._admin("POST", "/admin/drain")
 
     def metrics(self) -> dict[str, float]:
-        """Its metrics by name, labels included."""
+        """Returns the metrics by name, labels included."""
         text = call(self.addresses.operator, "GET", "/metrics").body.decode()
         lines = [line for line in text.splitlines() if line and line[0] != "#"]
         pairs = [line.rsplit(" ", 1) for line in lines]
--- a/tools/harness/standins.py
+++ b/tools/harness/standins.py
@@ -11,7 +11,7 @@
 
 
 class StandIn:
-    """A stand-in that is driven over HTTP."""
+    """A stand-in that is controlled over HTTP."""
 
     ready_target = "/health"
 
@@ -21,11 +21,11 @@
 
     @property
     def name(self) -> str:
-        """Name of its process."""
+        """The name of the process."""
         return self.process.name
 
     def wait_ready(self, timeout_s: float = _READY_S) -> None:
-        """Waits until it serves."""
+        """Waits until the stand-in serves."""
 
         def ready() -> bool:
             self.process.require_running()
@@ -34,7 +34,7 @@
         wait_until(ready, timeout_s, f"{self.name} serves")
 
     def control(self, mode: str, **arguments: Any) -> None:
-        """Switches a fault on, or off by the mode "ok" ("up" at the log)."""
+        """Enables a fault; the mode "ok" ("up" at the log) disables it."""
         reply = call(self.address, "POST", "/control", {"mode": mode, **arguments})
         if reply.status != 200:
             raise ValueError(f"{self.name} does not know the mode {mode}: {reply.body!r}")
@@ -46,7 +46,7 @@
     ready_target = "/stats"
 
     def stats(self) -> dict[str, Any]:
-        """Counts of appends and reads, and the offsets that are retained."""
+        """Returns counts of appends and reads, and the retained offsets."""
         return call(self.address, "GET", "/stats").json()
 
     def up(self) -> None:
@@ -62,11 +62,11 @@
         self.control("hang", for_client=for_client, vms=vms)
 
     def slow(self, slow_ms: int, for_client: str = "") -> None:
-        """Answers late; requests take effect at once."""
+        """Delays answers; requests take effect at once."""
         self.control("slow", slow_ms=slow_ms, for_client=for_client)
 
     def lose_replies(self, ratio: float = 1.0, for_client: str = "") -> None:
-        """Takes appends and closes the connection instead of answering."""
+        """Accepts appends and closes the connection instead of answering."""
         self.control("lose_replies", lose_ratio=ratio, for_client=for_client)
 
     def set_vms(self, vms: list[dict[str, Any]]) -> None:
@@ -79,10 +79,10 @@
 
 
 class _Upstream(StandIn):
-    """An upstream, which keeps records of what it ran."""
+    """An upstream that records what it ran."""
 
     def records(self) -> list[dict[str, Any]]:
-        """What it ran, by its own account."""
+        """Returns the upstream's records of what it ran."""
         return call(self.address, "GET", "/records").json()
 
     def ok(self) -> None:
@@ -111,7 +111,7 @@
         self.control_address = control_address
 
     def wait_ready(self, timeout_s: float = _READY_S) -> None:
-        """Waits until it serves."""
+        """Waits until the relay serves."""
 
         def ready() -> bool:
             self.process.require_running()
@@ -126,5 +126,5 @@
             raise ValueError(f"the relay does not know the mode {mode}")
 
     def stats(self) -> dict[str, Any]:
-        """Mode and counts of connections."""
+        """Returns the mode and the connection counts."""
         return call(self.control_address, "GET", "/stats").json()
--- a/tools/harness/waiting.py
+++ b/tools/harness/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition with a bound."""
+"""Waiting for a condition with a timeout."""
 
 import time
 from collections.abc import Callable
@@ -7,11 +7,11 @@
 
 
 class WaitTimeout(Exception):
-    """The condition did not hold in time."""
+    """The condition did not hold within the timeout."""
 
 
 def wait_until(condition: Callable[[], bool], timeout_s: float, what: str) -> None:
-    """Polls until the condition holds; raises WaitTimeout when it does not."""
+    """Polls until the condition holds; raises WaitTimeout on timeout."""
     give_up = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() >= give_up:
