--- a/tests/cli/platform_names.sh
+++ b/tests/cli/platform_names.sh
@@ -29,7 +29,7 @@
 
 # It is stateless and makes no decisions: it uses no clock and no random numbers.
 if found=$(grep -nE 'BootNow|steady_clock|system_clock|random' platform/*.cc platform/*.h); then
-  echo "platform/ reads a clock or draws:"
+  echo "platform/ reads a clock or random numbers:"
   echo "$found"
   status=1
 fi
--- a/tests/process/support.py
+++ b/tests/process/support.py
@@ -21,7 +21,7 @@
 
 # Generous, because the machine may be shared and busy: only a state that is never
 # reached exceeds it.
-PATIENCE_S = 60.0
+WAIT_TIMEOUT_S = 60.0
 
 _DOMAINS = ["fd-a", "fd-b", "fd-c"]
 _RETRY_PAUSE_S = 0.1
@@ -44,7 +44,7 @@
         self.pool = ThreadPoolExecutor(max_workers=40)
         self.addCleanup(self.pool.shutdown)
         self.fleet.start_log()
-        self.caller = self.fleet.caller(API_KEY, PATIENCE_S)
+        self.caller = self.fleet.caller(API_KEY, WAIT_TIMEOUT_S)
         self.relays: dict[str, Relay] = {}
         self.configuration: dict[str, Any] = {}
         self.limits = dict(_LIMITS)
@@ -89,9 +89,9 @@
             for index in range(count)
         ]
         self.configuration = self._configuration(prepaid)
-        self.fleet.tool.publish(self.configuration, wait_s=int(PATIENCE_S))
+        self.fleet.tool.publish(self.configuration, wait_s=int(WAIT_TIMEOUT_S))
         for router in routers:
-            router.wait_ready(PATIENCE_S)
+            router.wait_ready(WAIT_TIMEOUT_S)
         self.wait(
             lambda: all(self._sees_all_peers(router, count) for router in routers),
             "the routers reach each other",
@@ -100,7 +100,7 @@
 
     def wait(self, condition: Callable[[], bool], what: str) -> None:
         """Waits until the condition holds; fails the test on timeout."""
-        wait_until(condition, PATIENCE_S, what)
+        wait_until(condition, WAIT_TIMEOUT_S, what)
 
     def in_background(
         self, work: Callable[..., _Result], *arguments: Any
@@ -129,10 +129,10 @@
         self, routers: list[Router], key: str, max_tokens: int = 50
     ) -> Answer:
         """Retries under one idempotency key until an answer is whole."""
-        give_up = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         last: object = None
         for router in itertools.cycle(routers):
-            if time.monotonic() >= give_up:
+            if time.monotonic() >= deadline:
                 break
             try:
                 answer = self.draft(router, key, max_tokens)
--- a/tests/process/test_crashing_request.py
+++ b/tests/process/test_crashing_request.py
@@ -5,10 +5,10 @@
 import unittest
 
 from tests.soak.http import read_message
-from tests.soak.platform import Platform, Router, play
+from tests.soak.platform import Platform, Router, run_scenario
 
 # A request that crashed three upstreams is sent to no other.
-_MOST_ENDED = 3
+_MAX_CRASHES = 3
 _REPEATS = 12
 
 
@@ -42,21 +42,21 @@
                 router = platform.routers[number % len(platform.routers)]
                 await self.send_crashing(platform, router, number)
 
-        ended = play(scenario, routers=3, engines=6).ledger.ended
-        self.assertLessEqual(len(ended), _MOST_ENDED, ended)
+        ended = run_scenario(scenario, routers=3, engines=6).ledger.ended
+        self.assertLessEqual(len(ended), _MAX_CRASHES, ended)
 
     async def send_crashing(self, platform: Platform, router: Router, number: int) -> int:
         """Sends the request once and waits until the other routers know the outcome."""
         status, _ = await ask(router.front, request(number, "poison"))
         await asyncio.sleep(1)
-        if len(platform.ledger.ended) >= _MOST_ENDED:
-            await platform.until_all_tell("quarantined_requests", 1, within=60)
+        if len(platform.ledger.ended) >= _MAX_CRASHES:
+            await platform.wait_for_figure("quarantined_requests", 1, within=60)
         return status
 
     async def quarantine(self, platform: Platform) -> None:
         """Sends the request to the routers in turn until all refuse it."""
         for number in range(_REPEATS):
-            if await platform.until_all_tell("quarantined_requests", 1, within=0):
+            if await platform.wait_for_figure("quarantined_requests", 1, within=0):
                 return
             router = platform.routers[number % len(platform.routers)]
             await self.send_crashing(platform, router, number)
@@ -71,27 +71,27 @@
             await self.quarantine(platform)
             for router in platform.routers:
                 await router.restart(signal.SIGKILL)
-            await platform.until_all_tell("ready", 1)
+            await platform.wait_for_figure("ready", 1)
             for number, router in enumerate(platform.routers):
                 poison = await ask(router.front, request(100 + number, "poison"))
                 other = await ask(router.front, request(200 + number, "a draft"))
                 statuses.append((poison[0], other[0]))
                 self.assertGreater(float(poison[1].get("retry-after", 0)), 60)
 
-        ended = play(scenario, routers=3, engines=6).ledger.ended
-        self.assertLessEqual(len(ended), _MOST_ENDED, ended)
+        ended = run_scenario(scenario, routers=3, engines=6).ledger.ended
+        self.assertLessEqual(len(ended), _MAX_CRASHES, ended)
         self.assertEqual([(503, 200)] * 3, statuses)
 
     # The store is unreachable, so routers cannot share what they observe: each must
     # act on the crashes that it saw itself.
     def test_a_router_alone_refuses_what_ended_three_upstreams_there(self) -> None:
         async def scenario(platform: Platform) -> None:
-            platform.store.down = {router.store_port for router in platform.routers}
+            platform.store.refused_ports = {router.store_port for router in platform.routers}
             for number in range(_REPEATS):
                 await self.send_crashing(platform, platform.routers[0], number)
 
-        ended = play(scenario, routers=3, engines=6).ledger.ended
-        self.assertLessEqual(len(ended), _MOST_ENDED, ended)
+        ended = run_scenario(scenario, routers=3, engines=6).ledger.ended
+        self.assertLessEqual(len(ended), _MAX_CRASHES, ended)
 
 
 if __name__ == "__main__":
--- a/tests/process/test_cut.py
+++ b/tests/process/test_cut.py
@@ -17,7 +17,6 @@
     # other routers apply it at once. router-3 cannot learn of it and must soon stop
     # accepting work instead of serving the old version. After the partition heals
     # it applies the version too, and callers get the new rule's refusal everywhere.
-    # follows too, and callers get the new rule's refusal everywhere.
     def test_cut_router_refuses_as_stale_and_follows_after_the_cut(self) -> None:
         self.limits["config_freshness_ms"] = 2000
         self.start_upstreams(engines=1)
--- a/tests/process/test_large_table.py
+++ b/tests/process/test_large_table.py
@@ -5,7 +5,7 @@
 
 from tests.process.test_crashing_request import ask
 from tests.soak.callers import HOST
-from tests.soak.platform import Platform, Router, play
+from tests.soak.platform import Platform, Router, run_scenario
 
 ROUTERS = 9  # three are active, three are next in turn
 
@@ -18,13 +18,13 @@
     return status
 
 
-async def standing_by(platform: Platform) -> list[Router]:
+async def routers_not_following(platform: Platform) -> list[Router]:
     """Returns the routers that don't follow the table, once all are ready."""
-    assert await platform.until_all_tell("ready", 1)
+    assert await platform.wait_for_figure("ready", 1)
     for _ in range(300):
-        told = [await router.figure("follows_upstreams") for router in platform.routers]
-        if told.count(0) == ROUTERS - 6:
-            return [r for r, follows in zip(platform.routers, told) if not follows]
+        reported = [await router.figure("follows_upstreams") for router in platform.routers]
+        if reported.count(0) == ROUTERS - 6:
+            return [r for r, follows in zip(platform.routers, reported) if not follows]
         await asyncio.sleep(0.1)
     return []
 
@@ -32,16 +32,16 @@
 class LargeTable(unittest.TestCase):
     def test_routers_that_do_not_follow_it_serve_all_the_same(self) -> None:
         async def scenario(platform: Platform) -> None:
-            others = await standing_by(platform)
+            others = await routers_not_following(platform)
             self.assertEqual(len(others), ROUTERS - 6)
             for number, router in enumerate(others * 5):
                 self.assertEqual(await lookup(router, number), 200)
 
-        play(scenario, routers=ROUTERS, engines=2, read_mbs=0.0001)
+        run_scenario(scenario, routers=ROUTERS, engines=2, read_mbs=0.0001)
 
     def test_they_send_nothing_to_upstreams_that_left(self) -> None:
         async def scenario(platform: Platform) -> None:
-            others = await standing_by(platform)
+            others = await routers_not_following(platform)
             self.assertTrue(others)
             desks = [s for s in platform.servers if s.service == "desk"]
             left = desks[0]
@@ -52,7 +52,7 @@
                 self.assertEqual(await lookup(router, number), 200)
             self.assertEqual(platform.ledger.arrived[left.name], before)
 
-        play(scenario, routers=ROUTERS, engines=2, read_mbs=0.0001)
+        run_scenario(scenario, routers=ROUTERS, engines=2, read_mbs=0.0001)
 
 
 if __name__ == "__main__":
--- a/tests/process/test_upstream_limit.py
+++ b/tests/process/test_upstream_limit.py
@@ -3,8 +3,8 @@
 import asyncio
 import unittest
 
-from tests.soak.limits import CONTACT, allowed, most_in_a_window
-from tests.soak.platform import PER_SECOND, Platform, play
+from tests.soak.limits import PROPAGATION_S, max_allowed_arrivals, max_arrivals_in_window
+from tests.soak.platform import FAULT_REQUESTS_PER_S, Platform, run_scenario
 from tests.soak.servers import Server
 
 
@@ -15,7 +15,7 @@
         began."""
         await platform.send_many(1)
         for server, limit in limits.items():
-            server.limit = limit
+            server.limit_per_s = limit
         began = asyncio.get_running_loop().time()
         await platform.send_many(seconds)
         return began
@@ -28,12 +28,13 @@
             limits = {slow: 2.0, slowest: 0.4}
             began = await self.send_with_limits(platform, 10, limits)
             for server, limit in limits.items():
-                most = most_in_a_window(platform.ledger.arrivals[server.name], began + CONTACT)
-                self.assertLessEqual(most, allowed(limit), server.name)
+                most = max_arrivals_in_window(platform.ledger.arrivals[server.name],
+                                              began + PROPAGATION_S)
+                self.assertLessEqual(most, max_allowed_arrivals(limit), server.name)
             ran = sum(platform.ledger.arrived[server.name] for server in others)
-            self.assertGreater(ran, 3 * PER_SECOND)
+            self.assertGreater(ran, 3 * FAULT_REQUESTS_PER_S)
 
-        play(scenario, routers=4, engines=4)
+        run_scenario(scenario, routers=4, engines=4)
 
 
 if __name__ == "__main__":
--- a/tests/process/test_upstream_says.py
+++ b/tests/process/test_upstream_says.py
@@ -3,11 +3,11 @@
 import unittest
 
 from tests.process.test_crashing_request import ask, request
-from tests.soak.platform import Platform, play
+from tests.soak.platform import Platform, run_scenario
 
 _REQUESTS = 40
 # Requests already in flight to an upstream when it asks for a pause.
-_MOST_ON_ITS_WAY = 2
+_MAX_IN_FLIGHT = 2
 
 
 class UpstreamSaysTest(unittest.TestCase):
@@ -27,7 +27,7 @@
     # names the answers that reported it, and no such record.
     def test_an_engine_that_says_it_leaves_gets_no_more_work_without_a_store(self) -> None:
         async def scenario(platform: Platform) -> None:
-            platform.store.down = {platform.routers[0].store_port}
+            platform.store.refused_ports = {platform.routers[0].store_port}
             for engine in platform.engines[:2]:
                 engine.leaving = True
             # Each leaving engine answers once, and may have been sent more requests
@@ -38,7 +38,7 @@
             for engine in platform.engines[:2]:
                 self.assertEqual(ran[engine.name], platform.ledger.arrived[engine.name])
 
-        play(scenario, routers=1, engines=3)
+        run_scenario(scenario, routers=1, engines=3)
 
     # A busy engine says how long it wants no requests. A router that waits only the
     # few milliseconds used after any refusal makes the engine spend its time on
@@ -46,12 +46,12 @@
     def test_an_engine_that_asks_for_a_pause_gets_one(self) -> None:
         async def scenario(platform: Platform) -> None:
             busy = platform.engines[0]
-            busy.wait = 300.0
+            busy.retry_after_s = 300.0
             await self.ask_many(platform)
             self.assertEqual([200] * _REQUESTS, await self.ask_many(platform))
-            self.assertLessEqual(platform.ledger.arrived[busy.name], 1 + _MOST_ON_ITS_WAY)
+            self.assertLessEqual(platform.ledger.arrived[busy.name], 1 + _MAX_IN_FLIGHT)
 
-        play(scenario, routers=1, engines=3)
+        run_scenario(scenario, routers=1, engines=3)
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -13,18 +13,18 @@
 
 
 @dataclass
-class Seen:
+class Observations:
     """What callers observed."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
-    wrong: list[str] = field(default_factory=list)  # answers that no rule allows
-    not_run: set[str] = field(default_factory=set)  # ids that were promised so
-    delivered: Counter[str] = field(default_factory=Counter)  # events, by id
+    wrong: list[str] = field(default_factory=list)  # descriptions of invalid answers
+    not_run: set[str] = field(default_factory=set)  # ids whose answer says that they did not run
+    delivered: Counter[str] = field(default_factory=Counter)  # number of events by request id
 
 
 class Callers:
     def __init__(self, directories: list[str], seed: int) -> None:
-        self.seen = Seen()
+        self.seen = Observations()
         self._directories = directories
         self._random = random.Random(seed)
         self._number = 0
@@ -84,7 +84,7 @@
         except (OSError, TimeoutError):
             self.seen.outcomes["unreachable"] += 1
             return
-        self._judge(kind, request_id, head, body, whole)
+        self._check_answer(kind, request_id, head, body, whole)
 
     async def _body(self, reader, head):
         if head.headers.get("transfer-encoding") == "chunked":
@@ -94,7 +94,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             return b"", False
 
-    def _judge(self, kind: str, request_id: str, head, body: bytes, whole: bool) -> None:
+    def _check_answer(self, kind: str, request_id: str, head, body: bytes, whole: bool) -> None:
         seen = self.seen
         events = [line for line in body.decode().split("\n") if line.startswith("data: ")]
         seen.delivered[request_id] += len(events)
--- a/tests/soak/http.py
+++ b/tests/soak/http.py
@@ -6,15 +6,15 @@
 
 @dataclass
 class Message:
-    """A request or an answer; `first` is its first line."""
+    """A request or an answer."""
 
-    first: str
+    start_line: str
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     @property
     def status(self) -> int:
-        return int(self.first.split()[1])
+        return int(self.start_line.split()[1])
 
 
 async def read_head(reader: asyncio.StreamReader) -> Message | None:
@@ -62,7 +62,7 @@
 
 
 def answer(status: int, body: bytes = b"", **headers: str) -> bytes:
-    """An answer with its length; `a_b` names the header A-B."""
+    """Returns an answer with its Content-Length; argument `a_b` sets the header A-B."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/tests/soak/limits.py
+++ b/tests/soak/limits.py
@@ -2,20 +2,20 @@
 
 import bisect
 
-# Seconds after its first announcement from which a limit is enforced.
-CONTACT = 3.0
-_WINDOW = 4.0
+# Seconds after its first announcement until all routers must keep to a limit.
+PROPAGATION_S = 3.0
+_WINDOW_S = 4.0
 _OVERAGE = 1.5
-_SLACK = 5
+_SLACK_REQUESTS = 5
 
 
-def most_in_a_window(times: list[float], begin: float) -> int:
+def max_arrivals_in_window(times: list[float], begin: float) -> int:
     """Returns the maximum number of arrivals in any window that begins no sooner than
     `begin`."""
     late = [time for time in times if time >= begin]
-    return max((bisect.bisect_left(late, time + _WINDOW) - i for i, time in enumerate(late)),
+    return max((bisect.bisect_left(late, time + _WINDOW_S) - i for i, time in enumerate(late)),
                default=0)
 
 
-def allowed(limit: float) -> int:
-    return int(limit * _OVERAGE * _WINDOW + _SLACK)
+def max_allowed_arrivals(limit: float) -> int:
+    return int(limit * _OVERAGE * _WINDOW_S + _SLACK_REQUESTS)
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -10,17 +10,17 @@
 
 from tests.soak.callers import HOST
 from tests.soak.http import read_message
-from tests.soak.servers import TOKENS_PER_EVENT, WARM_UP, Ledger, Server
+from tests.soak.servers import TOKENS_PER_EVENT, WARM_UP_S, Ledger, Server
 from tests.soak.store import Store
 
 PREPAID = 150_000
 ZONES = ["a", "b"]
 # Rate of the faults that need many requests; these use a separate account.
-PER_SECOND = 60
-OFFICE_IDS = "rx"
+FAULT_REQUESTS_PER_S = 60
+OFFICE_ID_PREFIX = "rx"
 # Seconds after an upstream ends until its entry is removed and until it restarts.
-LAPSES_AFTER = 0.6
-STARTS_AFTER = 1.0
+ENTRY_REMOVED_AFTER_S = 0.6
+RESTART_AFTER_S = 1.0
 SETTINGS = """heartbeatMs = 1000
 nodeName = "{name}"
 zone = "a"
@@ -57,7 +57,7 @@
         self.name = name
         self.front, self.ready, self.directory, self.metrics, self.loads = free_ports(5)
         self.store_port = 0
-        self.read_mbs = 80.0  # that the store says it can send
+        self.read_mbs = 80.0  # read bandwidth that the store announces
         self._path = os.path.join(folder, name + ".toml")
         self._log_path = os.path.join(folder, name + ".log")
         self._log = open(self._log_path, "ab")
@@ -116,7 +116,7 @@
                    route("draft", "engines", "streaming", resumable=False),
                    route("hold", "desk", "unsafe"), route("lookup", "desk", "safe")],
         "services": [{"name": "engines", "healthPath": "/healthz", "maxConnections": 300,
-                      "warmupS": WARM_UP, "warmupPerS": 14,
+                      "warmupS": WARM_UP_S, "warmupPerS": 14,
                       "engine": {"slots": 64, "stride": TOKENS_PER_EVENT}},
                      {"name": "desk", "healthPath": "/healthz", "maxConnections": 300}],
         "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 65536,
@@ -136,7 +136,7 @@
         self._starts = 0
         self._number = 0
         self._random = random.Random(seed)
-        self._births: list[asyncio.Task] = []
+        self._restart_tasks: list[asyncio.Task] = []
         self.prepaid = PREPAID
         self.store = Store(seed)
         self.ledger = Ledger()
@@ -150,7 +150,7 @@
     async def start(self, routers: int, engines: int, desks: int = 2,
                     read_mbs: float = 80.0) -> None:
         for service in ["engines"] * engines + ["desk"] * desks:
-            await self._begin_server(service)
+            await self._start_server(service)
         self.publish()
         for i in range(routers):
             router = Router(f"edge-{i}", self._folder, self._program)
@@ -160,30 +160,30 @@
             await router.start()
         await asyncio.sleep(2)
 
-    async def _begin_server(self, service: str, port: int = 0) -> None:
+    async def _start_server(self, service: str, port: int = 0) -> None:
         zone = ZONES[self._starts % len(ZONES)]
         server = Server(f"i-{self._starts}", service, zone, self.ledger,
                         self._seed + self._starts)
         if self.routers and service == "engines":
             server.turn_cold()
-        server.dies_on = b"poison"
+        server.crash_marker = b"poison"
         self._starts += 1
         await server.listen(port)
         self.servers.append(server)
         self.announce(server)
-        self._births.append(asyncio.create_task(self._begin_again(server)))
+        self._restart_tasks.append(asyncio.create_task(self._restart_after_stop(server)))
 
     def announce(self, server: Server) -> None:
         self.store.put("keyed.servers", server.name, server.entry())
 
-    async def _begin_again(self, server: Server) -> None:
+    async def _restart_after_stop(self, server: Server) -> None:
         """Restarts an upstream that ended, with a new id at the old address."""
-        await server.gone.wait()
+        await server.stopped.wait()
         self.servers.remove(server)
-        await asyncio.sleep(LAPSES_AFTER)
+        await asyncio.sleep(ENTRY_REMOVED_AFTER_S)
         self.store.put("keyed.servers", server.name, None)
-        await asyncio.sleep(STARTS_AFTER - LAPSES_AFTER)
-        await self._begin_server(server.service, server.port)
+        await asyncio.sleep(RESTART_AFTER_S - ENTRY_REMOVED_AFTER_S)
+        await self._start_server(server.service, server.port)
 
     def publish(self, versions: int = 1, more_tokens: int = 0) -> None:
         self._version += versions
@@ -193,14 +193,14 @@
     def evacuate(self, zone: str) -> None:
         self.store.put("keyed.op", f"evacuate/{zone}", {})
 
-    def take_back(self, zone: str, cold: bool = True) -> None:
+    def return_zone(self, zone: str, cold: bool = True) -> None:
         for server in self.engines:
             if cold and server.zone == zone:
                 server.turn_cold()
                 self.announce(server)
         self.store.put("keyed.op", f"evacuate/{zone}", None)
 
-    def arrived_in(self, zone: str) -> int:
+    def arrivals_in_zone(self, zone: str) -> int:
         """Returns the number of requests received so far by the running upstreams of a
         zone."""
         return sum(self.ledger.arrived[server.name] for server in self.servers
@@ -209,16 +209,17 @@
     async def send_many(self, seconds: float) -> None:
         """Sends drafts with different prefixes, so that every engine would get some."""
         sends = []
-        for number in range(int(seconds * PER_SECOND)):
+        for number in range(int(seconds * FAULT_REQUESTS_PER_S)):
             sends.append(asyncio.create_task(self.send(f"draft {number}", f"{number + 1:x}")))
-            await asyncio.sleep(1 / PER_SECOND)
+            await asyncio.sleep(1 / FAULT_REQUESTS_PER_S)
         await asyncio.gather(*sends)
 
     async def send(self, body: str, prefix: str = "a") -> None:
         """Sends a draft to a random router and ignores the outcome."""
         router = self._random.choice(self.routers)
         self._number += 1
-        text = (f"POST /draft/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {OFFICE_IDS}{self._number}\r\n"
+        text = (f"POST /draft/x HTTP/1.1\r\nHost: {HOST}\r\n"
+                f"Request-Id: {OFFICE_ID_PREFIX}{self._number}\r\n"
                 "Deadline-Ms: 3000\r\nAuthorization: Token office-key\r\nModel: m\r\n"
                 f"Token-Usage: 100,70\r\nPrefix-Hash: {prefix}:50,b:50\r\n"
                 f"Content-Length: {len(body)}\r\n\r\n{body}")
@@ -230,19 +231,19 @@
         except (OSError, TimeoutError):
             pass
 
-    async def until_all_tell(self, figure: str, value: float, within: float = 10) -> bool:
+    async def wait_for_figure(self, figure: str, value: float, within: float = 10) -> bool:
         """Waits until all routers report a value of a figure. Returns whether they
         did."""
         for _ in range(int(within * 20)):
-            told = [await router.figure(figure) for router in self.routers]
-            if all(one == value for one in told):
+            reported = [await router.figure(figure) for router in self.routers]
+            if all(one == value for one in reported):
                 return True
             await asyncio.sleep(0.05)
         return False
 
     async def stop(self) -> None:
-        for birth in self._births:
-            birth.cancel()
+        for task in self._restart_tasks:
+            task.cancel()
         for router in self.routers:
             router.send(signal.SIGKILL)
             await router.process.wait()
@@ -250,7 +251,7 @@
         await asyncio.sleep(0.1)
 
 
-def play(scenario: Callable[[Platform], Awaitable[None]], routers: int, engines: int,
+def run_scenario(scenario: Callable[[Platform], Awaitable[None]], routers: int, engines: int,
          read_mbs: float = 80.0) -> Platform:
     """Runs a test scenario on a new platform and stops the platform."""
 
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -10,8 +10,8 @@
 TOKENS_PER_EVENT = 7
 # Seconds for which an engine is cold after a start under traffic, and the number of
 # requests from all routers that it can handle in any second of them.
-WARM_UP = 3.0
-MOST_WHILE_COLD = 26
+WARM_UP_S = 3.0
+MAX_RATE_WHILE_COLD = 26
 
 
 class Ledger:
@@ -19,14 +19,14 @@
 
     def __init__(self) -> None:
         self.runs: Counter[str] = Counter()
-        self.arrived: Counter[str] = Counter()  # by upstream, 421 left out
-        self.arrivals: defaultdict[str, list[float]] = defaultdict(list)  # when, the same
-        self.streamed: Counter[str] = Counter()  # events made, of all runs
+        self.arrived: Counter[str] = Counter()  # by upstream, except answers 421
+        self.arrivals: defaultdict[str, list[float]] = defaultdict(list)  # their times
+        self.streamed: Counter[str] = Counter()  # events sent, over all runs
         self.kind: dict[str, str] = {}
         self.prompt: dict[str, int] = {}
-        self.ended: list[str] = []  # starts that a request ended, in order
-        self.fell_over: list[str] = []  # starts that got too much while cold
-        self.most_while_cold = 0  # requests at one engine in a second
+        self.ended: list[str] = []  # names of upstreams that a request crashed, in order
+        self.overloaded_while_cold: list[str] = []  # names of upstreams overloaded while cold
+        self.max_rate_while_cold = 0  # most requests at one cold engine in a second
 
 
 class Server:
@@ -35,13 +35,13 @@
         self.name = name
         self.service = service
         self.address = ""
-        self.cut = 0.0  # share of answers that break off
-        self.decline = 0.0  # share that are not run
-        self.dies_on = b""  # a request with this in its body ends the process
-        self.leaving = False  # said in all answers
-        self.wait = 0.0  # seconds; all requests are declined with it
-        self.limit: float | None = None  # requests a second, said in all answers
-        self.gone = asyncio.Event()
+        self.cut_ratio = 0.0  # share of answers that are truncated
+        self.decline_ratio = 0.0  # share of requests that are not run
+        self.crash_marker = b""  # a request whose body contains this ends the process
+        self.leaving = False  # reported in all answers
+        self.retry_after_s = 0.0  # if set, all requests are declined with it as Retry-After
+        self.limit_per_s: float | None = None  # reported in all answers
+        self.stopped = asyncio.Event()
         self._cold_until = 0.0
         self._while_cold: deque[float] = deque()
         self._ledger = ledger
@@ -58,9 +58,9 @@
         return int(self.address.split(":")[1])
 
     def turn_cold(self) -> None:
-        self._cold_until = asyncio.get_running_loop().time() + WARM_UP
+        self._cold_until = asyncio.get_running_loop().time() + WARM_UP_S
 
-    def _bears_one_more(self) -> bool:
+    def _within_cold_capacity(self) -> bool:
         now = asyncio.get_running_loop().time()
         if now >= self._cold_until:
             return True
@@ -68,14 +68,14 @@
             self._while_cold.popleft()
         self._while_cold.append(now)
         count = len(self._while_cold)
-        self._ledger.most_while_cold = max(self._ledger.most_while_cold, count)
-        return count <= MOST_WHILE_COLD
+        self._ledger.max_rate_while_cold = max(self._ledger.max_rate_while_cold, count)
+        return count <= MAX_RATE_WHILE_COLD
 
-    def die(self) -> None:
+    def shut_down(self) -> None:
         """Simulates the end of a process: closes the listener and all connections."""
-        if self.gone.is_set():
+        if self.stopped.is_set():
             return
-        self.gone.set()
+        self.stopped.set()
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
@@ -101,36 +101,36 @@
     async def _run(self, request: Message, writer) -> bool:
         headers = request.headers
         request_id = headers["request-id"]
-        says = {"Server_Leaving": "1"} if self.leaving else {}
-        if self.limit is not None:
-            says["Server_Limit"] = str(self.limit)
+        state = {"Server_Leaving": "1"} if self.leaving else {}
+        if self.limit_per_s is not None:
+            state["Server_Limit"] = str(self.limit_per_s)
         if headers.get("expected-instance") != self.name:
-            writer.write(answer(421, **says))
+            writer.write(answer(421, **state))
             return True
         self._ledger.arrived[self.name] += 1
         self._ledger.arrivals[self.name].append(asyncio.get_running_loop().time())
-        if not self._bears_one_more():
-            self._ledger.fell_over.append(self.name)
-            self.die()
+        if not self._within_cold_capacity():
+            self._ledger.overloaded_while_cold.append(self.name)
+            self.shut_down()
             return False
-        if self.wait:
+        if self.retry_after_s:
             writer.write(answer(503, Not_Executed="1", Request_Id=request_id,
-                                Retry_After=str(self.wait), **says))
+                                Retry_After=str(self.retry_after_s), **state))
             return True
-        if self._random.random() < self.decline:
-            writer.write(answer(503, Not_Executed="1", Request_Id=request_id, **says))
+        if self._random.random() < self.decline_ratio:
+            writer.write(answer(503, Not_Executed="1", Request_Id=request_id, **state))
             return True
         self._ledger.runs[request_id] += 1
-        self._ledger.kind[request_id] = request.first.split()[1].split("/")[1]
-        if self.dies_on and self.dies_on in request.body:
+        self._ledger.kind[request_id] = request.start_line.split()[1].split("/")[1]
+        if self.crash_marker and self.crash_marker in request.body:
             await asyncio.sleep(0.05)
-            if not self.gone.is_set():
+            if not self.stopped.is_set():
                 self._ledger.ended.append(self.name)
-            self.die()
+            self.shut_down()
             return False
         signed = {"Server_Signature": f"{self.name}.{request_id}", "Request_Id": request_id,
-                  **says}
-        breaks = self._random.random() < self.cut
+                  **state}
+        breaks = self._random.random() < self.cut_ratio
         if "token-usage" not in headers:
             await asyncio.sleep(0.01)
             if breaks:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes under faults from outside, judged by what callers
-and upstreams saw. `python3 -m tests.soak.soak --seconds 60 --seed 7`.
+"""Runs a fleet of real processes under injected faults and checks what callers and
+upstreams observed. `python3 -m tests.soak.soak --seconds 60 --seed 7`.
 
-Exit code 0: no rule broken. Its verdict rests on counts, not on times."""
+Exit code 0: no rule broken. The verdict depends on counts, not on times."""
 
 import argparse
 import asyncio
@@ -12,13 +12,13 @@
 import tempfile
 
 from tests.soak.callers import Callers
-from tests.soak.limits import CONTACT, allowed, most_in_a_window
-from tests.soak.platform import OFFICE_IDS, PREPAID, ZONES, Platform
+from tests.soak.limits import PROPAGATION_S, max_allowed_arrivals, max_arrivals_in_window
+from tests.soak.platform import OFFICE_ID_PREFIX, PREPAID, ZONES, Platform
 from tests.soak.servers import TOKENS_PER_EVENT
 
 ROUTERS = 5
 # Seconds from an event until all routers act on it, by the platform's time limits.
-DRAIN = 2.0
+DRAIN_S = 2.0
 
 
 class Soak:
@@ -28,12 +28,12 @@
         self._seed = seed
         self._program = program
         self.faults: list[str] = []
-        self._crashing = 0  # requests that end upstreams, so far
-        self._ended_after = 0  # upstreams that one ended after it was known
+        self._crash_requests = 0  # requests sent so far that crash upstreams
+        self._crashed_after_quarantine = 0  # upstreams crashed by quarantined ones
         self._sent_evacuated = 0  # requests to an evacuated zone
-        self._sent_unwanted = 0  # requests beyond what an upstream's word allows
-        self._beyond_limits = 0  # requests beyond what upstreams' limits allow
-        self._endless_limits = 0  # limits that ended and were still kept to
+        self._sent_unwanted = 0  # requests beyond what a leaving or pausing upstream allows
+        self._beyond_limits = 0  # requests beyond upstreams' rate limits
+        self._limits_kept_after_end = 0  # limits that routers kept after their withdrawal
 
     async def run(self) -> int:
         with tempfile.TemporaryDirectory() as folder:
@@ -57,11 +57,11 @@
                  self._cut_answers, self._decline, self._lapse, self._crash_under_a_request,
                  self._leave_unheard, self._ask_for_a_pause, self._evacuate,
                  self._return_cold, self._name_limits]
-        turn: list = []
+        remaining: list = []
         while asyncio.get_running_loop().time() < until:
             # Every kind is used once before any is repeated.
-            turn = turn or self._random.sample(kinds, len(kinds))
-            fault = turn.pop()
+            remaining = remaining or self._random.sample(kinds, len(kinds))
+            fault = remaining.pop()
             self.faults.append(fault.__name__.strip("_"))
             await fault()
             await asyncio.sleep(self._random.uniform(0.2, 1.0))
@@ -83,39 +83,39 @@
 
     async def _turn_away(self) -> None:
         ports = {router.store_port for router in self._random.sample(self._routers, 2)}
-        self._store.down |= ports
+        self._store.refused_ports |= ports
         await asyncio.sleep(2)
-        self._store.down -= ports
+        self._store.refused_ports -= ports
 
     async def _store_down(self) -> None:
-        self._store.down = {router.store_port for router in self._routers}
+        self._store.refused_ports = {router.store_port for router in self._routers}
         await asyncio.sleep(2)
-        self._store.down = set()
+        self._store.refused_ports = set()
 
     async def _lose_answers(self) -> None:
-        self._store.lose = 0.5
+        self._store.lost_reply_ratio = 0.5
         await asyncio.sleep(2)
-        self._store.lose = 0
+        self._store.lost_reply_ratio = 0
 
     async def _forget(self) -> None:
-        self._store.forget()
+        self._store.compact()
 
     async def _top_up(self) -> None:
         self._platform.publish(self._random.randint(1, 5), PREPAID // 6)
 
     async def _cut_answers(self) -> None:
         for server in self._servers:
-            server.cut = 0.2
+            server.cut_ratio = 0.2
         await asyncio.sleep(1.5)
         for server in self._servers:
-            server.cut = 0
+            server.cut_ratio = 0
 
     async def _decline(self) -> None:
         for server in self._servers:
-            server.decline = 0.3
+            server.decline_ratio = 0.3
         await asyncio.sleep(1)
         for server in self._servers:
-            server.decline = 0
+            server.decline_ratio = 0
 
     async def _lapse(self) -> None:
         """Removes an entry during a store outage and restores it a second
@@ -129,8 +129,8 @@
     async def _crash_under_a_request(self) -> None:
         """Sends a request that crashes upstreams; in between, all routers restart, the
         configuration changes or the store is unavailable."""
-        self._crashing += 1
-        body = f"poison {self._crashing}"
+        self._crash_requests += 1
+        body = f"poison {self._crash_requests}"
         ended = self._platform.ledger.ended
         before = len(ended)
         for _ in range(12):
@@ -138,59 +138,59 @@
             await asyncio.sleep(0.4)
             if len(ended) - before > 3:
                 break
-        await asyncio.sleep(CONTACT)
+        await asyncio.sleep(PROPAGATION_S)
         overlap = self._random.choice([None, self._kill_all, self._top_up, self._store_down])
         if overlap:
             self.faults.append("+" + overlap.__name__.strip("_"))
             await overlap()
-            await self._platform.until_all_tell("ready", 1)
+            await self._platform.wait_for_figure("ready", 1)
         known = len(ended)
         if known - before < 3:
             return
         for _ in range(8):
             await self._platform.send(body)
             await asyncio.sleep(0.1)
-        self._ended_after = max(self._ended_after, len(ended) - known)
+        self._crashed_after_quarantine = max(self._crashed_after_quarantine, len(ended) - known)
 
     async def _leave_unheard(self) -> None:
         """An upstream announces its leave during a store outage, then ends in an
         orderly way."""
         server = self._random.choice(self._platform.engines)
         ports = {router.store_port for router in self._routers}
-        self._store.down = ports
+        self._store.refused_ports = ports
         server.leaving = True
-        await asyncio.sleep(DRAIN)
+        await asyncio.sleep(DRAIN_S)
         arrived = self._platform.ledger.arrived
         before = arrived[server.name]
         await self._platform.send_many(3)
         self._count_unwanted(arrived[server.name] - before)
-        self._store.down = set()
+        self._store.refused_ports = set()
         self._store.put("keyed.servers", server.name, server.entry("draining"))
         await asyncio.sleep(1.5)
-        server.die()
+        server.shut_down()
 
     async def _evacuate(self) -> None:
         """Evacuates a zone and returns it cold; meanwhile routers restart or the store
         fails."""
         zone = self._random.choice(ZONES)
         self._platform.evacuate(zone)
-        if await self._platform.until_all_tell("evacuated_domains", 1):
-            before = self._platform.arrived_in(zone)
+        if await self._platform.wait_for_figure("evacuated_domains", 1):
+            before = self._platform.arrivals_in_zone(zone)
             overlap = self._random.choice([None, self._kill_all, self._store_down,
                                            self._forget, self._lose_answers])
             if overlap:
                 self.faults.append("+" + overlap.__name__.strip("_"))
                 await overlap()
             await self._platform.send_many(1.5)
-            self._sent_evacuated += self._platform.arrived_in(zone) - before
-        self._platform.take_back(zone)
+            self._sent_evacuated += self._platform.arrivals_in_zone(zone) - before
+        self._platform.return_zone(zone)
         await self._platform.send_many(1.5)
 
     async def _return_cold(self) -> None:
         """Ends half of the engines, or all, together; they return cold under load."""
         engines = self._platform.engines
         for server in engines[: len(engines) // self._random.choice([1, 2])]:
-            server.die()
+            server.shut_down()
         await self._platform.send_many(3)
 
     async def _name_limits(self) -> None:
@@ -200,9 +200,9 @@
         engines = self._platform.engines
         limited = engines[: self._random.choice([1, len(engines)])]
         for server in limited:
-            server.limit = limit
-        begin = asyncio.get_running_loop().time() + CONTACT
-        await self._platform.send_many(CONTACT)
+            server.limit_per_s = limit
+        begin = asyncio.get_running_loop().time() + PROPAGATION_S
+        await self._platform.send_many(PROPAGATION_S)
         overlap = self._random.choice([None, self._kill_all, self._store_down, self._forget,
                                        self._lose_answers, self._turn_away])
         if overlap:
@@ -213,30 +213,30 @@
         if overlap == self._kill_all:
             # Requests of a restarted router that has not yet learned the limit are
             # not counted.
-            await self._platform.until_all_tell("ready", 1)
-            begin = asyncio.get_running_loop().time() + CONTACT
-            await self._platform.send_many(CONTACT)
+            await self._platform.wait_for_figure("ready", 1)
+            begin = asyncio.get_running_loop().time() + PROPAGATION_S
+            await self._platform.send_many(PROPAGATION_S)
         await self._platform.send_many(5)
         arrivals = self._platform.ledger.arrivals
         for server in limited:
-            most = most_in_a_window(arrivals[server.name], begin)
-            self._beyond_limits += max(0, most - allowed(limit))
-            server.limit = None
-        ended = asyncio.create_task(self._platform.until_all_tell("limited_upstreams", 0, 40))
+            most = max_arrivals_in_window(arrivals[server.name], begin)
+            self._beyond_limits += max(0, most - max_allowed_arrivals(limit))
+            server.limit_per_s = None
+        ended = asyncio.create_task(self._platform.wait_for_figure("limited_upstreams", 0, 40))
         while not ended.done():
             await self._platform.send_many(1)
-        self._endless_limits += not ended.result()
+        self._limits_kept_after_end += not ended.result()
 
     async def _ask_for_a_pause(self) -> None:
         server = self._random.choice(self._platform.engines)
         # Longer than this fault takes on any machine; the restart ends it.
-        server.wait = 60.0
+        server.retry_after_s = 60.0
         await asyncio.sleep(0.5)
         arrived = self._platform.ledger.arrived
         before = arrived[server.name]
         await self._platform.send_many(3)
         self._count_unwanted(arrived[server.name] - before)
-        server.die()
+        server.shut_down()
 
     def _count_unwanted(self, arrivals: int) -> None:
         # A router that has had no answer from this upstream learns by one request,
@@ -247,7 +247,7 @@
         ledger = self._platform.ledger
         runs, prepaid = ledger.runs, self._platform.prepaid
         # Ids that started at an engine; resumed runs count their prompt once.
-        prompts = sum(n for i, n in ledger.prompt.items() if not i.startswith(OFFICE_IDS))
+        prompts = sum(n for i, n in ledger.prompt.items() if not i.startswith(OFFICE_ID_PREFIX))
         spent = prompts + TOKENS_PER_EVENT * sum(seen.delivered.values())
         broken = {
             "overspend": max(0, spent - prepaid),
@@ -256,19 +256,19 @@
             "ran twice": len([i for i, n in runs.items()
                               if n > 1 and ledger.kind[i] in ("hold", "draft")]),
             "served nothing": int(not any(o.startswith("200") for o in seen.outcomes)),
-            "ended after it was known": max(0, self._ended_after - 3),
-            "sent to who wanted none": self._sent_unwanted,
+            "crashed after quarantine": max(0, self._crashed_after_quarantine - 3),
+            "sent to leaving or pausing upstreams": self._sent_unwanted,
             "sent to an evacuated zone": self._sent_evacuated,
             "sent beyond a limit": self._beyond_limits,
-            "kept to a limit that ended": self._endless_limits,
-            "fell over cold": len(ledger.fell_over),
+            "limits kept after their end": self._limits_kept_after_end,
+            "overloaded while cold": len(ledger.overloaded_while_cold),
             "ran without a caller's id": len([i for i in runs if not i.startswith("r")]),
         }
         print("faults:", " ".join(self.faults))
         print("outcomes:", dict(seen.outcomes), "store calls:", self._store.calls)
-        print(f"upstreams that {self._crashing} requests ended: {len(ledger.ended)}")
+        print(f"upstreams crashed by {self._crash_requests} requests: {len(ledger.ended)}")
         print(f"tokens: {spent} of {prepaid}; most at a cold engine in a second:"
-              f" {ledger.most_while_cold}")
+              f" {ledger.max_rate_while_cold}")
         for wrong in seen.wrong[:5]:
             print("wrong:", wrong)
         print("soak:", ", ".join(f"{name} {count}" for name, count in broken.items()))
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's store: topics that keep the newest of each key.
+"""Stand-in of the platform's store: topics that keep the newest record of each key.
 
-Each router reaches it at a port of its own, so that some can be turned away
-while others are served."""
+Each router connects to its own port, so that some routers can be refused while
+others are served."""
 
 import asyncio
 import base64
@@ -19,7 +19,7 @@
         self.records: list[tuple[str, bytes]] = []
         self.newest: dict[str, tuple[int, bytes]] = {}
         self.writers: dict[str, tuple[int, int, bytes]] = {}
-        self.grew = asyncio.Event()
+        self.appended = asyncio.Event()
 
     @property
     def end(self) -> int:
@@ -31,15 +31,15 @@
         else:
             self.newest.pop(key, None)
         self.records.append((key, value))
-        self.grew.set()
-        self.grew = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
 
 
 class Store:
     def __init__(self, seed: int) -> None:
         self.topics: dict[str, Topic] = {}
-        self.down: set[int] = set()  # ports that are turned away
-        self.lose = 0.0  # share of appends that are done and not answered
+        self.refused_ports: set[int] = set()  # ports whose requests are refused
+        self.lost_reply_ratio = 0.0  # share of appends that take effect but get no reply
         self.calls = 0
         self._random = random.Random(seed)
         self._servers: list[asyncio.Server] = []
@@ -53,9 +53,9 @@
     def wake_readers(self) -> None:
         """Releases the reads that wait for a record."""
         for topic in self.topics.values():
-            topic.grew.set()
+            topic.appended.set()
 
-    def forget(self) -> None:
+    def compact(self) -> None:
         """Drops all records except the newest of each key."""
         for topic in self.topics.values():
             topic.first = topic.end
@@ -73,19 +73,19 @@
             if request is None or not whole:
                 break
             self.calls += 1
-            if port in self.down:
+            if port in self.refused_ports:
                 if self._random.random() < 0.5:
                     break
                 writer.write(answer(503))
                 continue
             reply = await self._answer(request)
-            if reply is None or port in self.down:
+            if reply is None or port in self.refused_ports:
                 break
             writer.write(reply)
         writer.close()
 
     async def _answer(self, request: Message) -> bytes | None:
-        method, target, _ = request.first.split()
+        method, target, _ = request.start_line.split()
         url = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         topic = self.topic(query["topic"])
@@ -103,7 +103,7 @@
     async def _read(self, topic: Topic, start: int, wait_ms: int) -> bytes:
         if start >= topic.end:
             try:
-                await asyncio.wait_for(topic.grew.wait(), wait_ms / 1000)
+                await asyncio.wait_for(topic.appended.wait(), wait_ms / 1000)
             except TimeoutError:
                 pass
         if start < topic.first:
@@ -129,4 +129,4 @@
             topic.append(body[5 : 5 + key_size].decode(), body[5 + key_size :])
         reply = answer(200, json.dumps({"offset": offset, "endOffset": topic.end}).encode())
         topic.writers[query["producer"]] = (epoch, sequence, reply)
-        return None if self._random.random() < self.lose else reply
+        return None if self._random.random() < self.lost_reply_ratio else reply
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -14,7 +14,7 @@
 # Tests with known, unfixed failures; see KNOWN-RED.txt.
 known=$(sed -n 's/^\([^: #]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' || true)
 if [ -n "$known" ]; then
-  echo "known red, passed over:"
+  echo "known failures, reported but not counted:"
   cat KNOWN-RED.txt
   ctest --test-dir "$build" --output-on-failure -R "^($known)\$" || true
   exec ctest --test-dir "$build" --output-on-failure -j 4 -E "^($known)\$"
--- a/tools/demo/demo.py
+++ b/tools/demo/demo.py
@@ -1,4 +1,4 @@
-"""The fleet of examples/boleteria.json on one machine, with faults, audited.
+"""Runs the fleet of examples/boleteria.json on one machine with faults and audits it.
 
 usage: demo.py BUILD_FOLDER
 """
@@ -15,7 +15,7 @@
 from faults import Faults  # noqa: E402
 from harness import Fleet, ManagedProcess  # noqa: E402
 from report import print_classes, summary_line, was_clean  # noqa: E402
-from scene import Scene  # noqa: E402
+from demo_fleet import DemoFleet  # noqa: E402
 from work import load_plan  # noqa: E402
 
 EXAMPLE = TOOLS.parent / "examples" / "boleteria.json"
@@ -25,11 +25,11 @@
 AUDIT_LIMIT_S = 30.0
 
 
-def run_load(fleet: Fleet, scene: Scene) -> dict:
+def run_load(fleet: Fleet, demo_fleet: DemoFleet) -> dict:
     """Sends the load while the faults happen, and returns the load's report."""
     plan_path = fleet.folder / "plan.json"
     report_path = fleet.folder / "load.json"
-    plan_path.write_text(json.dumps(load_plan(scene.caller_addresses())))
+    plan_path.write_text(json.dumps(load_plan(demo_fleet.caller_addresses())))
     load = fleet.start_program(
         "load",
         "coppervalve-load",
@@ -38,17 +38,17 @@
             str(plan_path),
             f"--report={report_path}",
             f"--clairvoyant={fleet.log.address}",
-            f"--record-folder={scene.record_folder}",
+            f"--record-folder={demo_fleet.record_folder}",
         ],
     )
-    Faults(fleet, scene).run_during(load, LOAD_LIMIT_S)
+    Faults(fleet, demo_fleet).run_during(load, LOAD_LIMIT_S)
     code = load.wait(LOAD_LIMIT_S)
     if code != 0:
-        raise RuntimeError(f"the load ended with {code}:\n{load.tail()}")
+        raise RuntimeError(f"the load generator exited with code {code}:\n{load.tail()}")
     return json.loads(report_path.read_text())
 
 
-def start_audit(fleet: Fleet, scene: Scene) -> ManagedProcess:
+def start_audit(fleet: Fleet, demo_fleet: DemoFleet) -> ManagedProcess:
     """Starts the audit early, so that it reads entries before they expire."""
     return fleet.start_program(
         "audit",
@@ -56,7 +56,7 @@
         [
             "audit",
             f"--log={fleet.log.address}",
-            f"--record-folder={scene.record_folder}",
+            f"--record-folder={demo_fleet.record_folder}",
             f"--report={fleet.folder / 'load.json'}",
             f"--findings={fleet.folder / 'findings.json'}",
             f"--follow-until={fleet.folder / 'all-settled'}",
@@ -71,7 +71,7 @@
     print(audit.output(), end="")
     findings = fleet.folder / "findings.json"
     if not findings.exists():
-        raise RuntimeError("the audit could not be carried out")
+        raise RuntimeError("the audit wrote no findings")
     return json.loads(findings.read_text())
 
 
@@ -83,11 +83,11 @@
     for router in running:
         code = router.process.wait(DRAIN_LIMIT_S)
         if code != 0:
-            raise RuntimeError(f"{router.router_id} ended with {code}")
+            raise RuntimeError(f"{router.router_id} exited with code {code}")
     print(f"drained {len(running)} routers")
 
 
-def left_behind(processes: list[ManagedProcess]) -> list[str]:
+def surviving_processes(processes: list[ManagedProcess]) -> list[str]:
     """Returns the names of processes whose process group still exists."""
     left = []
     for process in processes:
@@ -101,10 +101,10 @@
 
 def run_demo(fleet: Fleet) -> tuple[dict, dict]:
     """Runs the whole demo; returns the load's report and the findings."""
-    scene = Scene(fleet, EXAMPLE)
-    scene.start()
-    audit = start_audit(fleet, scene)
-    report = run_load(fleet, scene)
+    demo_fleet = DemoFleet(fleet, EXAMPLE)
+    demo_fleet.start()
+    audit = start_audit(fleet, demo_fleet)
+    report = run_load(fleet, demo_fleet)
     drain_fleet(fleet)
     return report, finish_audit(fleet, audit)
 
@@ -117,7 +117,7 @@
     begin = time.monotonic()
     with Fleet(sys.argv[1]) as fleet:
         report, findings = run_demo(fleet)
-    left = left_behind(fleet.processes)
+    left = surviving_processes(fleet.processes)
     print(f"took {time.monotonic() - begin:.0f} s, processes left {len(left)}")
     print_classes(report)
     print(summary_line(findings))
--- a/tools/demo/scene.py
+++ b/tools/demo/demo_fleet.py
@@ -17,7 +17,7 @@
 ROUTERS = 6
 
 
-class Scene:
+class DemoFleet:
     """The upstreams of a configuration and six routers in three failure domains."""
 
     def __init__(self, fleet: Fleet, configuration: Path) -> None:
--- a/tools/demo/report.py
+++ b/tools/demo/report.py
@@ -2,15 +2,15 @@
 
 from typing import Any
 
-_BESIDES = ("cut", "not_sent", "unfinished", "wrong_answers")
+_OTHER_OUTCOMES = ("cut", "not_sent", "unfinished", "wrong_answers")
 
 
 def print_classes(report: dict[str, Any]) -> None:
     """Prints one line for each class of work."""
     for work in report["classes"]:
-        _print_counts(work["name"], "besides", {k: work[k] for k in _BESIDES})
+        _print_counts(work["name"], "other outcomes", {k: work[k] for k in _OTHER_OUTCOMES})
         _print_counts(work["name"], "refused", work["refused_by_id"])
-        _print_counts(work["name"], "not refused", work["other_by_id"])
+        _print_counts(work["name"], "other errors", work["other_by_id"])
         _print_latency(work)
     for work in report["classes"]:
         print(
--- a/tools/demo/work.py
+++ b/tools/demo/work.py
@@ -20,7 +20,7 @@
     return {"routers": routers, "max_seconds": SECONDS, "classes": classes}
 
 
-def _work(name: str, account: str, rate: float, **more: Any) -> dict[str, Any]:
+def _work_class(name: str, account: str, rate: float, **more: Any) -> dict[str, Any]:
     return {
         "name": name,
         "account": account,
@@ -32,7 +32,7 @@
 
 
 def _drafts(name: str, account: str, rate: float, tokens: int) -> dict[str, Any]:
-    return _work(
+    return _work_class(
         name,
         account,
         rate,
@@ -45,7 +45,7 @@
 
 
 def _chat(name: str, account: str, rate: float, tokens: int) -> dict[str, Any]:
-    return _work(
+    return _work_class(
         name,
         account,
         rate,
@@ -59,7 +59,7 @@
 
 def _night_events() -> dict[str, Any]:
     """Requests more than its small budget of 50,000 tokens holds."""
-    return _work(
+    return _work_class(
         "night-events",
         "night-events",
         rate=1.8,
@@ -72,7 +72,7 @@
 
 
 def _tags(name: str, account: str, rate: float) -> dict[str, Any]:
-    return _work(
+    return _work_class(
         name,
         account,
         rate,
@@ -86,7 +86,7 @@
 def _call(
     name: str, account: str, method: str, path: str, rate: float
 ) -> dict[str, Any]:
-    return _work(
+    return _work_class(
         name,
         account,
         rate,
--- a/tools/harness/__init__.py
+++ b/tools/harness/__init__.py
@@ -1,8 +1,8 @@
 """Starts the fleet, its stand-ins and its operators' tool as child processes.
 
-Everything listens on 127.0.0.1. A `Fleet` owns all processes it starts, each in a
-process group of its own, and ends them when it is closed, when the interpreter
-exits and when the interpreter is killed.
+All processes listen on 127.0.0.1. A `Fleet` owns the processes it starts, each in
+its own process group, and ends them when it is closed and when the interpreter
+exits or is killed.
 
     with Fleet("build") as fleet:
         fleet.start_log()
--- a/tools/harness/fleet.py
+++ b/tools/harness/fleet.py
@@ -60,14 +60,14 @@
     def log(self) -> Log:
         """The log stand-in; requires start_log()."""
         if self._log is None:
-            raise RuntimeError("start_log() comes first")
+            raise RuntimeError("start_log() must be called first")
         return self._log
 
     @property
     def tool(self) -> OperatorTool:
         """The operators' tool; requires start_log()."""
         if self._tool is None:
-            raise RuntimeError("start_log() comes first")
+            raise RuntimeError("start_log() must be called first")
         return self._tool
 
     def caller(self, api_key: str, timeout_s: float = 30.0) -> Caller:
@@ -156,10 +156,10 @@
         arguments: Iterable[str] = (),
         wait: bool = False,
     ) -> Router:
-        """Starts a router, also one that was there before under the same id.
+        """Starts a router; the id may be that of an earlier router.
 
-        A router is ready once it has a configuration, so that the first one is
-        published before waiting for it.
+        A router is ready once it has a configuration, so publish the first one before
+        waiting for readiness.
         """
         addresses = addresses or RouterAddresses(
             free_address(), free_address(), free_address()
@@ -199,17 +199,17 @@
         return process
 
     def engine_records(self) -> dict[str, list[dict]]:
-        """The records of each engine that still runs."""
+        """Returns the records of each running engine."""
         running = {n: e for n, e in self.engines.items() if e.process.running}
         return {name: engine.records() for name, engine in running.items()}
 
     def service_records(self) -> dict[str, list[dict]]:
-        """The records of each service that still runs."""
+        """Returns the records of each running service."""
         running = {n: s for n, s in self.services.items() if s.process.running}
         return {name: service.records() for name, service in running.items()}
 
     def close(self) -> None:
-        """Ends every process and removes their output; may be called twice."""
+        """Kills all processes and removes their output; may be called twice."""
         atexit.unregister(self.close)
         for process in self.processes:
             process.send_signal(signal.SIGKILL)
--- a/tools/harness/http.py
+++ b/tools/harness/http.py
@@ -29,9 +29,9 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = _TIMEOUT_S,
 ) -> HttpReply:
-    """Sends one request; a dictionary goes as JSON.
+    """Sends one request; a dictionary is sent as JSON.
 
-    Raises OSError or http.client.HTTPException when no whole answer comes.
+    Raises OSError or http.client.HTTPException if no whole answer arrives.
     """
     host, port = address.rsplit(":", 1)
     sent = dict(headers or {})
--- a/tools/harness/operators.py
+++ b/tools/harness/operators.py
@@ -45,7 +45,7 @@
             "COPPERVALVE_OPERATOR": operator,
             "COPPERVALVE_OPERATOR_TOKEN": self._operator_token,
         }
-        ended = subprocess.run(
+        completed = subprocess.run(
             [str(self._binary), "--output", "json", *arguments],
             stdin=subprocess.DEVNULL,
             capture_output=True,
@@ -54,14 +54,14 @@
             timeout=timeout_s,
             check=False,
         )
-        return ToolResult(ended.returncode, ended.stdout, ended.stderr)
+        return ToolResult(completed.returncode, completed.stdout, completed.stderr)
 
     def require(self, *arguments: str, **options: Any) -> ToolResult:
         """Runs a command that must succeed."""
         result = self.run(*arguments, **options)
         if result.exit_code != 0:
             raise RuntimeError(
-                f"coppervalve {' '.join(arguments)} ended with {result.exit_code}:\n"
+                f"coppervalve {' '.join(arguments)} exited with code {result.exit_code}:\n"
                 f"{result.output}{result.errors}"
             )
         return result
--- a/tools/harness/ports.py
+++ b/tools/harness/ports.py
@@ -11,15 +11,15 @@
 _LAST_PORT = 31999
 _ATTEMPTS = 200
 
-_given_out: set[int] = set()
+_allocated_ports: set[int] = set()
 
 
 def free_port() -> int:
     """Returns a port that is not in use and was not returned before."""
     for _ in range(_ATTEMPTS):
         port = random.randint(_FIRST_PORT, _LAST_PORT)
-        if port not in _given_out and is_free(port):
-            _given_out.add(port)
+        if port not in _allocated_ports and is_free(port):
+            _allocated_ports.add(port)
             return port
     raise OSError("no free port found")
 
--- a/tools/harness/process.py
+++ b/tools/harness/process.py
@@ -19,7 +19,7 @@
     """A process did not start, or ended unexpectedly."""
 
 
-def _die_with_parent() -> None:
+def _kill_with_parent() -> None:
     _libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
@@ -27,7 +27,7 @@
     # The kernel sends the signal when the thread that forked ends, so only a child
     # of the main thread may request it.
     if threading.current_thread() is threading.main_thread():
-        return _die_with_parent
+        return _kill_with_parent
     return None
 
 
@@ -113,6 +113,6 @@
         """Raises ProcessFailed with the output if the process has ended."""
         if not self.running:
             raise ProcessFailed(
-                f"{self.name} ended with {self.exit_code}: "
+                f"{self.name} exited with code {self.exit_code}: "
                 f"{' '.join(self.command)}\n{self.tail()}"
             )
--- a/tools/harness/standins.py
+++ b/tools/harness/standins.py
@@ -37,7 +37,7 @@
         """Enables a fault; the mode "ok" ("up" at the log) disables it."""
         reply = call(self.address, "POST", "/control", {"mode": mode, **arguments})
         if reply.status != 200:
-            raise ValueError(f"{self.name} does not know the mode {mode}: {reply.body!r}")
+            raise ValueError(f"{self.name} does not support the mode {mode}: {reply.body!r}")
 
 
 class Log(StandIn):
@@ -50,7 +50,7 @@
         return call(self.address, "GET", "/stats").json()
 
     def up(self) -> None:
-        """Ends every fault."""
+        """Disables every fault."""
         self.control("up")
 
     def down(self, for_client: str = "", vms: bool = False) -> None:
@@ -86,7 +86,7 @@
         return call(self.address, "GET", "/records").json()
 
     def ok(self) -> None:
-        """Ends every fault."""
+        """Disables every fault."""
         self.control("ok")
 
 
@@ -101,7 +101,7 @@
 class Relay(StandIn):
     """A TCP relay whose connections can be made to fail.
 
-    `address` is where it relays from; `control_address` serves its control.
+    `address` accepts the relayed connections; `control_address` is the control endpoint.
     """
 
     def __init__(
@@ -123,7 +123,7 @@
         """Sets the mode: pass, stall, stall-existing, refuse or cut."""
         reply = call(self.control_address, "POST", f"/{mode}", arguments)
         if reply.status != 200:
-            raise ValueError(f"the relay does not know the mode {mode}")
+            raise ValueError(f"the relay does not support the mode {mode}")
 
     def stats(self) -> dict[str, Any]:
         """Returns the mode and the connection counts."""
--- a/tools/harness/waiting.py
+++ b/tools/harness/waiting.py
@@ -12,8 +12,8 @@
 
 def wait_until(condition: Callable[[], bool], timeout_s: float, what: str) -> None:
     """Polls until the condition holds; raises WaitTimeout on timeout."""
-    give_up = time.monotonic() + timeout_s
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() >= give_up:
+        if time.monotonic() >= deadline:
             raise WaitTimeout(f"{what}: not within {timeout_s} s")
         time.sleep(_PAUSE_S)
