--- a/tests/cli/operators_tool.sh
+++ b/tests/cli/operators_tool.sh
@@ -58,15 +58,15 @@
 unset COPPERVALVE_ROUTERS COPPERVALVE_OPERATOR_TOKEN
 
 expect "no command is wrong usage" 2 "subcommand is required" "$tool"
-expect "help teaches by examples" 0 "Examples:" "$tool" --help
-expect "a good file passes" 0 "10 accounts" "$tool" config check examples/boleteria.json
-expect "the other good file passes" 0 "18 " bash -c "$tool config check examples/fundacion.json; grep -c MODEL_ENGINE examples/fundacion.json | sed 's/$/ /'"
+expect "help shows examples" 0 "Examples:" "$tool" --help
+expect "a valid file is accepted" 0 "10 accounts" "$tool" config check examples/boleteria.json
+expect "the other valid file is accepted" 0 "18 " bash -c "$tool config check examples/fundacion.json; grep -c MODEL_ENGINE examples/fundacion.json | sed 's/$/ /'"
 for bad in tests/config/data/bad-*.json; do
-  expect "$bad is refused with its place" 1 "$(sed -n 's/.*"name": "expect: \(.*\)".*/\1/p' "$bad")" \
+  expect "$bad is refused with the path of the mistake" 1 "$(sed -n 's/.*"name": "expect: \(.*\)".*/\1/p' "$bad")" \
     "$tool" config check "$bad"
 done
-expect "a file that is not there is wrong usage" 2 "cannot be read" "$tool" config check "$work/none"
-expect "a log that nobody serves is unreachable" 3 "CV-601" \
+expect "a missing file is wrong usage" 2 "cannot be read" "$tool" config check "$work/none"
+expect "a log address without a server is unreachable" 3 "CV-601" \
   "$tool" --log "127.0.0.1:$(free_port)" --timeout 1 config show
 expect "no log at all is wrong usage" 2 "CV-201" env -u COPPERVALVE_LOG "$tool" config show
 
@@ -74,8 +74,8 @@
 expect "an empty log holds no publication" 0 "OUTCOME" "$tool" config history
 expect "the first publication is version 1" 0 "accepted as version 1" "$tool" config publish examples/boleteria.json
 expect "the same file again changes nothing" 0 "already in force as version 1" "$tool" config publish examples/boleteria.json
-expect "--wait without a live router does not end well" 1 "CV-808" "$tool" config publish examples/boleteria.json --wait 1
-expect "a status without a live router is no success" 1 "CV-806" "$tool" status
+expect "--wait without a live router fails" 1 "CV-808" "$tool" config publish examples/boleteria.json --wait 1
+expect "status without a live router fails" 1 "CV-806" "$tool" status
 sed 's/"prepaid_tokens": 50000}/"prepaid_tokens": 60000}/' examples/boleteria.json >"$work/grown.json"
 sed 's/"gate_queue_ms": 2000/"gate_queue_ms": 1500/' examples/boleteria.json >"$work/ben.json"
 expect "diff names the path" 0 '$.budgets[id=night-events].prepaid_tokens' "$tool" config diff "$work/grown.json"
@@ -97,7 +97,7 @@
 expect "the same id for another amount is refused" 1 "CV-804" "$tool" budget top-up refunds 501 --id i-1
 expect "an unknown budget is refused" 1 "CV-805" "$tool" budget top-up nobody 5
 expect "a negative amount is wrong usage" 2 "TOKENS" "$tool" budget top-up refunds -5
-expect "the balance shows it once" 0 "3000500" "$tool" budget show refunds
+expect "the balance includes the top-up once" 0 "3000500" "$tool" budget show refunds
 expect "nothing is quarantined, so nothing is released" 1 "CV-806" "$tool" budget release refunds router-1 --yes
 
 # The log accepts the append and closes the connection before its reply. The tool
@@ -110,10 +110,10 @@
 expect "a publication without reply is found in the log" 0 "accepted as version 3" \
   "$tool" --timeout 2 config publish "$work/third.json"
 control '{"mode": "up"}'
-expect "the lost replies paid in once" 0 "3000570" "$tool" budget show refunds
+expect "the top-up with a lost reply is paid in once" 0 "3000570" "$tool" budget show refunds
 
 expect "an order gets its fencing number" 0 "fencing number" "$tool" order engine-01 --load-model chat-7b
-expect "an order that no router took waits" 0 "WAITING" "$tool" orders list
+expect "an order that no router has taken is waiting" 0 "WAITING" "$tool" orders list
 expect "nothing is settled without --yes" 2 "At stake" "$tool" orders settle engine-01
 expect "an order is settled" 0 "settled order" "$tool" orders settle engine-01 --yes
 expect "a settled order is not settled again" 1 "CV-809" "$tool" orders settle engine-01 --yes
@@ -126,9 +126,9 @@
   "$tool" --router "127.0.0.1:$(free_port)" --timeout 1 status
 
 start_log --retain-entries 1
-expect "one entry is retained" 0 "version 1" "$tool" config publish examples/boleteria.json
+expect "a log that retains one entry accepts a publication" 0 "version 1" "$tool" config publish examples/boleteria.json
 "$tool" budget top-up refunds 1 >/dev/null 2>&1
-expect "without a snapshot an expired begin is a gap" 1 "CV-602" "$tool" config show
+expect "without a snapshot, a log without its first entries is a gap" 1 "CV-602" "$tool" config show
 
 echo "$checks checks, $failures failed"
 [ "$failures" -eq 0 ]
--- a/tests/cli/operators_tool_fleet.sh
+++ b/tests/cli/operators_tool_fleet.sh
@@ -90,7 +90,7 @@
   "$tool" config publish "$work/next.json" --wait 2
 expect "a paused router does not answer status" 3 "CV-802" "$tool" --timeout 1 status
 kill -CONT "${pids[2]}"
-expect "after it resumes the same command ends well" 0 "already in force as version 2, in force on 3 routers" \
+expect "after it resumes the same command succeeds" 0 "already in force as version 2, in force on 3 routers" \
   "$tool" config publish "$work/next.json" --wait 20
 
 # Two of three routers are paused. Applying a change on the third one alone would
@@ -100,7 +100,7 @@
 expect "without a majority a change is proposed only" 1 "proposed, but fewer than half" \
   "$tool" config publish "$work/third.json" --wait 2
 kill -CONT "${pids[2]}" "${pids[3]}"
-expect "with the majority back it comes into force" 0 "version 3, in force on 3 routers" \
+expect "after the majority resumes it comes into force" 0 "version 3, in force on 3 routers" \
   "$tool" config publish "$work/third.json" --wait 20
 
 # Router 2 holds tokens of tours-desk and is killed. The budget's policy keeps them
@@ -119,19 +119,19 @@
   failures=$((failures + 1))
   echo "FAILED: the killed router was not retired"
 fi
-expect "a release says what is at stake" 2 "At stake" "$tool" budget release tours-desk router-2
+expect "a release states the amount and risk" 2 "At stake" "$tool" budget release tours-desk router-2
 expect "nothing was released without --yes" 0 "retired" "$tool" budget show tours-desk
-expect "with --yes the tokens go back" 0 "released " \
+expect "with --yes the tokens are returned" 0 "released " \
   "$tool" budget release tours-desk router-2 --yes
 expect "a second release finds nothing" 1 "CV-806" \
   "$tool" budget release tours-desk router-2 --yes
 
 expect "a router can be told to drain" 0 "draining" "$tool" drain router-1
-expect "and another one too" 0 "draining" "$tool" drain router-3
+expect "a second router can be told to drain" 0 "draining" "$tool" drain router-3
 checks=$((checks + 1))
 if ! until_output 40 '"live":[]' live_routers; then
   failures=$((failures + 1))
-  echo "FAILED: the drained router did not retire"
+  echo "FAILED: the drained routers did not retire"
   "$tool" routers
 fi
 expect "the log is conserved" 0 "conserved" "$tool" audit
--- a/tests/process/test_cut.py
+++ b/tests/process/test_cut.py
@@ -116,7 +116,7 @@
             if not answer.whole:
                 self.assertIn(answer.error_id, ("CV-403", "CV-404"), answer)
                 return
-        self.fail("the budget never ends")
+        self.fail("no draft was refused for lack of tokens")
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -8,7 +8,7 @@
 
 from tests.soak.http import read_chunks, read_head, read_message
 
-PROMPT, MOST_OUTPUT = 200, 70
+PROMPT, MAX_OUTPUT = 200, 70
 HOST = "desk.example"
 
 
@@ -67,7 +67,7 @@
         text = (f"POST /{kind}/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {request_id}\r\n"
                 "Deadline-Ms: 6000\r\nAuthorization: Token key\r\nContent-Length: 0\r\n")
         if kind in ("chat", "draft"):
-            text += f"Model: m\r\nToken-Usage: {PROMPT},{MOST_OUTPUT}\r\nPrefix-Hash: a:100,b:100\r\n"
+            text += f"Model: m\r\nToken-Usage: {PROMPT},{MAX_OUTPUT}\r\nPrefix-Hash: a:100,b:100\r\n"
         await self._exchange(address, text + "\r\n", kind, request_id)
 
     async def _exchange(self, address: str, text: str, kind: str, request_id: str) -> None:
@@ -108,8 +108,8 @@
         if kind in ("chat", "draft"):
             wanted = [f"data: {request_id} {n}" for n in range(1, len(events) + 1)]
             if events != wanted:
-                seen.wrong.append(f"{request_id}: pieces {events}")
-            if whole and len(events) != MOST_OUTPUT // 7:
-                seen.wrong.append(f"{request_id}: looks whole with {len(events)} pieces")
+                seen.wrong.append(f"{request_id}: events {events}")
+            if whole and len(events) != MAX_OUTPUT // 7:
+                seen.wrong.append(f"{request_id}: complete with {len(events)} events")
         elif whole and body != f"plain {request_id}".encode():
             seen.wrong.append(f"{request_id}: body {body!r}")
