--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that check every answer they get."""
+"""Callers that check every answer."""
 
 import asyncio
 import json
@@ -8,23 +8,23 @@
 
 from tests.soak.http import read_chunks, read_head, read_message
 
-PROMPT, MOST_OUTPUT = 200, 70
+PROMPT, MAX_OUTPUT = 200, 70
 HOST = "desk.example"
 
 
 @dataclass
-class Seen:
-    """What callers saw."""
+class Observations:
+    """What callers observed."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
-    wrong: list[str] = field(default_factory=list)  # answers that no rule allows
-    not_run: set[str] = field(default_factory=set)  # ids that were promised so
-    delivered: Counter[str] = field(default_factory=Counter)  # events, by id
+    wrong: list[str] = field(default_factory=list)  # descriptions of invalid answers
+    not_run: set[str] = field(default_factory=set)  # ids whose answer says that they did not run
+    delivered: Counter[str] = field(default_factory=Counter)  # number of events by request id
 
 
 class Callers:
     def __init__(self, directories: list[str], seed: int) -> None:
-        self.seen = Seen()
+        self.seen = Observations()
         self._directories = directories
         self._random = random.Random(seed)
         self._number = 0
@@ -67,7 +67,7 @@
         text = (f"POST /{kind}/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {request_id}\r\n"
                 "Deadline-Ms: 6000\r\nAuthorization: Token key\r\nContent-Length: 0\r\n")
         if kind in ("chat", "draft"):
-            text += f"Model: m\r\nToken-Usage: {PROMPT},{MOST_OUTPUT}\r\nPrefix-Hash: a:100,b:100\r\n"
+            text += f"Model: m\r\nToken-Usage: {PROMPT},{MAX_OUTPUT}\r\nPrefix-Hash: a:100,b:100\r\n"
         await self._exchange(address, text + "\r\n", kind, request_id)
 
     async def _exchange(self, address: str, text: str, kind: str, request_id: str) -> None:
@@ -84,7 +84,7 @@
         except (OSError, TimeoutError):
             self.seen.outcomes["unreachable"] += 1
             return
-        self._judge(kind, request_id, head, body, whole)
+        self._check_answer(kind, request_id, head, body, whole)
 
     async def _body(self, reader, head):
         if head.headers.get("transfer-encoding") == "chunked":
@@ -94,7 +94,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             return b"", False
 
-    def _judge(self, kind: str, request_id: str, head, body: bytes, whole: bool) -> None:
+    def _check_answer(self, kind: str, request_id: str, head, body: bytes, whole: bool) -> None:
         seen = self.seen
         events = [line for line in body.decode().split("\n") if line.startswith("data: ")]
         seen.delivered[request_id] += len(events)
@@ -108,8 +108,8 @@
         if kind in ("chat", "draft"):
             wanted = [f"data: {request_id} {n}" for n in range(1, len(events) + 1)]
             if events != wanted:
-                seen.wrong.append(f"{request_id}: pieces {events}")
-            if whole and len(events) != MOST_OUTPUT // 7:
-                seen.wrong.append(f"{request_id}: looks whole with {len(events)} pieces")
+                seen.wrong.append(f"{request_id}: events {events}")
+            if whole and len(events) != MAX_OUTPUT // 7:
+                seen.wrong.append(f"{request_id}: complete with {len(events)} events")
         elif whole and body != f"plain {request_id}".encode():
             seen.wrong.append(f"{request_id}: body {body!r}")
--- a/tests/soak/http.py
+++ b/tests/soak/http.py
@@ -1,4 +1,4 @@
-"""Just enough HTTP/1.1 over asyncio streams for the stand-ins and callers."""
+"""Minimal HTTP/1.1 over asyncio streams for the stand-ins and callers."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -6,19 +6,19 @@
 
 @dataclass
 class Message:
-    """A request or an answer; `first` is its first line."""
+    """A request or an answer."""
 
-    first: str
+    start_line: str
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     @property
     def status(self) -> int:
-        return int(self.first.split()[1])
+        return int(self.start_line.split()[1])
 
 
 async def read_head(reader: asyncio.StreamReader) -> Message | None:
-    """Reads up to the blank line; None when the peer closed before it."""
+    """Reads up to the blank line; returns None if the peer closed before it."""
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -33,7 +33,7 @@
 
 
 async def read_chunks(reader: asyncio.StreamReader) -> tuple[bytes, bool]:
-    """Returns the body and whether its end came."""
+    """Returns the body and whether it is complete."""
     body = b""
     while True:
         try:
@@ -47,7 +47,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[Message | None, bool]:
-    """Returns a message and whether it is whole."""
+    """Returns a message and whether it is complete."""
     message = await read_head(reader)
     if message is None:
         return None, False
@@ -62,7 +62,7 @@
 
 
 def answer(status: int, body: bytes = b"", **headers: str) -> bytes:
-    """An answer with its length; `a_b` names the header A-B."""
+    """Returns an answer with its Content-Length; argument `a_b` sets the header A-B."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -11,10 +11,10 @@
 echo "== lint"
 bash tools/style.sh tidy "$build"
 echo "== tests"
-# Tests that are known to fail for a fault not mended yet; see KNOWN-RED.txt.
+# Tests with known, unfixed failures; see KNOWN-RED.txt.
 known=$(sed -n 's/^\([^: #]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' || true)
 if [ -n "$known" ]; then
-  echo "known red, passed over:"
+  echo "known failures, reported but not counted:"
   cat KNOWN-RED.txt
   ctest --test-dir "$build" --output-on-failure -R "^($known)\$" || true
   exec ctest --test-dir "$build" --output-on-failure -j 4 -E "^($known)\$"
--- a/tools/demo/report.py
+++ b/tools/demo/report.py
@@ -1,16 +1,16 @@
-"""The demo's last lines, all from the run's own reports."""
+"""Prints the demo's results from the run's own reports."""
 
 from typing import Any
 
-_BESIDES = ("cut", "not_sent", "unfinished", "wrong_answers")
+_OTHER_OUTCOMES = ("cut", "not_sent", "unfinished", "wrong_answers")
 
 
 def print_classes(report: dict[str, Any]) -> None:
     """Prints one line for each class of work."""
     for work in report["classes"]:
-        _print_counts(work["name"], "besides", {k: work[k] for k in _BESIDES})
+        _print_counts(work["name"], "other outcomes", {k: work[k] for k in _OTHER_OUTCOMES})
         _print_counts(work["name"], "refused", work["refused_by_id"])
-        _print_counts(work["name"], "not refused", work["other_by_id"])
+        _print_counts(work["name"], "other errors", work["other_by_id"])
         _print_latency(work)
     for work in report["classes"]:
         print(
@@ -23,7 +23,7 @@
 
 
 def summary_line(findings: dict[str, Any]) -> str:
-    """The last line."""
+    """Returns the last line of the output."""
     return (
         f"demo: overspend {findings['overspend']} tokens, "
         f"billed twice {findings['billed_twice']}, "
@@ -33,7 +33,7 @@
 
 
 def was_clean(report: dict[str, Any], findings: dict[str, Any]) -> bool:
-    """Whether the audit found nothing and something was answered."""
+    """Returns whether the audit found nothing and some request was answered."""
     answered = sum(work["answered_whole"] for work in report["classes"])
     return bool(findings["clean"]) and answered > 0
 
--- a/tools/demo/work.py
+++ b/tools/demo/work.py
@@ -1,13 +1,13 @@
-"""The work of the demo: what Boleteria's callers send in half a minute."""
+"""The demo's load: what Boleteria's callers send in half a minute."""
 
 from typing import Any
 
-# Starts of requests spread over this time.
+# Seconds over which request starts are spread.
 SECONDS = 32
 
 
 def load_plan(routers: list[str]) -> dict[str, Any]:
-    """The plan for coppervalve-load."""
+    """Returns the plan for coppervalve-load."""
     classes = [
         _drafts("itineraries", "tours-cruises", rate=12, tokens=240),
         _drafts("school-itineraries", "tours-schools", rate=5, tokens=160),
@@ -20,7 +20,7 @@
     return {"routers": routers, "max_seconds": SECONDS, "classes": classes}
 
 
-def _work(name: str, account: str, rate: float, **more: Any) -> dict[str, Any]:
+def _work_class(name: str, account: str, rate: float, **more: Any) -> dict[str, Any]:
     return {
         "name": name,
         "account": account,
@@ -32,7 +32,7 @@
 
 
 def _drafts(name: str, account: str, rate: float, tokens: int) -> dict[str, Any]:
-    return _work(
+    return _work_class(
         name,
         account,
         rate,
@@ -45,7 +45,7 @@
 
 
 def _chat(name: str, account: str, rate: float, tokens: int) -> dict[str, Any]:
-    return _work(
+    return _work_class(
         name,
         account,
         rate,
@@ -58,8 +58,8 @@
 
 
 def _night_events() -> dict[str, Any]:
-    """Asks for more than its small budget of 50,000 tokens holds."""
-    return _work(
+    """Requests more than its small budget of 50,000 tokens holds."""
+    return _work_class(
         "night-events",
         "night-events",
         rate=1.8,
@@ -72,7 +72,7 @@
 
 
 def _tags(name: str, account: str, rate: float) -> dict[str, Any]:
-    return _work(
+    return _work_class(
         name,
         account,
         rate,
@@ -86,7 +86,7 @@
 def _call(
     name: str, account: str, method: str, path: str, rate: float
 ) -> dict[str, Any]:
-    return _work(
+    return _work_class(
         name,
         account,
         rate,
--- a/tools/harness/http.py
+++ b/tools/harness/http.py
@@ -17,7 +17,7 @@
     body: bytes = b""
 
     def json(self) -> Any:
-        """Returns the body read as JSON."""
+        """Returns the body parsed as JSON."""
         return json.loads(self.body)
 
 
@@ -29,9 +29,9 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = _TIMEOUT_S,
 ) -> HttpReply:
-    """Sends one request; a dictionary goes as JSON.
+    """Sends one request; a dictionary is sent as JSON.
 
-    Raises OSError or http.client.HTTPException when no whole answer comes.
+    Raises OSError or http.client.HTTPException if no whole answer arrives.
     """
     host, port = address.rsplit(":", 1)
     sent = dict(headers or {})
@@ -50,7 +50,7 @@
 
 
 def answers(address: str, target: str, timeout_s: float = 1.0) -> bool:
-    """Tells whether GET answers with 200."""
+    """Returns whether GET answers with 200."""
     try:
         return call(address, "GET", target, timeout_s=timeout_s).status == 200
     except (OSError, http.client.HTTPException):
--- a/tools/harness/operators.py
+++ b/tools/harness/operators.py
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class ToolResult:
-    """How a command ended."""
+    """The result of a command."""
 
     exit_code: int
     output: str
     errors: str
 
     def json(self) -> Any:
-        """Its output read as JSON."""
+        """Returns the output parsed as JSON."""
         return json.loads(self.output)
 
 
@@ -45,7 +45,7 @@
             "COPPERVALVE_OPERATOR": operator,
             "COPPERVALVE_OPERATOR_TOKEN": self._operator_token,
         }
-        ended = subprocess.run(
+        completed = subprocess.run(
             [str(self._binary), "--output", "json", *arguments],
             stdin=subprocess.DEVNULL,
             capture_output=True,
@@ -54,14 +54,14 @@
             timeout=timeout_s,
             check=False,
         )
-        return ToolResult(ended.returncode, ended.stdout, ended.stderr)
+        return ToolResult(completed.returncode, completed.stdout, completed.stderr)
 
     def require(self, *arguments: str, **options: Any) -> ToolResult:
-        """Runs a command that must end well."""
+        """Runs a command that must succeed."""
         result = self.run(*arguments, **options)
         if result.exit_code != 0:
             raise RuntimeError(
-                f"coppervalve {' '.join(arguments)} ended with {result.exit_code}:\n"
+                f"coppervalve {' '.join(arguments)} exited with code {result.exit_code}:\n"
                 f"{result.output}{result.errors}"
             )
         return result
@@ -81,7 +81,7 @@
         return self.require("budget", "top-up", budget, str(tokens), "--id", payment_id)
 
     def audit(self) -> ToolResult:
-        """Folds the log and proves that balances add up."""
+        """Replays the log and checks that balances add up."""
         return self.run("audit")
 
     def write_file(self, configuration: dict[str, Any] | Path) -> Path:
