--- a/apps/coppervalve/audit.cc
+++ b/apps/coppervalve/audit.cc
@@ -59,8 +59,8 @@
 }
 
 ExitCode PrintReport(const Session& session,
-                    const LogView& view,
-                    const Totals& totals) {
+                     const LogView& view,
+                     const Totals& totals) {
   boost::json::array list;
   TextTable table(
       {"BUDGET", "PAID-IN", "= FREE", "+ HELD", "+ BILLED", "+ WRITTEN-OFF"});
@@ -101,10 +101,11 @@
 ExitCode Audit(const Session& session) {
   Totals totals;
   // The fold checks each entry and reports violations as a failed read.
-  const core::Result<LogView> read =
-      session.ReadLog(LogView::Start::kOldest,
-                      [&totals](core::LogOffset, const v1::Entry&,
-                                const auto& effects) { totals.CountEffects(effects); });
+  const core::Result<LogView> read = session.ReadLog(
+      LogView::Start::kOldest,
+      [&totals](core::LogOffset, const v1::Entry&, const auto& effects) {
+        totals.CountEffects(effects);
+      });
   if (!core::IsOk(read)) {
     return session.printer().Fail(core::Failure(read));
   }
--- a/apps/coppervalve/log_view.cc
+++ b/apps/coppervalve/log_view.cc
@@ -51,9 +51,9 @@
     }
     const v1::ReadReply& reply = core::Value(read);
     if (LogOffset(reply.first_retained()) > m_fold.next_offset()) {
-      return core::Error{ErrorId::kLogGap,
-                         std::to_string(m_fold.next_offset().value()),
-                         "entries expired while they were read; run the command again"};
+      return core::Error{
+          ErrorId::kLogGap, std::to_string(m_fold.next_offset().value()),
+          "entries expired while they were read; run the command again"};
     }
     core::Status applied = ApplyAll(reply, observer);
     if (!core::IsOk(applied)) {
--- a/apps/coppervalve/main.cc
+++ b/apps/coppervalve/main.cc
@@ -165,8 +165,8 @@
 void AddBudgetCommands(CLI::App& app, Arguments& arguments) {
   CLI::App& group = *AddGroup(app, "budget", "Pay in, show and release");
   AddCommand(group, "list", "List all balances", arguments, ListBudgets);
-  AddCommand(group, "show", "Show a balance and the routers that hold parts of it",
-             arguments,
+  AddCommand(group, "show",
+             "Show a balance and the routers that hold parts of it", arguments,
              [&](const Session& session) {
                return ShowBudget(session, arguments.budget);
              })
@@ -183,8 +183,8 @@
                      "id of the payment; default: a random one");
   top_up->footer(kTopUpFooter);
   CLI::App* release =
-      AddCommand(group, "release", "Release the tokens of a dead router", arguments,
-                 [&](const Session& session) {
+      AddCommand(group, "release", "Release the tokens of a dead router",
+                 arguments, [&](const Session& session) {
                    return ReleaseBudget(session, arguments.release);
                  });
   release->add_option("BUDGET", arguments.release.budget)->required();
@@ -202,15 +202,16 @@
              ListRouters);
   CLI::App& request = *AddGroup(app, "request", "Look up requests");
   CLI::App* show = AddCommand(
-      request, "show", "Query the routers for the outcome of a request", arguments,
-      [&](const Session& session) {
+      request, "show", "Query the routers for the outcome of a request",
+      arguments, [&](const Session& session) {
         return ShowRequest(session, arguments.key, arguments.account);
       });
   show->add_option("KEY", arguments.key, "its Idempotency-Key")->required();
   show->add_option("--account", arguments.account, "client account")
       ->required();
   AddCommand(
-      app, "drain", "Drain a router: finish its work and leave the fleet", arguments,
+      app, "drain", "Drain a router: finish its work and leave the fleet",
+      arguments,
       [&](const Session& session) { return Drain(session, arguments.router); })
       ->add_option("ROUTER", arguments.router, "id, or ip:port")
       ->required();
--- a/apps/coppervalve/order.cc
+++ b/apps/coppervalve/order.cc
@@ -60,9 +60,9 @@
   const auto configuration = view.fold().configuration();
   const v1::Upstream* engine = FindEngine(*configuration, arguments.upstream);
   if (engine == nullptr) {
-    return session.printer().Fail({ErrorId::kConfigUnknownReference,
-                                   arguments.upstream,
-                                   "the configuration in force has no model engine with this id"});
+    return session.printer().Fail(
+        {ErrorId::kConfigUnknownReference, arguments.upstream,
+         "the configuration in force has no model engine with this id"});
   }
   const core::Result<v1::Entry> entry =
       session.NewEntry(view, RecordOf(arguments));
@@ -83,7 +83,8 @@
           if (order != nullptr && !fencing) {
             fencing = order->fencing;
           }
-          if (const auto* order_refused = std::get_if<ledger::OrderRefused>(&effect)) {
+          if (const auto* order_refused =
+                  std::get_if<ledger::OrderRefused>(&effect)) {
             unsettled = order_refused->unsettled;
           }
         }
--- a/apps/coppervalve/order_state.cc
+++ b/apps/coppervalve/order_state.cc
@@ -57,7 +57,7 @@
 }
 
 core::Error SettleError(const std::string& upstream,
-                   const std::optional<ledger::IgnoreReason>& reason) {
+                        const std::optional<ledger::IgnoreReason>& reason) {
   return {ErrorId::kOrderFenced, upstream,
           reason == ledger::IgnoreReason::kOrderInProgress
               ? "its router is live and has yet to report the outcome"
@@ -82,7 +82,8 @@
         for (const ledger::Effect& effect : effects) {
           settled =
               settled || std::get_if<ledger::OrderEnded>(&effect) != nullptr;
-          if (const auto* ignored = std::get_if<ledger::EntryIgnored>(&effect)) {
+          if (const auto* ignored =
+                  std::get_if<ledger::EntryIgnored>(&effect)) {
             reason = ignored->reason;
           }
         }
--- a/apps/coppervalve/publish.cc
+++ b/apps/coppervalve/publish.cc
@@ -104,8 +104,8 @@
     if (!core::IsOk(entry)) {
       return m_session.printer().Fail(core::Failure(entry));
     }
-    core::Status read =
-        m_session.AppendAndRead(m_view, core::Value(entry), outcome_observer.Observer());
+    core::Status read = m_session.AppendAndRead(m_view, core::Value(entry),
+                                                outcome_observer.Observer());
     if (core::IsOk(read)) {
       read = AwaitOutcome(outcome_observer);
     }
@@ -131,10 +131,11 @@
   // it. This takes about a second unless many routers cannot reach the log.
   core::Status AwaitOutcome(OutcomeObserver& outcome_observer) {
     const Clock::time_point deadline =
-        Clock::now() +
-        std::chrono::seconds(m_arguments.wait_s.value_or(kDefaultAcceptanceWaitS));
+        Clock::now() + std::chrono::seconds(m_arguments.wait_s.value_or(
+                           kDefaultAcceptanceWaitS));
     core::Status read = core::Ok();
-    while (core::IsOk(read) && !outcome_observer.outcome() && Clock::now() < deadline) {
+    while (core::IsOk(read) && !outcome_observer.outcome() &&
+           Clock::now() < deadline) {
       read = m_view.CatchUp(kPollInterval, outcome_observer.Observer());
     }
     return read;
@@ -163,7 +164,8 @@
                                      "refused by the fold of the log"});
   }
 
-  ExitCode ReportConflict(core::ConfigVersion based_on, const std::string& winner) {
+  ExitCode ReportConflict(core::ConfigVersion based_on,
+                          const std::string& winner) {
     const auto changes = Changes();
     if (changes.empty()) {
       return Finish(m_view.fold().config_version(), "already in force as ");
--- a/apps/coppervalve/top_up.cc
+++ b/apps/coppervalve/top_up.cc
@@ -144,7 +144,8 @@
                           ? core::Error{ErrorId::kLogRecordInvalid, id,
                                         "acknowledged but not in the log"}
                           : core::Failure(appended);
-  error.detail += "; repeat with --id " + id + ": an id is paid in at most once";
+  error.detail +=
+      "; repeat with --id " + id + ": an id is paid in at most once";
   return session.printer().Fail(error);
 }
 
--- a/apps/coppervalved/daemon.cc
+++ b/apps/coppervalved/daemon.cc
@@ -100,9 +100,11 @@
   }).detach();
 }
 
-net::ShellHooks HooksOf(DecisionCore& decision_core, telemetry::RouterMetrics& metrics) {
+net::ShellHooks HooksOf(DecisionCore& decision_core,
+                        telemetry::RouterMetrics& metrics) {
   net::ShellHooks hooks;
-  hooks.handler = [&decision_core](core::TimePoint now, const router::Event& event) {
+  hooks.handler = [&decision_core](core::TimePoint now,
+                                   const router::Event& event) {
     return decision_core.Handle(now, event);
   };
   hooks.on_event = [&metrics](core::TimePoint now, const router::Event& event) {
--- a/apps/coppervalved/setting_table.cc
+++ b/apps/coppervalved/setting_table.cc
@@ -82,8 +82,8 @@
 Store Size(std::function<size_t&(Settings&)> field,
            int64_t min_value,
            int64_t max_value) {
-  return [field = std::move(field), min_value, max_value](Settings& settings,
-                                                 const std::string& text) {
+  return [field = std::move(field), min_value, max_value](
+             Settings& settings, const std::string& text) {
     const auto number = ParseInteger(text);
     if (!number || *number < min_value || *number > max_value) {
       return false;
@@ -136,15 +136,15 @@
   table.push_back(
       {"caller-listen", "", "Where callers connect", kListenRule, true, false,
        Listen([](Settings & s) -> auto& { return s.shell.caller_listen; })});
-  table.push_back(
-      {"caller-advertise", "",
-       "Address advertised to callers; default: --caller-listen",
-       kReachableRule, false, false,
-       Reachable([](Settings & s) -> auto& { return s.caller_advertise; })});
-  table.push_back(
-      {"peer-listen", "", "Address on which other routers connect; empty: disabled",
-       kListenRule, false, false,
-       Listen([](Settings & s) -> auto& { return s.shell.peer_listen; })});
+  table.push_back({"caller-advertise", "",
+                   "Address advertised to callers; default: --caller-listen",
+                   kReachableRule, false, false, Reachable([
+                   ](Settings & s) -> auto& { return s.caller_advertise; })});
+  table.push_back({"peer-listen", "",
+                   "Address on which other routers connect; empty: disabled",
+                   kListenRule, false, false, Listen([](Settings & s) -> auto& {
+                     return s.shell.peer_listen;
+                   })});
   table.push_back(
       {"peer-advertise", "",
        "Address advertised to other routers; default: --peer-listen",
@@ -162,10 +162,11 @@
   table.push_back(
       {"log", "", "The platform's log service", kReachableRule, true, false,
        Reachable([](Settings & s) -> auto& { return s.shell.log_address; })});
-  table.push_back({"vm-list", "", "Address of the platform's VM list; empty: not used",
-                   kReachableRule, false, false, Reachable([](Settings & s) -> auto& {
-                     return s.shell.vm_list_address;
-                   })});
+  table.push_back(
+      {"vm-list", "", "Address of the platform's VM list; empty: not used",
+       kReachableRule, false, false, Reachable([](Settings & s) -> auto& {
+         return s.shell.vm_list_address;
+       })});
 }
 
 void AddSecrets(std::vector<SettingSpec>& table) {
@@ -187,33 +188,35 @@
 
 void AddBounds(std::vector<SettingSpec>& table) {
   table.push_back(
-      {"traffic-threads", "2", "Threads that serve connections", "1 to 64", false,
-       false,
+      {"traffic-threads", "2", "Threads that serve connections", "1 to 64",
+       false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.traffic_threads; }, 1,
            64)});
   table.push_back(
-      {"max-connections", "8192", "Maximum open connections per port", "1 to 1000000",
-       false, false,
+      {"max-connections", "8192", "Maximum open connections per port",
+       "1 to 1000000", false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.caller.max_connections; },
            1, 1'000'000)});
-  table.push_back({"max-header-bytes", "16384", "Maximum header size of a request",
-                   "1024 to 1048576", false, false,
+  table.push_back({"max-header-bytes", "16384",
+                   "Maximum header size of a request", "1024 to 1048576", false,
+                   false,
                    Size(
                        [](Settings & s) -> auto& {
                          return s.shell.caller.max_header_bytes;
                        },
                        1024, 1'048'576)});
   table.push_back(
-      {"max-body-bytes", "1048576", "Maximum body size of a request", "1024 to 16777216",
-       false, false,
+      {"max-body-bytes", "1048576", "Maximum body size of a request",
+       "1024 to 16777216", false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.caller.max_body_bytes; },
            1024, 16'777'216)});
   table.push_back(
-      {"max-answer-bytes", "8388608", "Maximum size of an answer that is not streamed",
-       "1024 to 1073741824", false, false,
+      {"max-answer-bytes", "8388608",
+       "Maximum size of an answer that is not streamed", "1024 to 1073741824",
+       false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.max_answer_bytes; }, 1024,
            1'073'741'824)});
@@ -225,8 +228,8 @@
            [](Settings & s) -> auto& { return s.shell.max_kept_answer_bytes; },
            0, 1'073'741'824)});
   table.push_back(
-      {"max-kept-bytes", "134217728", "Maximum total size of kept answers", "0 to 17179869184",
-       false, false,
+      {"max-kept-bytes", "134217728", "Maximum total size of kept answers",
+       "0 to 17179869184", false, false,
        Size(
            [](Settings & s) -> auto& { return s.shell.max_kept_bytes; }, 0,
            17'179'869'184)});
@@ -240,16 +243,20 @@
                      kMillisRule, false, false, Millis(std::move(field))});
   };
   add(
-      "header-timeout-ms", "10000", "Time to receive the complete header of a request",
+      "header-timeout-ms", "10000",
+      "Time to receive the complete header of a request",
       [](Settings & s) -> auto& { return s.shell.caller.header_timeout; });
   add(
-      "body-timeout-ms", "30000", "Time to receive the complete body of a request",
+      "body-timeout-ms", "30000",
+      "Time to receive the complete body of a request",
       [](Settings & s) -> auto& { return s.shell.caller.body_timeout; });
   add(
-      "idle-timeout-ms", "75000", "Idle time between two requests on a connection",
+      "idle-timeout-ms", "75000",
+      "Idle time between two requests on a connection",
       [](Settings & s) -> auto& { return s.shell.caller.idle_timeout; });
   add(
-      "write-timeout-ms", "30000", "Time for a caller to accept a part of an answer",
+      "write-timeout-ms", "30000",
+      "Time for a caller to accept a part of an answer",
       [](Settings & s) -> auto& { return s.shell.caller.write_timeout; });
   add(
       "connect-timeout-ms", "1000", "Time to connect to an upstream",
@@ -271,7 +278,8 @@
       "Time to return budgets while draining if the log is unavailable",
       [](Settings & s) -> auto& { return s.drain_timeout; });
   add(
-      "close-patience-ms", "10000", "Time for open connections to finish during shutdown",
+      "close-patience-ms", "10000",
+      "Time for open connections to finish during shutdown",
       [](Settings & s) -> auto& { return s.shell.close_timeout; });
 }
 
--- a/apps/coppervalved/setting_table.h
+++ b/apps/coppervalved/setting_table.h
@@ -11,7 +11,7 @@
 
 /// @brief Describes one setting: its flag, its parser and its allowed values.
 struct SettingSpec {
-  std::string name;      ///< without "--"
+  std::string name;           ///< without "--"
   std::string default_value;  ///< used when the setting is not given
   std::string help;
   std::string allowed;
--- a/bench/budget/main.cc
+++ b/bench/budget/main.cc
@@ -24,7 +24,8 @@
 namespace budget = coppervalve::budget;
 namespace v1 = coppervalve::v1;
 
-Outcome RunSchedule(const Schedule& schedule, const budget::SizingPolicy& sizing) {
+Outcome RunSchedule(const Schedule& schedule,
+                    const budget::SizingPolicy& sizing) {
   ScheduleRunner runner(schedule.seed, schedule.load, sizing);
   runner.Start();
   schedule.play(runner);
@@ -33,7 +34,8 @@
 
 double PerThousand(uint64_t count, const Outcome& outcome) {
   return 1000.0 * static_cast<double>(count) /
-         static_cast<double>(std::max<uint64_t>(outcome.total.client_requests, 1));
+         static_cast<double>(
+             std::max<uint64_t>(outcome.total.client_requests, 1));
 }
 
 /// @brief Prints the figures of one schedule next to the baseline's.
@@ -50,33 +52,38 @@
 
   void PrintAll() {
     const ScheduleBounds& bounds = m_schedule.bounds;
-    PrintPair("overspend", "tokens", 0,
-         [](const Outcome& o) { return static_cast<double>(o.overspend); });
-    PrintPair("violations", "count", 0,
-         [](const Outcome& o) { return static_cast<double>(o.violations); });
+    PrintPair("overspend", "tokens", 0, [](const Outcome& o) {
+      return static_cast<double>(o.overspend);
+    });
+    PrintPair("violations", "count", 0, [](const Outcome& o) {
+      return static_cast<double>(o.violations);
+    });
     PrintClass("gate", v1::GATE, bounds.lost.gate);
     PrintClass("interactive", v1::INTERACTIVE, bounds.lost.interactive);
     PrintClass("batch", v1::BATCH, bounds.lost.batch);
-    PrintPair("whole", "wishes", Bound{Bound::Kind::kAtLeast, bounds.complete},
-         [](const Outcome& o) { return static_cast<double>(o.total.complete); });
-    PrintPair("false_ends", "wishes", bounds.false_final_refusals, [](const Outcome& o) {
-      return static_cast<double>(o.total.false_final_refusals);
-    });
-    PrintPair("lost", "wishes",
-         bounds.lost.gate + bounds.lost.interactive + bounds.lost.batch,
-         [](const Outcome& o) { return static_cast<double>(o.total.lost); });
+    PrintPair(
+        "whole", "wishes", Bound{Bound::Kind::kAtLeast, bounds.complete},
+        [](const Outcome& o) { return static_cast<double>(o.total.complete); });
+    PrintPair("false_ends", "wishes", bounds.false_final_refusals,
+              [](const Outcome& o) {
+                return static_cast<double>(o.total.false_final_refusals);
+              });
+    PrintPair(
+        "lost", "wishes",
+        bounds.lost.gate + bounds.lost.interactive + bounds.lost.batch,
+        [](const Outcome& o) { return static_cast<double>(o.total.lost); });
     PrintPair("false_refusals", "tickets", bounds.false_refusals,
-         [](const Outcome& o) {
-           return static_cast<double>(o.total.false_refusals);
-         });
+              [](const Outcome& o) {
+                return static_cast<double>(o.total.false_refusals);
+              });
     PrintRatio();
     PrintPair("stranded", "tokens", bounds.stranded, [](const Outcome& o) {
       return static_cast<double>(o.tokens.stranded);
     });
     PrintPair("log_appends", "per_thousand_wishes", bounds.appends,
-         [](const Outcome& o) { return PerThousand(o.log_appends, o); });
+              [](const Outcome& o) { return PerThousand(o.log_appends, o); });
     PrintPair("peer_messages", "per_thousand_wishes", bounds.peer_messages,
-         [](const Outcome& o) { return PerThousand(o.peer_messages, o); });
+              [](const Outcome& o) { return PerThousand(o.peer_messages, o); });
     if (m_own.crashes > 0) {
       PrintCrashes();
     }
@@ -85,17 +92,17 @@
  private:
   template <typename Reader>
   void PrintPair(const std::string& what,
-            const std::string& unit,
-            double at_most,
-            Reader read) {
+                 const std::string& unit,
+                 double at_most,
+                 Reader read) {
     PrintPair(what, unit, Bound{Bound::Kind::kAtMost, at_most}, read);
   }
 
   template <typename Reader>
   void PrintPair(const std::string& what,
-            const std::string& unit,
-            const Bound& bound,
-            Reader read) {
+                 const std::string& unit,
+                 const Bound& bound,
+                 Reader read) {
     const std::string name = m_schedule.name + "." + what;
     m_report.Print(name, read(m_own), unit, bound);
     m_report.Print(name + ".equal_split", read(m_baseline), unit);
@@ -109,8 +116,9 @@
       return found == outcome.classes.end() ? coppervalve::trial::ClassCount{}
                                             : found->second;
     };
-    PrintPair("lost_" + name, "wishes", bound,
-         [&of](const Outcome& o) { return static_cast<double>(of(o).lost); });
+    PrintPair("lost_" + name, "wishes", bound, [&of](const Outcome& o) {
+      return static_cast<double>(of(o).lost);
+    });
     m_report.Print(m_schedule.name + ".false_refusals_" + name,
                    static_cast<double>(of(m_own).false_refusals), "tickets");
     m_report.Print(m_schedule.name + ".false_refusals_" + name + ".equal_split",
@@ -134,17 +142,17 @@
 
   void PrintCrashes() {
     PrintPair("stranded_per_crash", "tokens", m_schedule.bounds.crash_stranded,
-         [](const Outcome& o) {
-           return static_cast<double>(o.tokens.stranded) /
-                  static_cast<double>(o.crashes);
-         });
+              [](const Outcome& o) {
+                return static_cast<double>(o.tokens.stranded) /
+                       static_cast<double>(o.crashes);
+              });
     PrintPair("crashes_without_return", "count", 0, [](const Outcome& o) {
       return static_cast<double>(o.crashes - o.crashes_returned);
     });
     PrintPair("crash_to_spendable", "virtual_seconds",
-         m_schedule.bounds.crash_return, [](const Outcome& o) {
-           return std::chrono::duration<double>(o.return_time).count();
-         });
+              m_schedule.bounds.crash_return, [](const Outcome& o) {
+                return std::chrono::duration<double>(o.return_time).count();
+              });
   }
 
   Report& m_report;
--- a/bench/budget/schedule_runner.cc
+++ b/bench/budget/schedule_runner.cc
@@ -23,8 +23,8 @@
 }  // namespace
 
 ScheduleRunner::ScheduleRunner(uint64_t seed,
-             const trial::LoadOptions& load,
-             const budget::SizingPolicy& sizing)
+                               const trial::LoadOptions& load,
+                               const budget::SizingPolicy& sizing)
     : m_fleet(OptionsOf(seed, sizing)),
       m_audit(m_fleet),
       m_load_options(load),
@@ -55,7 +55,8 @@
   const auto& executions = m_fleet.executions();
   for (; m_executions_seen < executions.size(); ++m_executions_seen) {
     const trial::Execution& run = executions[m_executions_seen];
-    m_used[m_fleet.client_requests()[run.client_request].budget] += run.used.value();
+    m_used[m_fleet.client_requests()[run.client_request].budget] +=
+        run.used.value();
   }
   int64_t overspent = 0;
   for (const auto& [id, used] : m_used) {
--- a/bench/budget/schedule_runner.h
+++ b/bench/budget/schedule_runner.h
@@ -19,7 +19,8 @@
 
 /// @brief Result of one schedule under one sizing policy.
 struct Outcome {
-  int64_t overspend = 0;  ///< most tokens used beyond those paid in, all budgets
+  int64_t overspend =
+      0;  ///< most tokens used beyond those paid in, all budgets
   uint64_t violations = 0;
   std::map<v1::AdmissionClass, trial::ClassCount> classes;
   trial::ClassCount total;
@@ -35,8 +36,8 @@
 class ScheduleRunner {
  public:
   ScheduleRunner(uint64_t seed,
-        const trial::LoadOptions& load,
-        const budget::SizingPolicy& sizing);
+                 const trial::LoadOptions& load,
+                 const budget::SizingPolicy& sizing);
 
   /// @brief Starts the routers, then the load.
   void Start();
--- a/bench/budget/schedules.cc
+++ b/bench/budget/schedules.cc
@@ -27,7 +27,9 @@
 
 enum class LogSide { kFour, kThree };
 
-void PartitionSides(ScheduleRunner& runner, bool partitioned, LogSide with_log) {
+void PartitionSides(ScheduleRunner& runner,
+                    bool partitioned,
+                    LogSide with_log) {
   for (size_t node = 0; node < runner.fleet().size(); ++node) {
     const bool small = node < kSmallSide;
     runner.SetLog(node, !partitioned || small == (with_log == LogSide::kThree));
@@ -156,13 +158,16 @@
   return {
       {"calm", 11, EvenLoad(1'000'000), RunCalm, calm},
       {"partition", 12, EvenLoad(600'000),
-       [](ScheduleRunner& runner) { RunPartition(runner, LogSide::kFour); }, partition},
+       [](ScheduleRunner& runner) { RunPartition(runner, LogSide::kFour); },
+       partition},
       {"partition_log_at_three", 12, EvenLoad(600'000),
-       [](ScheduleRunner& runner) { RunPartition(runner, LogSide::kThree); }, log_at_three},
+       [](ScheduleRunner& runner) { RunPartition(runner, LogSide::kThree); },
+       log_at_three},
       {"log_out", 13, EvenLoad(2'000'000), RunLogOutage, log_outage},
       {"rolling", 14, EvenLoad(1'000'000), RunRollingRestart, rolling},
       {"crashes", 15, EvenLoad(1'500'000), RunCrashes, crashes},
-      {"near_exhaustion", 16, SharedBudgetLoad(1), RunNearExhaustion, exhaustion},
+      {"near_exhaustion", 16, SharedBudgetLoad(1), RunNearExhaustion,
+       exhaustion},
       {"near_exhaustion_uneven", 16, SharedBudgetLoad(10), RunNearExhaustion,
        exhaustion},
   };
--- a/bench/budget/schedules.h
+++ b/bench/budget/schedules.h
@@ -26,7 +26,7 @@
   double complete = 0;              ///< requests, at least
   double false_final_refusals = 0;  ///< requests
   double false_refusals = 0;        ///< client attempts
-  double stranded = 0;        ///< tokens
+  double stranded = 0;              ///< tokens
   double appends = 0;               ///< per thousand requests
   double peer_messages = 0;         ///< per thousand requests
   double min_loss_ratio = 0;  ///< lowest ratio to the baseline; 0: no bound
--- a/bench/capacity/changes.cc
+++ b/bench/capacity/changes.cc
@@ -61,8 +61,9 @@
   const v1::Entry retire =
       RetireEntry(gone, driver.NextSequence(1), driver.log_end());
   figures.CheckAtMost("change_retirement_record",
-                 static_cast<double>(retire.ByteSizeLong()), "bytes", 120);
-  figures.PrintUnbounded("change_retirement_cpu", CostOfEntry(driver, retire), "ms");
+                      static_cast<double>(retire.ByteSizeLong()), "bytes", 120);
+  figures.PrintUnbounded("change_retirement_cpu", CostOfEntry(driver, retire),
+                         "ms");
   figures.CheckAtMost(
       "change_retirement_allocations",
       static_cast<double>(driver.traffic().Of<router::LogRead>().allocations),
@@ -70,8 +71,8 @@
 
   v1::Entry join = JoinEntry(gone, driver.log_end());
   join.set_incarnation(join.incarnation() + kDesign.members);
-  figures.CheckAtMost("change_join_record", static_cast<double>(join.ByteSizeLong()),
-                 "bytes", 200);
+  figures.CheckAtMost("change_join_record",
+                      static_cast<double>(join.ByteSizeLong()), "bytes", 200);
   figures.PrintUnbounded("change_join_cpu", CostOfEntry(driver, join), "ms");
 
   const uint64_t version = driver.core().fold().config_version().value();
@@ -92,7 +93,8 @@
 }
 
 void ReportStranded(Figures& figures, const CoreDriver& driver) {
-  const budget::HoldingManager& holding_manager = driver.core().holding_manager();
+  const budget::HoldingManager& holding_manager =
+      driver.core().holding_manager();
   int64_t ahead = 0;
   int64_t held = 0;
   v1::QuarantineNarrowed narrowed;
@@ -107,19 +109,21 @@
     ceiling.set_tokens(status.ceiling());
   }
   const budget::HoldingTotals& totals = holding_manager.Totals();
-  figures.PrintUnbounded("crash_strands_with_witness", static_cast<double>(ahead),
-                 "tokens");
+  figures.PrintUnbounded("crash_strands_with_witness",
+                         static_cast<double>(ahead), "tokens");
   figures.PrintUnbounded("crash_strands_in_progress",
-                 static_cast<double>(totals.reserved.value()), "tokens");
-  figures.PrintUnbounded("crash_strands_without_witness", static_cast<double>(held),
-                 "tokens");
+                         static_cast<double>(totals.reserved.value()),
+                         "tokens");
+  figures.PrintUnbounded("crash_strands_without_witness",
+                         static_cast<double>(held), "tokens");
   figures.CheckAtMost("crash_strands_share",
-                 static_cast<double>(ahead) / static_cast<double>(held),
-                 "ratio", 0.1);
+                      static_cast<double>(ahead) / static_cast<double>(held),
+                      "ratio", 0.1);
   figures.CheckAtMost("crash_narrowing_record",
-                 static_cast<double>(narrowed.ByteSizeLong()), "bytes", 20'000);
+                      static_cast<double>(narrowed.ByteSizeLong()), "bytes",
+                      20'000);
   figures.CheckAtMost("crash_budgets_held", static_cast<double>(totals.budgets),
-                 "count", 1'700);
+                      "count", 1'700);
 }
 
 /// @brief Reports whether a router appends a snapshot that is due, or rejects
@@ -141,7 +145,7 @@
       static_cast<double>(traffic.RecordsOf(v1::Record::kSnapshot).count),
       "count");
   figures.PrintUnbounded("snapshots_refused_" + name,
-                 static_cast<double>(traffic.error_lines), "count");
+                         static_cast<double>(traffic.error_lines), "count");
 }
 
 void ReportStart(Figures& figures, const ledger::Fold& fold) {
@@ -151,11 +155,11 @@
   state.ParseFromString(bytes);
   const auto loaded = ledger::Fold::FromState(state);
   figures.PrintUnbounded("start_from_snapshot_cpu",
-                 static_cast<double>(ThreadCpuNanoseconds() - start) /
-                     kNanosecondsPerMillisecond,
-                 "ms");
+                         static_cast<double>(ThreadCpuNanoseconds() - start) /
+                             kNanosecondsPerMillisecond,
+                         "ms");
   figures.CheckAtMost("start_from_snapshot_errors", core::IsOk(loaded) ? 0 : 1,
-                 "count", 0);
+                      "count", 0);
 }
 
 }  // namespace
--- a/bench/capacity/contacts.cc
+++ b/bench/capacity/contacts.cc
@@ -110,12 +110,14 @@
     const std::string suffix = "_members_" + std::to_string(members);
     const double mean =
         static_cast<double>(graph.messages) / static_cast<double>(members);
-    figures.CheckAtMost("heartbeats_sent_per_router" + suffix, mean, "per_s", 16);
+    figures.CheckAtMost("heartbeats_sent_per_router" + suffix, mean, "per_s",
+                        16);
     figures.CheckAtMost("heartbeats_sent_most" + suffix,
-                   static_cast<double>(graph.most_sent), "per_s", 24);
+                        static_cast<double>(graph.most_sent), "per_s", 24);
     figures.CheckAtMost("heartbeats_received_most" + suffix,
-                   static_cast<double>(graph.most_received), "per_s", 30);
-    figures.PrintUnbounded("heartbeat_choose_cpu" + suffix, graph.choose_us, "us");
+                        static_cast<double>(graph.most_received), "per_s", 30);
+    figures.PrintUnbounded("heartbeat_choose_cpu" + suffix, graph.choose_us,
+                           "us");
     inputs.heartbeats_per_second = mean;
   }
   const PeerView view(MembersOf(1).front());
@@ -124,11 +126,13 @@
   plain.mutable_heartbeat()->clear_spares();
   plain.mutable_heartbeat()->clear_demands();
   inputs.heartbeat_bytes = static_cast<double>(full.ByteSizeLong());
-  figures.CheckAtMost("heartbeat_size_full", inputs.heartbeat_bytes, "bytes", 1'200);
+  figures.CheckAtMost("heartbeat_size_full", inputs.heartbeat_bytes, "bytes",
+                      1'200);
   figures.CheckAtMost("heartbeat_size_plain",
-                 static_cast<double>(plain.ByteSizeLong()), "bytes", 80);
-  figures.CheckAtMost("heartbeat_spares_that_fit", full.heartbeat().spares_size(),
-                 "count", static_cast<double>(kFullSpares));
+                      static_cast<double>(plain.ByteSizeLong()), "bytes", 80);
+  figures.CheckAtMost("heartbeat_spares_that_fit",
+                      full.heartbeat().spares_size(), "count",
+                      static_cast<double>(kFullSpares));
 }
 
 }  // namespace coppervalve::bench
--- a/bench/capacity/core_driver.cc
+++ b/bench/capacity/core_driver.cc
@@ -337,7 +337,8 @@
   ++m_traffic.error_lines;
   m_traffic.last_error_line = action.event;
   for (const auto& [name, value] : action.fields) {
-    m_traffic.last_error_line.append(" ").append(name).append("=").append(value);
+    m_traffic.last_error_line.append(" ").append(name).append("=").append(
+        value);
   }
 }
 
--- a/bench/capacity/core_driver.h
+++ b/bench/capacity/core_driver.h
@@ -46,7 +46,7 @@
   std::map<v1::Record::BodyCase, Volume> records;
   Volume read;            ///< entries read, of all routers
   Volume heartbeats;      ///< sent
-  Volume ceiling_raises;          ///< ceilings sent to the witness
+  Volume ceiling_raises;  ///< ceilings sent to the witness
   Volume other_messages;  ///< sent
   uint64_t dispatches = 0;
   uint64_t refusals = 0;
--- a/bench/capacity/figure.cc
+++ b/bench/capacity/figure.cc
@@ -5,17 +5,17 @@
 namespace coppervalve::bench {
 
 void Figures::CheckAtMost(const std::string& name,
-                     double value,
-                     const std::string& unit,
-                     double bound) {
+                          double value,
+                          const std::string& unit,
+                          double bound) {
   const bool ok = value <= bound;
   m_exceeded = m_exceeded || !ok;
   Print(name, value, unit, bound, ok);
 }
 
 void Figures::PrintUnbounded(const std::string& name,
-                     double value,
-                     const std::string& unit) {
+                             double value,
+                             const std::string& unit) {
   Print(name, value, unit, std::nullopt, true);
 }
 
--- a/bench/capacity/figure.h
+++ b/bench/capacity/figure.h
@@ -14,12 +14,14 @@
 class Figures {
  public:
   void CheckAtMost(const std::string& name,
-              double value,
-              const std::string& unit,
-              double bound);
+                   double value,
+                   const std::string& unit,
+                   double bound);
   /// @brief Prints a figure that has no bound, since it depends on the machine
   /// or follows from others.
-  void PrintUnbounded(const std::string& name, double value, const std::string& unit);
+  void PrintUnbounded(const std::string& name,
+                      double value,
+                      const std::string& unit);
   bool exceeded() const { return m_exceeded; }
 
  private:
--- a/bench/capacity/fold.cc
+++ b/bench/capacity/fold.cc
@@ -112,9 +112,10 @@
     FoldFixture fixture(WithMembers(members), 0);
     const std::string suffix = "_members_" + std::to_string(members);
     const Cost idle = fixture.CostOfEntries(0);
-    figures.CheckAtMost("fold_allocations_per_keep_alive" + suffix, idle.allocations,
-                   "calls", 6);
-    figures.PrintUnbounded("fold_cpu_per_keep_alive" + suffix, idle.cpu_us, "us");
+    figures.CheckAtMost("fold_allocations_per_keep_alive" + suffix,
+                        idle.allocations, "calls", 6);
+    figures.PrintUnbounded("fold_cpu_per_keep_alive" + suffix, idle.cpu_us,
+                           "us");
   }
 }
 
@@ -124,12 +125,13 @@
   const Cost loaded = fixture.CostOfEntries(kRecordsPerEntry);
   const Cost record{(loaded.allocations - idle.allocations) / kRecordsPerEntry,
                     (loaded.cpu_us - idle.cpu_us) / kRecordsPerEntry};
-  figures.CheckAtMost("fold_allocations_per_entry_design", idle.allocations, "calls",
-                 6);
-  figures.CheckAtMost("fold_allocations_per_spend_record_design", record.allocations,
-                 "calls", 7);
+  figures.CheckAtMost("fold_allocations_per_entry_design", idle.allocations,
+                      "calls", 6);
+  figures.CheckAtMost("fold_allocations_per_spend_record_design",
+                      record.allocations, "calls", 7);
   figures.PrintUnbounded("fold_cpu_per_entry_design", idle.cpu_us, "us");
-  figures.PrintUnbounded("fold_cpu_per_spend_record_design", record.cpu_us, "us");
+  figures.PrintUnbounded("fold_cpu_per_spend_record_design", record.cpu_us,
+                         "us");
   inputs.fold_us_per_entry = idle.cpu_us;
   inputs.fold_us_per_spend_record = record.cpu_us;
   figures.CheckAtMost("fold_errors", fixture.failed() ? 1 : 0, "count", 0);
@@ -145,11 +147,12 @@
   v1::FoldState state;
   const Cost encode = CostOf([&] { state = fixture.fold().ToState(); });
   figures.CheckAtMost("snapshot_size_" + name,
-                 static_cast<double>(state.ByteSizeLong()) / kMebibyte, "MiB",
-                 snapshot_bound);
+                      static_cast<double>(state.ByteSizeLong()) / kMebibyte,
+                      "MiB", snapshot_bound);
   figures.PrintUnbounded("snapshot_encode_cpu_" + name, encode.cpu_us, "us");
   figures.PrintUnbounded("checkpoint_cpu_" + name, digest.cpu_us, "us");
-  figures.PrintUnbounded("checkpoint_allocations_" + name, digest.allocations, "calls");
+  figures.PrintUnbounded("checkpoint_allocations_" + name, digest.allocations,
+                         "calls");
   if (inputs != nullptr) {
     inputs->checkpoint_us = digest.cpu_us;
   }
@@ -165,9 +168,11 @@
     const auto tables = config::Compile(*fixture.fold().configuration());
     const rules::RuleSet rules(*fixture.fold().configuration(), tables);
   });
-  figures.CheckAtMost("configuration_size_design", bytes / kMebibyte, "MiB", 12);
+  figures.CheckAtMost("configuration_size_design", bytes / kMebibyte, "MiB",
+                      12);
   figures.PrintUnbounded("configuration_fold_cpu_design", fold.cpu_us, "us");
-  figures.PrintUnbounded("configuration_compile_cpu_design", compile.cpu_us, "us");
+  figures.PrintUnbounded("configuration_compile_cpu_design", compile.cpu_us,
+                         "us");
   inputs.configuration_bytes = bytes;
 }
 
--- a/bench/capacity/idle.cc
+++ b/bench/capacity/idle.cc
@@ -28,19 +28,19 @@
   const EventCost& tick = traffic.Of<router::Tick>();
   const EventCost& heard = traffic.Of<router::PeerReceived>();
   const EventCost& read = traffic.Of<router::LogRead>();
-  figures.CheckAtMost("idle_allocations_per_tick" + suffix, tick.AllocationsEach(),
-                 "calls", bounds.tick_allocations);
+  figures.CheckAtMost("idle_allocations_per_tick" + suffix,
+                      tick.AllocationsEach(), "calls", bounds.tick_allocations);
   figures.CheckAtMost("idle_allocations_per_heartbeat" + suffix,
-                 heard.AllocationsEach(), "calls",
-                 bounds.heartbeat_allocations);
-  figures.CheckAtMost("idle_allocations_per_read" + suffix, read.AllocationsEach(),
-                 "calls", bounds.read_allocations);
-  figures.PrintUnbounded("idle_cpu_per_tick" + suffix, tick.CpuMicrosecondsEach(),
-                 "us");
-  figures.PrintUnbounded("idle_cpu_per_heartbeat" + suffix, heard.CpuMicrosecondsEach(),
-                 "us");
-  figures.PrintUnbounded("idle_cpu_per_read" + suffix, read.CpuMicrosecondsEach(),
-                 "us");
+                      heard.AllocationsEach(), "calls",
+                      bounds.heartbeat_allocations);
+  figures.CheckAtMost("idle_allocations_per_read" + suffix,
+                      read.AllocationsEach(), "calls", bounds.read_allocations);
+  figures.PrintUnbounded("idle_cpu_per_tick" + suffix,
+                         tick.CpuMicrosecondsEach(), "us");
+  figures.PrintUnbounded("idle_cpu_per_heartbeat" + suffix,
+                         heard.CpuMicrosecondsEach(), "us");
+  figures.PrintUnbounded("idle_cpu_per_read" + suffix,
+                         read.CpuMicrosecondsEach(), "us");
 }
 
 /// @return processor time of a tick, in microseconds
@@ -58,15 +58,17 @@
   const double share = static_cast<double>(traffic.CpuNanoseconds()) /
                        kNanosecondsPerSecond / kMeasuredSeconds;
   figures.PrintUnbounded("idle_core_share" + suffix, share * 100, "percent");
-  figures.CheckAtMost("idle_log_written" + suffix,
-                 static_cast<double>(traffic.appended.bytes) / kMeasuredSeconds,
-                 "bytes_per_s", 20);
-  figures.PrintUnbounded("idle_log_read" + suffix,
-                 static_cast<double>(traffic.read.bytes) / kMeasuredSeconds,
-                 "bytes_per_s");
-  figures.PrintUnbounded("idle_entries_read" + suffix,
-                 static_cast<double>(traffic.read.count) / kMeasuredSeconds,
-                 "per_s");
+  figures.CheckAtMost(
+      "idle_log_written" + suffix,
+      static_cast<double>(traffic.appended.bytes) / kMeasuredSeconds,
+      "bytes_per_s", 20);
+  figures.PrintUnbounded(
+      "idle_log_read" + suffix,
+      static_cast<double>(traffic.read.bytes) / kMeasuredSeconds,
+      "bytes_per_s");
+  figures.PrintUnbounded(
+      "idle_entries_read" + suffix,
+      static_cast<double>(traffic.read.count) / kMeasuredSeconds, "per_s");
   return traffic.Of<router::Tick>().CpuMicrosecondsEach();
 }
 
@@ -86,7 +88,8 @@
   FleetSizes upstreams = kTypicalSite;
   upstreams.upstreams = 10'000;
   Run(figures, "_upstreams_10000", upstreams, {45, 30, 80});
-  inputs.idle_event_us = Run(figures, "_design", kDesign, {1'200, 1'200, 1'600});
+  inputs.idle_event_us =
+      Run(figures, "_design", kDesign, {1'200, 1'200, 1'600});
 }
 
 }  // namespace coppervalve::bench
--- a/bench/capacity/memory.cc
+++ b/bench/capacity/memory.cc
@@ -48,15 +48,15 @@
       "memory_core_allocated_" + name,
       static_cast<double>(CountAllocations().live_bytes - live) / kMebibyte,
       "MiB", bound);
-  figures.PrintUnbounded("memory_core_resident_" + name,
-                 static_cast<double>(ResidentBytes() - resident) / kMebibyte,
-                 "MiB");
+  figures.PrintUnbounded(
+      "memory_core_resident_" + name,
+      static_cast<double>(ResidentBytes() - resident) / kMebibyte, "MiB");
   // The figure above includes memory that the driver has freed: the
   // configuration that it built.
   TrimFreedMemory();
-  figures.PrintUnbounded("memory_core_resident_trimmed_" + name,
-                 static_cast<double>(ResidentBytes() - resident) / kMebibyte,
-                 "MiB");
+  figures.PrintUnbounded(
+      "memory_core_resident_trimmed_" + name,
+      static_cast<double>(ResidentBytes() - resident) / kMebibyte, "MiB");
 }
 
 }  // namespace
--- a/bench/capacity/placement.cc
+++ b/bench/capacity/placement.cc
@@ -68,16 +68,16 @@
         "placement_allocations" + suffix,
         static_cast<double>(chosen_allocations - allocations) / kPlacements,
         "calls", 40);
-    figures.CheckAtMost("placement_considered" + suffix, static_cast<double>(most),
-                   "candidates", 256);
+    figures.CheckAtMost("placement_considered" + suffix,
+                        static_cast<double>(most), "candidates", 256);
     figures.PrintUnbounded("placement_cpu" + suffix,
-                   static_cast<double>(chosen - start) / kPlacements /
-                       kNanosecondsPerMicrosecond,
-                   "us");
+                           static_cast<double>(chosen - start) / kPlacements /
+                               kNanosecondsPerMicrosecond,
+                           "us");
     figures.PrintUnbounded("probes_due_cpu" + suffix,
-                   static_cast<double>(probed - chosen) / kPlacements /
-                       kNanosecondsPerMicrosecond,
-                   "us");
+                           static_cast<double>(probed - chosen) / kPlacements /
+                               kNanosecondsPerMicrosecond,
+                           "us");
   }
 }
 
--- a/bench/capacity/requests.cc
+++ b/bench/capacity/requests.cc
@@ -55,21 +55,24 @@
   const EventCost& token = traffic.Of<router::AttemptFirstToken>();
   const EventCost& done = traffic.Of<router::AttemptDone>();
   figures.CheckAtMost("request_allocations" + suffix,
-                 arrived.AllocationsEach() + token.AllocationsEach() +
-                     done.AllocationsEach(),
-                 "calls", bound);
-  figures.PrintUnbounded("request_cpu_arrived" + suffix, arrived.CpuMicrosecondsEach(),
-                 "us");
+                      arrived.AllocationsEach() + token.AllocationsEach() +
+                          done.AllocationsEach(),
+                      "calls", bound);
+  figures.PrintUnbounded("request_cpu_arrived" + suffix,
+                         arrived.CpuMicrosecondsEach(), "us");
   figures.PrintUnbounded("request_cpu_first_token" + suffix,
-                 token.CpuMicrosecondsEach(), "us");
-  figures.PrintUnbounded("request_cpu_done" + suffix, done.CpuMicrosecondsEach(), "us");
+                         token.CpuMicrosecondsEach(), "us");
+  figures.PrintUnbounded("request_cpu_done" + suffix,
+                         done.CpuMicrosecondsEach(), "us");
   figures.CheckAtMost("request_refusals" + suffix,
-                 static_cast<double>(traffic.refusals), "count", 0);
+                      static_cast<double>(traffic.refusals), "count", 0);
   const double requests = ShareOf(arrived.cpu_ns + token.cpu_ns + done.cpu_ns);
   const double all = ShareOf(traffic.CpuNanoseconds());
   const double reads = ShareOf(traffic.Of<router::LogRead>().cpu_ns);
-  figures.PrintUnbounded("request_core_share" + suffix, requests * 100, "percent");
-  figures.PrintUnbounded("all_events_core_share" + suffix, all * 100, "percent");
+  figures.PrintUnbounded("request_core_share" + suffix, requests * 100,
+                         "percent");
+  figures.PrintUnbounded("all_events_core_share" + suffix, all * 100,
+                         "percent");
   inputs.request_core_share = requests;
   inputs.upkeep_core_share = all - requests - reads;
 }
@@ -94,30 +97,31 @@
   driver.Advance(Seconds(kVolumeSeconds));
   const Traffic& traffic = driver.traffic();
   figures.CheckAtMost("appends" + suffix, Rate(traffic.appended.count), "per_s",
-                 bounds.appends_per_second);
+                      bounds.appends_per_second);
   // The simulated routers take no snapshots, so this one takes all of them.
   // They are therefore counted separately.
   const Volume snapshots = traffic.RecordsOf(v1::Record::kSnapshot);
   const uint64_t bytes = traffic.appended.bytes - snapshots.bytes;
   figures.CheckAtMost("append_bytes" + suffix, Rate(bytes), "bytes_per_s",
-                 bounds.append_bytes_per_second);
+                      bounds.append_bytes_per_second);
   figures.PrintUnbounded("append_records" + suffix, Rate(traffic.RecordCount()),
-                 "per_s");
-  figures.PrintUnbounded("append_records_spend" + suffix,
-                 Rate(traffic.RecordsOf(v1::Record::kSpendReported).count),
-                 "per_s");
-  figures.PrintUnbounded("append_records_grant" + suffix,
-                 Rate(traffic.RecordsOf(v1::Record::kAllotmentRequested).count),
-                 "per_s");
-  figures.PrintUnbounded("append_records_return" + suffix,
-                 Rate(traffic.RecordsOf(v1::Record::kAllotmentReturned).count),
-                 "per_s");
-  figures.PrintUnbounded("raise_messages" + suffix, Rate(traffic.ceiling_raises.count),
-                 "per_s");
-  figures.CheckAtMost("raise_bytes" + suffix, Rate(traffic.ceiling_raises.bytes),
-                 "bytes_per_s", bounds.raise_bytes_per_second);
+                         "per_s");
+  figures.PrintUnbounded(
+      "append_records_spend" + suffix,
+      Rate(traffic.RecordsOf(v1::Record::kSpendReported).count), "per_s");
+  figures.PrintUnbounded(
+      "append_records_grant" + suffix,
+      Rate(traffic.RecordsOf(v1::Record::kAllotmentRequested).count), "per_s");
+  figures.PrintUnbounded(
+      "append_records_return" + suffix,
+      Rate(traffic.RecordsOf(v1::Record::kAllotmentReturned).count), "per_s");
+  figures.PrintUnbounded("raise_messages" + suffix,
+                         Rate(traffic.ceiling_raises.count), "per_s");
+  figures.CheckAtMost("raise_bytes" + suffix,
+                      Rate(traffic.ceiling_raises.bytes), "bytes_per_s",
+                      bounds.raise_bytes_per_second);
   figures.CheckAtMost("volume_refusals" + suffix,
-                 static_cast<double>(traffic.refusals), "count", 0);
+                      static_cast<double>(traffic.refusals), "count", 0);
   inputs.appends_per_second = Rate(traffic.appended.count);
   inputs.append_bytes_per_second = Rate(bytes);
   inputs.records_per_second = Rate(traffic.RecordCount());
@@ -143,7 +147,8 @@
 
   ReportCosts(figures, "_today", kTypicalSite, typical_load, 200, inputs);
   ReportCosts(figures, "_members_840", members, typical_load, 3'200, inputs);
-  ReportCosts(figures, "_upstreams_10000", upstreams, typical_load, 200, inputs);
+  ReportCosts(figures, "_upstreams_10000", upstreams, typical_load, 200,
+              inputs);
   ReportCosts(figures, "_design", kDesign, all_addresses, 3'200, inputs);
 
   ReportVolumes(figures, "_today", typical_load, {1.5, 900, 600}, inputs);
--- a/bench/capacity/rules.cc
+++ b/bench/capacity/rules.cc
@@ -58,11 +58,12 @@
         sizes, [&](const auto& facts) { return rules.MatchLinear(facts); });
     const std::string suffix = "_" + std::to_string(count);
     figures.CheckAtMost("rule_match_allocations" + suffix, indexed.allocations,
-                   "calls", 8);
+                        "calls", 8);
     figures.PrintUnbounded("rule_match_cpu" + suffix, indexed.cpu_us, "us");
-    figures.PrintUnbounded("rule_match_linear_cpu" + suffix, linear.cpu_us, "us");
+    figures.PrintUnbounded("rule_match_linear_cpu" + suffix, linear.cpu_us,
+                           "us");
     figures.PrintUnbounded("rule_match_linear_to_indexed" + suffix,
-                   linear.cpu_us / indexed.cpu_us, "ratio");
+                           linear.cpu_us / indexed.cpu_us, "ratio");
   }
 }
 
--- a/bench/fuzz/main.cc
+++ b/bench/fuzz/main.cc
@@ -15,14 +15,15 @@
 void Print(uint64_t seed, const ChaosResult& result) {
   std::cout << "seed " << seed
             << (result.violations.empty() ? " ok" : " FAILED") << ": wishes "
-            << result.total.client_requests << " whole " << result.total.complete
-            << " refused " << result.total.refused << " unknown "
-            << result.total.unknown << " open " << result.total.open
-            << " false refusals " << result.total.false_refusals << " used "
-            << result.tokens.used << " of " << result.tokens.paid_in
-            << " stranded " << result.tokens.stranded << " retirements "
-            << result.retirements << " orders applied " << result.orders_applied
-            << " appends " << result.log_appends << '\n';
+            << result.total.client_requests << " whole "
+            << result.total.complete << " refused " << result.total.refused
+            << " unknown " << result.total.unknown << " open "
+            << result.total.open << " false refusals "
+            << result.total.false_refusals << " used " << result.tokens.used
+            << " of " << result.tokens.paid_in << " stranded "
+            << result.tokens.stranded << " retirements " << result.retirements
+            << " orders applied " << result.orders_applied << " appends "
+            << result.log_appends << '\n';
   if (result.violations.empty()) {
     return;
   }
--- a/include/coppervalve/config/limits.h
+++ b/include/coppervalve/config/limits.h
@@ -24,7 +24,8 @@
   core::Duration retire_after{};
   core::Duration address_lifetime{};
 
-  friend bool operator==(const EffectiveLimits&, const EffectiveLimits&) = default;
+  friend bool operator==(const EffectiveLimits&,
+                         const EffectiveLimits&) = default;
 
   /// @return the longest wait in the queue of a class
   core::Duration QueueFor(v1::AdmissionClass admission_class) const;
--- a/include/coppervalve/orders/order_manager.h
+++ b/include/coppervalve/orders/order_manager.h
@@ -61,7 +61,8 @@
 /// thread-safe.
 class OrderManager {
  public:
-  explicit OrderManager(membership::MemberId self, OrderManagerOptions options = {});
+  explicit OrderManager(membership::MemberId self,
+                        OrderManagerOptions options = {});
 
   /// @brief Updates the open orders after the fold changed.
   /// @complexity linear in the orders; for open ones, also in the members
@@ -94,7 +95,7 @@
     bool configured = false;
     bool checks_fencing = false;
     bool taken_here = false;        ///< taken by this incarnation in the fold
-    bool available = false;      ///< may be taken
+    bool available = false;         ///< may be taken
     bool record_pending = false;    ///< a record is appended, not yet folded
     bool may_have_arrived = false;  ///< an attempt ended without a reply
     uint32_t attempts = 0;
@@ -105,7 +106,7 @@
   Job* Find(const core::UpstreamId& upstream, core::FencingNumber fencing);
   void Refresh(core::TimePoint now, const ledger::Fold& fold, Job& job);
   core::Duration StartDelay(const ledger::Fold& fold,
-                           const core::UpstreamId& upstream) const;
+                            const core::UpstreamId& upstream) const;
   core::Duration Backoff(uint32_t attempts) const;
   std::optional<Command> Decide(core::TimePoint now,
                                 const Permit& permit,
--- a/include/coppervalve/request/request_table.h
+++ b/include/coppervalve/request/request_table.h
@@ -148,7 +148,8 @@
   std::optional<KeyVerdict> OnForwardEnded(core::TimePoint now,
                                            core::RequestId id,
                                            const ForwardOutcome& outcome);
-  DisconnectDecision OnCallerDisconnected(core::TimePoint now, core::RequestId id);
+  DisconnectDecision OnCallerDisconnected(core::TimePoint now,
+                                          core::RequestId id);
 
   /// @brief Removes expired entries.
   /// @return requests whose answer the shell may drop
@@ -203,10 +204,11 @@
   Decision DecideOriginBound(const DecisionInput& input) const;
   Decision DecideUnbound(const DecisionInput& input) const;
   Decision RequireClaim(const DecisionInput& input) const;
-  Decision DecideOwnedElsewhere(const RequestRecord& request, const Origin& place) const;
+  Decision DecideOwnedElsewhere(const RequestRecord& request,
+                                const Origin& place) const;
   Location Locate(const Origin& place) const;
   std::optional<Refuse> RefuseIfFull(const RequestRecord& request,
-                                      const Decision& decision) const;
+                                     const Decision& decision) const;
   std::optional<Refuse> RefuseIfClosed(const Arrival& arrival,
                                        const Decision& decision) const;
   /// Records the request unless it is refused or the table is full.
@@ -222,7 +224,9 @@
 
   void Enter(core::TimePoint now, core::RequestId id, Phase phase);
   void SetPhase(core::TimePoint now, Slot& slot, Phase phase);
-  Waiters FinishUnanswered(core::TimePoint now, core::RequestId id, core::ErrorId error);
+  Waiters FinishUnanswered(core::TimePoint now,
+                           core::RequestId id,
+                           core::ErrorId error);
   Waiters Finish(core::TimePoint now,
                  Slot& slot,
                  Phase phase,
@@ -237,8 +241,9 @@
 
   Slot* FindOpen(core::RequestId id);
   const RequestRecord* FindKey(const core::Hash128& key) const;
-  std::optional<ForwardTo> FindStatusSource(const KeyName& key,
-                                     const core::Hash128& identity) const;
+  std::optional<ForwardTo> FindStatusSource(
+      const KeyName& key,
+      const core::Hash128& identity) const;
 
   Origin m_self;
   TableHooks m_hooks;
@@ -246,8 +251,8 @@
   std::unordered_map<core::RequestId, Slot> m_records;
   std::unordered_map<core::Hash128, core::RequestId> m_by_key;
   std::list<core::RequestId> m_evictable;  // oldest first
-  std::list<core::RequestId> m_protected;    // tombstones, oldest first
-  std::list<core::RequestId> m_answers;      // oldest first
+  std::list<core::RequestId> m_protected;  // tombstones, oldest first
+  std::list<core::RequestId> m_answers;    // oldest first
   std::vector<core::RequestId> m_expired;
   ExpiredKeyFilter m_expired_keys;
   core::Bytes m_kept_bytes;
--- a/include/coppervalve/router/detail/active_configuration.h
+++ b/include/coppervalve/router/detail/active_configuration.h
@@ -32,8 +32,8 @@
   /// @param prompt upper bound of the prompt tokens
   /// @complexity linear in the candidates the first time, then constant
   core::Tokens CostBound(const config::SharedUpstreamIds& candidates,
-                       core::Tokens prompt,
-                       core::Tokens output);
+                         core::Tokens prompt,
+                         core::Tokens output);
   /// @brief Cost of an answered attempt.
   /// @param usage none for a plain service
   core::Tokens CostAt(const core::UpstreamId& upstream,
--- a/include/coppervalve/router/detail/budget_manager.h
+++ b/include/coppervalve/router/detail/budget_manager.h
@@ -4,8 +4,8 @@
 #include <optional>  // optional
 #include <vector>    // vector
 
-#include "coppervalve/budget/holding_manager.h"
 #include "coppervalve/budget/ceiling_store.h"
+#include "coppervalve/budget/holding_manager.h"
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/ledger/effects.h"
@@ -22,9 +22,9 @@
 class BudgetManager {
  public:
   BudgetManager(const RouterSettings& settings,
-             core::Incarnation incarnation,
-             LogAccess& log,
-             PeerManager& peers);
+                core::Incarnation incarnation,
+                LogAccess& log,
+                PeerManager& peers);
 
   /// @brief Handles the effects of one folded entry.
   void OnFolded(core::TimePoint now,
@@ -44,7 +44,9 @@
   bool HoldingsReturned() const;
 
   budget::HoldingManager& holding_manager() { return m_holding_manager; }
-  const budget::HoldingManager& holding_manager() const { return m_holding_manager; }
+  const budget::HoldingManager& holding_manager() const {
+    return m_holding_manager;
+  }
 
  private:
   bool IsSelf(const core::RouterId& router,
--- a/include/coppervalve/router/detail/log_access.h
+++ b/include/coppervalve/router/detail/log_access.h
@@ -29,9 +29,9 @@
                                       const std::vector<ledger::Effect>&)>;
 
   LogAccess(const RouterSettings& settings,
-          core::Incarnation incarnation,
-          const RouterHooks& hooks,
-          Outbox& outbox);
+            core::Incarnation incarnation,
+            const RouterHooks& hooks,
+            Outbox& outbox);
 
   void SetOnFolded(OnFolded on_folded) { m_on_folded = std::move(on_folded); }
 
--- a/include/coppervalve/router/detail/order_adapter.h
+++ b/include/coppervalve/router/detail/order_adapter.h
@@ -17,9 +17,9 @@
 class OrderAdapter {
  public:
   OrderAdapter(const core::RouterId& router,
-            core::Incarnation incarnation,
-            LogAccess& log,
-            Outbox& outbox);
+               core::Incarnation incarnation,
+               LogAccess& log,
+               Outbox& outbox);
 
   /// @brief Call after entries were folded or a snapshot was loaded.
   void AfterReading(core::TimePoint now);
--- a/include/coppervalve/router/detail/peer_manager.h
+++ b/include/coppervalve/router/detail/peer_manager.h
@@ -27,8 +27,8 @@
 class PeerManager {
  public:
   PeerManager(const RouterSettings& settings,
-           core::Incarnation incarnation,
-           Outbox& outbox);
+              core::Incarnation incarnation,
+              Outbox& outbox);
 
   /// @brief Updates the members after they changed in the fold.
   void SetMembers(const ledger::Fold& fold);
@@ -60,8 +60,8 @@
       const std::optional<budget::PeerRef>& current);
   /// @brief Whether new work may be accepted under this configuration version.
   membership::FreshnessVerdict EvaluateFreshness(core::TimePoint now,
-                                              core::ConfigVersion version,
-                                              const ledger::Fold& fold);
+                                                 core::ConfigVersion version,
+                                                 const ledger::Fold& fold);
   std::optional<core::Duration> LogAge(core::TimePoint now) const;
 
   /// @brief State and request address of an incarnation, as seen by this
--- a/include/coppervalve/router/detail/request_flow.h
+++ b/include/coppervalve/router/detail/request_flow.h
@@ -54,7 +54,8 @@
                  const RequestArrived& event,
                  const std::optional<core::Error>& closed);
   /// @brief Refuses a request that arrives before the first read of the log.
-  void RefuseBeforeFirstRead(const RequestArrived& event, const core::Error& closed);
+  void RefuseBeforeFirstRead(const RequestArrived& event,
+                             const core::Error& closed);
   void OnStatusRequested(core::TimePoint now, const StatusRequested& event);
   void OnCallerDisconnected(core::TimePoint now, core::RequestId id);
   void OnForwardEnded(core::TimePoint now, const ForwardEnded& event);
@@ -96,8 +97,8 @@
                                const RequestArrived& event,
                                const std::optional<request::KeyName>& key);
   void ApplyVerdict(core::TimePoint now,
-                     core::RequestId id,
-                     const request::KeyVerdict& verdict);
+                    core::RequestId id,
+                    const request::KeyVerdict& verdict);
   void RunHere(core::TimePoint now, Work& work);
   void Claim(core::TimePoint now, Work& work, const core::Hash128& key);
   void Relay(Work& work, const request::ForwardTo& to);
@@ -126,8 +127,8 @@
                    routing::AttemptEnd end,
                    const core::Error& error);
   void ApplyRetryDecision(core::TimePoint now,
-                   Work& work,
-                   const routing::RetryDecision& decision);
+                          Work& work,
+                          const routing::RetryDecision& decision);
   void ResumeAfterBackoff(core::TimePoint now);
 
   // Final answers.
@@ -136,9 +137,9 @@
               core::Error error,
               std::optional<core::Duration> retry_after);
   void RefuseImmediately(core::RequestId id,
-                    core::Error error,
-                    std::optional<core::Duration> retry_after,
-                    core::RunState run_state = core::RunState::kNotRun);
+                         core::Error error,
+                         std::optional<core::Duration> retry_after,
+                         core::RunState run_state = core::RunState::kNotRun);
   void ReleaseTokens(core::TimePoint now, Work& work);
   void WriteOff(core::TimePoint now, Work& work);
   void Erase(core::RequestId id);
--- a/include/coppervalve/router/events.h
+++ b/include/coppervalve/router/events.h
@@ -28,7 +28,8 @@
   core::RequestId request;  ///< chosen by the shell, unique per incarnation
   std::string method;
   std::string path;
-  std::vector<std::pair<std::string, std::string>> headers;          ///< lower-case names
+  std::vector<std::pair<std::string, std::string>>
+      headers;          ///< lower-case names
   std::string api_key;  ///< as sent; empty when forwarded by a peer
   core::Hash128 body_hash;
   core::Bytes body_size;
--- a/include/coppervalve/trial/audit.h
+++ b/include/coppervalve/trial/audit.h
@@ -48,7 +48,8 @@
   TokenCount Count() const;
   /// @return whether a single exact counter has tokens for the request after
   /// `others` are taken
-  bool HasTokensFor(const ClientRequest& client_request, core::Tokens others = core::Tokens(0)) const;
+  bool HasTokensFor(const ClientRequest& client_request,
+                    core::Tokens others = core::Tokens(0)) const;
   const ledger::Fold& fold() const { return m_fold; }
 
  private:
@@ -64,8 +65,10 @@
   ledger::Fold m_fold;
   size_t m_executions_seen = 0;
   std::unordered_map<core::BudgetId, int64_t> m_used;
-  std::unordered_map<size_t, uint64_t> m_runs_by_request;  ///< by client_request
-  std::unordered_map<size_t, uint64_t> m_runs_by_attempt;  ///< by client_attempt
+  std::unordered_map<size_t, uint64_t>
+      m_runs_by_request;  ///< by client_request
+  std::unordered_map<size_t, uint64_t>
+      m_runs_by_attempt;  ///< by client_attempt
   std::unordered_map<core::Hash128, uint64_t> m_bills;
   std::vector<uint64_t> m_versions;
   /// When each version came into force, by version.
--- a/include/coppervalve/trial/chaos.h
+++ b/include/coppervalve/trial/chaos.h
@@ -17,7 +17,8 @@
   uint64_t seed = 1;
   core::Duration fault_duration = std::chrono::seconds(90);
   core::Duration recovery_duration = std::chrono::seconds(60);
-  core::Duration mean_fault_interval = std::chrono::seconds(2);  ///< between faults
+  core::Duration mean_fault_interval =
+      std::chrono::seconds(2);  ///< between faults
   int64_t prepaid = 60'000;
   uint64_t log_retain = 0;
 };
--- a/include/coppervalve/trial/fleet.h
+++ b/include/coppervalve/trial/fleet.h
@@ -22,7 +22,7 @@
 /// @brief Outcome of an attempt at an upstream.
 enum class AttemptOutcome : uint8_t {
   kAnswered,
-  kNotSent,   ///< no connection
+  kNotSent,    ///< no connection
   kDeclined,   ///< the upstream reports that it did not run
   kTruncated,  ///< ran in part, then the connection closed
   kSilent,     ///< ran, but no reply arrives
@@ -83,13 +83,18 @@
   void SetPartitionedFromAll(size_t node, bool partitioned);
   bool IsPartitioned(size_t a, size_t b) const;
   LogLink& log_link(size_t node) { return m_log_links[node]; }
-  void SetAttemptOutcome(std::function<AttemptOutcome()> attempt_outcome) { m_attempt_outcome = std::move(attempt_outcome); }
+  void SetAttemptOutcome(std::function<AttemptOutcome()> attempt_outcome) {
+    m_attempt_outcome = std::move(attempt_outcome);
+  }
   /// @brief Sets whether engines report the tokens they used.
   void SetReportsUsage(bool reports) { m_reports_usage = reports; }
   bool reports_usage() const { return m_reports_usage; }
-  AttemptOutcome NextAttemptOutcome() { return m_attempt_outcome ? m_attempt_outcome() : AttemptOutcome::kAnswered; }
+  AttemptOutcome NextAttemptOutcome() {
+    return m_attempt_outcome ? m_attempt_outcome() : AttemptOutcome::kAnswered;
+  }
   /// @brief Called when a client attempt ends.
-  void SetOnAttemptEnded(std::function<void(size_t client_attempt)> on_attempt_ended) {
+  void SetOnAttemptEnded(
+      std::function<void(size_t client_attempt)> on_attempt_ended) {
     m_on_attempt_ended = std::move(on_attempt_ended);
   }
   /// @brief Called for each log line of a router.
@@ -113,7 +118,9 @@
   const FleetOptions& options() const { return m_options; }
   size_t size() const { return m_nodes.size(); }
   Node& node(size_t index) { return *m_nodes[index]; }
-  const std::vector<ClientRequest>& client_requests() const { return m_client_requests; }
+  const std::vector<ClientRequest>& client_requests() const {
+    return m_client_requests;
+  }
   std::vector<ClientAttempt>& client_attempts() { return m_client_attempts; }
   std::vector<Execution>& executions() { return m_executions; }
   uint64_t config_version() const { return m_config_version; }
--- a/include/coppervalve/trial/load_generator.h
+++ b/include/coppervalve/trial/load_generator.h
@@ -23,7 +23,7 @@
   double batch_share = 0.4;   ///< BATCH model work
   double gate_share = 0.2;    ///< non-idempotent GATE calls of a service
   double keyed_share = 0.9;   ///< of idempotent work; calls always have a key
-  double origin_bound_share = 0.7;   ///< of keyed work: origin-bound keys
+  double origin_bound_share = 0.7;  ///< of keyed work: origin-bound keys
   size_t max_attempts = 4;          ///< of one request
   core::Duration caller_timeout = std::chrono::seconds(15);
   uint32_t gate_reserve_permille = 50;
--- a/include/coppervalve/trial/node.h
+++ b/include/coppervalve/trial/node.h
@@ -69,7 +69,8 @@
   /// State of one request outside the core.
   struct Call {
     size_t client_attempt = 0;
-    std::function<void(const ForwardResult&)> relay;  ///< set for a request of a peer
+    std::function<void(const ForwardResult&)>
+        relay;  ///< set for a request of a peer
     std::vector<core::RequestId> joiners;
     std::optional<core::RequestId> leader;
     bool done = false;
@@ -77,7 +78,8 @@
   };
 
   core::RequestId NewCall(Call call);
-  router::RequestArrived ArrivalOf(core::RequestId id, size_t client_attempt) const;
+  router::RequestArrived ArrivalOf(core::RequestId id,
+                                   size_t client_attempt) const;
   void Handle(const router::Event& event);
   void ScheduleTick();
   void Schedule(core::Duration delay, std::function<void()> action);
@@ -107,7 +109,8 @@
 
   Fleet& m_fleet;
   size_t m_index;
-  uint64_t m_generation = 0;  ///< grows with each start; stale callbacks are ignored
+  uint64_t m_generation =
+      0;  ///< grows with each start; stale callbacks are ignored
   std::unique_ptr<router::RouterCore> m_core;
   bool m_paused = false;
   bool m_exiting = false;
--- a/include/coppervalve/trial/records.h
+++ b/include/coppervalve/trial/records.h
@@ -51,7 +51,8 @@
   std::optional<core::ErrorId> error;
   core::RunState run_state = core::RunState::kUnknown;
   std::optional<core::Duration> retry_after;
-  size_t answered_request = 0;  ///< the request that was answered; with kComplete
+  size_t answered_request =
+      0;  ///< the request that was answered; with kComplete
   core::TimePoint opened;
   core::TimePoint ended;
 };
--- a/src/config/check.cc
+++ b/src/config/check.cc
@@ -84,9 +84,9 @@
                              std::to_string(before.prepaid_tokens())};
     }
     if (after.account() != before.account()) {
-      return core::Error{
-          ErrorId::kConfigPrepaidShrinks, path + ".account",
-          "the owner '" + before.account() + "' of a published budget may not change"};
+      return core::Error{ErrorId::kConfigPrepaidShrinks, path + ".account",
+                         "the owner '" + before.account() +
+                             "' of a published budget may not change"};
     }
   }
   return core::Ok();
--- a/src/config/check_rules.cc
+++ b/src/config/check_rules.cc
@@ -47,10 +47,10 @@
 }
 
 void CheckFormats(const StringList& list,
-                 const std::string& path,
-                 bool (*is_valid)(std::string_view),
-                 const std::string& expected,
-                 Report& report) {
+                  const std::string& path,
+                  bool (*is_valid)(std::string_view),
+                  const std::string& expected,
+                  Report& report) {
   CheckList(list, path, report,
             [&](const std::string& text, const std::string& item_path) {
               if (!is_valid(text)) {
@@ -92,9 +92,9 @@
   CheckReferences(when.services(), path + ".services", names.services,
                   "service", report);
   CheckFormats(when.path_prefixes(), path + ".path_prefixes", IsPathPrefix,
-              "a path starts with / and is printable ASCII", report);
+               "a path starts with / and is printable ASCII", report);
   CheckFormats(when.methods(), path + ".methods", IsMethod,
-              "a method is written in upper-case letters", report);
+               "a method is written in upper-case letters", report);
   CheckHeaders(when, path, report);
   report.CheckRange(when.min_prompt_bytes(), 0, kMaxPromptBytes,
                     path + ".min_prompt_bytes");
@@ -135,8 +135,9 @@
                 report.Add(ErrorId::kConfigUnknownReference, item_path,
                            "no upstream '" + id + "'");
               } else if (!ServesAny(*found->second, rule.when())) {
-                report.Add(ErrorId::kConfigBadValue, item_path,
-                           "'" + id + "' serves no model or service named in `when`");
+                report.Add(
+                    ErrorId::kConfigBadValue, item_path,
+                    "'" + id + "' serves no model or service named in `when`");
               }
             });
 }
--- a/src/config/diff.cc
+++ b/src/config/diff.cc
@@ -16,7 +16,8 @@
 using google::protobuf::Message;
 using google::protobuf::Reflection;
 
-constexpr int kNotRepeated = -1;  // protobuf's index of a field that is not repeated
+constexpr int kNotRepeated =
+    -1;  // protobuf's index of a field that is not repeated
 
 std::string MessageJson(const Message& message) {
   google::protobuf::util::JsonPrintOptions options;
@@ -33,9 +34,10 @@
   const Reflection& reflection = *message.GetReflection();
   std::string text;
   if (field.cpp_type() == FieldDescriptor::CPPTYPE_MESSAGE) {
-    return MessageJson(index == kNotRepeated ? reflection.GetMessage(message, &field)
-                                        : reflection.GetRepeatedMessage(
-                                              message, &field, index));
+    return MessageJson(
+        index == kNotRepeated
+            ? reflection.GetMessage(message, &field)
+            : reflection.GetRepeatedMessage(message, &field, index));
   }
   if (field.cpp_type() == FieldDescriptor::CPPTYPE_STRING) {
     text = index == kNotRepeated
@@ -163,7 +165,7 @@
     for (const std::string& id : after.order) {
       if (!before.position.contains(id)) {
         AddChange(ItemPath(path, id), {},
-             ValueJson(newer, field, after.position.at(id)));
+                  ValueJson(newer, field, after.position.at(id)));
       }
     }
     // Compares the order of common items only, so that an inserted rule counts
--- a/src/config/limits.cc
+++ b/src/config/limits.cc
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-core::Duration EffectiveLimits::QueueFor(v1::AdmissionClass admission_class) const {
+core::Duration EffectiveLimits::QueueFor(
+    v1::AdmissionClass admission_class) const {
   switch (admission_class) {
     case v1::GATE:
       return gate_queue;
@@ -42,26 +43,32 @@
 
 EffectiveLimits ResolveLimits(const v1::Limits& limits) {
   EffectiveLimits resolved;
-  resolved.max_body = core::Bytes(ValueOrDefault(limits.max_body_bytes(), kMaxBodyBytes));
-  resolved.default_max_output =
-      core::Tokens(ValueOrDefault(limits.default_max_output_tokens(), kDefaultMaxOutput));
-  resolved.max_output = core::Tokens(ValueOrDefault(limits.max_output_tokens(), kMaxOutput));
-  resolved.queue_capacity = ValueOrDefault(limits.queue_capacity(), kQueueCapacity);
-  resolved.batch_queue = milliseconds(ValueOrDefault(limits.batch_queue_ms(), kBatchQueueMs));
-  resolved.interactive_queue =
-      milliseconds(ValueOrDefault(limits.interactive_queue_ms(), kInteractiveQueueMs));
-  resolved.gate_queue = milliseconds(ValueOrDefault(limits.gate_queue_ms(), kGateQueueMs));
-  resolved.first_token_timeout =
-      milliseconds(ValueOrDefault(limits.first_token_timeout_ms(), kFirstTokenTimeoutMs));
-  resolved.inter_token_timeout =
-      milliseconds(ValueOrDefault(limits.inter_token_timeout_ms(), kInterTokenTimeoutMs));
-  resolved.config_freshness =
-      milliseconds(ValueOrDefault(limits.config_freshness_ms(), kConfigFreshnessMs));
-  resolved.answer_keep = seconds(ValueOrDefault(limits.answer_keep_s(), kAnswerKeepS));
+  resolved.max_body =
+      core::Bytes(ValueOrDefault(limits.max_body_bytes(), kMaxBodyBytes));
+  resolved.default_max_output = core::Tokens(
+      ValueOrDefault(limits.default_max_output_tokens(), kDefaultMaxOutput));
+  resolved.max_output =
+      core::Tokens(ValueOrDefault(limits.max_output_tokens(), kMaxOutput));
+  resolved.queue_capacity =
+      ValueOrDefault(limits.queue_capacity(), kQueueCapacity);
+  resolved.batch_queue =
+      milliseconds(ValueOrDefault(limits.batch_queue_ms(), kBatchQueueMs));
+  resolved.interactive_queue = milliseconds(
+      ValueOrDefault(limits.interactive_queue_ms(), kInteractiveQueueMs));
+  resolved.gate_queue =
+      milliseconds(ValueOrDefault(limits.gate_queue_ms(), kGateQueueMs));
+  resolved.first_token_timeout = milliseconds(
+      ValueOrDefault(limits.first_token_timeout_ms(), kFirstTokenTimeoutMs));
+  resolved.inter_token_timeout = milliseconds(
+      ValueOrDefault(limits.inter_token_timeout_ms(), kInterTokenTimeoutMs));
+  resolved.config_freshness = milliseconds(
+      ValueOrDefault(limits.config_freshness_ms(), kConfigFreshnessMs));
+  resolved.answer_keep =
+      seconds(ValueOrDefault(limits.answer_keep_s(), kAnswerKeepS));
   resolved.retire_after =
       milliseconds(ValueOrDefault(limits.retire_after_ms(), kRetireAfterMs));
-  resolved.address_lifetime =
-      milliseconds(ValueOrDefault(limits.address_lifetime_ms(), kAddressLifetimeMs));
+  resolved.address_lifetime = milliseconds(
+      ValueOrDefault(limits.address_lifetime_ms(), kAddressLifetimeMs));
   return resolved;
 }
 
--- a/src/config/reachability.cc
+++ b/src/config/reachability.cc
@@ -101,9 +101,11 @@
     return false;
   }
   const v1::TimeWindow& narrow = inner.time_window();
-  const uint32_t wide_size = MinutesAfter(wide.from_minute(), wide.until_minute());
+  const uint32_t wide_size =
+      MinutesAfter(wide.from_minute(), wide.until_minute());
   const uint32_t start = MinutesAfter(wide.from_minute(), narrow.from_minute());
-  const uint32_t size = MinutesAfter(narrow.from_minute(), narrow.until_minute());
+  const uint32_t size =
+      MinutesAfter(narrow.from_minute(), narrow.until_minute());
   return size != 0 && start + size <= wide_size;
 }
 
--- a/src/config/semantic_checks.cc
+++ b/src/config/semantic_checks.cc
@@ -27,8 +27,8 @@
 }
 
 void Report::CheckUniqueId(const std::string& id,
-                        const std::string& path,
-                        std::unordered_map<std::string, std::string>& seen) {
+                           const std::string& path,
+                           std::unordered_map<std::string, std::string>& seen) {
   if (!CheckPresent(id, path)) {
     return;
   }
@@ -41,8 +41,8 @@
 }
 
 void Report::CheckUnique(const std::string& text,
-                      const std::string& path,
-                      std::unordered_map<std::string, std::string>& seen) {
+                         const std::string& path,
+                         std::unordered_map<std::string, std::string>& seen) {
   const auto [first, is_new] = seen.emplace(text, path);
   if (!is_new) {
     Add(ErrorId::kConfigDuplicateId, path,
--- a/src/config/semantic_checks.h
+++ b/src/config/semantic_checks.h
@@ -30,12 +30,12 @@
   void Add(core::ErrorId id, std::string path, std::string detail);
   /// @brief Requires a well-formed id that is not in `seen` yet.
   void CheckUniqueId(const std::string& id,
-                  const std::string& path,
-                  std::unordered_map<std::string, std::string>& seen);
+                     const std::string& path,
+                     std::unordered_map<std::string, std::string>& seen);
   /// @brief Requires a text that `seen` (text to its first path) lacks.
   void CheckUnique(const std::string& text,
-                const std::string& path,
-                std::unordered_map<std::string, std::string>& seen);
+                   const std::string& path,
+                   std::unordered_map<std::string, std::string>& seen);
   /// @brief Requires low <= value <= high.
   void CheckRange(int64_t value,
                   int64_t low,
--- a/src/config/values.cc
+++ b/src/config/values.cc
@@ -30,7 +30,9 @@
 }
 
 template <typename Predicate>
-bool HasSizeAndAll(std::string_view text, size_t max_size, Predicate predicate) {
+bool HasSizeAndAll(std::string_view text,
+                   size_t max_size,
+                   Predicate predicate) {
   return !text.empty() && text.size() <= max_size &&
          std::all_of(text.begin(), text.end(), predicate);
 }
--- a/src/logclient/reader.cc
+++ b/src/logclient/reader.cc
@@ -45,7 +45,8 @@
   m_backoff.Reset();
   m_first_retained = core::LogOffset(reply.first_retained());
   m_end = core::LogOffset(reply.end());
-  ReadOutcome outcome = m_scan ? ContinueScan(reply) : TakeEntries(std::move(reply));
+  ReadOutcome outcome =
+      m_scan ? ContinueScan(reply) : TakeEntries(std::move(reply));
   m_at_end = ReadPosition() == m_end;
   if (m_at_end && !m_scan) {
     // Use the time of sending, not of arrival: a process that was paused may
@@ -80,7 +81,8 @@
   // is a different log or has lost its tail; continuing would fold different
   // entries at offsets that are already folded.
   if (reply.end() < position || reply.end() < m_end.value()) {
-    return InvalidReply("the log ends before an offset already read", reply.end());
+    return InvalidReply("the log ends before an offset already read",
+                        reply.end());
   }
   if (reply.first_retained() > reply.end()) {
     return InvalidReply("retained part ends before it begins", reply.end());
@@ -136,7 +138,8 @@
 void Reader::ExamineEntry(const v1::LoggedEntry& logged) {
   const core::LogOffset logged_at(logged.offset());
   v1::Entry entry;
-  if (m_rejected_snapshots.contains(logged_at) || !entry.ParseFromString(logged.entry())) {
+  if (m_rejected_snapshots.contains(logged_at) ||
+      !entry.ParseFromString(logged.entry())) {
     return;
   }
   for (const v1::Record& record : entry.records()) {
@@ -177,7 +180,9 @@
 }
 
 void Reader::StartScan() {
-  m_rejected_snapshots.erase(m_rejected_snapshots.begin(), m_rejected_snapshots.lower_bound(m_first_retained));
+  m_rejected_snapshots.erase(
+      m_rejected_snapshots.begin(),
+      m_rejected_snapshots.lower_bound(m_first_retained));
   m_scan = Scan{};
   m_scan->next = m_first_retained;
   m_at_end = false;
--- a/src/logclient/snapshot_policy.cc
+++ b/src/logclient/snapshot_policy.cc
@@ -47,8 +47,9 @@
   if (size <= m_options.max_bytes) {
     return core::Ok();
   }
-  return core::Error{core::ErrorId::kSnapshotInvalid, m_self.value(),
-                     "larger than the maximum size: " + std::to_string(size.value())};
+  return core::Error{
+      core::ErrorId::kSnapshotInvalid, m_self.value(),
+      "larger than the maximum size: " + std::to_string(size.value())};
 }
 
 uint64_t SnapshotPolicy::Spacing(const LogRange& range) const {
--- a/src/logclient/writer.cc
+++ b/src/logclient/writer.cc
@@ -117,7 +117,7 @@
   }
   const core::Duration quiet = now - *m_last_new_entry;
   return quiet >= (m_queue.empty() ? m_options.keep_alive_interval
-                                     : m_options.batch_interval);
+                                   : m_options.batch_interval);
 }
 
 Writer::Outstanding Writer::BuildEntry(core::TimePoint now,
--- a/src/net/action_router.cc
+++ b/src/net/action_router.cc
@@ -13,21 +13,22 @@
 
   void operator()(router::ReadLog& action) const {
     m_targets.pool->Post(kPlatformThread,
-                        [log = m_targets.log, action] { log->Read(action); });
+                         [log = m_targets.log, action] { log->Read(action); });
   }
   void operator()(router::AppendLog& action) const {
     m_targets.pool->Post(kPlatformThread,
-                        [log = m_targets.log, action = std::move(action)] {
-                          log->Append(action);
-                        });
+                         [log = m_targets.log, action = std::move(action)] {
+                           log->Append(action);
+                         });
   }
   void operator()(router::ProbeUpstream& action) const {
-    m_targets.pool->Post(kPlatformThread, [platform = m_targets.platform,
-                                          action] { platform->Probe(action); });
+    m_targets.pool->Post(
+        kPlatformThread,
+        [platform = m_targets.platform, action] { platform->Probe(action); });
   }
   void operator()(router::SendOrder& action) const {
     m_targets.pool->Post(kPlatformThread, [platform = m_targets.platform,
-                                          action] { platform->Send(action); });
+                                           action] { platform->Send(action); });
   }
   void operator()(router::SendPeer& action) const {
     const auto failed = [report = m_targets.report,
@@ -53,7 +54,7 @@
     std::shared_ptr<Answer> leader = m_targets.answers->Find(action.leader);
     const size_t thread = OwnerOf(action.request);
     m_targets.pool->Post(thread, [worker = WorkerOf(thread), action,
-                                 leader = std::move(leader)] {
+                                  leader = std::move(leader)] {
       worker->Execute(action, leader);
     });
   }
@@ -81,7 +82,8 @@
 
 }  // namespace
 
-ActionRouter::ActionRouter(ActionTargets targets) : m_targets(std::move(targets)) {}
+ActionRouter::ActionRouter(ActionTargets targets)
+    : m_targets(std::move(targets)) {}
 
 void ActionRouter::Execute(router::Action action) const {
   std::visit(ActionExecutor(m_targets), action);
--- a/src/net/action_router.h
+++ b/src/net/action_router.h
@@ -21,7 +21,7 @@
   std::vector<std::unique_ptr<TrafficWorker>>* workers = nullptr;
   LogTransport* log = nullptr;         ///< used on the platform thread
   PlatformClient* platform = nullptr;  ///< used on the platform thread
-  PeerClient* peers = nullptr;        ///< null without a peer link
+  PeerClient* peers = nullptr;         ///< null without a peer link
   AnswerStore* answers = nullptr;
   EventSink report;
   std::function<void(const router::LogLine&)> log_line;
--- a/src/net/answer_reader.cc
+++ b/src/net/answer_reader.cc
@@ -28,8 +28,9 @@
     return Failed(*m_own->Read(*m_own_reader, 0).refusal);
   }
   if (!m_source_reader) {
-    return Failed(RefusalOf({core::ErrorId::kAnswerExpired, "answer",
-                             "the beginning of the answer is no longer stored"}));
+    return Failed(
+        RefusalOf({core::ErrorId::kAnswerExpired, "answer",
+                   "the beginning of the answer is no longer stored"}));
   }
   Answer::Piece piece = m_source->Read(*m_source_reader, max_bytes);
   m_started = piece.started;
--- a/src/net/caller_reader.cc
+++ b/src/net/caller_reader.cc
@@ -27,7 +27,8 @@
 
 std::optional<core::Error> ErrorToAnswer(error_code e, bool expired) {
   if (expired) {
-    return core::Error{ErrorId::kSlowSender, "request", "was not received in time"};
+    return core::Error{ErrorId::kSlowSender, "request",
+                       "was not received in time"};
   }
   if (e == http::error::header_limit || e == http::error::buffer_overflow) {
     return core::Error{ErrorId::kHeaderTooLarge, "header", ""};
--- a/src/net/caller_routes.cc
+++ b/src/net/caller_routes.cc
@@ -85,8 +85,9 @@
   }
   const ModelRequest& model = core::Value(parsed);
   if (model.stream && request.http_1_0) {
-    return core::Error{ErrorId::kBadRequest, "stream",
-                       "requires HTTP/1.1: HTTP/1.0 cannot mark the end of a stream"};
+    return core::Error{
+        ErrorId::kBadRequest, "stream",
+        "requires HTTP/1.1: HTTP/1.0 cannot mark the end of a stream"};
   }
   event.model = model.model;
   event.max_output_tokens = model.max_output_tokens;
@@ -100,7 +101,8 @@
   rest.remove_prefix(kServicePrefix.size());
   const std::string_view name = rest.substr(0, rest.find('/'));
   if (name.empty()) {
-    return core::Error{ErrorId::kNotFound, event.path, "the path has no service name"};
+    return core::Error{ErrorId::kNotFound, event.path,
+                       "the path has no service name"};
   }
   event.service = core::ServiceId(std::string(name));
   return CallerRoute{std::move(event), false};
@@ -166,8 +168,8 @@
   }
   return CallerRoute{
       router::StatusRequested{id, event.api_key,
-                          std::string(path.substr(kRequestPrefix.size())),
-                          account},
+                              std::string(path.substr(kRequestPrefix.size())),
+                              account},
       false};
 }
 
--- a/src/net/caller_session.cc
+++ b/src/net/caller_session.cc
@@ -202,7 +202,8 @@
   }
 }
 
-void CallerSession::WriteResponse(const HttpHead& head, const std::string& body) {
+void CallerSession::WriteResponse(const HttpHead& head,
+                                  const std::string& body) {
   m_ends_exchange = true;
   Write(SerializeResponse(head, body, m_options));
 }
--- a/src/net/caller_session.h
+++ b/src/net/caller_session.h
@@ -76,7 +76,8 @@
   bool m_head_sent = false;
   HttpHead m_head;
   std::string m_body;
-  bool m_ends_exchange = false;                 // the current write is the last of the exchange
+  bool m_ends_exchange =
+      false;                 // the current write is the last of the exchange
   bool m_truncated = false;  // the answer ended incomplete
   bool m_writing = false;
   std::string m_out;
--- a/src/net/deadline.cc
+++ b/src/net/deadline.cc
@@ -19,8 +19,8 @@
 
   void Wait(std::chrono::microseconds after) {
     timer.expires_after(after);
-    timer.async_wait([self = shared_from_this(),
-                      armed = generation](const boost::system::error_code& error) {
+    timer.async_wait([self = shared_from_this(), armed = generation](
+                         const boost::system::error_code& error) {
       // A timer that has already expired cannot be cancelled; the generation
       // identifies a callback of an earlier step.
       if (error || armed != self->generation) {
--- a/src/net/detail/peer_client_connection.h
+++ b/src/net/detail/peer_client_connection.h
@@ -39,7 +39,8 @@
   struct Hooks {
     std::function<void()> on_ready;     ///< the peer's HTTP/2 SETTINGS arrived
     std::function<void()> on_draining;  ///< no new calls on this connection
-    std::function<void(core::Error)> on_closed;  ///< after its calls have failed
+    std::function<void(core::Error)>
+        on_closed;  ///< after its calls have failed
   };
 
   PeerClientConnection(std::string address,
--- a/src/net/detail/peer_reply_buffer.cc
+++ b/src/net/detail/peer_reply_buffer.cc
@@ -21,7 +21,8 @@
   size_t filled = 0;
   while (filled < frame.size() && !m_chunks.empty()) {
     const std::string& chunk = m_chunks.front();
-    const size_t part = std::min(frame.size() - filled, chunk.size() - m_first_chunk_read);
+    const size_t part =
+        std::min(frame.size() - filled, chunk.size() - m_first_chunk_read);
     std::copy_n(chunk.data() + m_first_chunk_read, part, frame.data() + filled);
     filled += part;
     m_first_chunk_read += part;
--- a/src/net/detail/peer_server_replies.cc
+++ b/src/net/detail/peer_server_replies.cc
@@ -25,7 +25,7 @@
 }
 
 HeaderList PeerServerConnection::WithReplyProof(const Stream& stream,
-                                             HeaderList fields) const {
+                                                HeaderList fields) const {
   fields.emplace_back(kReplyProofField, m_shared->signer.ReplyProof(
                                             Find(stream.fields, kAuthField)));
   return fields;
--- a/src/net/detail/peer_session.h
+++ b/src/net/detail/peer_session.h
@@ -40,7 +40,8 @@
   std::function<bool(StreamId, std::string_view, std::string_view)> on_header;
   std::function<void(StreamId)> on_headers;  ///< the header list is complete
   std::function<void(StreamId, std::string_view)> on_data;
-  std::function<void(StreamId)> on_end;  ///< the other side completed the stream
+  std::function<void(StreamId)>
+      on_end;  ///< the other side completed the stream
   std::function<void(StreamId, uint32_t error_code)> on_closed;
   /// Clients: the request follows in the bytes that Fill() returns next.
   std::function<void(StreamId)> on_request_starts;
--- a/src/net/forward_relay.cc
+++ b/src/net/forward_relay.cc
@@ -93,7 +93,8 @@
   bool m_stream = false;
   bool m_too_large = false;
   std::string m_body;
-  std::mutex m_mutex;  // the peer's thread adds callbacks, the caller's removes them
+  std::mutex
+      m_mutex;  // the peer's thread adds callbacks, the caller's removes them
   std::vector<Consumed> m_waiting;
 };
 
--- a/src/net/http_serializer.cc
+++ b/src/net/http_serializer.cc
@@ -43,7 +43,8 @@
 
 }  // namespace
 
-std::string SerializeRequest(const HttpRequest& request, std::string_view host) {
+std::string SerializeRequest(const HttpRequest& request,
+                             std::string_view host) {
   http::request_header<> head;
   head.version(kHttp11);
   head.method_string(request.method);
@@ -62,8 +63,8 @@
 }
 
 std::string SerializeResponse(const HttpHead& head,
-                         std::string_view body,
-                         const ResponseOptions& options) {
+                              std::string_view body,
+                              const ResponseOptions& options) {
   http::response_header<> result = MakeHead(head, options);
   const bool bodiless =
       head.status == kNoContent || head.status == kNotModified;
@@ -77,7 +78,8 @@
   return text;
 }
 
-std::string SerializeStreamHead(const HttpHead& head, const ResponseOptions& options) {
+std::string SerializeStreamHead(const HttpHead& head,
+                                const ResponseOptions& options) {
   http::response_header<> result = MakeHead(head, options);
   result.set(http::field::transfer_encoding, "chunked");
   return ToText(result);
--- a/src/net/http_serializer.h
+++ b/src/net/http_serializer.h
@@ -19,11 +19,12 @@
 };
 
 std::string SerializeResponse(const HttpHead& head,
-                         std::string_view body,
-                         const ResponseOptions& options);
+                              std::string_view body,
+                              const ResponseOptions& options);
 
 /// @brief The head of a response with chunked encoding.
-std::string SerializeStreamHead(const HttpHead& head, const ResponseOptions& options);
+std::string SerializeStreamHead(const HttpHead& head,
+                                const ResponseOptions& options);
 std::string SerializeChunk(std::string_view bytes);
 std::string SerializeLastChunk();
 
--- a/src/net/outgoing_request.cc
+++ b/src/net/outgoing_request.cc
@@ -74,8 +74,9 @@
   plan.connect_timeout = settings.connect_timeout;
   plan.first_token_timeout = action.first_token_timeout;
   plan.inter_token_timeout = action.inter_token_timeout;
-  plan.complete_answer_timeout = action.first_token_timeout +
-                       kMaxTimePerToken * action.max_output_tokens.value();
+  plan.complete_answer_timeout =
+      action.first_token_timeout +
+      kMaxTimePerToken * action.max_output_tokens.value();
   plan.max_answer_bytes = settings.max_answer_bytes;
   return plan;
 }
--- a/src/net/platform_client.cc
+++ b/src/net/platform_client.cc
@@ -85,7 +85,8 @@
 
 }  // namespace
 
-struct PlatformClient::Impl : std::enable_shared_from_this<PlatformClient::Impl> {
+struct PlatformClient::Impl
+    : std::enable_shared_from_this<PlatformClient::Impl> {
   Impl(boost::asio::io_context& a_context,
        const ShellSettings& a_settings,
        EventSink a_report)
@@ -153,8 +154,8 @@
 };
 
 PlatformClient::PlatformClient(boost::asio::io_context& context,
-                             const ShellSettings& settings,
-                             EventSink report)
+                               const ShellSettings& settings,
+                               EventSink report)
     : m_impl(std::make_shared<Impl>(context, settings, std::move(report))) {}
 
 PlatformClient::~PlatformClient() = default;
--- a/src/net/platform_client.h
+++ b/src/net/platform_client.h
@@ -15,8 +15,8 @@
 class PlatformClient {
  public:
   PlatformClient(boost::asio::io_context& context,
-                const ShellSettings& settings,
-                EventSink report);
+                 const ShellSettings& settings,
+                 EventSink report);
   PlatformClient(const PlatformClient&) = delete;
   PlatformClient& operator=(const PlatformClient&) = delete;
   ~PlatformClient();
--- a/src/net/shell.cc
+++ b/src/net/shell.cc
@@ -65,8 +65,9 @@
     }
     actions = std::make_unique<ActionRouter>(
         ActionTargets{&pool, &workers, &log, &platform, peers.get(), &answers,
-                     Sink(), hooks.log, [this] { OnExit(); }});
-    operator_context = {settings.operator_token, [this] { Drain(); }, hooks.metrics_text};
+                      Sink(), hooks.log, [this] { OnExit(); }});
+    operator_context = {settings.operator_token, [this] { Drain(); },
+                        hooks.metrics_text};
   }
 
   ~Impl() {
@@ -202,8 +203,8 @@
     }
     const Exchange exchange =
         addressed_to_us ? worker.Accept(std::move(request), head.account)
-                     : worker.RefuseNow({core::ErrorId::kOriginGone,
-                                         "incarnation", "it has ended"});
+                        : worker.RefuseNow({core::ErrorId::kOriginGone,
+                                            "incarnation", "it has ended"});
     WriteForwardReply(pool.Context(thread), exchange.answer, reply,
                       [&worker, request_id = exchange.request](bool cancelled) {
                         if (cancelled) {
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -150,14 +150,14 @@
 }
 
 void TrafficWorker::Execute(const router::JoinAnswer& action,
-                          std::shared_ptr<Answer> leader) {
+                            std::shared_ptr<Answer> leader) {
   Entry* entry = Find(action.request);
   if (!entry) {
     return;
   }
   if (!leader) {
-    entry->answer->Fail(
-        RefusalOf({ErrorId::kAnswerExpired, "answer", "the answer is no longer stored"}));
+    entry->answer->Fail(RefusalOf(
+        {ErrorId::kAnswerExpired, "answer", "the answer is no longer stored"}));
     Erase(action.request);
     return;
   }
@@ -322,8 +322,9 @@
   const core::TimePoint oldest = BootNow() - kAbandonedAfter;
   for (auto it = m_requests.begin(); it != m_requests.end();) {
     const Entry& entry = it->second;
-    const bool abandoned = entry.disconnected_at && *entry.disconnected_at < oldest &&
-                           !entry.attempt && !entry.forward;
+    const bool abandoned = entry.disconnected_at &&
+                           *entry.disconnected_at < oldest && !entry.attempt &&
+                           !entry.forward;
     if (abandoned) {
       m_shared.answers->Remove(it->first);
     }
--- a/src/net/traffic_worker.h
+++ b/src/net/traffic_worker.h
@@ -69,7 +69,8 @@
   void Execute(const router::Refuse& action);
   /// @param leader the answer to join, looked up when the core decided; null
   /// when it is no longer stored
-  void Execute(const router::JoinAnswer& action, std::shared_ptr<Answer> leader);
+  void Execute(const router::JoinAnswer& action,
+               std::shared_ptr<Answer> leader);
   void Execute(const router::Forward& action);
   void Execute(const router::CancelAttempt& action);
   void Execute(const router::ReplyJson& action);
@@ -87,7 +88,8 @@
     bool keyed = false;
     bool readiness = false;
     bool joined = false;
-    std::optional<core::TimePoint> disconnected_at;  ///< when the caller disconnected
+    std::optional<core::TimePoint>
+        disconnected_at;  ///< when the caller disconnected
   };
 
   core::RequestId NextId();
--- a/src/net/upstream_attempt.cc
+++ b/src/net/upstream_attempt.cc
@@ -61,11 +61,12 @@
 
   void Start() {
     const bool incremental = plan.stream || !plan.model_work;
-    link->Send(plan.wire, plan.connect_timeout,
-               incremental ? plan.first_token_timeout : plan.complete_answer_timeout,
-               [self = shared_from_this()](SendEnd end, error_code e) {
-                 self->OnSent(end, e);
-               });
+    link->Send(
+        plan.wire, plan.connect_timeout,
+        incremental ? plan.first_token_timeout : plan.complete_answer_timeout,
+        [self = shared_from_this()](SendEnd end, error_code e) {
+          self->OnSent(end, e);
+        });
   }
 
   void OnSent(SendEnd end, error_code e) {
@@ -326,9 +327,10 @@
   }
 
   core::Error ConnectionError(std::string_view step, error_code e) const {
-    return ToError({plan.address, std::string(step) + ": " + link->DescribeError(e),
-                    link->expired(), body_parser || stream_parser},
-                   e);
+    return ToError(
+        {plan.address, std::string(step) + ": " + link->DescribeError(e),
+         link->expired(), body_parser || stream_parser},
+        e);
   }
 
   asio::io_context& context;
--- a/src/net/upstream_error.cc
+++ b/src/net/upstream_error.cc
@@ -10,7 +10,8 @@
 namespace http = boost::beast::http;
 using core::ErrorId;
 
-ErrorId ErrorIdOf(const ConnectionFailure& failure, boost::system::error_code error) {
+ErrorId ErrorIdOf(const ConnectionFailure& failure,
+                  boost::system::error_code error) {
   if (failure.expired) {
     return ErrorId::kUpstreamSilent;
   }
@@ -28,7 +29,8 @@
 
 }  // namespace
 
-core::Error ToError(ConnectionFailure failure, boost::system::error_code error) {
+core::Error ToError(ConnectionFailure failure,
+                    boost::system::error_code error) {
   const ErrorId kind = ErrorIdOf(failure, error);
   return {kind, std::move(failure.address), std::move(failure.detail)};
 }
--- a/src/net/upstream_pool.cc
+++ b/src/net/upstream_pool.cc
@@ -35,7 +35,7 @@
 }
 
 void UpstreamPool::Release(const std::string& address,
-                       boost::asio::ip::tcp::socket socket) {
+                           boost::asio::ip::tcp::socket socket) {
   std::vector<Idle>& idle = m_idle[address];
   if (idle.size() < kMaxIdlePerAddress) {
     idle.push_back({std::move(socket), Clock::now()});
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -14,7 +14,8 @@
 class UpstreamPool {
  public:
   /// @return an idle connection that is still open; empty when there is none
-  std::optional<boost::asio::ip::tcp::socket> Acquire(const std::string& address);
+  std::optional<boost::asio::ip::tcp::socket> Acquire(
+      const std::string& address);
   /// @brief Closes the idle connections to an upstream.
   void CloseAll(const std::string& address);
   void Release(const std::string& address, boost::asio::ip::tcp::socket socket);
--- a/src/orders/order_manager.cc
+++ b/src/orders/order_manager.cc
@@ -57,7 +57,8 @@
 
 }  // namespace
 
-OrderManager::OrderManager(membership::MemberId self, OrderManagerOptions options)
+OrderManager::OrderManager(membership::MemberId self,
+                           OrderManagerOptions options)
     : m_self(std::move(self)), m_options(options) {}
 
 void OrderManager::Update(TimePoint now, const ledger::Fold& fold) {
@@ -102,7 +103,7 @@
   const ledger::Order& order = *fold.FindOrder(id);
   const bool was_taken_here = job.taken_here;
   job.taken_here = order.taken() && order.holder == m_self.router &&
-             order.holder_incarnation == m_self.incarnation;
+                   order.holder_incarnation == m_self.incarnation;
   if (job.taken_here != was_taken_here) {
     job.record_pending = false;
     job.due = now;
@@ -118,7 +119,7 @@
 }
 
 Duration OrderManager::StartDelay(const ledger::Fold& fold,
-                              const UpstreamId& upstream) const {
+                                  const UpstreamId& upstream) const {
   const auto rank = [&upstream](const membership::MemberId& id) {
     return core::RendezvousRank(upstream.value(),
                                 membership::RendezvousName(id));
@@ -142,7 +143,7 @@
 }
 
 OrderManager::Job* OrderManager::Find(const UpstreamId& upstream,
-                                FencingNumber fencing) {
+                                      FencingNumber fencing) {
   const auto found = m_open.find(upstream);
   return found != m_open.end() && found->second.fencing == fencing
              ? &found->second
@@ -150,8 +151,8 @@
 }
 
 void OrderManager::OnTakeRefused(TimePoint now,
-                              const UpstreamId& upstream,
-                              FencingNumber fencing) {
+                                 const UpstreamId& upstream,
+                                 FencingNumber fencing) {
   Job* job = Find(upstream, fencing);
   if (job == nullptr || job->taken_here) {
     return;
@@ -161,9 +162,9 @@
 }
 
 void OrderManager::OnSent(TimePoint now,
-                       const UpstreamId& upstream,
-                       FencingNumber fencing,
-                       SendOutcome outcome) {
+                          const UpstreamId& upstream,
+                          FencingNumber fencing,
+                          SendOutcome outcome) {
   const auto sending = m_sending.find(upstream);
   if (sending == m_sending.end() || sending->second != fencing) {
     return;
@@ -180,7 +181,8 @@
         {upstream, fencing, OutcomeOf(outcome, job->may_have_arrived)});
     return;
   }
-  job->may_have_arrived = job->may_have_arrived || outcome == SendOutcome::kUnknown;
+  job->may_have_arrived =
+      job->may_have_arrived || outcome == SendOutcome::kUnknown;
   // An engine that ignores fencing numbers may have received a later order
   // since, and a resend would silently undo it. The operator has to check.
   const bool may_resend = job->checks_fencing || !job->may_have_arrived;
@@ -210,9 +212,9 @@
 }
 
 std::optional<Command> OrderManager::Decide(TimePoint now,
-                                         const Permit& permit,
-                                         const UpstreamId& upstream,
-                                         Job& job) {
+                                            const Permit& permit,
+                                            const UpstreamId& upstream,
+                                            Job& job) {
   if (job.taken_here) {
     return DecideOwn(now, permit, upstream, job);
   }
@@ -224,17 +226,18 @@
 }
 
 std::optional<Command> OrderManager::DecideOwn(TimePoint now,
-                                            const Permit& permit,
-                                            const UpstreamId& upstream,
-                                            Job& job) {
+                                               const Permit& permit,
+                                               const UpstreamId& upstream,
+                                               Job& job) {
   if (permit.draining) {
     // Otherwise the order would wait for the retirement of this router. An
     // order to an engine that ignores fencing numbers would even wait for an
     // operator, although nothing was sent.
     job.record_pending = true;
     return EndOrder{upstream, job.fencing,
-                 job.may_have_arrived && !job.checks_fencing ? v1::OUTCOME_UNKNOWN
-                                                          : v1::HANDED_BACK};
+                    job.may_have_arrived && !job.checks_fencing
+                        ? v1::OUTCOME_UNKNOWN
+                        : v1::HANDED_BACK};
   }
   if (!permit.fresh || !job.configured || now < job.due) {
     return std::nullopt;
--- a/src/request/key_decision.cc
+++ b/src/request/key_decision.cc
@@ -56,8 +56,7 @@
   if (request.non_idempotent && m_expired_keys.MayContain(*request.key)) {
     return {UnknownOutcome(std::nullopt)};
   }
-  return input.origin ? DecideOriginBound(input)
-                         : DecideUnbound(input);
+  return input.origin ? DecideOriginBound(input) : DecideUnbound(input);
 }
 
 /// For a request that waited for another router. Its key may have a record here
@@ -142,10 +141,10 @@
   // The first attempt may have claimed the key and run on a router that failed
   // since, and this router may not have read that claim. "Not run" is reported
   // only if the claim would have been read.
-  const core::RunState run_state = input.fold_current
-                                       ? core::RunState::kNotRun
-                                       : core::RunState::kUnknown;
-  return {RefuseWith(core::ErrorId::kClaimUnavailable, run_state, kShortRetryAfter)};
+  const core::RunState run_state =
+      input.fold_current ? core::RunState::kNotRun : core::RunState::kUnknown;
+  return {RefuseWith(core::ErrorId::kClaimUnavailable, run_state,
+                     kShortRetryAfter)};
 }
 
 Location RequestTable::Locate(const Origin& place) const {
@@ -157,8 +156,9 @@
 }
 
 /// For a key that another incarnation has claimed or alone may run.
-RequestTable::Decision RequestTable::DecideOwnedElsewhere(const RequestRecord& request,
-                                          const Origin& place) const {
+RequestTable::Decision RequestTable::DecideOwnedElsewhere(
+    const RequestRecord& request,
+    const Origin& place) const {
   const Location location = Locate(place);
   const bool gone = location.state == PeerState::kRetired ||
                     location.state == PeerState::kUnknown;
@@ -187,15 +187,17 @@
   // A full table must not drop the record of a non-idempotent request that ran,
   // because its retry would run it again. A request is therefore admitted only
   // if its record fits for as long as answers are kept.
-  const bool tombstones_full = admits && request.key && request.non_idempotent &&
-                            m_tombstones >= m_limits.max_tombstones;
+  const bool tombstones_full = admits && request.key &&
+                               request.non_idempotent &&
+                               m_tombstones >= m_limits.max_tombstones;
   if (m_open < m_limits.max_open && !tombstones_full) {
     return std::nullopt;
   }
   const bool not_run = admits && !decision.may_have_run;
-  return RefuseWith(core::ErrorId::kBacklogFull,
-                    not_run ? core::RunState::kNotRun : core::RunState::kUnknown,
-                    kShortRetryAfter);
+  return RefuseWith(
+      core::ErrorId::kBacklogFull,
+      not_run ? core::RunState::kNotRun : core::RunState::kUnknown,
+      kShortRetryAfter);
 }
 
 std::optional<Refuse> RequestTable::RefuseIfClosed(
@@ -242,7 +244,7 @@
     return {UnknownOutcome(kShortRetryAfter)};
   }
   const DecisionInput input{request, std::nullopt, outcome.log_available,
-                          outcome.fold_current};
+                            outcome.fold_current};
   return DecideAgain(request, RequireClaim(input));
 }
 
@@ -255,8 +257,10 @@
   }
   const Waiters joiners = request->joiners;
   const bool has_waiters = !request->caller_disconnected || !joiners.empty();
-  Decision decision = has_waiters ? DecideAgain(*request, DecideOwnedElsewhere(*request, winner))
-                              : Decision{UnknownOutcome(std::nullopt)};
+  Decision decision =
+      has_waiters
+          ? DecideAgain(*request, DecideOwnedElsewhere(*request, winner))
+          : Decision{UnknownOutcome(std::nullopt)};
   const KeyVerdict verdict =
       Admit(now, *std::move(request), std::move(decision));
   std::vector<RequestVerdict> verdicts = {{id, verdict}};
@@ -276,8 +280,9 @@
     return RunStateOf(*known);
   }
   const bool bound_elsewhere = key.origin() && *key.origin() != m_self;
-  const bool uncertain = bound_elsewhere || m_expired_keys.MayContain(identity) ||
-                      m_hooks.claim_of(identity).has_value();
+  const bool uncertain = bound_elsewhere ||
+                         m_expired_keys.MayContain(identity) ||
+                         m_hooks.claim_of(identity).has_value();
   return uncertain ? core::RunState::kUnknown : core::RunState::kNotRun;
 }
 
--- a/src/request/request_record.cc
+++ b/src/request/request_record.cc
@@ -7,8 +7,8 @@
     return core::RunState::kRan;
   }
   const bool uncertain = record.sent_attempts > 0 || record.may_have_run ||
-                      record.phase == Phase::kFailed ||
-                      record.phase == Phase::kForwarded;
+                         record.phase == Phase::kFailed ||
+                         record.phase == Phase::kForwarded;
   return uncertain ? core::RunState::kUnknown : core::RunState::kNotRun;
 }
 
--- a/src/request/request_table.cc
+++ b/src/request/request_table.cc
@@ -218,8 +218,8 @@
 }
 
 Waiters RequestTable::FinishUnanswered(core::TimePoint now,
-                          core::RequestId id,
-                          core::ErrorId error) {
+                                       core::RequestId id,
+                                       core::ErrorId error) {
   Slot* slot = FindOpen(id);
   if (slot == nullptr) {
     return {};
@@ -232,7 +232,7 @@
 }
 
 DisconnectDecision RequestTable::OnCallerDisconnected(core::TimePoint now,
-                                        core::RequestId id) {
+                                                      core::RequestId id) {
   Slot* slot = FindOpen(id);
   if (slot == nullptr) {
     return DisconnectDecision::kNothing;
--- a/src/router/active_configuration.cc
+++ b/src/router/active_configuration.cc
@@ -54,15 +54,17 @@
   return entry->second;
 }
 
-Tokens ActiveConfiguration::CostBound(const config::SharedUpstreamIds& candidates,
-                           Tokens prompt,
-                           Tokens output) {
+Tokens ActiveConfiguration::CostBound(
+    const config::SharedUpstreamIds& candidates,
+    Tokens prompt,
+    Tokens output) {
   const MaxPrice& max_price = MaxPriceOf(candidates);
-  return Priced(prompt + output, max_price.price_permille) + max_price.call_cost;
+  return Priced(prompt + output, max_price.price_permille) +
+         max_price.call_cost;
 }
 
 Tokens ActiveConfiguration::CostAt(const core::UpstreamId& id,
-                          const std::optional<Usage>& usage) const {
+                                   const std::optional<Usage>& usage) const {
   const config::Upstream* upstream = m_tables->FindUpstream(id);
   if (upstream == nullptr) {
     return Tokens(0);
--- a/src/router/budget_manager.cc
+++ b/src/router/budget_manager.cc
@@ -13,7 +13,8 @@
 
 namespace {
 
-constexpr core::Duration kWitnessReviewInterval = std::chrono::milliseconds(250);
+constexpr core::Duration kWitnessReviewInterval =
+    std::chrono::milliseconds(250);
 
 template <typename... Cases>
 struct Overloaded : Cases... {
@@ -42,18 +43,19 @@
 }  // namespace
 
 BudgetManager::BudgetManager(const RouterSettings& settings,
-                       core::Incarnation incarnation,
-                       LogAccess& log,
-                       PeerManager& peers)
+                             core::Incarnation incarnation,
+                             LogAccess& log,
+                             PeerManager& peers)
     : m_self{settings.router, incarnation},
       m_log(log),
       m_peers(peers),
-      m_holding_manager(m_self, settings.sizing, [this](const core::BudgetId& budget) {
-        return BalanceOf(budget);
-      }) {}
+      m_holding_manager(
+          m_self,
+          settings.sizing,
+          [this](const core::BudgetId& budget) { return BalanceOf(budget); }) {}
 
 bool BudgetManager::IsSelf(const core::RouterId& router,
-                        core::Incarnation incarnation) const {
+                           core::Incarnation incarnation) const {
   return router == m_self.router && incarnation == m_self.incarnation;
 }
 
@@ -75,8 +77,8 @@
 }
 
 void BudgetManager::OnFolded(TimePoint now,
-                          const v1::Entry& entry,
-                          const std::vector<ledger::Effect>& effects) {
+                             const v1::Entry& entry,
+                             const std::vector<ledger::Effect>& effects) {
   for (const ledger::Effect& effect : effects) {
     OnEffect(now, effect);
   }
@@ -100,7 +102,9 @@
           m_holding_manager.OnDenied(now, e.budget, e.sequence);
         }
       },
-      [&](const ledger::PaidIn& e) { m_holding_manager.OnBalanceChanged(now, e.budget); },
+      [&](const ledger::PaidIn& e) {
+        m_holding_manager.OnBalanceChanged(now, e.budget);
+      },
       [&](const ledger::Returned& e) {
         m_holding_manager.OnBalanceChanged(now, e.budget);
       },
@@ -120,7 +124,8 @@
       },
       [&](const ledger::WitnessRefused& e) {
         if (IsSelf(e.router, e.incarnation)) {
-          m_holding_manager.OnWitnessRefused({e.witness, e.witness_incarnation});
+          m_holding_manager.OnWitnessRefused(
+              {e.witness, e.witness_incarnation});
         }
       },
       [&](const ledger::TransferApplied& e) {
@@ -149,7 +154,7 @@
     }
     const v1::SpendReported& report = record.spend_reported();
     m_holding_manager.OnSpendApplied(core::BudgetId(report.budget()),
-                          Tokens(report.spent()));
+                                     Tokens(report.spent()));
   }
 }
 
@@ -186,7 +191,8 @@
   }
 }
 
-bool BudgetManager::OnPeerMessage(TimePoint now, const v1::PeerMessage& message) {
+bool BudgetManager::OnPeerMessage(TimePoint now,
+                                  const v1::PeerMessage& message) {
   const PeerRef from = SenderOf(message);
   v1::PeerMessage reply;
   switch (message.body_case()) {
@@ -219,12 +225,14 @@
 }
 
 void BudgetManager::ReviewWitness(TimePoint now) {
-  if (m_holding_manager.Retired() || (m_witness_reviewed.has_value() &&
-                           now - *m_witness_reviewed < kWitnessReviewInterval)) {
+  if (m_holding_manager.Retired() ||
+      (m_witness_reviewed.has_value() &&
+       now - *m_witness_reviewed < kWitnessReviewInterval)) {
     return;
   }
   m_witness_reviewed = now;
-  const auto verdict = m_peers.EvaluateWitness(now, m_holding_manager.WitnessInForce());
+  const auto verdict =
+      m_peers.EvaluateWitness(now, m_holding_manager.WitnessInForce());
   if (const auto* choose = std::get_if<membership::ChooseWitness>(&verdict)) {
     m_holding_manager.ChooseWitness(
         now, PeerRef{choose->witness.router, choose->witness.incarnation});
@@ -236,7 +244,8 @@
 
 void BudgetManager::Tick(TimePoint now) {
   m_holding_manager.OnLogState(m_log.IsUnavailable(now));
-  m_holding_manager.OnActiveRouters(static_cast<uint32_t>(m_peers.view().live_members()));
+  m_holding_manager.OnActiveRouters(
+      static_cast<uint32_t>(m_peers.view().live_members()));
   m_holding_manager.OnTick(now);
 }
 
@@ -258,17 +267,20 @@
 }
 
 void BudgetManager::SendMessages(TimePoint now) {
-  for (const budget::CeilingRaiseTo& raise : m_holding_manager.TakeCeilingRaises(now)) {
+  for (const budget::CeilingRaiseTo& raise :
+       m_holding_manager.TakeCeilingRaises(now)) {
     v1::PeerMessage message;
     *message.mutable_ceiling_raise() = raise.raise;
     m_peers.Send(now, raise.to, std::move(message));
   }
-  for (const budget::TransferAskTo& ask : m_holding_manager.TakeTransferAsks(now)) {
+  for (const budget::TransferAskTo& ask :
+       m_holding_manager.TakeTransferAsks(now)) {
     v1::PeerMessage message;
     *message.mutable_transfer_ask() = ask.ask;
     m_peers.Send(now, ask.to, std::move(message));
   }
-  for (const budget::TransferSendTo& send : m_holding_manager.TakeTransferSends(now)) {
+  for (const budget::TransferSendTo& send :
+       m_holding_manager.TakeTransferSends(now)) {
     v1::PeerMessage message;
     *message.mutable_transfer_send() = send.send;
     m_peers.Send(now, send.to, std::move(message));
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -43,8 +43,8 @@
 void RequestFlow::ReserveTokens(TimePoint now, Work& work) {
   const Tokens bound = m_dependencies.configured.CostBound(
       work.route.candidates, work.prompt_bound, work.max_output);
-  const budget::ReserveResult result =
-      m_dependencies.holding_manager.Reserve(now, work.budget, bound, work.route.admission_class);
+  const budget::ReserveResult result = m_dependencies.holding_manager.Reserve(
+      now, work.budget, bound, work.route.admission_class);
   if (const auto* reserved = std::get_if<budget::Reservation>(&result)) {
     work.reservation = *reserved;
     Enqueue(now, work);
@@ -74,7 +74,8 @@
 }
 
 void RequestFlow::WakeWaiters(TimePoint now) {
-  for (const core::BudgetId& budget : m_dependencies.holding_manager.TakeWokenBudgets()) {
+  for (const core::BudgetId& budget :
+       m_dependencies.holding_manager.TakeWokenBudgets()) {
     const auto found = m_waiting.find(budget);
     if (found == m_waiting.end()) {
       continue;
@@ -177,8 +178,9 @@
     Start(now, *work, decision);
     return true;
   }
-  const bool no_upstream = decision.reason == routing::ChoiceReason::kNoneAlive ||
-                    decision.reason == routing::ChoiceReason::kNoCandidate;
+  const bool no_upstream =
+      decision.reason == routing::ChoiceReason::kNoneAlive ||
+      decision.reason == routing::ChoiceReason::kNoCandidate;
   // BATCH work may wait for an upstream to recover; in other classes a person
   // waits, so they are refused. This happens after this pass and is not
   // reported as a start, because starts measure the drain rate and would make
@@ -205,7 +207,8 @@
   m_table.OnSent(now, work.id);
   m_upstreams.OnDispatch(work.upstream);
 
-  const config::EffectiveLimits& limits = m_dependencies.configured.tables().limits();
+  const config::EffectiveLimits& limits =
+      m_dependencies.configured.tables().limits();
   Dispatch dispatch;
   dispatch.request = work.id;
   dispatch.attempt = work.attempt;
--- a/src/router/flow_arrival.cc
+++ b/src/router/flow_arrival.cc
@@ -33,13 +33,15 @@
       m_table(
           {dependencies.settings.router, dependencies.incarnation},
           {[this](const request::Origin& origin) {
-             return m_dependencies.peers.Locate(m_now, origin, m_dependencies.log.fold());
+             return m_dependencies.peers.Locate(m_now, origin,
+                                                m_dependencies.log.fold());
            },
            [this](const core::Hash128& key) {
              return m_dependencies.peers.OwnerOf(m_now, key);
            },
            [this](const core::Hash128& key) -> std::optional<request::Origin> {
-             const ledger::Claim* claim = m_dependencies.log.fold().FindClaim(key);
+             const ledger::Claim* claim =
+                 m_dependencies.log.fold().FindClaim(key);
              if (claim == nullptr) {
                return std::nullopt;
              }
@@ -134,11 +136,12 @@
 // the log yet. "Not run" could be wrong, so a keyed request gets an unknown
 // outcome and a Retry-After.
 void RequestFlow::RefuseBeforeFirstRead(const RequestArrived& event,
-                               const Error& closed) {
+                                        const Error& closed) {
   const core::RunState run_state = event.idempotency_key.empty()
                                        ? core::RunState::kNotRun
                                        : core::RunState::kUnknown;
-  m_dependencies.outbox.Add(Refuse{event.request, closed, run_state, kRetryElsewhere});
+  m_dependencies.outbox.Add(
+      Refuse{event.request, closed, run_state, kRetryElsewhere});
 }
 
 std::optional<Work> RequestFlow::Classify(
@@ -150,7 +153,8 @@
     RefuseImmediately(event.request, core::Failure(account), std::nullopt);
     return std::nullopt;
   }
-  const config::EffectiveLimits& limits = m_dependencies.configured.tables().limits();
+  const config::EffectiveLimits& limits =
+      m_dependencies.configured.tables().limits();
   rules::RequestFacts facts;
   facts.account = core::Value(account)->id;
   facts.model = core::ModelId(event.model);
@@ -165,7 +169,8 @@
   const core::RunState run_state =
       key.has_value() ? m_table.RunStateOfKey(facts.account, *key)
                       : core::RunState::kNotRun;
-  const rules::Decision decision = m_dependencies.configured.rules().Match(facts);
+  const rules::Decision decision =
+      m_dependencies.configured.rules().Match(facts);
   if (const auto* refused = std::get_if<rules::Refused>(&decision)) {
     RefuseImmediately(
         event.request,
@@ -175,16 +180,18 @@
   }
   const auto* route = std::get_if<rules::Route>(&decision);
   if (route == nullptr) {
-    RefuseImmediately(event.request,
-                 {ErrorId::kNoRuleMatches, facts.account.value(), event.path},
-                 std::nullopt, run_state);
+    RefuseImmediately(
+        event.request,
+        {ErrorId::kNoRuleMatches, facts.account.value(), event.path},
+        std::nullopt, run_state);
     return std::nullopt;
   }
   if (route->candidates->empty()) {
-    RefuseImmediately(event.request,
-                 {ErrorId::kNoUpstream, route->rule.value(),
-                  "no upstream serves " + event.model + event.service.value()},
-                 std::nullopt, run_state);
+    RefuseImmediately(
+        event.request,
+        {ErrorId::kNoUpstream, route->rule.value(),
+         "no upstream serves " + event.model + event.service.value()},
+        std::nullopt, run_state);
     return std::nullopt;
   }
 
@@ -212,8 +219,8 @@
 }
 
 void RequestFlow::ApplyVerdict(TimePoint now,
-                                RequestId id,
-                                const request::KeyVerdict& verdict) {
+                               RequestId id,
+                               const request::KeyVerdict& verdict) {
   Work* work = Find(id);
   if (const auto* refuse = std::get_if<request::Refuse>(&verdict)) {
     m_dependencies.outbox.Add(
@@ -280,7 +287,8 @@
   if (work == nullptr) {
     return;
   }
-  const request::Origin self{m_dependencies.settings.router, m_dependencies.incarnation};
+  const request::Origin self{m_dependencies.settings.router,
+                             m_dependencies.incarnation};
   if (owner == self) {
     m_table.OnClaimWon(now, id);
     RunHere(now, *work);
@@ -295,9 +303,9 @@
 void RequestFlow::Relay(Work& work, const request::ForwardTo& to) {
   work.stage = Stage::kForwarded;
   m_dependencies.outbox.Info("forwarded",
-                      {{"request", std::to_string(work.id.value())},
-                       {"account", work.account.value()},
-                       {"router", to.router.value()}});
+                             {{"request", std::to_string(work.id.value())},
+                              {"account", work.account.value()},
+                              {"router", to.router.value()}});
   m_dependencies.outbox.Add(
       Forward{work.id, to.router, to.incarnation, to.address, work.account});
 }
@@ -325,7 +333,8 @@
   ApplyVerdict(now, event.request, *verdict);
 }
 
-void RequestFlow::OnStatusRequested(TimePoint now, const StatusRequested& event) {
+void RequestFlow::OnStatusRequested(TimePoint now,
+                                    const StatusRequested& event) {
   m_now = now;
   const auto account = Authenticate(event.api_key, event.forwarded_account);
   if (!core::IsOk(account)) {
@@ -346,7 +355,8 @@
   }
   m_status_relays.emplace(event.request, lookup.status);
   m_dependencies.outbox.Add(Forward{event.request, lookup.ask->router,
-                             lookup.ask->incarnation, lookup.ask->address, id});
+                                    lookup.ask->incarnation,
+                                    lookup.ask->address, id});
 }
 
 void RequestFlow::ReplyStatus(RequestId id, const v1::RequestStatus& status) {
--- a/src/router/flow_attempts.cc
+++ b/src/router/flow_attempts.cc
@@ -66,8 +66,8 @@
 // total of the upstreams exceed the prepaid tokens.
 void RequestFlow::WriteOff(TimePoint now, Work& work) {
   if (work.reservation.has_value()) {
-    m_dependencies.holding_manager.Settle(now, *work.reservation, work.reservation->bound,
-                        budget::WrittenOff{});
+    m_dependencies.holding_manager.Settle(
+        now, *work.reservation, work.reservation->bound, budget::WrittenOff{});
     work.reservation.reset();
   }
 }
@@ -148,8 +148,8 @@
     charge = budget::Bill{*work->key, work->account};
   }
   if (work->reservation.has_value()) {
-    const auto settled =
-        m_dependencies.holding_manager.Settle(now, *work->reservation, cost, charge);
+    const auto settled = m_dependencies.holding_manager.Settle(
+        now, *work->reservation, cost, charge);
     if (settled.has_value() && settled->uncovered > Tokens(0)) {
       m_dependencies.outbox.Alarm(
           {ErrorId::kConservationBroken, work->upstream.value(),
@@ -159,11 +159,11 @@
   }
   m_table.OnDone(now, work->id, event.answer_size);
   m_dependencies.outbox.Info("answered",
-                      {{"request", std::to_string(work->id.value())},
-                       {"account", work->account.value()},
-                       {"upstream", work->upstream.value()},
-                       {"status", std::to_string(event.http_status)},
-                       {"tokens", std::to_string(cost.value())}});
+                             {{"request", std::to_string(work->id.value())},
+                              {"account", work->account.value()},
+                              {"upstream", work->upstream.value()},
+                              {"status", std::to_string(event.http_status)},
+                              {"tokens", std::to_string(cost.value())}});
   Erase(event.request);
 }
 
@@ -189,8 +189,8 @@
 }
 
 void RequestFlow::ApplyRetryDecision(TimePoint now,
-                              Work& work,
-                              const routing::RetryDecision& decision) {
+                                     Work& work,
+                                     const routing::RetryDecision& decision) {
   const auto* retry = std::get_if<routing::Retry>(&decision);
   if (retry != nullptr && m_table.MayRetry(work.id)) {
     work.stage = Stage::kBackoff;
@@ -236,11 +236,12 @@
   const request::Waiters waiters = run_state == core::RunState::kNotRun
                                        ? m_table.OnRefused(now, id, error.id)
                                        : m_table.OnFailed(now, id, error.id);
-  m_dependencies.outbox.Info("refused", {{"request", std::to_string(id.value())},
-                                  {"account", work.account.value()},
-                                  {"rule", work.route.rule.value()},
-                                  {"error", core::ErrorCode(error.id)},
-                                  {"detail", error.detail}});
+  m_dependencies.outbox.Info("refused",
+                             {{"request", std::to_string(id.value())},
+                              {"account", work.account.value()},
+                              {"rule", work.route.rule.value()},
+                              {"error", core::ErrorCode(error.id)},
+                              {"detail", error.detail}});
   for (const RequestId waiter : waiters) {
     m_dependencies.outbox.Add(Refuse{waiter, error, run_state, retry_after});
   }
@@ -251,19 +252,22 @@
 }
 
 void RequestFlow::RefuseImmediately(RequestId id,
-                               Error error,
-                               std::optional<core::Duration> retry_after,
-                               core::RunState run_state) {
-  m_dependencies.outbox.Info("refused", {{"request", std::to_string(id.value())},
-                                  {"error", core::ErrorCode(error.id)},
-                                  {"detail", error.detail}});
-  m_dependencies.outbox.Add(Refuse{id, std::move(error), run_state, retry_after});
+                                    Error error,
+                                    std::optional<core::Duration> retry_after,
+                                    core::RunState run_state) {
+  m_dependencies.outbox.Info("refused",
+                             {{"request", std::to_string(id.value())},
+                              {"error", core::ErrorCode(error.id)},
+                              {"detail", error.detail}});
+  m_dependencies.outbox.Add(
+      Refuse{id, std::move(error), run_state, retry_after});
 }
 
 void RequestFlow::OnCallerDisconnected(TimePoint now, RequestId id) {
   m_now = now;
   m_status_relays.erase(id);
-  const request::DisconnectDecision decision = m_table.OnCallerDisconnected(now, id);
+  const request::DisconnectDecision decision =
+      m_table.OnCallerDisconnected(now, id);
   Work* work = Find(id);
   if (decision != request::DisconnectDecision::kCancel || work == nullptr) {
     return;
--- a/src/router/log_access.cc
+++ b/src/router/log_access.cc
@@ -23,9 +23,9 @@
 }  // namespace
 
 LogAccess::LogAccess(const RouterSettings& settings,
-                 core::Incarnation incarnation,
-                 const RouterHooks& hooks,
-                 Outbox& outbox)
+                     core::Incarnation incarnation,
+                     const RouterHooks& hooks,
+                     Outbox& outbox)
     : m_settings(settings),
       m_incarnation(incarnation),
       m_outbox(outbox),
--- a/src/router/order_adapter.cc
+++ b/src/router/order_adapter.cc
@@ -19,9 +19,9 @@
 }  // namespace
 
 OrderAdapter::OrderAdapter(const core::RouterId& router,
-                     core::Incarnation incarnation,
-                     LogAccess& log,
-                     Outbox& outbox)
+                           core::Incarnation incarnation,
+                           LogAccess& log,
+                           Outbox& outbox)
     : m_incarnation(incarnation),
       m_log(log),
       m_outbox(outbox),
--- a/src/router/peer_manager.cc
+++ b/src/router/peer_manager.cc
@@ -13,7 +13,8 @@
 
 /// A finer resolution is not needed. Reads of a busy log end far more often,
 /// and each check is linear in the members.
-constexpr core::Duration kRetirementCheckInterval = std::chrono::milliseconds(500);
+constexpr core::Duration kRetirementCheckInterval =
+    std::chrono::milliseconds(500);
 constexpr core::Duration kDefaultFreshness = std::chrono::seconds(8);
 
 Member SelfOf(const RouterSettings& settings, core::Incarnation incarnation) {
@@ -56,8 +57,8 @@
 }
 
 PeerManager::PeerManager(const RouterSettings& settings,
-                   core::Incarnation incarnation,
-                   Outbox& outbox)
+                         core::Incarnation incarnation,
+                         Outbox& outbox)
     : m_outbox(outbox),
       m_view(SelfOf(settings, incarnation)),
       m_freshness(kDefaultFreshness),
@@ -69,10 +70,11 @@
 }
 
 void PeerManager::OnReadToEnd(TimePoint now,
-                           TimePoint issued,
-                           const ledger::Fold& fold) {
+                              TimePoint issued,
+                              const ledger::Fold& fold) {
   m_freshness.OnReadToEnd(issued);
-  if (m_last_retirement_check.has_value() && now - *m_last_retirement_check < kRetirementCheckInterval) {
+  if (m_last_retirement_check.has_value() &&
+      now - *m_last_retirement_check < kRetirementCheckInterval) {
     return;
   }
   m_last_retirement_check = now;
@@ -84,8 +86,8 @@
 }
 
 void PeerManager::Send(TimePoint now,
-                    const budget::PeerRef& to,
-                    v1::PeerMessage message) {
+                       const budget::PeerRef& to,
+                       v1::PeerMessage message) {
   const auto peer = m_view.Find(now, {to.router, to.incarnation});
   if (!peer.has_value()) {
     return;
@@ -98,8 +100,8 @@
 }
 
 void PeerManager::OnHeartbeat(TimePoint now,
-                           const MemberId& from,
-                           const v1::Heartbeat& heartbeat) {
+                              const MemberId& from,
+                              const v1::Heartbeat& heartbeat) {
   m_view.OnHeartbeat(now, from, heartbeat);
 }
 
@@ -144,8 +146,8 @@
 }
 
 request::Location PeerManager::Locate(TimePoint now,
-                                   const request::Origin& origin,
-                                   const ledger::Fold& fold) const {
+                                      const request::Origin& origin,
+                                      const ledger::Fold& fold) const {
   request::Location location;
   location.origin = origin;
   const ledger::Member* member =
@@ -166,7 +168,7 @@
 }
 
 request::Location PeerManager::OwnerOf(TimePoint now,
-                                    const core::Hash128& key) const {
+                                       const core::Hash128& key) const {
   const Member& owner = m_view.OwnerOf(key);
   const bool here = owner.id == self().id;
   request::Location location;
--- a/src/router/session_end.cc
+++ b/src/router/session_end.cc
@@ -36,7 +36,8 @@
 void Session::EndIfFinished(TimePoint now) {
   (void)now;
   if (m_phase != Phase::kRetired || m_flow.in_progress() > 0 ||
-      !m_budgets.holding_manager().Finalized() || m_log.writer().backlog_records() > 0) {
+      !m_budgets.holding_manager().Finalized() ||
+      m_log.writer().backlog_records() > 0) {
     return;
   }
   m_phase = Phase::kEnded;
@@ -76,9 +77,8 @@
       m_phase == Phase::kMember) {
     AnnounceRetirement();
   }
-  const bool timed_out =
-      m_returning_since.has_value() &&
-      now - *m_returning_since >= m_settings.drain_timeout;
+  const bool timed_out = m_returning_since.has_value() &&
+                         now - *m_returning_since >= m_settings.drain_timeout;
   if (phase == membership::DrainPhase::kExit || timed_out) {
     m_outbox.Add(Exit{});
   }
--- a/src/router/status_report.cc
+++ b/src/router/status_report.cc
@@ -46,7 +46,8 @@
 }
 
 void AddBudgets(const StatusSources& sources, v1::RouterStatus& status) {
-  for (v1::BudgetStatus& budget : sources.budgets.holding_manager().Statuses()) {
+  for (v1::BudgetStatus& budget :
+       sources.budgets.holding_manager().Statuses()) {
     const ledger::Budget* known =
         sources.log.fold().FindBudget(core::BudgetId(budget.id()));
     if (known != nullptr) {
@@ -73,7 +74,8 @@
   }
   status.set_in_progress(static_cast<uint32_t>(sources.flow.in_progress()));
   status.set_queued(static_cast<uint32_t>(sources.flow.queued()));
-  if (const auto& witness = sources.budgets.holding_manager().WitnessInForce()) {
+  if (const auto& witness =
+          sources.budgets.holding_manager().WitnessInForce()) {
     status.set_witness(witness->router.value());
   }
   AddUpstreams(now, sources, status);
--- a/src/trial/audit.cc
+++ b/src/trial/audit.cc
@@ -18,7 +18,9 @@
 }
 
 std::string ErrorOf(const ClientAttempt& client_attempt) {
-  return client_attempt.error.has_value() ? core::ErrorCode(*client_attempt.error) : "none";
+  return client_attempt.error.has_value()
+             ? core::ErrorCode(*client_attempt.error)
+             : "none";
 }
 
 }  // namespace
@@ -84,11 +86,13 @@
   const auto& executions = m_fleet.executions();
   for (; m_executions_seen < executions.size(); ++m_executions_seen) {
     const Execution& run = executions[m_executions_seen];
-    const ClientRequest& client_request = m_fleet.client_requests()[run.client_request];
+    const ClientRequest& client_request =
+        m_fleet.client_requests()[run.client_request];
     m_used[client_request.budget] += run.used.value();
     ++m_runs_by_request[run.client_request];
     ++m_runs_by_attempt[run.client_attempt];
-    if (client_request.non_idempotent && m_runs_by_request[run.client_request] > 1) {
+    if (client_request.non_idempotent &&
+        m_runs_by_request[run.client_request] > 1) {
       found.push_back(
           {"I5", "wish " + std::to_string(run.client_request) + " ran twice"});
     }
@@ -120,16 +124,18 @@
   const auto& client_attempts = m_fleet.client_attempts();
   for (size_t i = 0; i < client_attempts.size(); ++i) {
     const ClientAttempt& client_attempt = client_attempts[i];
-    const bool refused = client_attempt.state == ClientAttempt::State::kRefused &&
-                         client_attempt.run_state == core::RunState::kNotRun;
+    const bool refused =
+        client_attempt.state == ClientAttempt::State::kRefused &&
+        client_attempt.run_state == core::RunState::kNotRun;
     if (refused && m_runs_by_attempt.contains(i)) {
-      found.push_back({"I4", "ticket " + std::to_string(i) +
-                                 " ran but was refused: " + Describe(client_attempt)});
+      found.push_back(
+          {"I4", "ticket " + std::to_string(i) +
+                     " ran but was refused: " + Describe(client_attempt)});
     }
     if (client_attempt.state == ClientAttempt::State::kComplete &&
         client_attempt.answered_request != client_attempt.client_request) {
-      found.push_back(
-          {"I3", "ticket " + std::to_string(i) + " got the answer of another request"});
+      found.push_back({"I3", "ticket " + std::to_string(i) +
+                                 " got the answer of another request"});
     }
   }
 }
@@ -170,9 +176,11 @@
 }
 
 std::string Audit::Describe(const ClientAttempt& client_attempt) const {
-  const ClientRequest& client_request = m_fleet.client_requests()[client_attempt.client_request];
+  const ClientRequest& client_request =
+      m_fleet.client_requests()[client_attempt.client_request];
   return "wish " + std::to_string(client_attempt.client_request) + " at " +
-         RouterName(client_attempt.node).value() + " key " + client_request.key +
+         RouterName(client_attempt.node).value() + " key " +
+         client_request.key +
          (client_request.non_idempotent ? " non-idempotent" : "") + " error " +
          ErrorOf(client_attempt);
 }
@@ -214,7 +222,8 @@
 }
 
 // Applies the gate reserve: a share of the balance is for GATE work only.
-bool Audit::HasTokensFor(const ClientRequest& client_request, core::Tokens others) const {
+bool Audit::HasTokensFor(const ClientRequest& client_request,
+                         core::Tokens others) const {
   const ledger::Budget* budget = m_fold.FindBudget(client_request.budget);
   if (budget == nullptr) {
     return false;
@@ -223,7 +232,8 @@
   const int64_t spent = used == m_used.end() ? 0 : used->second;
   ledger::Budget counter = *budget;
   counter.free = budget->paid_in - core::Tokens(spent) - others;
-  return counter.Available(client_request.admission_class) >= client_request.Cost();
+  return counter.Available(client_request.admission_class) >=
+         client_request.Cost();
 }
 
 }  // namespace coppervalve::trial
--- a/src/trial/chaos.cc
+++ b/src/trial/chaos.cc
@@ -24,9 +24,9 @@
 class FaultInjector {
  public:
   FaultInjector(Fleet& fleet,
-        const Audit& audit,
-        ChaosOptions options,
-        std::vector<std::string>& trace)
+                const Audit& audit,
+                ChaosOptions options,
+                std::vector<std::string>& trace)
       : m_fleet(fleet), m_audit(audit), m_options(options), m_trace(trace) {}
 
   void Start() {
@@ -189,14 +189,16 @@
   void PartitionFromPeers(size_t n) {
     AddTrace("partitioned from peers", n);
     m_fleet.SetPartitionedFromAll(n, true);
-    ScheduleUndo(seconds(10), [this, n] { m_fleet.SetPartitionedFromAll(n, false); });
+    ScheduleUndo(seconds(10),
+                 [this, n] { m_fleet.SetPartitionedFromAll(n, false); });
   }
 
   void PartitionOneLink(size_t n) {
     const size_t other = RandomNode();
     AddTrace("partitioned from one peer", n);
     m_fleet.SetPartitioned(n, other, true);
-    ScheduleUndo(seconds(10), [this, n, other] { m_fleet.SetPartitioned(n, other, false); });
+    ScheduleUndo(seconds(10),
+                 [this, n, other] { m_fleet.SetPartitioned(n, other, false); });
   }
 
   void DisconnectLog(size_t n) {
@@ -213,14 +215,15 @@
   void LoseReplies(size_t n) {
     AddTrace("log replies are lost", n);
     m_fleet.log_link(n).lose_replies = 0.5;
-    ScheduleUndo(seconds(10), [this, n] { m_fleet.log_link(n).lose_replies = 0; });
+    ScheduleUndo(seconds(10),
+                 [this, n] { m_fleet.log_link(n).lose_replies = 0; });
   }
 
   void SlowLog(size_t n) {
     AddTrace("slow log", n);
     m_fleet.log_link(n).extra_delay = milliseconds(800);
     ScheduleUndo(seconds(10),
-              [this, n] { m_fleet.log_link(n).extra_delay = Duration{}; });
+                 [this, n] { m_fleet.log_link(n).extra_delay = Duration{}; });
   }
 
   void StartLogOutage() {
@@ -274,9 +277,9 @@
     if (m_fleet.RandomFraction() >= m_failure_probability) {
       return AttemptOutcome::kAnswered;
     }
-    constexpr AttemptOutcome kOutcomes[] = {AttemptOutcome::kNotSent,
-                                      AttemptOutcome::kDeclined, AttemptOutcome::kTruncated,
-                                      AttemptOutcome::kSilent};
+    constexpr AttemptOutcome kOutcomes[] = {
+        AttemptOutcome::kNotSent, AttemptOutcome::kDeclined,
+        AttemptOutcome::kTruncated, AttemptOutcome::kSilent};
     return kOutcomes[m_fleet.Random() % std::size(kOutcomes)];
   }
 
@@ -287,7 +290,8 @@
   bool m_running = false;
   double m_failure_probability = 0.02;
   uint64_t m_orders = 0;
-  std::set<core::FencingNumber> m_settle_candidates;  ///< orders that passed one check
+  std::set<core::FencingNumber>
+      m_settle_candidates;  ///< orders that passed one check
 };
 
 }  // namespace
--- a/src/trial/fleet.cc
+++ b/src/trial/fleet.cc
@@ -119,7 +119,8 @@
 }
 
 size_t Fleet::RecordExecution(size_t client_attempt, core::Tokens used) {
-  m_executions.push_back({m_client_attempts[client_attempt].client_request, client_attempt, used, false});
+  m_executions.push_back({m_client_attempts[client_attempt].client_request,
+                          client_attempt, used, false});
   return m_executions.size() - 1;
 }
 
--- a/src/trial/load_generator.cc
+++ b/src/trial/load_generator.cc
@@ -84,7 +84,8 @@
 
 LoadGenerator::LoadGenerator(Fleet& fleet, Audit& audit, LoadOptions options)
     : m_fleet(fleet), m_audit(audit), m_options(options) {
-  m_fleet.SetOnAttemptEnded([this](size_t client_attempt) { OnAttemptEnded(client_attempt); });
+  m_fleet.SetOnAttemptEnded(
+      [this](size_t client_attempt) { OnAttemptEnded(client_attempt); });
 }
 
 double LoadGenerator::NextFraction() {
@@ -109,8 +110,8 @@
 }
 
 ClientRequest LoadGenerator::MakeClientRequest() {
-  const auto account =
-      static_cast<size_t>(NextFraction() * static_cast<double>(m_options.accounts));
+  const auto account = static_cast<size_t>(
+      NextFraction() * static_cast<double>(m_options.accounts));
   ClientRequest client_request;
   client_request.account = core::AccountId("a" + std::to_string(account));
   client_request.budget = core::BudgetId("b" + std::to_string(account));
@@ -132,7 +133,8 @@
     client_request.prompt = Tokens(bytes / 4);
     client_request.max_output = Tokens(draft ? 600 : 100);
     client_request.output = Tokens(static_cast<int64_t>(
-        static_cast<double>(client_request.max_output.value()) * (0.3 + 0.7 * NextFraction())));
+        static_cast<double>(client_request.max_output.value()) *
+        (0.3 + 0.7 * NextFraction())));
     client_request.duration = Duration(client_request.output.value() * 4'000);
   }
   return client_request;
@@ -155,10 +157,12 @@
   ++pending.attempts;
   const size_t node = PickNode();
   const ClientRequest& client_request = m_fleet.client_requests()[number];
-  const bool keyed = client_request.non_idempotent || NextFraction() < m_options.keyed_share;
+  const bool keyed =
+      client_request.non_idempotent || NextFraction() < m_options.keyed_share;
   if (pending.attempts == 1 && keyed) {
     std::string key = "k" + std::to_string(++m_last_key);
-    if (NextFraction() < m_options.origin_bound_share && m_fleet.node(node).alive()) {
+    if (NextFraction() < m_options.origin_bound_share &&
+        m_fleet.node(node).alive()) {
       key = request::KeyPrefix(
                 {RouterName(node), m_fleet.node(node).core().incarnation()}) +
             key;
@@ -167,28 +171,30 @@
   }
   const size_t client_attempt = m_fleet.Send(number, node);
   m_pending[number].client_attempt = client_attempt;
-  m_fleet.timeline().After(m_options.caller_timeout,
-                           [this, client_attempt] { m_fleet.CloseClientAttempt(client_attempt); });
+  m_fleet.timeline().After(m_options.caller_timeout, [this, client_attempt] {
+    m_fleet.CloseClientAttempt(client_attempt);
+  });
 }
 
 void LoadGenerator::OnAttemptEnded(size_t number) {
   const ClientAttempt& client_attempt = m_fleet.client_attempts()[number];
   const size_t client_request_index = client_attempt.client_request;
   Pending& pending = m_pending[client_request_index];
-  const ClientRequest& client_request = m_fleet.client_requests()[client_request_index];
+  const ClientRequest& client_request =
+      m_fleet.client_requests()[client_request_index];
   if (client_attempt.state == ClientAttempt::State::kComplete) {
     pending.ended = true;
     return;
   }
   const bool refused = client_attempt.state == ClientAttempt::State::kRefused;
-  const bool false_refusal =
-      refused && IsLackOfTokens(client_attempt) && m_audit.HasTokensFor(client_request);
+  const bool false_refusal = refused && IsLackOfTokens(client_attempt) &&
+                             m_audit.HasTokensFor(client_request);
   if (false_refusal) {
     ++m_false_refusals[client_request.admission_class];
   }
-  const bool outcome_unknown = refused &&
-                             client_attempt.run_state != core::RunState::kNotRun &&
-                             client_request.non_idempotent;
+  const bool outcome_unknown =
+      refused && client_attempt.run_state != core::RunState::kNotRun &&
+      client_request.non_idempotent;
   if (pending.attempts >= m_options.max_attempts || outcome_unknown ||
       (client_request.key.empty() && !refused)) {
     pending.ended = true;
@@ -199,7 +205,9 @@
   }
   const Duration pause =
       std::max(kRetryPause, client_attempt.retry_after.value_or(kRetryPause));
-  m_fleet.timeline().After(pause, [this, client_request_index] { SendAttempt(client_request_index); });
+  m_fleet.timeline().After(pause, [this, client_request_index] {
+    SendAttempt(client_request_index);
+  });
 }
 
 // Counts each available token once: under overload the same few tokens in
@@ -217,7 +225,8 @@
 std::map<v1::AdmissionClass, ClassCount> LoadGenerator::Count() const {
   std::map<v1::AdmissionClass, ClassCount> counts;
   for (const auto& [client_request_index, pending] : m_pending) {
-    const ClientRequest& client_request = m_fleet.client_requests()[client_request_index];
+    const ClientRequest& client_request =
+        m_fleet.client_requests()[client_request_index];
     ClassCount& count = counts[client_request.admission_class];
     ++count.client_requests;
     count.false_final_refusals += pending.false_final_refusal ? 1 : 0;
@@ -226,9 +235,11 @@
       ++count.open;
       continue;
     }
-    const ClientAttempt& client_attempt = m_fleet.client_attempts()[*pending.client_attempt];
-    const bool not_run = client_attempt.state == ClientAttempt::State::kRefused &&
-                         client_attempt.run_state == core::RunState::kNotRun;
+    const ClientAttempt& client_attempt =
+        m_fleet.client_attempts()[*pending.client_attempt];
+    const bool not_run =
+        client_attempt.state == ClientAttempt::State::kRefused &&
+        client_attempt.run_state == core::RunState::kNotRun;
     if (client_attempt.state == ClientAttempt::State::kComplete) {
       ++count.complete;
     } else if (not_run) {
--- a/src/trial/node.cc
+++ b/src/trial/node.cc
@@ -73,7 +73,8 @@
     if (call.on_forward_done) {
       call.on_forward_done({false, true, {}});
     } else {
-      m_fleet.EndClientAttempt(call.client_attempt, ClientAttempt::State::kDisconnected);
+      m_fleet.EndClientAttempt(call.client_attempt,
+                               ClientAttempt::State::kDisconnected);
     }
   }
 }
@@ -97,12 +98,12 @@
 }
 
 void Node::Schedule(Duration delay, std::function<void()> action) {
-  m_fleet.timeline().After(delay,
-                           [this, generation = m_generation, action = std::move(action)] {
-                             if (generation == m_generation) {
-                               action();
-                             }
-                           });
+  m_fleet.timeline().After(
+      delay, [this, generation = m_generation, action = std::move(action)] {
+        if (generation == m_generation) {
+          action();
+        }
+      });
 }
 
 void Node::ScheduleTick() {
@@ -144,16 +145,20 @@
   return id;
 }
 
-router::RequestArrived Node::ArrivalOf(RequestId id, size_t client_attempt) const {
-  const ClientRequest& client_request = m_fleet.client_requests()[m_fleet.client_attempts()[client_attempt].client_request];
+router::RequestArrived Node::ArrivalOf(RequestId id,
+                                       size_t client_attempt) const {
+  const ClientRequest& client_request =
+      m_fleet.client_requests()[m_fleet.client_attempts()[client_attempt]
+                                    .client_request];
   router::RequestArrived event;
   event.request = id;
   event.method = "POST";
-  event.path = client_request.model.empty() ? "/v1/services/" + client_request.service
-                                  : "/v1/chat/completions";
+  event.path = client_request.model.empty()
+                   ? "/v1/services/" + client_request.service
+                   : "/v1/chat/completions";
   event.api_key = "demo-" + client_request.account.value();
-  event.body_hash =
-      core::HashOf(std::to_string(m_fleet.client_attempts()[client_attempt].client_request));
+  event.body_hash = core::HashOf(
+      std::to_string(m_fleet.client_attempts()[client_attempt].client_request));
   event.body_size = client_request.body_size;
   event.model = client_request.model;
   event.service = core::ServiceId(client_request.service);
@@ -184,7 +189,8 @@
     done({false, false, {}});
     return std::nullopt;
   }
-  const RequestId id = NewCall({client_attempt, std::move(done), {}, {}, false, {}});
+  const RequestId id =
+      NewCall({client_attempt, std::move(done), {}, {}, false, {}});
   router::RequestArrived event = ArrivalOf(id, client_attempt);
   event.forwarded_account = std::move(account);
   Deliver(std::move(event));
@@ -202,8 +208,10 @@
   if (call.on_forward_done) {
     call.on_forward_done({true, true, {}});
   } else {
-    m_fleet.client_attempts()[call.client_attempt].answered_request = answered_request;
-    m_fleet.EndClientAttempt(call.client_attempt, ClientAttempt::State::kComplete);
+    m_fleet.client_attempts()[call.client_attempt].answered_request =
+        answered_request;
+    m_fleet.EndClientAttempt(call.client_attempt,
+                             ClientAttempt::State::kComplete);
   }
   const std::vector<RequestId> joiners = std::exchange(call.joiners, {});
   for (const RequestId joiner : joiners) {
@@ -282,8 +290,10 @@
     return;
   }
   const size_t client_attempt = found->second.client_attempt;
-  const size_t client_request_index = m_fleet.client_attempts()[client_attempt].client_request;
-  const ClientRequest client_request = m_fleet.client_requests()[client_request_index];
+  const size_t client_request_index =
+      m_fleet.client_attempts()[client_attempt].client_request;
+  const ClientRequest client_request =
+      m_fleet.client_requests()[client_request_index];
   const AttemptOutcome attempt_outcome = m_fleet.NextAttemptOutcome();
   if (attempt_outcome == AttemptOutcome::kNotSent) {
     Deliver(router::AttemptNotSent{
@@ -297,8 +307,10 @@
                                     std::nullopt, std::nullopt});
     return;
   }
-  const core::Tokens output = std::min(client_request.output, action.max_output_tokens);
-  const size_t run = m_fleet.RecordExecution(client_attempt, client_request.prompt + output);
+  const core::Tokens output =
+      std::min(client_request.output, action.max_output_tokens);
+  const size_t run =
+      m_fleet.RecordExecution(client_attempt, client_request.prompt + output);
   if (attempt_outcome == AttemptOutcome::kSilent) {
     Schedule(action.first_token_timeout, [this, action] {
       Deliver(router::AttemptFailed{
@@ -324,23 +336,24 @@
   Schedule(std::min(kFirstToken, client_request.duration), [this, action] {
     Deliver(router::AttemptFirstToken{action.request, action.attempt});
   });
-  Schedule(client_request.duration, [this, action, client_request, output, run, client_request_index] {
-    m_fleet.executions()[run].complete = true;
+  Schedule(client_request.duration,
+           [this, action, client_request, output, run, client_request_index] {
+             m_fleet.executions()[run].complete = true;
              // The caller receives the answer while the control thread is
              // notified.
              router::AttemptDone done;
-    done.request = action.request;
-    done.attempt = action.attempt;
-    if (action.model_work && m_fleet.reports_usage()) {
-      done.usage = router::Usage{client_request.prompt, output};
-    }
-    if (m_paused) {
-      m_mailbox.push_back(done);
-      return;
-    }
-    Complete(action.request, client_request_index);
-    Deliver(done);
-  });
+             done.request = action.request;
+             done.attempt = action.attempt;
+             if (action.model_work && m_fleet.reports_usage()) {
+               done.usage = router::Usage{client_request.prompt, output};
+             }
+             if (m_paused) {
+               m_mailbox.push_back(done);
+               return;
+             }
+             Complete(action.request, client_request_index);
+             Deliver(done);
+           });
 }
 
 void Node::ExecuteAction(const router::CancelAttempt& action) {
@@ -349,7 +362,8 @@
 
 void Node::ExecuteAction(const router::ProbeUpstream& action) {
   Schedule(kProbeTime, [this, action] {
-    const bool healthy = m_fleet.NextAttemptOutcome() == AttemptOutcome::kAnswered;
+    const bool healthy =
+        m_fleet.NextAttemptOutcome() == AttemptOutcome::kAnswered;
     Deliver(router::ProbeEnded{action.upstream, healthy, std::nullopt});
   });
 }
@@ -367,7 +381,8 @@
   }
   router::OrderSent ended{action.upstream, action.fencing};
   const AttemptOutcome attempt_outcome = m_fleet.NextAttemptOutcome();
-  if (attempt_outcome == AttemptOutcome::kNotSent || attempt_outcome == AttemptOutcome::kDeclined) {
+  if (attempt_outcome == AttemptOutcome::kNotSent ||
+      attempt_outcome == AttemptOutcome::kDeclined) {
     ended.outcome = attempt_outcome == AttemptOutcome::kNotSent
                         ? orders::SendOutcome::kNotSent
                         : orders::SendOutcome::kRefused;
@@ -394,16 +409,17 @@
   Node* peer = m_fleet.FindRouter(action.router);
   if (peer == nullptr || !peer->alive() ||
       m_fleet.IsPartitioned(m_index, peer->index())) {
-    Schedule(kPollInterval,
-          [this, action] { Deliver(router::PeerSendFailed{action.router}); });
+    Schedule(kPollInterval, [this, action] {
+      Deliver(router::PeerSendFailed{action.router});
+    });
     return;
   }
-  m_fleet.timeline().After(m_fleet.options().peer_delay,
-                           [this, peer, message = action.message] {
-                             if (!m_fleet.IsPartitioned(m_index, peer->index())) {
-                               peer->Deliver(router::PeerReceived{message});
-                             }
-                           });
+  m_fleet.timeline().After(
+      m_fleet.options().peer_delay, [this, peer, message = action.message] {
+        if (!m_fleet.IsPartitioned(m_index, peer->index())) {
+          peer->Deliver(router::PeerReceived{message});
+        }
+      });
 }
 
 void Node::ExecuteAction(const router::Forward& action) {
@@ -418,10 +434,11 @@
     std::optional<RequestId> there;
   };
   auto pending_forward = std::make_shared<PendingForward>();
-  const auto end = [this, id = action.request, pending_forward](const ForwardResult& result) {
+  const auto end = [this, id = action.request,
+                    pending_forward](const ForwardResult& result) {
     if (!std::exchange(pending_forward->ended, true)) {
       Schedule(m_fleet.options().peer_delay,
-            [this, id, result] { EndForward(id, result); });
+               [this, id, result] { EndForward(id, result); });
     }
   };
   if (peer == nullptr || m_fleet.IsPartitioned(m_index, peer->index())) {
@@ -429,8 +446,8 @@
     return;
   }
   m_fleet.timeline().After(m_fleet.options().peer_delay, [=] {
-    pending_forward->there =
-        peer->ReceiveForward(action.incarnation, client_attempt, action.account, end);
+    pending_forward->there = peer->ReceiveForward(
+        action.incarnation, client_attempt, action.account, end);
   });
   // A forward that times out resets its stream, which the peer sees as a
   // disconnected caller.
@@ -461,7 +478,7 @@
 
 void Node::ExecuteAction(const router::ReadLog& action) {
   Schedule(m_fleet.options().log_delay / 2,
-        [this, action] { Poll(action, m_fleet.now() + action.wait); });
+           [this, action] { Poll(action, m_fleet.now() + action.wait); });
 }
 
 void Node::Poll(const router::ReadLog& read, core::TimePoint until) {
@@ -478,9 +495,9 @@
     return;
   }
   Schedule(m_fleet.options().log_delay / 2 + link.extra_delay,
-        [this, reply = m_fleet.log().Read(read.from)] {
-          Deliver(router::LogRead{reply});
-        });
+           [this, reply = m_fleet.log().Read(read.from)] {
+             Deliver(router::LogRead{reply});
+           });
 }
 
 void Node::ExecuteAction(const router::AppendLog& action) {
@@ -504,7 +521,8 @@
       Schedule(kLogTimeout, [this, failed] { Deliver(failed); });
       return;
     }
-    Schedule(delay / 2, [this, offset] { Deliver(router::LogAppended{offset}); });
+    Schedule(delay / 2,
+             [this, offset] { Deliver(router::LogAppended{offset}); });
   });
 }
 
--- a/tests/net/unit-caller-input.cc
+++ b/tests/net/unit-caller-input.cc
@@ -61,7 +61,8 @@
   CHECK(Has(answer, "retry-after: 2\r\n"));
 }
 
-TEST(CallerInput, a_request_reaches_the_core_with_all_fields_that_its_rules_use) {
+TEST(CallerInput,
+     a_request_reaches_the_core_with_all_fields_that_its_rules_use) {
   Ask(shell,
       Post(
           "/v1/chat/completions",
--- a/tests/net/unit-peer-link.cc
+++ b/tests/net/unit-peer-link.cc
@@ -354,7 +354,8 @@
   CHECK_TRUE(cancelled.Get());
 }
 
-TEST(PeerLink, invalid_fields_and_oversized_data_are_refused_before_they_are_sent) {
+TEST(PeerLink,
+     invalid_fields_and_oversized_data_are_refused_before_they_are_sent) {
   PeerServer server = Answering([](const std::shared_ptr<ForwardReply>&) {});
   const std::string address = Listen(server);
   PeerClient client = MakeClient();
--- a/tests/net/unit-platform.cc
+++ b/tests/net/unit-platform.cc
@@ -35,7 +35,8 @@
 // Does this once, at the first request of a caller.
 TestShell::Decide OnRequest(TestShell::Actions actions) {
   return [actions = std::move(actions)](const router::Event& event) {
-    const bool arrived = std::holds_alternative<router::AddressesRequested>(event);
+    const bool arrived =
+        std::holds_alternative<router::AddressesRequested>(event);
     return arrived ? actions : TestShell::Actions();
   };
 }
@@ -91,7 +92,8 @@
   CHECK(Has(seen, std::string("\r\n\r\n\0entry", 10)));
 }
 
-TEST(Platform, an_append_with_a_lost_reply_is_neither_retried_nor_reported_as_done) {
+TEST(Platform,
+     an_append_with_a_lost_reply_is_neither_retried_nor_reported_as_done) {
   // The service accepts the entry and its reply is lost. The core must be told
   // that the outcome is unknown, and the shell must not append a second time.
   std::atomic<int> appends{0};
--- a/tests/net/unit-stream.cc
+++ b/tests/net/unit-stream.cc
@@ -160,7 +160,8 @@
   }
 }
 
-TEST(Stream, a_second_attempt_after_a_failure_before_the_first_token_is_invisible) {
+TEST(Stream,
+     a_second_attempt_after_a_failure_before_the_first_token_is_invisible) {
   // The first engine sends its head and closes. Nothing has reached the caller,
   // so it sees only the answer of another engine.
   FakeServer dying(Stream(""));
--- a/tests/orders/order_fixture.h
+++ b/tests/orders/order_fixture.h
@@ -64,7 +64,7 @@
         sent.push_back({router, *send});
         if (reply) {
           managers[router].OnSent(now, send->upstream, send->fencing,
-                               reply(*send));
+                                  reply(*send));
         }
         continue;
       }
--- a/tests/orders/unit-order-manager.cc
+++ b/tests/orders/unit-order-manager.cc
@@ -59,7 +59,8 @@
 
 // The first attempt reached the engine without a reply and the second is
 // refused. The refusal does not show that nothing changed.
-TEST(OrderManager, a_refusal_after_a_lost_reply_is_no_proof_that_nothing_changed) {
+TEST(OrderManager,
+     a_refusal_after_a_lost_reply_is_no_proof_that_nothing_changed) {
   OrderFleet run({"e0"});
   run.reply = [&run](const DeliverOrder&) {
     return run.sent.size() == 1 ? SendOutcome::kUnknown : SendOutcome::kRefused;
@@ -69,7 +70,8 @@
   LONGS_EQUAL(v1::OUTCOME_UNKNOWN, run.Outcome("e0"));
 }
 
-TEST(OrderManager, an_order_that_never_leaves_is_tried_again_and_then_given_up) {
+TEST(OrderManager,
+     an_order_that_never_leaves_is_tried_again_and_then_given_up) {
   OrderFleet run;
   run.reply = Always(SendOutcome::kNotSent);
   run.Issue("blind");
@@ -83,7 +85,8 @@
 // The sender is paused before any reply and retired in the log. An engine that
 // checks fencing numbers gets the same number from another router; for others,
 // no router may send while the paused one still can.
-TEST(OrderManager, the_order_of_a_retired_sender_goes_on_only_where_it_is_safe) {
+TEST(OrderManager,
+     the_order_of_a_retired_sender_goes_on_only_where_it_is_safe) {
   for (const char* upstream : {"e0", "blind"}) {
     OrderFleet run({"e0"});
     run.Issue(upstream);
@@ -145,7 +148,7 @@
   const OrderFleet::Sent ended = run.sent[0];
   CHECK(ended.command.fencing < last);
   run.managers[ended.router].OnSent(run.now, ended.command.upstream,
-                                 ended.command.fencing, SendOutcome::kDone);
+                                    ended.command.fencing, SendOutcome::kDone);
   run.Run(seconds(10));
   LONGS_EQUAL(3, run.sent.size());
   CHECK(run.sent[2].command.fencing == last);
@@ -164,7 +167,7 @@
   run.Run(seconds(10));
   LONGS_EQUAL(1, run.sent.size());
   run.managers[0].OnSent(run.now, first.upstream, first.fencing,
-                      SendOutcome::kDone);
+                         SendOutcome::kDone);
   run.Run(seconds(10));
   LONGS_EQUAL(2, run.sent.size());
   CHECK(run.sent[1].command.fencing == second);
--- a/tests/request/unit-request-table.cc
+++ b/tests/request/unit-request-table.cc
@@ -226,7 +226,8 @@
   const auto verdicts = m_b.OnClaimLost(m_now, at_b.id, kA);
   UNSIGNED_LONGS_EQUAL(1, verdicts.size());
   CHECK(Expect<ForwardTo>(verdicts[0].verdict).router == kA.router);
-  CHECK(m_b.OnCallerDisconnected(m_now, at_b.id) == DisconnectDecision::kKeepRunning);
+  CHECK(m_b.OnCallerDisconnected(m_now, at_b.id) ==
+        DisconnectDecision::kKeepRunning);
   const ForwardOutcome lost{.sent = true, .log_available = true};
   ExpectRefusal(*m_b.OnForwardEnded(m_now, at_b.id, lost),
                 core::ErrorId::kOutcomeUnknown, core::RunState::kUnknown);
@@ -333,20 +334,23 @@
 
 TEST(RequestTable, a_disconnect_cancels_only_requests_without_a_reader) {
   const core::RequestId keyed = Send(m_a, Draft(BoundTo(kA)));
-  CHECK(m_a.OnCallerDisconnected(m_now, keyed) == DisconnectDecision::kKeepRunning);
+  CHECK(m_a.OnCallerDisconnected(m_now, keyed) ==
+        DisconnectDecision::kKeepRunning);
   CHECK(m_a.OnDone(m_now, keyed, core::Bytes(1)).empty());
   Expect<Join>(m_a.OnArrival(m_now, Draft(BoundTo(kA))));
   const core::RequestId draft = Send(m_a, Make(std::nullopt, false));
   CHECK(m_a.OnCallerDisconnected(m_now, draft) == DisconnectDecision::kCancel);
   const core::RequestId hold = Send(m_a, Make(std::nullopt, true));
-  CHECK(m_a.OnCallerDisconnected(m_now, hold) == DisconnectDecision::kKeepRunning);
+  CHECK(m_a.OnCallerDisconnected(m_now, hold) ==
+        DisconnectDecision::kKeepRunning);
 }
 
 TEST(RequestTable, a_disconnected_joiner_is_not_notified) {
   const core::RequestId leader = Send(m_a, Hold(BoundTo(kA)));
   const Arrival joiner = Hold(BoundTo(kA));
   Expect<Join>(m_a.OnArrival(m_now, joiner));
-  CHECK(m_a.OnCallerDisconnected(m_now, joiner.id) == DisconnectDecision::kNothing);
+  CHECK(m_a.OnCallerDisconnected(m_now, joiner.id) ==
+        DisconnectDecision::kNothing);
   CHECK((m_a.OnDone(m_now, leader, core::Bytes(1)) == Waiters{leader}));
 }
 
--- a/tests/router/fleet_fixture.h
+++ b/tests/router/fleet_fixture.h
@@ -83,7 +83,9 @@
     return runs;
   }
 
-  ClientAttempt::State StateOf(size_t client_attempt) { return fleet.client_attempts()[client_attempt].state; }
+  ClientAttempt::State StateOf(size_t client_attempt) {
+    return fleet.client_attempts()[client_attempt].state;
+  }
   std::string Phase(size_t node) {
     return fleet.node(node).core().Status(fleet.now()).phase();
   }
--- a/tests/router/unit-at-most-once.cc
+++ b/tests/router/unit-at-most-once.cc
@@ -14,7 +14,8 @@
 // must not run the hold again.
 TEST(AtMostOnce, a_hold_bound_to_a_router_that_is_cut_off_is_not_run_again) {
   RunningFleet run;
-  const size_t client_request = run.fleet.AddRequest(run.Hold(run.Prefix(0) + "seat-12"));
+  const size_t client_request =
+      run.fleet.AddRequest(run.Hold(run.Prefix(0) + "seat-12"));
   const size_t first = run.fleet.Send(client_request, 0);
   run.Run(milliseconds(100));
   CHECK(run.StateOf(first) == ClientAttempt::State::kComplete);
@@ -23,7 +24,8 @@
   const size_t second = run.fleet.Send(client_request, 1);
   run.Run(seconds(5));
   CHECK(run.StateOf(second) == ClientAttempt::State::kRefused);
-  CHECK(run.fleet.client_attempts()[second].run_state != core::RunState::kNotRun);
+  CHECK(run.fleet.client_attempts()[second].run_state !=
+        core::RunState::kNotRun);
   LONGS_EQUAL(1, run.RunsOf(client_request));
 }
 
@@ -31,15 +33,18 @@
 // A retry elsewhere, long after the retirement, gets "outcome unknown".
 TEST(AtMostOnce, a_hold_bound_to_a_dead_router_ends_as_unknown) {
   RunningFleet run;
-  const size_t client_request = run.fleet.AddRequest(run.Hold(run.Prefix(0) + "seat-13"));
+  const size_t client_request =
+      run.fleet.AddRequest(run.Hold(run.Prefix(0) + "seat-13"));
   run.fleet.Send(client_request, 0);
   run.Run(milliseconds(100));
   run.fleet.node(0).Kill();
   run.Run(seconds(20));
   const size_t second = run.fleet.Send(client_request, 1);
   run.Run(seconds(2));
-  CHECK(run.fleet.client_attempts()[second].run_state == core::RunState::kUnknown);
-  CHECK(run.fleet.client_attempts()[second].error == core::ErrorId::kOriginGone);
+  CHECK(run.fleet.client_attempts()[second].run_state ==
+        core::RunState::kUnknown);
+  CHECK(run.fleet.client_attempts()[second].error ==
+        core::ErrorId::kOriginGone);
   LONGS_EQUAL(1, run.RunsOf(client_request));
 }
 
@@ -60,7 +65,8 @@
   LONGS_EQUAL(1, run.RunsOf(client_request));
   size_t complete = 0;
   for (const size_t client_attempt : client_attempts) {
-    complete += run.StateOf(client_attempt) == ClientAttempt::State::kComplete ? 1 : 0;
+    complete +=
+        run.StateOf(client_attempt) == ClientAttempt::State::kComplete ? 1 : 0;
   }
   LONGS_EQUAL(1, complete);
 }
@@ -76,7 +82,8 @@
   const size_t client_attempt = run.fleet.Send(client_request, 2);
   run.Run(seconds(8));
   CHECK(run.StateOf(client_attempt) == ClientAttempt::State::kRefused);
-  CHECK(run.fleet.client_attempts()[client_attempt].run_state == core::RunState::kNotRun);
+  CHECK(run.fleet.client_attempts()[client_attempt].run_state ==
+        core::RunState::kNotRun);
   LONGS_EQUAL(0, run.RunsOf(client_request));
 }
 
@@ -92,7 +99,8 @@
   run.Run(seconds(6));
   const size_t unbound = run.fleet.AddRequest(run.Hold("seat-15"));
   const size_t refused = run.fleet.Send(unbound, 2);
-  const size_t bound = run.fleet.AddRequest(run.Hold(run.Prefix(2) + "seat-16"));
+  const size_t bound =
+      run.fleet.AddRequest(run.Hold(run.Prefix(2) + "seat-16"));
   const size_t answered = run.fleet.Send(bound, 2);
   run.Run(seconds(2));
   CHECK(run.StateOf(refused) == ClientAttempt::State::kRefused);
@@ -105,11 +113,13 @@
 TEST(AtMostOnce, a_hold_on_a_silent_connection_is_not_tried_again) {
   RunningFleet run;
   run.fleet.SetAttemptOutcome([] { return AttemptOutcome::kSilent; });
-  const size_t client_request = run.fleet.AddRequest(run.Hold(run.Prefix(0) + "seat-17"));
+  const size_t client_request =
+      run.fleet.AddRequest(run.Hold(run.Prefix(0) + "seat-17"));
   const size_t client_attempt = run.fleet.Send(client_request, 0);
   run.Run(seconds(15));
   CHECK(run.StateOf(client_attempt) == ClientAttempt::State::kRefused);
-  CHECK(run.fleet.client_attempts()[client_attempt].run_state == core::RunState::kUnknown);
+  CHECK(run.fleet.client_attempts()[client_attempt].run_state ==
+        core::RunState::kUnknown);
   LONGS_EQUAL(1, run.RunsOf(client_request));
 }
 
--- a/tests/router/unit-fleet.cc
+++ b/tests/router/unit-fleet.cc
@@ -36,8 +36,8 @@
   RunningFleet run({}, options);
   std::vector<size_t> client_attempts;
   for (int i = 0; i < 20; ++i) {
-    const size_t client_request =
-        run.fleet.AddRequest(run.Draft("drain-" + std::to_string(i), seconds(6)));
+    const size_t client_request = run.fleet.AddRequest(
+        run.Draft("drain-" + std::to_string(i), seconds(6)));
     run.fleet.SetKey(client_request, run.Prefix(2) + "d" + std::to_string(i));
     client_attempts.push_back(run.fleet.Send(client_request, 2));
   }
