--- a/bench/budget/main.cc
+++ b/bench/budget/main.cc
@@ -28,7 +28,7 @@
                     const budget::SizingPolicy& sizing) {
   ScheduleRunner runner(schedule.seed, schedule.load, sizing);
   runner.Start();
-  schedule.play(runner);
+  schedule.execute(runner);
   return runner.Finish();
 }
 
--- a/bench/budget/schedules.h
+++ b/bench/budget/schedules.h
@@ -39,7 +39,7 @@
   std::string name;
   uint64_t seed = 1;
   trial::LoadOptions load;
-  std::function<void(ScheduleRunner&)> play;
+  std::function<void(ScheduleRunner&)> execute;
   ScheduleBounds bounds;
 };
 
--- a/include/coppervalve/trial/node.h
+++ b/include/coppervalve/trial/node.h
@@ -70,7 +70,7 @@
   struct Call {
     size_t client_attempt = 0;
     std::function<void(const ForwardResult&)>
-        relay;  ///< set for a request of a peer
+        on_forward_done;  ///< set for a request of a peer
     std::vector<core::RequestId> joiners;
     std::optional<core::RequestId> leader;
     bool done = false;
