--- a/src/config/tables.cc
+++ b/src/config/tables.cc
@@ -58,7 +58,7 @@
 }  // namespace
 
 Tables::Tables(const v1::Configuration& configuration)
-    : m_limits(ResolveLimits(configuration.limits())),
+    : m_limits(config::ResolveLimits(configuration.limits())),
       m_no_upstreams(std::make_shared<const UpstreamIds>()) {
   AddAccounts(configuration);
   AddBudgets(configuration);
