--- a/tests/router/unit-orders.cc
+++ b/tests/router/unit-orders.cc
@@ -38,7 +38,7 @@
   RunningFleet run;
   run.fleet.Order(kIgnoring, "chat-8");
   run.Run(seconds(5));
-  LONGS_EQUAL(1, run.fleet.engine_orders().At(kIgnoring.value()).size());
+  LONGS_EQUAL(1, run.fleet.engine_orders().AppliedAt(kIgnoring.value()).size());
   LONGS_EQUAL(v1::DONE, run.audit.fold().FindOrder(kIgnoring)->outcome);
 }
 
@@ -53,10 +53,10 @@
   CHECK(pause.sender.has_value());
   run.fleet.Order(kChecking, "newer");
   run.Run(seconds(20));
-  LONGS_EQUAL(1, run.fleet.engine_orders().At(kChecking.value()).size());
+  LONGS_EQUAL(1, run.fleet.engine_orders().AppliedAt(kChecking.value()).size());
   run.fleet.node(*pause.sender).Resume();
   run.Run(seconds(10));
-  const auto applied = run.fleet.engine_orders().At(kChecking.value());
+  const auto applied = run.fleet.engine_orders().AppliedAt(kChecking.value());
   LONGS_EQUAL(1, applied.size());
   CHECK(applied[0] == InForce(run, kChecking));
   LONGS_EQUAL(v1::DONE, run.audit.fold().FindOrder(kChecking)->outcome);
@@ -81,7 +81,7 @@
   run.fleet.SettleOrder(kIgnoring, older);
   run.fleet.Order(kIgnoring, "newer");
   run.Run(seconds(10));
-  const auto applied = run.fleet.engine_orders().At(kIgnoring.value());
+  const auto applied = run.fleet.engine_orders().AppliedAt(kIgnoring.value());
   LONGS_EQUAL(2, applied.size());
   CHECK(applied[0] == older);
   CHECK(applied[1] == InForce(run, kIgnoring));
@@ -97,7 +97,7 @@
   run.Run(seconds(5));
   run.fleet.node(*pause.sender).Kill();
   run.Run(seconds(25));
-  LONGS_EQUAL(1, run.fleet.engine_orders().At(kChecking.value()).size());
+  LONGS_EQUAL(1, run.fleet.engine_orders().AppliedAt(kChecking.value()).size());
   LONGS_EQUAL(v1::DONE, run.audit.fold().FindOrder(kChecking)->outcome);
 }
 
