--- a/include/coppervalve/entry/active_set.h
+++ b/include/coppervalve/entry/active_set.h
@@ -12,7 +12,8 @@
 struct Candidate {
   core::RouterId router;
   core::FailureDomainId failure_domain;
-  double capacity = 0;  ///< requests per second that leave room for bursts
+  /// Requests per second that it serves with room for bursts.
+  double capacity = 0;
 };
 
 /// @brief Requirements on the set of active routers.
--- a/include/coppervalve/entry/advertised_limit.h
+++ b/include/coppervalve/entry/advertised_limit.h
@@ -11,8 +11,9 @@
 /// @brief Constants of how the rate limit of an upstream is shared and expires.
 struct LimitOptions {
   bool enforce = true;  ///< false: limits are ignored
-  /// Part of a limit that is allocated to the senders. The rest is a margin for
-  /// routers that take others to be the senders.
+  /// Part of a limit that is allocated to the senders. The rest is a margin:
+  /// routers with different member lists select different senders, so more
+  /// routers than planned may send.
   double allocated_share = 0.8;
   /// Maximum number of senders. Large, because with few senders most routers
   /// would have no share of a large limit.
@@ -46,8 +47,9 @@
 /// @brief The rate limit that an upstream last sent, which applies to all
 /// routers together, and when this router last sent a request there.
 ///
-/// A limit holds until the upstream responds without one. Routers that send
-/// nothing learn of it from other routers, or by a probe in their turn.
+/// A limit holds until the upstream responds without one. Routers that send it
+/// no requests learn of a change from the reports of other routers, or by a
+/// probe when it is their turn.
 class AdvertisedLimit {
  public:
   /// @brief The upstream responded to this router.
@@ -85,7 +87,7 @@
   std::optional<double> m_per_second;
   /// When the upstream sent the limit to any router.
   core::TimePoint m_received_at{};
-  bool m_received_directly = false;  ///< it was sent to this router itself
+  bool m_received_directly = false;  ///< not from another router's report
   bool m_unreadable = false;
   core::TimePoint m_last_send{};
 };
--- a/include/coppervalve/entry/allocation_ledger.h
+++ b/include/coppervalve/entry/allocation_ledger.h
@@ -76,8 +76,8 @@
   /// After a loss, a router keeps the last tokens of an account for the demand
   /// of more urgent requests within this time. 0 = first come, first served.
   core::Duration urgent_ahead{9'000'000};
-  /// Only while the more urgent requests ask for at most this share of the
-  /// account's demand.
+  /// Tokens are kept only while the more urgent requests are at most this share
+  /// of the account's demand.
   double urgent_part = 0.25;
   /// Hysteresis relative to the target headroom: claim more below the first
   /// ratio, return tokens above the second.
@@ -197,7 +197,7 @@
     core::Tokens spent{};
     core::Tokens reserved{};
     core::Tokens others{};  ///< claimed by peers and previous incarnations
-    core::Tokens lost{};    ///< part of `others` lost, as far as is known
+    core::Tokens lost{};    ///< of `others`, not known to be spent
     core::Tokens free{};    ///< not claimed by any router
     bool rationed = false;  ///< claims are rationed after a loss
   };
--- a/include/coppervalve/entry/crash_record.h
+++ b/include/coppervalve/entry/crash_record.h
@@ -32,8 +32,8 @@
 
 /// @brief Constants of the quarantine.
 struct CrashOptions {
-  /// Terminations until a request is quarantined, and until it is suspect. One
-  /// proves nothing, and two in a row happen by coincidence.
+  /// Terminations until a request is quarantined, and until it is suspect. A
+  /// single termination proves nothing, and two in a row can be a coincidence.
   size_t quarantine_threshold = 3;
   size_t suspect_threshold = 2;
   /// Terminations within this time of each other may have one cause, such as a
@@ -42,7 +42,7 @@
   /// How long a termination is remembered that led to no quarantine.
   core::Duration suspicion_time{60'000'000};
   /// Duration of the first quarantine; doubled each time that a trial
-  /// afterwards terminates an upstream again. It is limited because a release
+  /// afterwards terminates an upstream again. Quarantines end because a release
   /// may fix the fault.
   core::Duration first_quarantine{600'000'000};
   /// A broken response counts if its upstream is known to have terminated
@@ -79,7 +79,8 @@
   core::Duration RemainingQuarantine(const RequestFingerprint& request,
                                      core::TimePoint now) const;
 
-  /// @brief Begins the only trial of a request that may run at a time.
+  /// @brief Begins a trial of a request. At most one trial of it runs at a
+  /// time.
   /// @return false if one is running; otherwise EndTrial() must follow
   bool BeginTrial(const RequestFingerprint& request);
   void EndTrial(const RequestFingerprint& request) { m_trials.erase(request); }
@@ -89,19 +90,19 @@
                 UpstreamStart start,
                 core::TimePoint now);
   /// @brief A start of an upstream is known to have terminated.
-  /// @return the requests that this counts against
+  /// @return the requests that the termination counts against
   std::vector<RequestFingerprint> OnEnded(UpstreamStart start,
                                           core::TimePoint now);
   /// @brief An upstream completed the request, so the terminations had other
   /// causes.
-  /// @return whether other routers should be told soon
+  /// @return whether the change should be reported to other routers soon
   bool OnSurvived(const RequestFingerprint& request, core::TimePoint now);
 
   /// @brief Adds the reports for other routers to a heartbeat.
   void AddReportsTo(v1::RouterBeat& beat, core::TimePoint now) const;
   /// @brief Merges the heartbeat of another router. Lists beyond the maximum
   /// sizes are truncated.
-  /// @return requests that this quarantined
+  /// @return requests that are quarantined as a result
   std::vector<RequestFingerprint> OnBeat(const v1::RouterBeat& beat,
                                          core::TimePoint now);
   /// @brief Restores this router's own reports from the last heartbeat before
@@ -126,7 +127,7 @@
   struct Case {
     std::map<UpstreamStart, Termination> terminations;
     core::TimePoint changed;
-    /// The terminations are of more than one event.
+    /// The terminations belong to more than one event.
     bool separate_events = false;
     bool probation = false;
     bool quarantined = false;
--- a/include/coppervalve/entry/heartbeat_rate.h
+++ b/include/coppervalve/entry/heartbeat_rate.h
@@ -8,7 +8,7 @@
 namespace coppervalve::entry {
 
 /// @brief Heartbeat period of an active router in a small fleet. What a crashed
-/// process has spent is known except for about one period.
+/// process has spent is known up to about one period before the crash.
 constexpr core::Duration kDefaultHeartbeatPeriod{600'000};
 
 /// @brief Limits how often a router may write to the store.
--- a/include/coppervalve/entry/member_list.h
+++ b/include/coppervalve/entry/member_list.h
@@ -38,8 +38,8 @@
                    const v1::RouterBeat& beat,
                    core::TimePoint now);
   /// @param contact with the topic of the heartbeats. Time counts as silence
-  /// only while the topic is readable. If no router at all is heard, the list
-  /// stays unchanged for a while.
+  /// only while the topic is readable. If no heartbeat of any router is read,
+  /// the list stays unchanged for a while.
   void Advance(const StoreContact& contact, core::TimePoint now);
 
   /// @return addresses of the active routers for callers
--- a/include/coppervalve/entry/peer_contact.h
+++ b/include/coppervalve/entry/peer_contact.h
@@ -11,7 +11,8 @@
 
 /// @brief Tracks which other routers send reports directly and which of them
 /// reach the durable store. Detects a failed router sooner than the store does,
-/// and tells a router without the store whether other routers still reach it.
+/// and lets a router that cannot reach the store determine whether other
+/// routers still reach it.
 class PeerContact {
  public:
   /// @param timeout time without a report after which a router counts as lost
@@ -23,13 +24,13 @@
                 bool store_up,
                 core::TimePoint now);
 
-  /// @return whether the router's reports have stopped while other routers are
-  /// still heard. A router that hears no one may be cut off itself, so it
-  /// reports none as lost. Standbys send no reports, so the retention time is
-  /// short.
+  /// @return whether the router's reports have stopped while those of other
+  /// routers still arrive. A router that receives no reports at all may itself
+  /// be disconnected, so it considers none as lost. Standbys send no reports,
+  /// so the retention time is short.
   bool IsLost(const core::RouterId& router, core::TimePoint now) const;
-  /// @return number of routers whose latest report is recent and says that they
-  /// reach the store
+  /// @return number of routers whose latest report is recent and states that
+  /// they reach the store
   uint32_t CountReachingStore(core::TimePoint now) const;
   /// @return whether a caller that is sent to another of `active` routers most
   /// likely finds one that reaches the store
--- a/include/coppervalve/entry/placement.h
+++ b/include/coppervalve/entry/placement.h
@@ -40,9 +40,10 @@
   core::Tokens shared_tokens{};  ///< length of the prefix
   core::Tokens prompt{};         ///< length of the whole prompt
   std::vector<core::UpstreamId> exclude;
-  /// Of this router per upstream; 0 = unlimited.
+  /// Maximum of this router's requests in progress per upstream; 0 = unlimited.
   uint32_t connection_bound = 0;
-  uint32_t routers = 1;  ///< that send to the service, including this one
+  /// Number of routers that send to the service, this one included.
+  uint32_t routers = 1;
 };
 
 /// @brief The chosen upstream and the facts behind the choice.
--- a/include/coppervalve/entry/policy.h
+++ b/include/coppervalve/entry/policy.h
@@ -13,8 +13,8 @@
 namespace coppervalve::entry {
 
 /// @brief The constants of all routing decisions. Production uses the defaults.
-/// This is no operator setting: experiments change or disable single mechanisms
-/// by name, to measure their effect without a code change.
+/// These are not operator settings: experiments change or disable single
+/// mechanisms by name, to measure their effect without a code change.
 struct Policy {
   AllocationOptions book;
   PlacementOptions placement;
--- a/include/coppervalve/entry/read_plan.h
+++ b/include/coppervalve/entry/read_plan.h
@@ -14,8 +14,9 @@
   /// Pause after a read that returned records. Without it, each record of many
   /// writers would wake every reader.
   core::Duration pause{0};
-  /// Size limit of one read. An answer must pass the link of a small VM, and
-  /// the store's rate shared by all routers, within the call's timeout.
+  /// Size limit of one read. An answer must be transferred within the call's
+  /// timeout, over the link of a small VM and at the store's rate that all
+  /// routers share.
   size_t max_bytes = 128 * 1024;
   /// Only the newest record of each key is needed, so records missed while the
   /// store was unreachable are not read one by one.
--- a/include/coppervalve/entry/shedding.h
+++ b/include/coppervalve/entry/shedding.h
@@ -10,10 +10,10 @@
 
 /// @brief The conditions that a new request would meet.
 struct Backlog {
-  /// At the best upstream, until its prompt is processed.
+  /// Expected wait at the best upstream before the prompt is processed.
   core::Duration wait{};
-  /// For the first byte; shortest of the service's routes that are as urgent
-  /// or more.
+  /// Latency objective for the first byte: the shortest among the service's
+  /// routes of the same or a more urgent priority.
   core::Duration objective{};
   uint8_t rank = 0;  ///< 0 is the most urgent
 };
@@ -22,7 +22,7 @@
 struct SheddingOptions {
   bool enabled = true;
   /// Share of the objective up to which no request is rejected. Waits of a
-  /// tenth occur with upstreams at half of their capacity.
+  /// tenth of the objective occur when upstreams run at half of their capacity.
   double free_share = 0.2;
   /// Share from which every request is rejected. The rest is needed to process
   /// a large prompt, and for requests that arrive between the report of a wait
--- a/include/coppervalve/entry/upstream_directory.h
+++ b/include/coppervalve/entry/upstream_directory.h
@@ -72,7 +72,7 @@
   mutable SenderRank sender_rank;
   /// When the entry expired while the store was disturbed; it may return soon.
   std::optional<core::TimePoint> expired_at;
-  core::TimePoint paused_until{};  ///< it asked for no requests until then
+  core::TimePoint paused_until{};  ///< end of the pause that it requested
 };
 
 using UpstreamRef = std::shared_ptr<Upstream>;
--- a/include/coppervalve/entry/upstream_gate.h
+++ b/include/coppervalve/entry/upstream_gate.h
@@ -16,7 +16,7 @@
 enum class GateState : uint8_t {
   kOpen,
   kEvacuated,  ///< its failure domain is evacuated
-  kPaused,     ///< it asked this router to pause
+  kPaused,     ///< it requested a pause from this router
   kWarmingUp,  ///< it is cold, and this router's share is used up
   kLimited,    ///< it sent a limit, and this router's share is used up
 };
--- a/include/coppervalve/entry/upstream_senders.h
+++ b/include/coppervalve/entry/upstream_senders.h
@@ -23,14 +23,15 @@
   /// Every live router has an equal share, not only those that callers are
   /// directed to.
   bool all_live = false;
-  /// Part of the bound that is allocated. The rest is a margin for routers that
-  /// take others to be the senders.
+  /// Part of the bound that is allocated. The rest is a margin: routers with
+  /// different member lists select different senders, so more routers than
+  /// planned may send.
   double allocated_share = 0.5;
   double max_senders = 6;
   /// How long a new sender waits until the other routers know of it.
   core::Duration settle_time{2'000'000};
-  /// How long the largest number of routers counts, as some routers still
-  /// assume it.
+  /// How long a number of routers remains in effect after it decreased, as some
+  /// routers still assume it.
   core::Duration peak_lifetime{15'000'000};
 };
 
@@ -56,7 +57,7 @@
 /// @brief Determines which routers may send to an upstream of limited capacity,
 /// as far as this router knows.
 ///
-/// No message tells a router what others send. So a part of the bound is
+/// No message reports to a router what others send. So a part of the bound is
 /// divided among few routers, which all routers determine alike as far as their
 /// member lists agree. The lists differ for seconds around a change, and for as
 /// long as a router is disconnected: therefore a new sender waits, a decreased
--- a/src/entry/active_set.cc
+++ b/src/entry/active_set.cc
@@ -21,8 +21,8 @@
   if (a.capacity != b.capacity) {
     return a.capacity > b.capacity;
   }
-  // Ties are broken by hash; by name, the same few routers would always be
-  // selected.
+  // Ties are broken by hash: by name, the first routers of each domain would
+  // always carry the load.
   return core::Hash64(a.router.value()) < core::Hash64(b.router.value());
 }
 
@@ -47,10 +47,10 @@
 
 }  // namespace
 
-// As few routers as carry the load, and the most capable ones, are active.
-// Split over all routers of a large fleet, the tokens of an account would form
-// shares too small for a large request, and callers that keep one address might
-// stay on a VM that is too weak for them.
+// The active routers are the most capable ones, as few as can carry the load.
+// If the tokens of an account were divided among all routers of a large fleet,
+// each share would be too small for a large request, and callers that keep one
+// address might stay on a VM that is too weak for them.
 std::vector<Candidate> SelectActive(std::vector<Candidate> candidates,
                                     const ActiveSetRequirements& requirements) {
   std::map<core::FailureDomainId, Domain> domains;
--- a/src/entry/advertised_limit.cc
+++ b/src/entry/advertised_limit.cc
@@ -33,8 +33,8 @@
   return share;
 }
 
-// A late response to an earlier request may lack the limit; it says nothing
-// about the current one.
+// A late response to a request sent before the limit was received may lack it;
+// that does not end the limit.
 bool AdvertisedLimit::OnAnswer(std::optional<double> per_second,
                                core::TimePoint asked,
                                core::TimePoint now) {
--- a/src/entry/allocation_ledger.cc
+++ b/src/entry/allocation_ledger.cc
@@ -42,7 +42,8 @@
 // Tokens that no live router can grant any more. Tokens lost with a previous
 // incarnation may have been spent, so they count as spent permanently.
 // Running requests count with their maximum, here and on other routers.
-// Otherwise callers would be told to retry for tokens that they can never get.
+// Otherwise callers would get a retryable error and retry in vain for tokens
+// that can never be granted.
 core::Tokens AllocationLedger::Unavailable(const AccountState& state) {
   return state.others_committed + state.others_retired + state.retired +
          InUse(state);
--- a/src/entry/crash_record.cc
+++ b/src/entry/crash_record.cc
@@ -33,8 +33,9 @@
       }));
 }
 
-// Decides which cases stay if there is room for some only. Most requests that
-// ran when an upstream terminated never recur; the one that caused it does.
+// Decides which cases are kept and reported if not all of them fit. Most
+// requests that ran when an upstream terminated never recur; the one that
+// caused it does.
 CrashRecord::Priority CrashRecord::PriorityOf(const Case& crash_case) {
   return {crash_case.quarantined, CountedTerminations(crash_case),
           crash_case.changed};
--- a/src/entry/demand.cc
+++ b/src/entry/demand.cc
@@ -12,7 +12,8 @@
 // The fast average is noisy, so it only counts where it is well above the slow
 // one.
 constexpr double kFastWeight = 0.75;
-// A single request right after the start is no rate.
+// Minimum time to average over: a single request right after the start is no
+// rate.
 constexpr double kMinAge = 1.5;  // seconds
 
 double SecondsSince(core::TimePoint start, core::TimePoint now) {
--- a/src/entry/heartbeat_rate.cc
+++ b/src/entry/heartbeat_rate.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-// A standby has little to report.
+// Standbys have little to report, so they write less often.
 constexpr int kStandbyPeriodFactor = 4;
-// Requests that wait for a claim share one. Short compared with the latency
-// objective of 250 ms.
+// Requests that arrive within this time share one claim. The delay is short
+// compared with the latency objective of 250 ms.
 constexpr core::Duration kMinExpeditedDelay{30'000};
 // Share of the fleet's store writes that heartbeats may use.
 constexpr double kHeartbeatShareOfWrites = 0.4;
--- a/src/entry/member_list.cc
+++ b/src/entry/member_list.cc
@@ -11,21 +11,23 @@
 namespace {
 
 // A longer time between two calls means that this process was paused or cut
-// off. It says nothing about other routers.
+// off. Such a step does not count as silence of other routers.
 constexpr core::Duration kMaxStep{1'000'000};
-// Room for bursts and for the load of routers that fail.
+// Factor on the load that leaves room for bursts and for the load of routers
+// that fail.
 constexpr double kLoadHeadroom = 1.5;
 // The required capacity grows at once and shrinks by this factor per step, so
 // that short changes of the load do not make routers switch between active and
 // standby.
 constexpr double kCapacityDecay = 0.99;
-// The next standbys have the capacity of the active routers.
+// Factor on the requirements that also selects the next standbys, which have as
+// much capacity as the active routers.
 constexpr size_t kNextStandbysFactor = 2;
 // If all other routers are silent, they count as dead only after this many
 // times the silence time of one.
 constexpr int kAllSilentFactor = 3;
-// With one other router, its silence cannot be told from the silence of all
-// others.
+// With only one other router, its silence cannot be distinguished from the
+// silence of all others.
 constexpr size_t kMaxAmbiguousMembers = 2;
 
 }  // namespace
@@ -85,9 +87,9 @@
 // heartbeats in time, all seem to be dead at once. Each router would then
 // consider itself the only one, and a weak VM would receive all callers. A
 // heartbeat of any other router, or this router's own heartbeat read back,
-// shows that the log works, so the silent routers are dead. (Without counting
-// its own, the last router of a fleet would keep announcing dead ones.) If
-// there is none for long, all others are considered dead.
+// shows that the log works, so the silent routers are dead. (If its own did not
+// count, the last router of a fleet would keep announcing dead ones.) If no
+// heartbeat is read for long, all others are considered dead.
 void MemberList::DropSilent() {
   const core::Duration shortest = ShortestSilence();
   const bool all_silent =
--- a/src/entry/peer_contact.cc
+++ b/src/entry/peer_contact.cc
@@ -39,10 +39,10 @@
   return now - found->second.heard < m_retention && HearsAny(now);
 }
 
-// If all routers lose the store at once, each still has earlier reports of the
-// others that they reach it. Callers sent to them were refused again at once,
-// about a hundred per partition. A router notices the loss of the store after
-// 0.9 s at the earliest, and by then such a report has expired.
+// If all routers lose the store at once, each still has earlier reports in
+// which the others state that they reach it. Callers sent to them were refused
+// again at once, about a hundred per partition. A router notices the loss of
+// the store after 0.9 s at the earliest, and by then such a report has expired.
 uint32_t PeerContact::CountReachingStore(core::TimePoint now) const {
   uint32_t count = 0;
   for (const auto& [router, peer] : m_peers) {
--- a/src/entry/placement.cc
+++ b/src/entry/placement.cc
@@ -17,7 +17,7 @@
          query.exclude.end();
 }
 
-// Median, as the typical value for the current workload.
+// The median latency per cost is the typical value for the current workload.
 double MedianLatency(const std::vector<UpstreamRef>& upstreams) {
   std::vector<double> known;
   for (const UpstreamRef& upstream : upstreams) {
@@ -162,8 +162,8 @@
     if (trust > required_trust || Excluded(query, upstream->entry.id)) {
       continue;
     }
-    // Also excluded as the last resort: a closed upstream would spend its time
-    // on rejecting requests.
+    // An upstream whose gate is closed is not used even as the last resort: it
+    // would spend its time on rejecting requests.
     if (m_gate.StateOf(*upstream, now) != GateState::kOpen) {
       continue;
     }
--- a/src/entry/ranked_demand.cc
+++ b/src/entry/ranked_demand.cc
@@ -2,9 +2,9 @@
 
 namespace coppervalve::entry {
 
-// If urgent requests are most of the demand, the little that others use cannot
-// save them: reserving it would serve few urgent requests and refuse all
-// others.
+// If urgent requests are most of the demand, the few tokens of the other
+// requests cannot cover it: reserving them would serve few more urgent requests
+// and refuse all others.
 double RankedDemand::MoreUrgentPerSecond(uint8_t rank,
                                          double max_share,
                                          core::TimePoint now) const {
--- a/src/entry/read_plan.cc
+++ b/src/entry/read_plan.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr uint32_t kMaxDoublings = 4;
-// A refusal comes at once. If no answer came for longer than this, the reader
-// was cut off or the store is far behind.
+// A refusal by the store arrives at once. If no answer came for longer than
+// this, the reader was cut off or the store is far behind.
 constexpr core::Duration kMaxSilence{1'500'000};
 // A store that refuses a call, even a slow one, answers sooner than this.
 constexpr core::Duration kMaxRefusalTime{350'000};
@@ -96,8 +96,9 @@
 
 // Without jitter all routers would retry at the same moments when the store
 // returns, and be rejected together. The backoff grows while the store refuses
-// calls. A call without any answer was already a long enough wait, and a router
-// that keeps waiting after a partition refuses callers for as long.
+// calls. It does not grow after calls that got no answer: each of them has
+// already taken long enough, and a router that still waits after a partition
+// refuses callers meanwhile.
 ReadStep ReadPlan::OnFailure(double jitter,
                              core::TimePoint started_at,
                              core::TimePoint now) {
--- a/src/entry/retry_budget_share.cc
+++ b/src/entry/retry_budget_share.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Safety margin: the clocks of the routers and of the observer differ, and
-// changes in the number of routers are noticed late.
+// Safety margin: the clocks of the routers and of the process that checks the
+// bound differ, and changes in the number of routers are noticed late.
 constexpr double kSafetyFactor = 0.8;
 
 void DropBefore(std::deque<core::TimePoint>& times, core::TimePoint start) {
--- a/src/entry/shedding.cc
+++ b/src/entry/shedding.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Shortest retry delay; sooner than this nothing has changed.
+// Minimum retry delay: the load does not change noticeably in less time.
 constexpr core::Duration kMinRetryDelay{200'000};
 
 }  // namespace
@@ -27,7 +27,7 @@
   if (draw >= refused) {
     return std::nullopt;
   }
-  // By then the queued work is done.
+  // The work that is queued now is done after this time.
   return std::max(backlog.wait, kMinRetryDelay);
 }
 
--- a/src/entry/upstream_directory.cc
+++ b/src/entry/upstream_directory.cc
@@ -94,7 +94,7 @@
   m_announced_leaving[entry.id] = entry.born;
 }
 
-// While the store is unavailable, the record still says that the upstream is
+// While the store is unavailable, the record still states that the upstream is
 // ready, and records older than the announcement may be read afterwards.
 bool UpstreamDirectory::HasAnnouncedLeaving(const UpstreamEntry& entry) {
   const auto announced = m_announced_leaving.find(entry.id);
@@ -126,8 +126,9 @@
   if (known && known != upstream) {
     return false;  // another start has the id now
   }
-  // Also remembered if the record already said so or was removed: an older
-  // record of this start that says it is ready may follow.
+  // The announcement is remembered even if the record already states it or was
+  // removed: an older record of this start, which still states that it is
+  // ready, may be read afterwards.
   RememberLeaving(upstream->entry);
   if (!known || upstream->entry.leaving) {
     return false;
@@ -204,9 +205,9 @@
   return first;
 }
 
-// The state of an earlier start would mislead after a restart: cached prefixes
-// that are gone, failures of the earlier start, and requests in progress that
-// ended with it. So each start is a new object.
+// After a restart, the state of the earlier start would cause wrong placements:
+// cached prefixes that are gone, failures of the earlier start, and requests in
+// progress that ended with it. So each start is a new object.
 DirectoryChange UpstreamDirectory::Put(const UpstreamEntry& entry,
                                        core::TimePoint read_at) {
   if (IsOfEarlierStart(entry)) {
@@ -251,8 +252,8 @@
   return restarted ? DirectoryChange::kNewStart : DirectoryChange::kChanged;
 }
 
-// Whoever wrote it, the record replaced the upstream's own, so that its address
-// and whether it still exists are unknown.
+// The record, whoever wrote it, replaced the upstream's own one, so the
+// upstream's address and whether it still exists are unknown.
 DirectoryChange UpstreamDirectory::Drop(const core::UpstreamId& id) {
   if (!m_by_id.contains(id)) {
     return DirectoryChange::kNothing;
@@ -265,9 +266,9 @@
 // The store expires the entries of upstreams without heartbeats, and while the
 // store itself was unavailable it received none. Dropping them all would reject
 // callers with every upstream idle. So an entry that expires around an outage
-// is kept until the upstreams had time to announce themselves again. Those that
-// are alive are back by then, and nothing requires a router to follow what the
-// store said while it was disturbed.
+// is kept until the upstreams had time to announce themselves again. Running
+// upstreams are listed again by then, and no requirement binds a router to what
+// the store reported during a disturbance.
 bool UpstreamDirectory::Remove(const core::UpstreamId& id,
                                const StoreContact& contact,
                                core::TimePoint now) {
--- a/src/entry/upstream_gate.cc
+++ b/src/entry/upstream_gate.cc
@@ -25,9 +25,10 @@
   return warm_up != nullptr && IsCold(upstream.warm_up, *warm_up, now);
 }
 
-// A cold upstream attracts requests by least load, as all its slots are free,
-// and a hot prefix whose owner ended moves to one new owner at once. An
-// upstream that gets more than it can handle while it is cold fails again.
+// Placement by least load prefers a cold upstream, as all its slots are free,
+// and when the owner of a hot prefix terminates, all requests with that prefix
+// move to one new owner at once. An upstream that gets more than it can handle
+// while it is cold fails again.
 GateState UpstreamGate::StateOf(const Upstream& upstream,
                                 core::TimePoint now) const {
   if (m_evacuations.Contains(upstream.entry.failure_domain)) {
--- a/src/entry/upstream_health.cc
+++ b/src/entry/upstream_health.cc
@@ -34,7 +34,8 @@
       m_consecutive_failures = 0;
       return;
     case AttemptOutcome::kDeclined:
-      // Temporarily at capacity, which says nothing about its health.
+      // The upstream is temporarily at capacity, which is no sign of bad
+      // health.
       m_failures = failures;
       AvoidFor(kDeclinedPause, now);
       return;
--- a/src/entry/upstream_senders.cc
+++ b/src/entry/upstream_senders.cc
@@ -39,8 +39,9 @@
   }
 }
 
-// The settling time also outlasts the requests, unknown to this router, that
-// its earlier start sent in the last second.
+// The settle time is also longer than the second that the bound covers, so
+// requests of this router's previous incarnation, which it has no record of, no
+// longer count.
 bool UpstreamSenders::Settled(core::TimePoint now) const {
   return m_sender_since && now - *m_sender_since >= m_options.settle_time;
 }
