--- a/tests/entry/unit-admission.cc
+++ b/tests/entry/unit-admission.cc
@@ -74,8 +74,8 @@
 
 TEST(Admission, a_disconnected_router_gives_no_final_rejection) {
   // A caller with a valid key must not get a final rejection. The key was added
-  // while the router could not reach the store; it has an older configuration
-  // and can't know.
+  // while the router could not reach the store; its configuration is older and
+  // lacks the key.
   view.fresh = false;
   CHECK(Refusal(view, FactsFor("/a/", "key-2")) ==
         core::ErrorId::kConfigurationStale);
--- a/tests/entry/unit-allocation-ledger.cc
+++ b/tests/entry/unit-allocation-ledger.cc
@@ -106,8 +106,9 @@
 }
 
 TEST(AllocationLedger, exhausted_only_if_no_router_can_grant_the_tokens) {
-  // Guards against callers being told that their budget is used up, and giving
-  // up for good, while other routers hold the rest of it unspent.
+  // Guards against a final rejection because of an exhausted budget, after
+  // which callers do not retry, while other routers hold the rest of it
+  // unspent.
   book.OnPeerHeartbeat(kOther, Claim(99'990, 0), At(0));
   WriteAndRead(0);
   CHECK(book.Reserve(kGate, core::Tokens(100), At(0)) ==
@@ -190,8 +191,8 @@
 }
 
 TEST(AllocationLedger, tokens_lost_with_failed_routers_count_as_spent) {
-  // Guards against callers being told to retry for the rest of the day after a
-  // power failure of all VMs, although the tokens can never be granted again.
+  // Guards against retryable errors for the rest of the day after a power
+  // failure of all VMs, although the tokens can never be granted again.
   book.OnPeerHeartbeat(kOther, Claim(0, 0, 95'000), At(0));
   WriteAndRead(0);
   CHECK(book.Reserve(kGate, core::Tokens(6'000), At(0)) ==
@@ -323,8 +324,8 @@
 }
 
 TEST(AllocationLedger, tokens_reserved_by_other_routers_are_unavailable) {
-  // Guards against telling a caller to retry for tokens that running requests
-  // of other routers will use up.
+  // Guards against a retryable error for tokens that running requests of other
+  // routers will use up: the retry is refused again.
   v1::RouterBeat beat = Claim(99'000, 10'000);
   beat.mutable_claims(0)->set_committed(98'000);
   book.OnPeerHeartbeat(kOther, beat, At(0));
--- a/tests/entry/unit-allocation-urgency.cc
+++ b/tests/entry/unit-allocation-urgency.cc
@@ -109,8 +109,8 @@
 // clang-format on
 
 // Guards against refusing urgent callers after a power failure of all VMs until
-// an operator tops up the account, because drafts that can wait used their
-// tokens, one in thirteen of all.
+// an operator tops up the account, because drafts, which can wait, used up the
+// one in thirteen tokens that the urgent callers need.
 TEST(AllocationUrgency, after_a_loss_urgent_requests_are_served_first) {
   SimulatedRouter router(AllocationOptions{}.urgent_ahead);
   ServeAfterLoss(router);
--- a/tests/entry/unit-crash-fleet.cc
+++ b/tests/entry/unit-crash-fleet.cc
@@ -132,7 +132,8 @@
 
 TEST(CrashFleet,
      a_request_that_crashes_upstreams_is_sent_at_most_three_more_times) {
-  // It arrives about once a second at any of seven routers, under new ids.
+  // The request arrives about once a second at any of seven routers, under new
+  // ids.
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const Cost cost = SimulateCopies(seed, kRouters, 1, 1.1);
     CHECK(cost.sends_after <= kMaxSendsAfter);
--- a/tests/entry/unit-member-list.cc
+++ b/tests/entry/unit-member-list.cc
@@ -48,8 +48,8 @@
 
 TEST(MemberList, a_router_without_the_store_keeps_the_list) {
   // Guards against a partitioned router announcing only itself and receiving
-  // all callers. It is this router that hears nobody, not the others that are
-  // silent.
+  // all callers. This router receives no heartbeats because it is disconnected,
+  // not because the others are down.
   contact.OnFailure(At(1));
   Pass(0, 9);
   CHECK_EQUAL(2, members.Addresses().size());
@@ -78,7 +78,8 @@
 
 TEST(MemberList, a_router_whose_reports_stopped_is_not_announced) {
   // Guards against callers connecting to a VM that lost power a second ago and
-  // waiting a second each; the missing heartbeats show it two seconds later.
+  // waiting a second each; the missing heartbeats reveal the failure two
+  // seconds later.
   const core::RouterId third("router-3");
   members.OnHeartbeat(third, Beat("10.0.0.3:80", 1), At(0));
   peers.OnReport(core::RouterId("router-2"), true, At(0));
--- a/tests/entry/unit-predecessor-info.cc
+++ b/tests/entry/unit-predecessor-info.cc
@@ -44,7 +44,8 @@
 }
 
 TEST(PredecessorInfo, no_proof_if_the_previous_incarnation_may_be_alive) {
-  // The port could not be bound, so the previous incarnation may be alive.
+  // The port could not be bound, so the previous incarnation may still be
+  // running.
   next.ended_by.reset();
   CHECK_FALSE(ReserveUntouched(last, next));
 }
--- a/tests/entry/unit-shedding.cc
+++ b/tests/entry/unit-shedding.cc
@@ -222,7 +222,8 @@
 TEST(Shedding, at_twice_the_load_half_of_the_callers_are_served_in_time) {
   // Without shedding every request is accepted and waits for more than a
   // second, and is late or its caller leaves, although half of the work could
-  // have been done in time. With shedding it is, and no caller waits in vain.
+  // have been done in time. With shedding that half is done in time, and no
+  // caller waits for a response that comes too late.
   OverloadSimulation before(false, 2.0);
   before.Run(20);
   CHECK(before.small.InTime() < 0.1);
--- a/tests/entry/unit-table-subscription.cc
+++ b/tests/entry/unit-table-subscription.cc
@@ -71,7 +71,7 @@
   const TableCost cost = CostOf(3'000, 300);
   CHECK_FALSE(subscription.Advance(cost, false, At(1)));
   CHECK(subscription.Advance(cost, true, At(2)));
-  // Callers that cached its address still connect.
+  // Callers that cached this router's address still connect.
   CHECK(subscription.Advance(cost, false, At(9)));
   CHECK_FALSE(subscription.Advance(cost, false, At(11)));
 }
--- a/tests/entry/unit-upstream-directory.cc
+++ b/tests/entry/unit-upstream-directory.cc
@@ -29,7 +29,7 @@
 TEST(UpstreamDirectory,
      entries_that_expired_in_an_outage_are_used_until_they_return) {
   // Guards against rejecting callers with every upstream idle. The store is
-  // unavailable for longer than entries live without heartbeats; when it is
+  // unavailable for longer than entries last without heartbeats; when it is
   // back, the expiry of all entries is read first, and the upstreams announce
   // themselves again only a second later.
   contact.OnFailure(At(1));
@@ -55,7 +55,7 @@
   // Guards against sending to an upstream that left. The store was unavailable
   // and returned; an upstream that leaves normally two and a half seconds later
   // must not be taken for an entry that expired in the outage, which would be
-  // used for two more seconds.
+  // used for two more seconds (acuerdo-mx, fresh-994b).
   contact.OnFailure(At(1));
   contact.OnAnswer(At(20));
   CHECK(directory.Remove(one, contact, At(22.6)));
@@ -85,7 +85,8 @@
 TEST(UpstreamDirectory, a_late_timeout_of_a_call_does_not_prolong_the_outage) {
   // Guards against sending to an upstream that left three seconds ago. The
   // store is back and the entry is read as expired; then a call made during the
-  // outage times out, which must not restart the time to return.
+  // outage times out, which must not restart the time to return (acuerdo-mx,
+  // scale-1 --seed 1046941036923).
   contact.OnFailure(At(10));
   contact.OnAnswer(At(20));
   directory.Remove(one, contact, At(20));
@@ -147,7 +148,7 @@
 
 TEST(UpstreamDirectory, a_record_without_an_upstream_removes_the_entry) {
   // Guards against sending to an upstream whose entry was overwritten by
-  // someone else: its address may have been reassigned.
+  // another writer: its address may have been reassigned.
   CHECK(directory.OnRecord(Unreadable("one")) == DirectoryChange::kDropped);
   CHECK(directory.Of(tickets).empty());
   CHECK(directory.OnRecord(Unreadable("never-seen")) ==
@@ -226,7 +227,7 @@
   second.born = 2;
   directory.OnRecord(RecordOf(second));
   CHECK_EQUAL(1, directory.Of(tickets).size());
-  // A late response of the earlier start says nothing about this one.
+  // A late response of the earlier start does not apply to this one.
   CHECK_FALSE(directory.OnLeavingAnnounced(sender));
   CHECK_EQUAL(1, directory.Of(tickets).size());
 }
--- a/tests/entry/unit-upstream-fleet.cc
+++ b/tests/entry/unit-upstream-fleet.cc
@@ -44,8 +44,8 @@
 }
 
 TEST(UpstreamFleet, limits_are_used_and_their_end_is_found) {
-  // Only where the load requires it: in the others, other engines have free
-  // capacity.
+  // Checked only in scenarios whose load requires the limited engines: in the
+  // others, the remaining engines have free capacity.
   for (const NamedScenario& one : LimitScenarios()) {
     if (one.scenario.limited < 60) {
       continue;
--- a/tests/entry/unit-upstream-gate.cc
+++ b/tests/entry/unit-upstream-gate.cc
@@ -78,7 +78,8 @@
 }
 
 TEST(UpstreamGate, the_age_of_a_record_is_added_to_its_warm_up_time) {
-  // Read 0.8 s late, the remaining time as of the write still counts in full.
+  // The record is read 0.8 s late. The remaining warm-up time that it states
+  // counts in full from then on.
   Put("old", 4, 2.5);
   const Upstream& upstream = *directory.Find(core::UpstreamId("old"));
   CHECK(gate.CountsAsCold(upstream, At(6.4)));
@@ -94,7 +95,7 @@
 }
 
 TEST(UpstreamGate, an_unreachable_upstream_may_have_restarted) {
-  // It restarts under its old id, and its new record is not read yet.
+  // The upstream restarts under its old id, and its new record is not read yet.
   Upstream& upstream = *directory.Find(core::UpstreamId("old"));
   gate.OnOutcome(upstream, AttemptOutcome::kUnreachable, At(5));
   CHECK(gate.CountsAsCold(upstream, At(7.9)));
@@ -136,8 +137,8 @@
 }
 
 TEST(UpstreamGate, a_new_sender_waits) {
-  // Its previous start may have sent requests, and the other routers don't know
-  // of it yet.
+  // The previous incarnation of this router may have sent requests, and the
+  // other routers don't know of the new one yet.
   UpstreamSenders later(members, {});
   later.Advance(At(4));
   const UpstreamRef fresh = Put("new", 4);
--- a/tests/entry/upstream_fleet.cc
+++ b/tests/entry/upstream_fleet.cc
@@ -340,7 +340,7 @@
   void Read(RouterVm& vm) {
     RouterState& state = *vm.state;
     const double until = m_now - vm.read_delay;
-    // The first read returns the full list; earlier records are not changes.
+    // The first read returns the full list; its records are not changes.
     const bool listing = state.records_read == 0;
     std::vector<UpstreamRecord> listed;
     for (; state.records_read < m_records.size() &&
--- a/tests/entry/upstream_fleet.h
+++ b/tests/entry/upstream_fleet.h
@@ -22,19 +22,21 @@
   WarmUpOptions warm_up;
   LimitOptions limits;
   PlacementOptions placement;
-  uint32_t limited = 0;      ///< of 60 engines send a limit from 0 s to 12 s
+  /// Number of engines, of 60, that send a limit from 0 s to 12 s.
+  uint32_t limited = 0;
   double per_second = 2;     ///< that limit
   bool many_active = false;  ///< callers use most routers, not a few
-  uint32_t back_cold = 48;  ///< of 60; they terminate at 3 s and restart at 6 s
+  /// Number of engines, of 60, that terminate at 3 s and restart cold at 6 s.
+  uint32_t back_cold = 48;
   /// The engines become cold without a restart.
   bool in_place = false;
   double hot_share = 0.3;  ///< share of requests with one common prefix
   double load_factor = 1;  ///< factor on the load from 5 s on
-  double disconnected_share =
-      0;  ///< share of routers disconnected from the store and each other
+  /// Share of routers disconnected from the store and from each other.
+  double disconnected_share = 0;
   double disconnect_at = 4;
-  double killed_share =
-      0;  ///< share of routers down at a random time, for 0.7 s
+  /// Share of routers down from a random time on, for 0.7 s.
+  double killed_share = 0;
 };
 
 /// @brief Results for callers and upstreams from 3 s to 12 s, and until 20 s
@@ -53,8 +55,9 @@
   double end_known_after = 0;
 };
 
-/// @brief Runs the scenario with the seeds 1, 2, 3...; returns the maximum for
-/// the busiest second and the limits, and sums of the rest.
+/// @brief Runs the scenario with the seeds 1, 2, 3...
+/// @return the maxima of `max_in_a_second`, `limit_used` and `end_known_after`,
+/// the mean of `limit_utilisation`, and the sums of the rest
 FleetOutcome SimulateFleet(FleetScenario scenario, uint64_t seeds);
 
 /// @brief A scenario and its distinguishing difficulty.
