--- a/bench/losses/main.cc
+++ b/bench/losses/main.cc
@@ -30,10 +30,10 @@
 /// as requests without tokens are served in any case.
 struct BoundedSchedule {
   Schedule schedule;
-  /// Minimum of the requests in the last five seconds. Service counts as
-  /// restored if a quarter is served.
+  /// Minimum share of the requests of the last five seconds that is served.
+  /// Service counts as restored if a quarter is served.
   double late_served_per_thousand = 250;
-  /// Maximum of the totals lost with crashed routers.
+  /// Maximum share of the totals that is lost with crashed routers.
   double stranded_per_thousand = 0;
 };
 
