--- a/include/coppervalve/entry/member_list.h
+++ b/include/coppervalve/entry/member_list.h
@@ -23,7 +23,7 @@
 class MemberList {
  public:
   /// @param silence time without a heartbeat after which a router counts as
-  /// dead, while the store is readable
+  /// failed, while the store is readable
   /// @param least_active minimum number of active routers, if there are as many
   MemberList(core::RouterId self,
              core::Duration silence,
@@ -53,7 +53,7 @@
   /// @return whether this router is active, or would be if twice the capacity
   /// and number of routers were needed
   bool SelfActiveOrNext() const { return m_self_active_or_next; }
-  /// @return the highest number of upstreams that a live router knows
+  /// @return the highest number of upstreams in the directory of a live router
   size_t MaxUpstreamCount() const;
   /// @return number of active routers that rendezvous hashing prefers to this
   /// one for a key. Routers with the same list agree on the ranks without
--- a/include/coppervalve/entry/predecessor_info.h
+++ b/include/coppervalve/entry/predecessor_info.h
@@ -9,7 +9,7 @@
 
 namespace coppervalve::entry {
 
-/// @brief What a router knows about its previous incarnation.
+/// @brief Facts about a router's previous incarnation.
 struct PredecessorInfo {
   std::string boot;  ///< boot ID of the VM; empty if unknown
   /// A time of the VM's clock by which the previous incarnation had certainly
--- a/include/coppervalve/entry/upstream_directory.h
+++ b/include/coppervalve/entry/upstream_directory.h
@@ -120,7 +120,7 @@
                          core::TimePoint now);
 
   /// @brief An upstream announced in a response that it is leaving. Applies to
-  /// this start, whatever its record says later.
+  /// this start, whatever its record states later.
   /// @return whether that is new
   bool OnLeavingAnnounced(const UpstreamRef& upstream);
   /// @brief An upstream sent a limit in a response, or none. Applies to this
--- a/include/coppervalve/entry/upstream_senders.h
+++ b/include/coppervalve/entry/upstream_senders.h
@@ -20,15 +20,16 @@
 /// @brief Constants of how the bound is divided.
 struct WarmUpOptions {
   bool enforce = true;  ///< false: cold upstreams are treated like warm ones
-  /// Every live router has an equal share, not only those that callers are
-  /// directed to.
+  /// Whether every live router has an equal share, not only those that callers
+  /// are directed to.
   bool all_live = false;
   /// Part of the bound that is allocated. The rest is a margin: routers with
   /// different member lists select different senders, so more routers than
   /// planned may send.
   double allocated_share = 0.5;
   double max_senders = 6;
-  /// How long a new sender waits until the other routers know of it.
+  /// How long a new sender waits, until the member lists of the other routers
+  /// include it.
   core::Duration settle_time{2'000'000};
   /// How long a number of routers remains in effect after it decreased, as some
   /// routers still assume it.
@@ -55,7 +56,7 @@
 };
 
 /// @brief Determines which routers may send to an upstream of limited capacity,
-/// as far as this router knows.
+/// according to this router's member list.
 ///
 /// No message reports to a router what others send. So a part of the bound is
 /// divided among few routers, which all routers determine alike as far as their
--- a/src/entry/member_list.cc
+++ b/src/entry/member_list.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-// A longer time between two calls means that this process was paused or cut
-// off. Such a step does not count as silence of other routers.
+// A longer time between two calls means that this process was paused or
+// disconnected. Such a step does not count as silence of other routers.
 constexpr core::Duration kMaxStep{1'000'000};
 // Factor on the load that leaves room for bursts and for the load of routers
 // that fail.
@@ -23,7 +23,7 @@
 // Factor on the requirements that also selects the next standbys, which have as
 // much capacity as the active routers.
 constexpr size_t kNextStandbysFactor = 2;
-// If all other routers are silent, they count as dead only after this many
+// If all other routers are silent, they count as failed only after this many
 // times the silence time of one.
 constexpr int kAllSilentFactor = 3;
 // With only one other router, its silence cannot be distinguished from the
@@ -84,12 +84,12 @@
 }
 
 // If hundreds of routers cannot write, or this router cannot read their
-// heartbeats in time, all seem to be dead at once. Each router would then
+// heartbeats in time, all seem to have failed at once. Each router would then
 // consider itself the only one, and a weak VM would receive all callers. A
 // heartbeat of any other router, or this router's own heartbeat read back,
-// shows that the log works, so the silent routers are dead. (If its own did not
-// count, the last router of a fleet would keep announcing dead ones.) If no
-// heartbeat is read for long, all others are considered dead.
+// shows that the log works, so the silent routers have failed. (If its own did
+// not count, the last router of a fleet would keep announcing failed ones.) If
+// no heartbeat is read for long, all others are considered failed.
 void MemberList::DropSilent() {
   const core::Duration shortest = ShortestSilence();
   const bool all_silent =
--- a/src/entry/peer_contact.cc
+++ b/src/entry/peer_contact.cc
@@ -53,8 +53,8 @@
 }
 
 // A caller picks an active router at random. If only a few of them report that
-// they reach the store, the others are cut off like this router and would
-// refuse the caller again.
+// they reach the store, the others are disconnected from it like this router
+// and would refuse the caller again.
 bool PeerContact::OthersReachStore(uint32_t active, core::TimePoint now) const {
   return CountReachingStore(now) * kMajorityFactor > active;
 }
--- a/src/entry/read_plan.cc
+++ b/src/entry/read_plan.cc
@@ -8,7 +8,7 @@
 
 constexpr uint32_t kMaxDoublings = 4;
 // A refusal by the store arrives at once. If no answer came for longer than
-// this, the reader was cut off or the store is far behind.
+// this, the reader was disconnected or the store is far behind.
 constexpr core::Duration kMaxSilence{1'500'000};
 // A store that refuses a call, even a slow one, answers sooner than this.
 constexpr core::Duration kMaxRefusalTime{350'000};
--- a/src/entry/warm_up.cc
+++ b/src/entry/warm_up.cc
@@ -25,8 +25,8 @@
 }
 
 // The record of a start may be late, or missing while the store is unavailable.
-// So every start that this router observes counts, whatever the record says. An
-// unreachable upstream counts as cold for as long as after a start only:
+// So every start that this router observes counts, whatever the record states.
+// An unreachable upstream counts as cold for as long as after a start only:
 // otherwise routers that are not its senders would never send to it again and
 // never learn that it recovered.
 bool IsCold(const WarmUpState& state,
