--- a/tests/entry/unit-active-set.cc
+++ b/tests/entry/unit-active-set.cc
@@ -76,7 +76,7 @@
 }
 
 TEST(ActiveSet, the_order_of_the_candidates_does_not_matter) {
-  // Routers with different selections would send callers back and forth.
+  // Routers with different selections would redirect callers back and forth.
   std::vector<Candidate> reversed = Fleet();
   std::reverse(reversed.begin(), reversed.end());
   CHECK(Chosen(Fleet(), 700) == Chosen(reversed, 700));
--- a/tests/entry/unit-allocation-history.cc
+++ b/tests/entry/unit-allocation-history.cc
@@ -21,8 +21,8 @@
 constexpr int64_t kTotal = 1'000'000;
 constexpr double kHeartbeatPeriod = 0.5;  // seconds
 
-/// A fleet of one router that loses power repeatedly. A new incarnation knows
-/// only its last record.
+/// A fleet of one router that loses power repeatedly. The last record is all
+/// that a new incarnation has of the previous ones.
 struct OneRouter {
   AllocationLedger book{AllocationOptions{}};
   v1::RouterBeat last;
--- a/tests/entry/unit-member-list.cc
+++ b/tests/entry/unit-member-list.cc
@@ -111,13 +111,13 @@
 
 TEST(MemberList, a_fleet_that_cannot_write_does_not_count_as_dead) {
   // The store refuses all writes for some seconds, or this router reads too
-  // slowly to see any. Guards against each router considering all others dead,
-  // so that a weak standby receives all callers.
+  // slowly to see any. Guards against each router considering all others
+  // failed, so that a weak standby receives all callers.
   members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 1),
                       At(0));
   Pass(0, 6);
   CHECK_EQUAL(3, members.Addresses().size());
-  // A heartbeat of one router shows that the other one is dead.
+  // A heartbeat of one router shows that the other one has failed.
   members.OnHeartbeat(core::RouterId("router-3"), Beat("10.0.0.3:80", 2),
                       At(6));
   Pass(6.2, 6.4);
--- a/tests/entry/unit-peer-contact.cc
+++ b/tests/entry/unit-peer-contact.cc
@@ -60,9 +60,9 @@
 }
 
 TEST(PeerContact, others_reach_the_store_only_if_a_majority_does) {
-  // All but one of eight active routers are cut off from the store. Callers
-  // directed to the other routers would retry at once and be refused seven
-  // times in eight.
+  // All but one of eight active routers are disconnected from the store.
+  // Callers directed to the other routers would retry at once and be refused
+  // seven times in eight.
   peers.OnReport(kTwo, true, At(0));
   CHECK_FALSE(peers.OthersReachStore(8, At(0.1)));
   peers.OnReport(kThree, true, At(0));
--- a/tests/entry/unit-upstream-directory.cc
+++ b/tests/entry/unit-upstream-directory.cc
@@ -140,7 +140,8 @@
   CHECK(directory.OnRecord(RecordOf(late)) == DirectoryChange::kNothing);
   CHECK_EQUAL(1, directory.Of(tickets).size());
   CHECK(directory.Find(one)->entry.address == "10.0.0.1:80");
-  // Also after the later start is gone for good.
+  // The late record changes nothing after the later start is gone for good,
+  // either.
   CHECK(directory.Remove(one, contact, At(10)));
   CHECK(directory.OnRecord(RecordOf(late)) == DirectoryChange::kNothing);
   CHECK(directory.Of(tickets).empty());
@@ -158,7 +159,7 @@
 }
 
 TEST(UpstreamDirectory, a_list_drops_unreadable_entries_and_keeps_the_rest) {
-  // Right after an outage, when expired entries are kept.
+  // The list is read right after an outage, when expired entries are kept.
   directory.OnRecord(RecordOf(EntryOf("two")));
   contact.OnFailure(At(1));
   contact.OnAnswer(At(20));
@@ -199,8 +200,9 @@
 
 TEST(UpstreamDirectory,
      an_announced_leave_is_kept_if_the_record_said_so_before) {
-  // The record says that it is leaving; the store is unavailable, and the first
-  // record read afterwards is an older one, in which it is ready.
+  // The record states that the upstream is leaving; then the store is
+  // unavailable, and the first record read afterwards is an older one, in which
+  // the upstream is ready.
   UpstreamEntry leaving = EntryOf("one");
   leaving.leaving = true;
   directory.OnRecord(RecordOf(leaving));
--- a/tests/entry/unit-upstream-gate.cc
+++ b/tests/entry/unit-upstream-gate.cc
@@ -138,7 +138,7 @@
 
 TEST(UpstreamGate, a_new_sender_waits) {
   // The previous incarnation of this router may have sent requests, and the
-  // other routers don't know of the new one yet.
+  // member lists of the other routers do not include the new one yet.
   UpstreamSenders later(members, {});
   later.Advance(At(4));
   const UpstreamRef fresh = Put("new", 4);
