--- a/include/coppervalve/gateway/crash_monitor.h
+++ b/include/coppervalve/gateway/crash_monitor.h
@@ -17,7 +17,7 @@
 class CrashMonitor {
  public:
   struct Hooks {
-    /// The record changed; other routers should be told soon.
+    /// Called when the record changes, so that the change is published soon.
     std::function<void()> on_change;
   };
 
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -56,7 +56,7 @@
   std::function<entry::ConfigurationView()> configuration;
   /// Requests a higher ceiling; calls the handler when it is granted.
   std::function<void(std::function<void()> on_grant)> wait_for_grant;
-  /// Asks other routers for tokens. @return false if there is none to ask
+  /// Requests tokens from other routers. @return false if no request was made
   std::function<
       bool(const core::AccountId&, core::Tokens, std::function<void()> on_done)>
       borrow;
@@ -65,7 +65,7 @@
   std::function<std::optional<core::Duration>()> time_until_shutdown;
   /// Whether this router currently reads the table of upstreams.
   std::function<bool()> has_upstream_table;
-  /// Asks routers that read the table to place a request.
+  /// Requests a placement from routers that read the table.
   std::function<void(const entry::PlacementQuery&,
                      std::function<void(const entry::Placement&)> on_placement)>
       request_placement;
@@ -178,7 +178,7 @@
   core::Tokens m_reserved{};
   bool m_from_transfer = false;  ///< reserved from tokens of other routers
   bool m_borrowing = false;
-  bool m_borrowed = false;  ///< other routers were asked once
+  bool m_borrowed = false;  ///< tokens were requested from other routers
   std::optional<core::TimePoint> m_waiting_since;
   std::optional<core::TimePoint> m_wait_until;
   std::optional<Attempt> m_attempt;
--- a/include/coppervalve/gateway/gateway.h
+++ b/include/coppervalve/gateway/gateway.h
@@ -212,9 +212,10 @@
   v1::RouterBeat m_own_record;  ///< newest one of an earlier start
   /// No earlier start can write at or after this offset.
   std::optional<uint64_t> m_epoch_log_end;
-  /// Longest time for which an evacuation can have been unknown to this router.
+  /// Longest possible delay between the start of an evacuation and its receipt
+  /// by this router.
   core::Duration m_evacuation_known_within{};
-  /// All heartbeat records before this offset are known.
+  /// All heartbeat records before this offset have been read.
   uint64_t m_heartbeats_read_to = 0;
   bool m_upstreams_known = false;
   bool m_first_heartbeat_read = false;
--- a/include/coppervalve/gateway/gateway_metrics.h
+++ b/include/coppervalve/gateway/gateway_metrics.h
@@ -28,10 +28,11 @@
   uint64_t quarantined_requests = 0;  ///< identified by their content
   bool follows_upstreams = true;      ///< whether this router reads their table
   uint64_t evacuated_domains = 0;
-  uint64_t limited_upstreams = 0;  ///< known to declare a limit
-  /// Longest time for which an evacuation can have been unknown to this router.
+  uint64_t limited_upstreams = 0;  ///< with a declared rate limit
+  /// Longest possible delay between the start of an evacuation and its receipt
+  /// by this router.
   core::Duration evacuation_known_within{};
-  double held_ahead = 1;  ///< relative to a fleet without losses or outages
+  double held_ahead = 1;  ///< AllocationLedger::HoldFactor()
 };
 
 /// @brief Metrics of a router, documented in docs/OPERATIONS.md.
--- a/include/coppervalve/gateway/placement_client.h
+++ b/include/coppervalve/gateway/placement_client.h
@@ -16,7 +16,7 @@
 
 namespace coppervalve::gateway {
 
-/// @brief Asks routers that follow the upstream table to place a request.
+/// @brief Requests placements from routers that follow the upstream table.
 ///
 /// A standby router of a large fleet does not follow the table, and what it
 /// read earlier may name upstreams that have left. A reply is as current as the
@@ -28,7 +28,7 @@
     std::function<std::vector<std::string>()> peers;
     std::function<void(const std::string& address, const v1::PlaceAsk&)> send;
   };
-  /// @param placement has no upstream when no router named one
+  /// @param placement has no upstream if no router chose one
   using PlacementCallback =
       std::function<void(const entry::Placement& placement)>;
 
--- a/include/coppervalve/gateway/platform_adapter.h
+++ b/include/coppervalve/gateway/platform_adapter.h
@@ -31,21 +31,21 @@
   std::string resume_after;
 };
 
-/// @brief What the response of an upstream says about itself and its sender.
+/// @brief Information in the response headers of an upstream.
 struct UpstreamResponseInfo {
   std::string request_id;  ///< as echoed; empty if it was not
   bool not_run = false;
   bool misdirected = false;  ///< the address now belongs to another upstream
   bool genuine = true;       ///< may be forwarded as a success
   bool leaving = false;      ///< the upstream accepts no new requests
-  /// The upstream was too busy for the request and accepts no other for this
-  /// long.
+  /// The upstream was too busy to run the request and accepts no further ones
+  /// for this long.
   std::optional<core::Duration> retry_after;
   /// Requests per second that the upstream accepts from all routers together.
   std::optional<double> limit;
   /// The response declares a limit that cannot be parsed.
   bool limit_malformed = false;
-  /// Names of headers that the adapter does not know.
+  /// Names of headers that the adapter does not interpret.
   std::vector<std::string> unknown_headers;
 };
 
--- a/include/coppervalve/gateway/token_requester.h
+++ b/include/coppervalve/gateway/token_requester.h
@@ -45,7 +45,8 @@
 
   /// @param on_done called when tokens have arrived or none will; never called
   /// from within this call
-  /// @return false when there is no router to ask
+  /// @return false if nothing was requested: no router may have tokens to
+  /// spare, replies cannot be received, or a recent request got no reply
   bool RequestTokens(const core::AccountId& account,
                      core::Tokens tokens,
                      std::function<void()> on_done);
@@ -55,7 +56,7 @@
   struct PendingRequest {
     core::Tokens min_tokens{};
     std::vector<std::string> donors;
-    size_t next_donor = 0;    ///< index of the next donor to ask
+    size_t next_donor = 0;    ///< index of the next donor to contact
     uint64_t message_id = 0;  ///< id of the message sent last
     std::vector<std::function<void()>> callbacks;
     std::shared_ptr<boost::asio::steady_timer> timer;
--- a/include/coppervalve/gateway/topic_follower.h
+++ b/include/coppervalve/gateway/topic_follower.h
@@ -32,7 +32,7 @@
   struct Hooks {
     std::function<void(const std::vector<KeyedRecord>&)> on_newest;
     std::function<void(const KeyedRecord&)> on_record;
-    /// A batch was delivered; all records before `next` are known.
+    /// A batch was delivered; all records before `next` have been read.
     std::function<void(uint64_t next)> on_read;
     /// @param began start time of the failed call
     std::function<void(const core::Error&, core::TimePoint began)> on_failure;
--- a/include/coppervalve/gateway/unknown_headers.h
+++ b/include/coppervalve/gateway/unknown_headers.h
@@ -8,12 +8,12 @@
 namespace coppervalve::gateway {
 
 /// @brief Names of response headers from upstreams that the router does not
-/// interpret. Each is logged once, since a new header may carry a request to
-/// the routers.
+/// interpret. Each is logged once, since a new header may require routers to
+/// act on it.
 class UnknownHeaders {
  public:
-  /// @return whether the name is seen for the first time; always false once
-  /// kMaxNames names are known
+  /// @return whether the name is new, in which case it is recorded; always
+  /// false once kMaxNames names are recorded
   bool IsNew(const std::string& name) {
     return m_names.size() < kMaxNames && m_names.insert(name).second;
   }
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -17,7 +17,8 @@
 // is gone costs a connection attempt.
 constexpr uint32_t kMaxPlacements = 6;
 constexpr core::Duration kMaxGrantWait{400'000};
-// Upper limit of the stated delay: another router may have capacity sooner.
+// Upper limit of the Retry-After of a rate-limited request, before jitter:
+// another router may have capacity sooner.
 constexpr core::Duration kMaxRateLimitWait{1'000'000};
 constexpr int64_t kMicrosPerMilli = 1'000;
 
@@ -76,7 +77,7 @@
   }
   m_facts = core::Value(facts);
   // A request that waited long to be read may be read together with the end of
-  // its connection. Its response would reach nobody.
+  // its connection. Its response could not be delivered.
   if (m_caller->HasDisconnected()) {
     OnCallerDisconnected();
     return;
@@ -249,8 +250,8 @@
   }
 }
 
-// The load reports of peers tell whether they reach the store. If they do while
-// this router does not, they can raise their ceilings and serve its callers.
+// The load reports of peers state whether they can reach the store. If they can
+// while this router can't, they can raise their ceilings and serve its callers.
 // Without such reports the stated delay is the time until held-back tokens
 // become spendable, or else the expected length of a store outage.
 void Exchange::RefuseForLackOfTokens(core::TimePoint now) {
@@ -377,7 +378,8 @@
   }
   if (service != nullptr && service->max_connections != 0) {
     // The upstream resets connections beyond its limit, which all routers
-    // share. A fifth of it stays free for routers that are not known yet.
+    // share. A fifth of it is left for routers whose heartbeats have not been
+    // read yet.
     const uint32_t share =
         service->max_connections * 4 / 5 / m_context.members.ActiveCount();
     query.connection_bound = std::max(share, 2U);
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -379,7 +379,8 @@
       TimeLeft() <= core::Duration::zero()) {
     return false;
   }
-  // A request that crashes upstreams must not crash two of them per arrival.
+  // A request that crashes upstreams must not crash a second one before its
+  // caller sends it again.
   if (CurrentQuarantineState() != entry::QuarantineState::kClear) {
     return false;
   }
--- a/src/gateway/exchange_quarantine.cc
+++ b/src/gateway/exchange_quarantine.cc
@@ -23,8 +23,8 @@
   return *m_fingerprint;
 }
 
-// Hardly any request is in the crash record. A cheap hash rules out most of the
-// others, so that the strong hash of their bodies is not needed.
+// Hardly any request is in the crash record. A cheap hash is enough to rule out
+// most requests, so that the strong hash of their bodies is not needed.
 bool Exchange::MayHaveCrashedUpstreams() const {
   const entry::CrashRecord& record = m_context.crash_monitor.record();
   return !record.empty() && record.MayContain(entry::QuickHashOf(Content()));
--- a/src/gateway/exchange_signals.cc
+++ b/src/gateway/exchange_signals.cc
@@ -6,8 +6,9 @@
 
 namespace coppervalve::gateway {
 
-// The upstream's record in the store states the same later, and not at all
-// while the store is unreachable.
+// Response headers are the earliest source of this state: the upstream's record
+// in the store states the same later, and cannot be read while the store is
+// unreachable.
 void Exchange::HandleUpstreamSignals() {
   const UpstreamResponseInfo& answer = m_attempt->answer;
   const entry::UpstreamRef sender =
--- a/src/gateway/gateway_heartbeats.cc
+++ b/src/gateway/gateway_heartbeats.cc
@@ -1,4 +1,4 @@
-// Writes the heartbeats of this router and processes those of others.
+// Writes the heartbeats of this router and processes those of other routers.
 #include <algorithm>  // max, min
 #include <cmath>      // abs, lround
 #include <utility>    // move, exchange
@@ -13,8 +13,8 @@
 
 namespace {
 
-// A third of the measured capacity of a core and of a link, which leaves room
-// for bursts.
+// Requests per second for the capacity estimate: a third of what a core and a
+// link can handle, which leaves room for bursts.
 constexpr double kRequestsPerCore = 500;
 constexpr double kRequestsPerMegabit = 2.5;
 constexpr double kDefaultCapacity = 1'000;
@@ -191,8 +191,8 @@
   // After a power loss of the whole fleet all routers start at once, and the
   // records show which of them were active. If each claimed as an active
   // router, standbys would take a share from the active ones until their second
-  // claim. The first router of a new fleet finds no others and counts as
-  // active.
+  // claim. The first router of a new fleet finds no records of other routers
+  // and counts as active.
   const bool alone = !m_first_heartbeat_read && m_members.LiveCount() <= 1;
   context.active = m_members.SelfActive() || alone;
   context.leaving = beat.leaving();
@@ -218,7 +218,7 @@
 
 // A successor can tell that this process has ended only if the process holds
 // the VM's port exclusively. The reserve is held back longer by as much as the
-// heartbeat period exceeds the usual one.
+// heartbeat period exceeds the default.
 void Gateway::SetReserveTimes(v1::RouterBeat& beat, core::TimePoint now) const {
   if (!m_load_port_bound_since || m_boot.empty() ||
       m_policy.book.held_back == core::Duration::zero()) {
--- a/src/gateway/gateway_upstream_table.cc
+++ b/src/gateway/gateway_upstream_table.cc
@@ -14,7 +14,8 @@
 
 void Gateway::UpdateTableReading() {
   entry::TableCost cost;
-  // The size of the fleet is known from the heartbeats of others.
+  // The fleet size is taken from the heartbeats of other routers, which are
+  // listed before the epoch is set.
   cost.known = m_heartbeat_writer->epoch() != 0;
   cost.upstreams = std::max(m_directory.size(), m_members.MaxUpstreamCount());
   cost.routers = m_members.LiveCount();
@@ -53,8 +54,8 @@
       m_io, m_settings.load_address, std::move(hooks), m_random);
 }
 
-// The request that follows counts as sent by this router while the upstream is
-// warming up.
+// While the upstream is warming up, the request that the other router then
+// sends to it counts as sent by this router.
 void Gateway::OnPlaceAsk(const v1::PlaceAsk& ask) {
   const core::TimePoint now = net::BootNow();
   entry::Placement placement;
--- a/src/gateway/peer_messenger.cc
+++ b/src/gateway/peer_messenger.cc
@@ -16,11 +16,12 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr std::chrono::milliseconds kReportInterval{50};
-// Each report goes to at most this many peers in rotation. The traffic of a
-// router thus does not grow with the fleet; only the age of its information
-// does.
+// Each report is sent to at most this many peers, in rotation. The traffic that
+// a router sends and receives thus does not grow with the fleet; only the age
+// of its load information does.
 constexpr size_t kMaxPeersPerReport = 8;
-// An unchanged report is repeated only every so many rounds, as a sign of life.
+// An unchanged report is repeated only every so many rounds, to show peers that
+// this router is still running.
 constexpr uint64_t kUnchangedReportRounds = 6;
 
 }  // namespace
--- a/src/gateway/stream.cc
+++ b/src/gateway/stream.cc
@@ -19,7 +19,7 @@
 
 constexpr size_t kReadChunk = 65'536;
 // TCP_USER_TIMEOUT: the connection ends if sent data stays unacknowledged for
-// this long. It may be dead while new connections work.
+// this long. Such a connection may never recover although new ones work.
 constexpr int kUserTimeoutMs = 3'000;
 constexpr std::chrono::milliseconds kLingerTimeout{1'000};
 
--- a/src/gateway/topic_follower.cc
+++ b/src/gateway/topic_follower.cc
@@ -94,7 +94,8 @@
 }
 
 // Parsing a configuration takes tens of milliseconds on a small VM. When
-// several arrive together, only the newest one is delivered.
+// several arrive together, only the newest one is delivered, since it replaces
+// the earlier ones.
 void TopicFollower::Deliver(const std::vector<KeyedRecord>& records) {
   if (!m_options.plan.newest_only) {
     for (const KeyedRecord& record : records) {
--- a/src/gateway/upstream_connection.cc
+++ b/src/gateway/upstream_connection.cc
@@ -158,8 +158,9 @@
     handlers->on_body(body);
   }
   if (m_active && m_reader->done()) {
-    // If the request was not sent completely, the upstream would read the rest
-    // of it as the next request.
+    // An upstream may respond before it has read the whole request. If the
+    // request was not sent completely, the upstream would read the rest of it
+    // as the next request.
     m_reusable = m_reader->head().keep_alive && m_unread.empty() &&
                  m_stream->unsent() == 0;
     Finish(AttemptEnd::kComplete, {});
--- a/src/gateway/upstream_pool.cc
+++ b/src/gateway/upstream_pool.cc
@@ -24,7 +24,7 @@
                                             core::TimePoint now) {
   std::vector<Idle>& idle = m_idle[upstream.entry.id];
   while (!idle.empty()) {
-    // The most recently used one is the least likely to be closing.
+    // The most recently used connection is the least likely to be closing.
     const Idle last = idle.back();
     if (needs_fresh && now - last.since > last.keep_time / kFreshDivisor) {
       break;
--- a/tests/gateway/fake_store.h
+++ b/tests/gateway/fake_store.h
@@ -29,7 +29,7 @@
 
   bool away = false;       ///< all calls fail as if timed out
   std::string unreadable;  ///< topic whose reads fail as if timed out
-  int lose_replies = 0;    ///< of the next appends, which still take effect
+  int lose_replies = 0;    ///< number of next appends to apply without reply
   int rejected_pages = 0;  ///< number of the next pages to reject
   size_t page_size = 500;
   int appends = 0;       ///< number of calls
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -28,7 +28,7 @@
 /// @brief Service name for which the test dialect rejects an upstream record.
 inline constexpr const char* kInvalidService = "?";
 
-/// @brief An upstream whose responses the test scripts.
+/// @brief An upstream whose responses are set by the test.
 class ScriptedUpstream {
  public:
   using OnRequest =
--- a/tests/gateway/unit-evacuation.cc
+++ b/tests/gateway/unit-evacuation.cc
@@ -53,7 +53,7 @@
 // clang-format on
 
 TEST(Evacuation, upstreams_of_an_evacuated_domain_get_no_request) {
-  // Must hold for kept connections too: both upstreams have one here.
+  // Must hold for pooled connections too: both upstreams have one here.
   router.Start();
   AskOften();
   CHECK(!one.requests.empty() && !two.requests.empty());
--- a/tests/gateway/unit-exchange.cc
+++ b/tests/gateway/unit-exchange.cc
@@ -88,8 +88,8 @@
 
 TEST(Exchange,
      a_request_that_may_have_run_is_not_retried_nor_reported_as_not_run) {
-  // Failure: a seat is held twice, by a retry or by a caller that was told "not
-  // run". The upstream ran the request and its response was lost.
+  // Failure: a seat is held twice, because the router retries or answers "not
+  // run" although the upstream ran the request and its response was lost.
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   ScriptedUpstream& two = router.AddUpstream("two", "hold");
   const auto lose = [](const StreamRef& stream, const std::string&) {
@@ -137,7 +137,8 @@
 
 TEST(Exchange, a_broken_stream_is_resumed_at_another_upstream) {
   // Failure: a caller gets an event twice, or loses the rest of the stream. The
-  // engine dies after two and a half events; another resumes after the second.
+  // engine crashes after two and a half events; another resumes after the
+  // second.
   const auto answer = [](const StreamRef& stream, const std::string& request) {
     if (!Has(request, "X-After")) {
       stream->Send(SignedStreamHead(request) +
@@ -183,9 +184,10 @@
 
 TEST(Exchange,
      no_request_is_sent_for_a_caller_that_disconnected_before_it_was_read) {
-  // Failure: after other routers died, all callers connect to one router, which
-  // reads their requests only after they timed out, together with the ends of
-  // their connections. Forwarded requests would waste engine time and tokens.
+  // Failure: after other routers crashed, all callers connect to one router,
+  // which reads their requests only after they timed out, together with the
+  // ends of their connections. Forwarded requests would waste engine time and
+  // tokens.
   ScriptedUpstream& one = router.AddUpstream("one", "chat");
   router.Start(10'000);
   const auto caller = router.Caller();
@@ -242,8 +244,8 @@
 }
 
 TEST(Exchange, a_caller_is_directed_to_routers_that_reach_the_store) {
-  // Failure: only one router can't reach the store, and its callers are told to
-  // retry after the whole outage although other routers have free tokens.
+  // Failure: only one router can't reach the store, and its Retry-After covers
+  // the whole outage although other routers have free tokens.
   router.settings.load_address = FreeAddress(router.io);
   router.Start(10'000);
   router.store.away = true;
@@ -295,8 +297,9 @@
     }
   };
   serve_all();
-  // A part of the ceiling is spendable only some time after its claim was
-  // written; callers are told when.
+  // A part of the ceiling becomes spendable only some time after its claim was
+  // written, so that a process that restarts sooner can recover it. Refusals
+  // state the delay until then.
   router.io.run_for(std::chrono::milliseconds(2'600));
   serve_all();
   CHECK(served * kEach > ceiling + ceiling / 4);
--- a/tests/gateway/unit-lifecycle.cc
+++ b/tests/gateway/unit-lifecycle.cc
@@ -114,7 +114,7 @@
 TEST(Lifecycle, requests_that_cannot_finish_within_a_drain_are_refused) {
   // A caller that caches addresses for long arrives six seconds after the
   // signal. If its request were accepted, it would be interrupted when the
-  // process ends (seen with acuerdo-mx, mix --seed 466857584921).
+  // process ends (reproduced by acuerdo-mx, mix --seed 466857584921).
   router.settings.grace = std::chrono::seconds(9);
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
@@ -232,7 +232,7 @@
                    CrashedASecondAgo().SerializeAsString());
   router.Start(10'000);
   CHECK_EQUAL(2'000, NewestBeat(router).claims(0).retired());
-  // It reserves part of its own claim in turn.
+  // The new process reserves part of its own claim in turn.
   CHECK(NewestBeat(router).claims(0).reserve() > 0);
   CHECK(NewestBeat(router).boot() == net::BootId());
 }
@@ -275,7 +275,7 @@
 TEST(Lifecycle, claims_after_a_power_loss_depend_on_the_earlier_role) {
   // After a power loss hundreds of routers start at once. If each claimed a
   // share of every account as an active router, the active ones would find no
-  // tokens left until the others return them seconds later.
+  // tokens left until the standbys return them seconds later.
   for (const char* other : {"router-2", "router-3", "router-4"}) {
     v1::RouterBeat beat;
     beat.set_epoch(4);
--- a/tests/gateway/unit-limit.cc
+++ b/tests/gateway/unit-limit.cc
@@ -30,7 +30,7 @@
     });
     return upstream;
   }
-  // @return number of the requests that upstream "one" got
+  // @return number of the requests that upstream "one" received
   size_t AskOften(int count) {
     one.requests.clear();
     for (int i = 0; i < count; ++i) {
