--- a/src/http1/request_reader.cc
+++ b/src/http1/request_reader.cc
@@ -76,7 +76,7 @@
                                           beast::string_view name_text,
                                           beast::string_view value,
                                           beast::error_code& ec) {
-  // Trailers apply to a single connection, and nothing here reads them.
+  // Trailers apply to a single connection, and the router does not use them.
   if (m_head_read) {
     return;
   }
--- a/src/http1/retry_after.cc
+++ b/src/http1/retry_after.cc
@@ -10,7 +10,8 @@
 namespace {
 
 // Caps waits given in a wrong unit, which could exclude an upstream for a day.
-// It is tried again after this time and may repeat its request.
+// The upstream gets requests again after this time, and may send another
+// Retry-After.
 constexpr double kMaxSeconds = 300;
 constexpr double kMicros = 1e6;
 
