--- a/tests/process/test_crashing_request.py
+++ b/tests/process/test_crashing_request.py
@@ -7,7 +7,7 @@
 from tests.soak.http import read_message
 from tests.soak.platform import Platform, Router, run_scenario
 
-# A request that crashed three upstreams is sent to no other.
+# A request that crashed three upstreams is sent to no further upstream.
 _MAX_CRASHES = 3
 _REPEATS = 12
 
@@ -46,7 +46,7 @@
         self.assertLessEqual(len(ended), _MAX_CRASHES, ended)
 
     async def send_crashing(self, platform: Platform, router: Router, number: int) -> int:
-        """Sends the request once and waits until the other routers know the outcome."""
+        """Sends the request once and waits until the outcome reaches the other routers."""
         status, _ = await ask(router.front, request(number, "poison"))
         await asyncio.sleep(1)
         if len(platform.ledger.ended) >= _MAX_CRASHES:
--- a/tests/process/test_cut.py
+++ b/tests/process/test_cut.py
@@ -14,7 +14,7 @@
 class CutTest(FleetTest):
     # The routers cannot reach each other, and router-3 cannot reach the log, while
     # a budget is topped up and a version that refuses all drafts is published. The
-    # other routers apply it at once. router-3 cannot learn of it and must soon stop
+    # other routers apply it at once. router-3 cannot receive it and must soon stop
     # accepting work instead of serving the old version. After the partition heals
     # it applies the version too, and callers get the new rule's refusal everywhere.
     def test_cut_router_refuses_as_stale_and_follows_after_the_cut(self) -> None:
@@ -71,8 +71,8 @@
         self.assertTrue(all(budget_status(r)["reserved"] == 0 for r in routers))
 
     # Two operators publish on top of version 1 at the same moment. One succeeds and
-    # its version applies everywhere; the other is told who won, with exit code 4,
-    # and nothing of its change takes effect.
+    # its version applies everywhere. The other command fails with exit code 4 and
+    # names the operator whose version applies; none of its change takes effect.
     def test_of_two_operators_at_once_one_wins_and_the_other_is_told(self) -> None:
         self.start_upstreams(engines=1)
         routers = self.start_routers()
--- a/tests/process/test_hold.py
+++ b/tests/process/test_hold.py
@@ -15,9 +15,9 @@
         self.routers = self.start_routers()
 
     # The service has run the hold when its connection closes before the answer,
-    # stays silent, or closes within the answer. The caller must be told that the
-    # outcome is unknown, also when it asks again, at this or another router, and
-    # after the service has recovered. The service's records must show that the hold
+    # stays silent, or closes within the answer. Every answer must state that the
+    # outcome is unknown, also when the caller retries, at this or another router,
+    # and after the service has recovered. The service's records must show that the hold
     # ran once.
     def test_hold_bound_to_a_router_never_runs_twice(self) -> None:
         prefix = self.prefix(self.routers[0])
@@ -33,7 +33,7 @@
                 self.check_runs_once(mode, f"seat-{mode}", self.routers)
 
     # The router is killed after the hold ran and before the caller reads the
-    # answer. Another router cannot know whether it ran: it must report the outcome
+    # answer. Another router cannot determine whether it ran: it must report the outcome
     # as unknown and run nothing, also after the killed router is retired.
     def test_hold_of_a_killed_router_ends_as_unknown(self) -> None:
         origin, other = self.routers[:2]
@@ -66,7 +66,7 @@
             self.assertEqual(1, self.service_runs(key))
 
     def check_runs_once(self, mode: str, key: str, routers: list[Router]) -> None:
-        """Asks all routers, during the fault and after it."""
+        """Sends the hold to all routers, during the fault and after it."""
         for service in self.fleet.services.values():
             service.control(mode)
         for router in [routers[0], *routers]:
@@ -82,7 +82,7 @@
         )
 
     def assert_unknown(self, router: Router, key: str) -> None:
-        """Asserts that the caller is told that the hold may have run."""
+        """Asserts that the answer states that the hold may have run."""
         answer = self.hold(router, key)
         self.assertEqual("unknown", answer.run_state, answer)
         self.assertIn(answer.error_id, _UNKNOWN)
--- a/tests/process/test_large_table.py
+++ b/tests/process/test_large_table.py
@@ -7,7 +7,7 @@
 from tests.soak.callers import HOST
 from tests.soak.platform import Platform, Router, run_scenario
 
-ROUTERS = 9  # three are active, three are next in turn
+ROUTERS = 9  # three are active, three are next to become active
 
 
 async def lookup(router: Router, number: int) -> int:
--- a/tests/process/test_leaving.py
+++ b/tests/process/test_leaving.py
@@ -42,7 +42,7 @@
         self.assertTrue({f"late-{index}" for index in range(len(late))} <= keys)
 
     def sees_leaving(self, router: Router) -> bool:
-        """Returns whether a router knows that engine-1 is leaving."""
+        """Returns whether a router has read that engine-1 is leaving."""
         upstreams = router.status().get("upstreams", [])
         return any(
             upstream["id"] == "engine-1" and upstream["health"] == "leaving"
--- a/tests/process/test_log_outage_idle.py
+++ b/tests/process/test_log_outage_idle.py
@@ -11,7 +11,7 @@
     # Each router has served one seat hold when the log becomes unavailable, and
     # then the load rises. The budget has paid for thousands of holds and next to
     # nothing is spent. Every hold must be answered: a refusal for lack of tokens
-    # would be false and would delay people at the gate at once.
+    # would be false, and seat holds are needed without delay at the venue's gate.
     def test_budget_that_was_idle_serves_holds_during_the_outage(self) -> None:
         self.start_upstreams(engines=0, services=1)
         routers = self.start_routers(prepaid=10_000)
--- a/tests/process/test_silent.py
+++ b/tests/process/test_silent.py
@@ -36,8 +36,8 @@
             self.assertTrue(self.draft(router, "new").whole)
 
     # A network device drops the state of a kept-alive connection to a service
-    # before a hold is sent on it. The router cannot know that the hold never
-    # arrived: the caller must be told "unknown", no router may run it again, and
+    # before a hold is sent on it. The router cannot detect that the hold never
+    # arrived: the answer must state "unknown", no router may run it again, and
     # the next hold must be answered over a new connection.
     def test_hold_on_a_silent_connection_is_not_sent_again(self) -> None:
         self.limits["first_token_timeout_ms"] = 1500
--- a/tests/process/test_upstream_says.py
+++ b/tests/process/test_upstream_says.py
@@ -40,7 +40,7 @@
 
         run_scenario(scenario, routers=1, engines=3)
 
-    # A busy engine says how long it wants no requests. A router that waits only the
+    # A busy engine states how long it accepts no requests. A router that waits only the
     # few milliseconds used after any refusal makes the engine spend its time on
     # refusals.
     def test_an_engine_that_asks_for_a_pause_gets_one(self) -> None:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -18,7 +18,7 @@
 
     outcomes: Counter[str] = field(default_factory=Counter)
     wrong: list[str] = field(default_factory=list)  # descriptions of invalid answers
-    not_run: set[str] = field(default_factory=set)  # ids whose answer says that they did not run
+    not_run: set[str] = field(default_factory=set)  # ids of requests answered with "not run"
     delivered: Counter[str] = field(default_factory=Counter)  # number of events by request id
 
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -211,7 +211,7 @@
             await overlap()
             await sends
         if overlap == self._kill_all:
-            # Requests of a restarted router that has not yet learned the limit are
+            # Requests of a restarted router that has not yet received the limit are
             # not counted.
             await self._platform.wait_for_figure("ready", 1)
             begin = asyncio.get_running_loop().time() + PROPAGATION_S
@@ -229,7 +229,8 @@
 
     async def _ask_for_a_pause(self) -> None:
         server = self._random.choice(self._platform.engines)
-        # Longer than this fault takes on any machine; the restart ends it.
+        # Longer than this fault takes on any machine. The upstream shuts down below;
+        # its next instance asks for no pause.
         server.retry_after_s = 60.0
         await asyncio.sleep(0.5)
         arrived = self._platform.ledger.arrived
@@ -239,8 +240,8 @@
         server.shut_down()
 
     def _count_unwanted(self, arrivals: int) -> None:
-        # A router that has had no answer from this upstream learns by one request,
-        # and may have two more in flight at that time.
+        # A router that has had no answer from this upstream receives the pause with
+        # the answer to one request, and may have two more in flight at that time.
         self._sent_unwanted += max(0, arrivals - 3 * ROUTERS)
 
     def _verdict(self, seen) -> int:
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,7 +1,7 @@
 """Stand-in of the platform's store: topics that keep the newest record of each key.
 
 Each router connects to its own port, so that some routers can be refused while
-others are served."""
+other routers are served."""
 
 import asyncio
 import base64
--- a/tools/demo/demo_fleet.py
+++ b/tools/demo/demo_fleet.py
@@ -7,8 +7,8 @@
 from harness import Fleet, Router
 from harness.ports import is_free
 
-# The log does not retain all entries of a run; the demo's audit reads them
-# meanwhile.
+# The log does not retain all entries of a run, so the demo's audit reads them
+# during the run.
 RETAINED_ENTRIES = 10_000
 VM_LAG_MS = 1_500
 STEP_MS = 5
