--- a/tests/gateway/unit-lifecycle.cc
+++ b/tests/gateway/unit-lifecycle.cc
@@ -130,9 +130,9 @@
 }
 
 TEST(Lifecycle, only_a_rejected_page_is_requested_again) {
-  // Hundreds of routers that started together were not ready for ten seconds:
-  // the store rejected some pages, and each rejection restarted the whole
-  // listing.
+  // Failure: hundreds of routers that start together are not ready for ten
+  // seconds, because the store rejects some pages and each rejection restarts
+  // the whole listing.
   router.store.page_size = 1;
   for (int i = 0; i < 6; ++i) {
     router.AddUpstream("u" + std::to_string(i), "hold")
@@ -154,8 +154,8 @@
 }
 
 TEST(Lifecycle, a_connection_to_an_earlier_start_of_an_upstream_is_not_reused) {
-  // A request failed with 502 because it was sent on a connection kept from
-  // before the upstream restarted under the same id.
+  // Failure: a request ends with 502 because it is sent on a pooled connection
+  // from before the upstream restarted under the same id.
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(Signed(request, "held"));
--- a/tests/gateway/unit-token-requester.cc
+++ b/tests/gateway/unit-token-requester.cc
@@ -102,8 +102,8 @@
 }
 
 TEST(TokenRequester, after_no_reply_requests_fail_immediately_for_a_while) {
-  // When all routers were partitioned, each refusal was delayed by some tens of
-  // milliseconds, because each request waited for replies that could not
+  // Failure: while all routers are partitioned, each refusal is delayed by some
+  // tens of milliseconds, because each request waits for replies that cannot
   // arrive.
   CHECK(RequestTokens());
   io.run_for(kBeyondAllTimeouts);
--- a/tests/gateway/unit-topic-follower.cc
+++ b/tests/gateway/unit-topic-follower.cc
@@ -65,8 +65,8 @@
 // clang-format on
 
 TEST(TopicFollower, of_versions_in_one_batch_only_the_newest_is_delivered) {
-  // A small VM parsed eighteen large configurations one after the other and
-  // served requests by the oldest one meanwhile.
+  // Failure: a small VM parses eighteen large configurations one after the
+  // other and serves requests by the oldest one meanwhile.
   store.Put("config", "config", "1");
   Follow(entry::ConfigurationPlan());
   store.Put("config", "config", "2");
@@ -100,7 +100,7 @@
 }
 
 TEST(TopicFollower, a_topic_that_is_not_needed_is_not_read) {
-  // Hundreds of routers were reading a table that only a few of them needed.
+  // Failure: hundreds of routers read a table that only a few of them need.
   bool needed = true;
   int stops = 0;
   TopicFollower::Hooks hooks = ReadingHooks();
