--- a/tests/gateway/unit-lifecycle.cc
+++ b/tests/gateway/unit-lifecycle.cc
@@ -114,7 +114,7 @@
 TEST(Lifecycle, requests_that_cannot_finish_within_a_drain_are_refused) {
   // A caller that caches addresses for long arrives six seconds after the
   // signal. If its request were accepted, it would be interrupted when the
-  // process ends (seen with acuerdo-mx, mix --seed 466857584921).
+  // process ends (reproduced by acuerdo-mx, mix --seed 466857584921).
   router.settings.grace = std::chrono::seconds(9);
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
@@ -130,9 +130,9 @@
 }
 
 TEST(Lifecycle, only_a_rejected_page_is_requested_again) {
-  // Hundreds of routers that started together were not ready for ten seconds:
-  // the store rejected some pages, and each rejection restarted the whole
-  // listing.
+  // Failure: hundreds of routers that start together are not ready for ten
+  // seconds, because the store rejects some pages and each rejection restarts
+  // the whole listing.
   router.store.page_size = 1;
   for (int i = 0; i < 6; ++i) {
     router.AddUpstream("u" + std::to_string(i), "hold")
@@ -154,8 +154,8 @@
 }
 
 TEST(Lifecycle, a_connection_to_an_earlier_start_of_an_upstream_is_not_reused) {
-  // A request failed with 502 because it was sent on a connection kept from
-  // before the upstream restarted under the same id.
+  // Failure: a request ends with 502 because it is sent on a pooled connection
+  // from before the upstream restarted under the same id.
   ScriptedUpstream& one = router.AddUpstream("one", "hold");
   one.Answer([](const StreamRef& stream, const std::string& request) {
     stream->Send(Signed(request, "held"));
@@ -232,7 +232,7 @@
                    CrashedASecondAgo().SerializeAsString());
   router.Start(10'000);
   CHECK_EQUAL(2'000, NewestBeat(router).claims(0).retired());
-  // It reserves part of its own claim in turn.
+  // The new process reserves part of its own claim in turn.
   CHECK(NewestBeat(router).claims(0).reserve() > 0);
   CHECK(NewestBeat(router).boot() == net::BootId());
 }
@@ -275,7 +275,7 @@
 TEST(Lifecycle, claims_after_a_power_loss_depend_on_the_earlier_role) {
   // After a power loss hundreds of routers start at once. If each claimed a
   // share of every account as an active router, the active ones would find no
-  // tokens left until the others return them seconds later.
+  // tokens left until the standbys return them seconds later.
   for (const char* other : {"router-2", "router-3", "router-4"}) {
     v1::RouterBeat beat;
     beat.set_epoch(4);
