--- a/include/coppervalve/membership/address_list_builder.h
+++ b/include/coppervalve/membership/address_list_builder.h
@@ -25,7 +25,7 @@
   PeerLoad load = {};
 };
 
-/// @brief Builds the lists of router addresses that callers ask for.
+/// @brief Builds the lists of router addresses that callers request.
 class AddressListBuilder {
  public:
   /// @param key_prefix returns the idempotency key prefix of an incarnation
--- a/include/coppervalve/membership/drain.h
+++ b/include/coppervalve/membership/drain.h
@@ -21,8 +21,8 @@
 
 struct DrainLimits {
   core::Duration address_lifetime = std::chrono::seconds(10);
-  /// For lists that were handed out just before other routers learned of the
-  /// drain.
+  /// Covers lists that other routers sent to callers just before they received
+  /// the announcement of the drain.
   core::Duration margin = std::chrono::seconds(2);
   /// If the log is unavailable for this long, the wait starts without the
   /// record.
--- a/include/coppervalve/membership/freshness.h
+++ b/include/coppervalve/membership/freshness.h
@@ -13,12 +13,12 @@
 namespace coppervalve::membership {
 
 /// @brief What one contact reports about the log. One per contact, including
-/// those that were never heard.
+/// contacts from which no heartbeat was ever received.
 struct PeerLogReport {
   bool reachable = false;
   /// Whether the contact counts towards the majority. A peer that is a contact
-  /// only because it was heard does not: it could count only in favour, never
-  /// against.
+  /// only because it sends heartbeats here does not: when unreachable, it would
+  /// no longer be a contact, so it could only ever count as reachable.
   bool counts = true;
   /// Latest time, on this router's clock, at which the peer is known to have
   /// read the log to its end; empty when it never reported that.
--- a/include/coppervalve/membership/peer_view.h
+++ b/include/coppervalve/membership/peer_view.h
@@ -20,9 +20,10 @@
 /// @brief Limits of the exchange of heartbeats.
 struct PeerLimits {
   core::Duration heartbeat_interval = std::chrono::seconds(1);
-  /// A peer is reachable if it was heard within this time.
+  /// A peer is reachable if a heartbeat from it arrived within this time.
   core::Duration suspect_after = std::chrono::milliseconds(3'000);
-  /// A suspected peer becomes reachable after being heard for this long.
+  /// A suspected peer becomes reachable after its heartbeats have arrived for
+  /// this long.
   core::Duration trust_after = std::chrono::milliseconds(1'500);
   /// How long a failed send makes a peer unreachable that exchanges no
   /// heartbeats with this router.
@@ -131,8 +132,8 @@
   std::string m_name;
   std::map<MemberId, Entry> m_peers;
   std::vector<MemberId> m_chosen;
-  // Whether a peer has chosen this router. Computed when the peer is heard and
-  // valid until the members change.
+  // Whether a peer has chosen this router as a contact. Computed on a heartbeat
+  // of the peer and valid until the members change.
   mutable std::map<MemberId, bool> m_chosen_by;
   std::optional<MemberId> m_pinned;
   std::optional<core::TimePoint> m_heartbeat_sent;
--- a/include/coppervalve/membership/witness_selector.h
+++ b/include/coppervalve/membership/witness_selector.h
@@ -41,7 +41,7 @@
  public:
   explicit WitnessSelector(Member self, WitnessLimits limits = {});
 
-  /// @param current the witness that is in force or has been asked
+  /// @param current the witness in force, or the candidate chosen last
   /// @param peers all peers, with reachability; never this router itself
   /// @complexity O(n)
   WitnessVerdict Evaluate(core::TimePoint now,
--- a/src/membership/drain.cc
+++ b/src/membership/drain.cc
@@ -32,9 +32,9 @@
       return ListsExpired(now, inputs);
     case DrainPhase::kRefusingNew:
       return inputs.in_progress == 0 && inputs.queued == 0;
-    // Both phases wait for the log without a time limit. Exiting earlier would
-    // lose the bills of the last requests and leave unspent tokens in
-    // quarantine; the owner of the process decides when to give up.
+    // kReturning and kFinalising wait for the log without a time limit. Exiting
+    // earlier would lose the bills of the last requests and leave unspent
+    // tokens in quarantine, so any limit is left to the caller.
     case DrainPhase::kReturning:
       return inputs.holdings_settled;
     case DrainPhase::kFinalising:
@@ -45,8 +45,8 @@
   return false;
 }
 
-/// Other routers may hand out this router's address until they know of the
-/// drain, and callers use a list for its lifetime.
+/// Other routers may send this router's address to callers until they receive
+/// the announcement of the drain, and callers use a list for its lifetime.
 bool Drain::ListsExpired(core::TimePoint now, const DrainInputs& inputs) {
   const bool log_unavailable =
       now - m_requested_at >= m_limits.announce_timeout;
--- a/src/membership/peer_view.cc
+++ b/src/membership/peer_view.cc
@@ -150,8 +150,9 @@
   return ChooseAcrossDomains(std::move(ranked), count);
 }
 
-/// Computed locally. If a peer instead answered whoever it hears, the answered
-/// peer would answer again, and links of former choices would never end.
+/// Computed locally. If each router instead replied to every heartbeat, two
+/// routers would keep replying to each other, and the exchange would continue
+/// after neither has the other among its chosen contacts.
 bool PeerView::HasChosenThisRouter(const Entry& entry) const {
   const auto [known, fresh] = m_chosen_by.try_emplace(entry.member.id, false);
   if (fresh) {
--- a/src/membership/witness_selector.cc
+++ b/src/membership/witness_selector.cc
@@ -29,7 +29,9 @@
   return found == peers.end() ? nullptr : &*found;
 }
 
-/// Only a peer that was heard can acknowledge a ceiling.
+/// A heartbeat is required because a peer that exchanges none with this router
+/// counts as reachable until a send fails, but may be unable to acknowledge a
+/// ceiling.
 bool IsEligible(const Peer& peer) {
   return peer.reachable && peer.heard && !peer.draining;
 }
--- a/tests/membership/unit-choices.cc
+++ b/tests/membership/unit-choices.cc
@@ -191,8 +191,8 @@
   }
 };
 
-// The router is asked to drain while callers still have lists with its address
-// and requests are in progress. No request may be aborted, and none refused
+// A drain starts while callers still have lists with the router's address and
+// requests are in progress. No request may be aborted, and none refused
 // before the lists have expired.
 TEST(Drain, it_waits_for_its_lists_and_its_requests) {
   ExpectPhase(DrainPhase::kActive, {});
@@ -231,9 +231,9 @@
   ExpectPhase(DrainPhase::kRefusingNew, inputs);
 }
 
-// The log is unavailable, so the drain cannot be announced in it. Peers learn
-// of it by heartbeat and the wait starts anyway; only the end waits for the
-// log.
+// The log is unavailable, so the drain cannot be announced in it. Heartbeats
+// announce it to the peers and the wait starts anyway; only the end waits for
+// the log.
 TEST(Drain, the_wait_starts_without_the_log) {
   m_drain.Request(m_now);
   const DrainInputs inputs;
--- a/tests/membership/unit-freshness.cc
+++ b/tests/membership/unit-freshness.cc
@@ -87,8 +87,8 @@
 }
 
 // The log is unavailable for all routers and the fleet is partitioned four to
-// three. The four continue; the three refuse work, because the others may have
-// learned of a change.
+// three. The four continue; the three refuse work, because one of the four may
+// have read a newer configuration.
 TEST(Freshness, without_the_log_only_the_majority_continues) {
   m_freshness.OnReadToEnd(kStart);
   const PeerLogReport old = ReadAt(kStart);
--- a/tests/membership/unit-peer-view.cc
+++ b/tests/membership/unit-peer-view.cc
@@ -122,7 +122,8 @@
 }
 
 // A full mesh of 840 routers would need 704,760 heartbeats a second. Each
-// router must send a bounded number of bounded size, and must be heard by some.
+// router must send a bounded number of bounded size, and some peers must
+// receive them.
 TEST(PeerView, heartbeats_of_840_routers_are_bounded) {
   constexpr size_t kCount = 840;
   const std::vector<Member> members = MakeMembers(kCount);
--- a/tests/membership/unit-silent-member-detector.cc
+++ b/tests/membership/unit-silent-member-detector.cc
@@ -93,8 +93,9 @@
   }
 }
 
-// The observer stops for four seconds at a time while a member is silent. It
-// cannot know whether the member could append in between.
+// The observer stops for four seconds at a time while a member is silent. The
+// time in between counts only up to a usual gap, because the log may have been
+// unavailable to the member as well.
 TEST(SilentMemberDetector, one_read_adds_no_more_than_a_usual_gap) {
   SilentMemberDetector detector = MakeDetector(0);
   for (int i = 0; i < 5; ++i) {
