--- a/include/coppervalve/budget/spend_reporter.h
+++ b/include/coppervalve/budget/spend_reporter.h
@@ -24,8 +24,7 @@
 
 /// @brief Billed to the account, without a request key.
 struct Unkeyed {};
-/// @brief Spent but billed to nobody, because the attempt was abandoned or cut
-/// off.
+/// @brief Spent but not billed, because the attempt was abandoned or aborted.
 struct WrittenOff {};
 /// @brief Who is billed for a settlement.
 using Charge = std::variant<Unkeyed, Bill, WrittenOff>;
--- a/include/coppervalve/budget/witness_ceilings.h
+++ b/include/coppervalve/budget/witness_ceilings.h
@@ -54,7 +54,7 @@
     core::Tokens requested;
     core::Tokens acknowledged;
     uint32_t number = 0;  ///< identifies the budget to this witness; 0: unset
-    bool name_acknowledged = false;  ///< witness knows the name
+    bool name_acknowledged = false;  ///< by the witness
     bool queued = false;
   };
 
--- a/include/coppervalve/ledger/detail/state.h
+++ b/include/coppervalve/ledger/detail/state.h
@@ -47,7 +47,7 @@
 struct std::hash<coppervalve::ledger::detail::TransferKey> {
   size_t operator()(
       const coppervalve::ledger::detail::TransferKey& key) const noexcept {
-    // Multiplier of Fibonacci hashing. Ids are sequential and incarnations
+    // Odd multiplier of Fibonacci hashing. Ids are sequential and incarnations
     // random, so it is enough to mix the ids.
     constexpr uint64_t kMultiplier = 0x9E3779B97F4A7C15ULL;
     return key.from.value() + key.transfer_id * kMultiplier;
--- a/src/budget/holding_manager_outputs.cc
+++ b/src/budget/holding_manager_outputs.cc
@@ -177,7 +177,7 @@
     const core::Tokens missing =
         std::max(view.unmet - view.Spare(), core::Tokens(1));
     // Also requests this router's part of the amount to keep, so that it
-    // doesn't need to ask every second.
+    // doesn't need another transfer every second.
     const core::Tokens ahead(m_policy.keep(view).value() / m_active_routers);
     const core::Tokens wanted = missing + ahead;
     TransferAskTo ask;
--- a/src/budget/sizing.cc
+++ b/src/budget/sizing.cc
@@ -68,7 +68,7 @@
 }
 
 /// Average holding of the other routers. While the log is unavailable, callers
-/// of a router that died may reach a router that has never used their budget
+/// of a crashed router may reach a router that has never used their budget
 /// and then needs tokens of its own. Until then these tokens cost little,
 /// because their ceiling stays at 0.
 Tokens StandbyHolding(const SizingView& view) {
@@ -156,8 +156,8 @@
   // A step smaller than most requests would cause a raise for each of them.
   // Otherwise the step is small, because a raise takes only one round trip to a
   // peer and a crash strands the step. While the log is unavailable, a witness
-  // that dies cannot be replaced and only tokens below the acknowledged ceiling
-  // remain usable, so the step is larger.
+  // that crashes can't be replaced and only tokens below the acknowledged
+  // ceiling remain usable, so the step is larger.
   const double seconds = view.log_unavailable
                              ? options.ceiling_log_outage_seconds
                              : options.ceiling_seconds;
--- a/src/ledger/fold_config.cc
+++ b/src/ledger/fold_config.cc
@@ -64,8 +64,8 @@
 }
 
 // Detects a publication that was appended again because the reply to the first
-// append was lost. A rejection would tell the operator that the change had lost
-// against itself.
+// append was lost. Otherwise the operator would get a conflict between the
+// change and itself.
 bool IsRepetition(const State& state, const v1::ConfigPublished& r) {
   const Proposal* waiting = state.quorum.PendingProposal();
   const bool waits =
--- a/src/ledger/fold_quarantine.cc
+++ b/src/ledger/fold_quarantine.cc
@@ -24,8 +24,8 @@
 }
 
 // Only the current witness may report ceilings. A former witness would report
-// the ceilings it knew, while the router may have committed up to higher ones
-// of its successor; tokens would then be both released and spent.
+// the ceilings it acknowledged, while the router may have committed up to the
+// higher ones of the current witness; tokens would be both released and spent.
 bool IsWitnessInForce(const Member* writer, const Member& retired) {
   return writer != nullptr && !retired.live() &&
          writer->id == retired.witness &&
--- a/src/ledger/quorum.cc
+++ b/src/ledger/quorum.cc
@@ -15,7 +15,8 @@
   }
 }
 
-// Without voters, no router can be working under the old state.
+// Without voters a change takes effect at once, because no router can be
+// working under the old state.
 bool Quorum::HasMajority(LogOffset offset) const {
   size_t seen = 0;
   for (const auto& [incarnation, next_unread] : m_voters) {
--- a/tests/budget/unit-holding-manager.cc
+++ b/tests/budget/unit-holding-manager.cc
@@ -155,7 +155,7 @@
   LONGS_EQUAL(100, f.Records().at(0).allotment_returned().tokens());
 }
 
-// While the log is unavailable a router dies, and its callers reach a router
+// A router crashes while the log is unavailable, and its callers reach a router
 // that has never used their budget. Without tokens of its own, it would refuse
 // all of them.
 TEST(HoldingManager, requests_a_standby_holding_of_a_budget_that_others_use) {
--- a/tests/budget/unit-witness.cc
+++ b/tests/budget/unit-witness.cc
@@ -62,7 +62,7 @@
 
 // The first raise is acknowledged late, after a second one was lost. If the
 // answer were taken for that of the second, the ceiling would rise above what
-// the witness knows.
+// the witness has stored.
 TEST(Witness, the_answer_to_an_older_raise_raises_no_ceiling) {
   HoldingManagerFixture f;
   f.Grant(10'000);
@@ -193,8 +193,9 @@
   CHECK(ceiling_store.OnCeilingRaise(Peer(1), raise).refused());
 }
 
-// A witness that started later does not know all budgets. A peer that it has
-// never heard from must also stay refused when its first raise arrives late.
+// A witness that started later has not received the ceilings of all budgets. A
+// closed peer that never sent it a raise must also stay refused when its first
+// raise arrives late.
 TEST(Witness, reports_no_ceilings_without_the_full_list) {
   CeilingStore ceiling_store;
   v1::CeilingRaise raise;
--- a/tests/ledger/unit-balance.cc
+++ b/tests/ledger/unit-balance.cc
@@ -43,9 +43,8 @@
 }
 
 // Two operators publish at the same time, both based on version 1. The first in
-// log order is proposed and comes into force. The other is rejected and told
-// which change won; otherwise a merge that nobody has reviewed would be in
-// force.
+// log order is proposed and comes into force. The other is rejected with the id
+// of the first; otherwise a merge that nobody has reviewed would be in force.
 TEST(Balance, of_two_operators_at_once_the_first_in_log_order_wins) {
   Fleet log;
   Writer bob{"operator:bob", 12};
@@ -64,7 +63,7 @@
 }
 
 // The reply to an append is lost, so the publisher appends the same change
-// again. It must not be told that its change lost against itself.
+// again. The repetition must not be reported as a conflict.
 TEST(Balance, a_repeated_publication_is_a_duplicate_and_no_conflict) {
   Fleet log;
   const auto effects = log.Write(log.alice, Publish(0, 1000, "c1"));
