--- a/include/coppervalve/request/request_record.h
+++ b/include/coppervalve/request/request_record.h
@@ -32,7 +32,7 @@
          phase == Phase::kFailed;
 }
 
-/// @brief What this incarnation knows of one request.
+/// @brief The record of one request at this incarnation.
 struct RequestRecord {
   core::RequestId id;
   core::AccountId account;
--- a/include/coppervalve/request/request_table.h
+++ b/include/coppervalve/request/request_table.h
@@ -75,7 +75,7 @@
 
 /// @brief What to do after a caller disconnects.
 enum class DisconnectDecision : uint8_t {
-  kKeepRunning,  ///< others wait, or a retry can get the answer
+  kKeepRunning,  ///< a joiner waits, or a retry can get the answer
   kCancel,       ///< no reader is left: cancel, then OnRefused or OnFailed
   kNothing,      ///< it was a joiner, or is final
 };
@@ -83,7 +83,7 @@
 /// @brief Result of a status lookup.
 struct StatusLookup {
   v1::RequestStatus status;
-  /// The router to ask when this one has no record of the request.
+  /// The router to query when this one has no record of the request.
   std::optional<ForwardTo> ask;
 };
 
@@ -123,8 +123,8 @@
   /// @return whether another attempt is allowed: always for idempotent work,
   /// else only while no attempt may have run
   bool MayRetry(core::RequestId id) const;
-  /// @return the run state that a refusal of this request may state; ask
-  /// before OnRefused
+  /// @return the run state to report in a refusal of this request
+  /// @pre OnRefused() has not been called yet
   core::RunState RefusalRunState(core::RequestId id) const;
 
   /// @brief The answer is complete and kept by the shell.
@@ -161,7 +161,8 @@
   core::RunState RunStateOfKey(const core::AccountId& account,
                                const KeyName& key) const;
   /// @brief The status of a key; always returns one.
-  /// @param forwarded a peer asks, so no other router is named
+  /// @param forwarded the lookup comes from a peer; the result then names no
+  /// other router
   StatusLookup StatusOf(core::TimePoint now,
                         const core::AccountId& account,
                         const KeyName& key,
--- a/src/request/key_decision.cc
+++ b/src/request/key_decision.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// For temporary causes: an unreachable peer, an unread claim, a full table.
+/// Retry-After of refusals with a temporary cause: an unreachable peer, an
+/// unread claim, a full table.
 constexpr core::Duration kShortRetryAfter = std::chrono::seconds(1);
 
 Refuse RefuseWith(core::ErrorId id,
@@ -46,7 +47,8 @@
   return decision;
 }
 
-/// For a key without a record here, or with one that was refused.
+/// Decides a request whose key has no record here, or that of a refused
+/// request.
 RequestTable::Decision RequestTable::DecideUnseen(
     const DecisionInput& input) const {
   const RequestRecord& request = input.request;
@@ -59,8 +61,8 @@
   return input.origin ? DecideOriginBound(input) : DecideUnbound(input);
 }
 
-/// For a request that waited for another router. Its key may have a record here
-/// by now.
+/// Decides again on a request that waited for another router, because its key
+/// may have a record here by now.
 RequestTable::Decision RequestTable::DecideAgain(const RequestRecord& request,
                                                  Decision otherwise) const {
   const RequestRecord* known = FindKey(*request.key);
@@ -155,7 +157,8 @@
   return m_hooks.locate(place);
 }
 
-/// For a key that another incarnation has claimed or alone may run.
+/// Decides a request whose key another incarnation has claimed, or that only
+/// another incarnation may run.
 RequestTable::Decision RequestTable::DecideOwnedElsewhere(
     const RequestRecord& request,
     const Origin& place) const {
--- a/src/router/active_configuration.cc
+++ b/src/router/active_configuration.cc
@@ -23,7 +23,8 @@
 }
 
 // A fold rebuilt from an older snapshot passes through earlier versions.
-// Installing one would revert a change that operators were told is in force.
+// Installing one would revert a change that was reported to operators as in
+// force.
 bool ActiveConfiguration::Update(const ledger::Fold& fold) {
   if (fold.config_version() <= m_version) {
     return false;
--- a/src/router/budget_manager.cc
+++ b/src/router/budget_manager.cc
@@ -29,7 +29,8 @@
           core::Incarnation(message.from_incarnation())};
 }
 
-// Requests wait for allotments; other records may wait for the next batch.
+// Allotment requests are urgent because callers' requests wait for the tokens;
+// other records may wait for the next batch.
 Urgency UrgencyOf(const v1::Record& record) {
   return record.has_allotment_requested() ? Urgency::kUrgent
                                           : Urgency::kRoutine;
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -14,9 +14,10 @@
 
 namespace {
 
-/// A published top-up takes effect within seconds.
+/// Retry-After for an exhausted budget: a top-up takes effect within seconds.
 constexpr core::Duration kRetryAfterTopUp = std::chrono::seconds(10);
-/// Tokens held by other routers are returned within about this time.
+/// Retry-After for a busy budget: other routers return tokens within about this
+/// time.
 constexpr core::Duration kRetryWhenBusy = std::chrono::seconds(1);
 constexpr core::Duration kRetryAfterOutage = std::chrono::seconds(2);
 
@@ -107,8 +108,8 @@
               "no tokens became available within the queue time limit"},
              kRetryWhenBusy);
     } else if (work->stage == Stage::kClaim) {
-      // The claim may still win later. It then names this incarnation, where
-      // the key is known as not run, so only this router may run a retry.
+      // The claim may still win later. It then names this incarnation, whose
+      // table has the key as not run, so only this router may run a retry.
       GiveUp(now, *work,
              {ErrorId::kClaimUnavailable, work->account.value(),
               "the claim was not confirmed within the queue time limit"},
--- a/src/router/log_access.cc
+++ b/src/router/log_access.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Each review ranks all live members, so it runs at this interval only.
+/// Deciding whether this router takes a snapshot ranks all live members, so it
+/// happens at this interval only.
 constexpr core::Duration kSnapshotReviewInterval = std::chrono::seconds(1);
 
 // 53 random bits scaled to [0, 1), the precision of a double.
--- a/src/router/peer_manager.cc
+++ b/src/router/peer_manager.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A finer resolution is not needed. Reads of a busy log end far more often,
-/// and each check is linear in the members.
+/// SilentMemberDetector needs no finer resolution. Reads of a busy log end far
+/// more often, and each check is linear in the members.
 constexpr core::Duration kRetirementCheckInterval =
     std::chrono::milliseconds(500);
 constexpr core::Duration kDefaultFreshness = std::chrono::seconds(8);
--- a/tests/request/unit-request-table.cc
+++ b/tests/request/unit-request-table.cc
@@ -197,15 +197,15 @@
   CHECK(m_b.RefusalRunState(draft.id) == core::RunState::kUnknown);
 }
 
-// Router A restarts before the log shows the end of its former incarnation. The
-// caller retries at the new one, whose table is empty.
+// Router A restarts within a second, before the log shows the end of its former
+// incarnation. The caller retries at the new one, whose table is empty.
 TEST(RequestTable, a_restarted_router_does_not_run_its_predecessors_hold) {
   RequestTable restarted({kA.router, core::Incarnation(9)}, m_fleet.Hooks());
   ExpectRefusal(restarted.OnArrival(m_now, Hold(BoundTo(kA))),
                 core::ErrorId::kOriginGone, core::RunState::kUnknown);
 }
 
-// Retries of one hold reach A and B, which cannot see each other. Both claim
+// Retries of one hold reach A and B, which can't reach each other. Both claim
 // the key; A's claim is first. B forwards to A, or reports "unknown" once A is
 // retired, and never runs it.
 TEST(RequestTable, only_the_winner_of_a_claim_runs_the_hold) {
--- a/tests/router/unit-at-most-once.cc
+++ b/tests/router/unit-at-most-once.cc
@@ -180,7 +180,8 @@
   CHECK(run.StateOf(retry) == ClientAttempt::State::kComplete);
 }
 
-// The same key with another body is refused and runs nothing.
+// A key identifies one request, so the same key with another body is refused
+// and runs nothing.
 TEST(AtMostOnce, a_key_with_another_body_is_refused) {
   RunningFleet run;
   const std::string key = run.Prefix(0) + "plan-3";
--- a/tests/router/unit-fleet.cc
+++ b/tests/router/unit-fleet.cc
@@ -106,7 +106,7 @@
 }
 
 // A configuration is published while one router cannot reach the log but
-// reaches its peers. A peer tells it of the newer version, so it stops
+// reaches its peers. A heartbeat reports the newer version, so it stops
 // accepting work within the freshness bound and follows once the log is back.
 TEST(Fleet, a_router_cut_off_from_the_log_never_works_under_an_old_version) {
   RunningFleet run;
@@ -183,7 +183,7 @@
 
 // Three routers, a minority, reach the log, and one of the other four read the
 // proposal before the partition. The version comes into force without the four;
-// since one of them knows of it, none of the four may continue under the old
+// since one of them has read it, none of the four may continue under the old
 // version.
 TEST(Fleet, a_majority_that_knows_of_a_newer_version_stops) {
   RunningFleet run;
