--- a/model/acceptance.pml
+++ b/model/acceptance.pml
@@ -11,8 +11,8 @@
  * read the change, in log order.
  *
  * A group that is cut off continues under the old version if it is more than
- * half of the voters that it knows and none of it has read a proposal. Checked:
- * it never does so once the proposal is in force.
+ * half of the voters, as far as it has read the log, and none of it has read a
+ * proposal. Checked: it never does so once the proposal is in force.
  *
  * Entries may be appended long after they were written; they then show only
  * what had been read when they were written.
@@ -34,7 +34,7 @@
 
 byte log_end = 0;         /* length of the log */
 byte read_to[ROUTERS];    /* number of entries that each router has read */
-byte shown_read[ROUTERS]; /* as the ledger knows from its entries */
+byte shown_read[ROUTERS]; /* the same as shown by its entries in the log */
 byte group = 0;           /* bit set of the routers that will be cut off */
 bool partitioned = false;
 bool retired[2];
@@ -78,8 +78,8 @@
   fi
 }
 
-/* Ends every append: applies changes, and stores what a reader of this prefix
- * knows. */
+/* Ends every append: applies changes, and stores the voters for readers of this
+ * prefix. */
 inline finish_append() {
   do
   :: pending > 0 && 2 * COUNT_SHOWN(change_at[0]) > COUNT(voters) ->
--- a/model/claim.pml
+++ b/model/claim.pml
@@ -30,7 +30,7 @@
 /* ---- Ground truth -------------------------------------------------------- */
 byte runs;             /* times the work ran at an upstream */
 byte in_flight;        /* requests in a kernel that may still reach an upstream */
-bool reported_not_run; /* the caller was told so and has not sent the key again */
+bool reported_not_run; /* to the caller, which has not sent the key again */
 byte billed;           /* times the account was billed */
 
 /* ---- The ledger ---------------------------------------------------------- */
--- a/model/order.pml
+++ b/model/order.pml
@@ -22,7 +22,7 @@
 byte latest;          /* fencing number of the latest order; 0: none */
 byte holder = NOBODY; /* router that took it */
 bool settled = true;
-bool outcome_unknown; /* stated by the holder */
+bool outcome_unknown; /* reported by the holder */
 bool retired[2];
 
 /* ---- Routers ------------------------------------------------------------- */
--- a/model/reserve.pml
+++ b/model/reserve.pml
@@ -19,8 +19,8 @@
  *   BROKEN_NO_WAIT_FOR_EXIT    a successor does not wait for the end of the
  *                              earlier start
  *   BROKEN_TIME_BEFORE_LOCK    the time is read before the earlier start ended
- *   BROKEN_TWO_SUCCESSORS      a start that wrote nothing vouches for the one
- *                              before
+ *   BROKEN_TWO_SUCCESSORS      a start uses the time that was read by an earlier
+ *                              successor, which wrote nothing
  */
 #define CEILING 2
 #define RESERVE_DELAY 2
