--- a/include/coppervalve/budget/holding_manager.h
+++ b/include/coppervalve/budget/holding_manager.h
@@ -103,7 +103,7 @@
 };
 
 /// @brief Looks up a budget's current balance in the ledger. Returns nullopt
-/// for a budget that the ledger doesn't know.
+/// for a budget that is not in the ledger.
 using BalanceLookup =
     std::function<std::optional<BalanceView>(const core::BudgetId&)>;
 
--- a/include/coppervalve/ledger/detail/dedup_window.h
+++ b/include/coppervalve/ledger/detail/dedup_window.h
@@ -10,7 +10,7 @@
 
 namespace coppervalve::ledger::detail {
 
-/// @brief Remembers keys for a window of log offsets, to detect duplicates.
+/// @brief Stores keys for a window of log offsets, to detect duplicates.
 template <typename Key, typename Value>
 class DedupWindow {
  public:
@@ -19,7 +19,7 @@
     Key key;
   };
 
-  /// @return null when the key is not remembered
+  /// @return null when the key is not stored
   const Value* Find(const Key& key) const {
     const auto found = m_values.find(key);
     return found == m_values.end() ? nullptr : &found->second;
@@ -45,7 +45,7 @@
     }
   }
 
-  /// @brief The remembered keys in log order.
+  /// @brief The stored keys in log order.
   const std::deque<Entry>& entries() const { return m_entries; }
 
  private:
--- a/include/coppervalve/ledger/detail/entry_context.h
+++ b/include/coppervalve/ledger/detail/entry_context.h
@@ -27,7 +27,7 @@
   core::Sequence sequence() const { return core::Sequence(m_entry.sequence()); }
   bool from_operator() const { return m_from_operator; }
   /// @brief Whether the writer last read the log more than the dedup window
-  /// ago. Ids that it repeats may no longer be remembered.
+  /// ago. Ids that it repeats may already have been removed.
   bool stale() const { return m_stale; }
 
   /// @brief The writing router; null for operators.
--- a/include/coppervalve/ledger/detail/member_table.h
+++ b/include/coppervalve/ledger/detail/member_table.h
@@ -12,15 +12,15 @@
 
 namespace coppervalve::ledger::detail {
 
-/// @brief Live members and remembered retired members. Retired members are
-/// remembered for the dedup window and as long as they have quarantined tokens.
+/// @brief Live and retired members. Retired members are kept for the dedup
+/// window and as long as they have quarantined tokens.
 /// An incarnation belongs to only one router.
 class MemberTable {
  public:
-  /// @return null when not remembered
+  /// @return null when unknown or removed
   Member* Find(core::Incarnation incarnation);
   const Member* Find(core::Incarnation incarnation) const;
-  /// @return null when not remembered, or when it belongs to another router
+  /// @return null when unknown or removed, or when it belongs to another router
   Member* Find(const core::RouterId& id, core::Incarnation incarnation);
   const Member* Find(const core::RouterId& id,
                      core::Incarnation incarnation) const;
--- a/include/coppervalve/ledger/fold.h
+++ b/include/coppervalve/ledger/fold.h
@@ -21,7 +21,7 @@
 /// @brief Settings of the fold; all readers of one log must use the same
 /// values.
 struct FoldSettings {
-  /// Number of offsets for which ids are remembered; records of operators from
+  /// Number of offsets for which ids are kept; records of operators from
   /// before that are stale.
   uint64_t dedup_window = 100'000;
   /// Digests are stored at every multiple of this offset, so that a snapshot
@@ -111,7 +111,7 @@
   /// @brief All budgets, sorted by id. @complexity n log n
   std::vector<const Budget*> Budgets() const;
 
-  /// @return the incarnation, live or retired and still remembered, else null
+  /// @return the incarnation, live or retired and still stored, else null
   const Member* FindMember(const core::RouterId& router,
                            core::Incarnation incarnation) const;
   /// @return the live incarnation of a router, else null
@@ -119,7 +119,7 @@
   /// @brief Active and draining members, sorted by router id. @complexity
   /// linear
   std::vector<const Member*> LiveMembers() const;
-  /// @brief Retired members that are still remembered, sorted by incarnation.
+  /// @brief Retired members that are still stored, sorted by incarnation.
   /// @complexity linear
   std::vector<const Member*> RetiredMembers() const;
   /// @return null when the incarnation has no holding of the budget
--- a/include/coppervalve/membership/freshness.h
+++ b/include/coppervalve/membership/freshness.h
@@ -26,7 +26,7 @@
   /// The same according to its latest heartbeat, which may have been delayed.
   std::optional<core::TimePoint> claimed_read_to_end;
   core::ConfigVersion config_version;
-  core::ConfigVersion known_version{};  ///< higher while a proposal is known
+  core::ConfigVersion known_version{};  ///< higher while a proposal is pending
 };
 
 /// @brief Why a router is fresh.
@@ -62,7 +62,7 @@
   bool sampled = false;                ///< log_reports cover a sample only
   std::vector<PeerLogReport> log_reports;
   bool self_votes = true;
-  core::ConfigVersion known_version{};  ///< higher while a proposal is known
+  core::ConfigVersion known_version{};  ///< higher while a proposal is pending
 };
 
 /// @brief Decides whether this router may accept new work under its
--- a/include/coppervalve/membership/peer_view.h
+++ b/include/coppervalve/membership/peer_view.h
@@ -30,7 +30,7 @@
   core::Duration send_failure_lifetime = std::chrono::seconds(5);
   size_t full_mesh_members = 12;  ///< up to this many, a full mesh
   size_t contacts = 8;            ///< chosen by this router in a larger fleet
-  size_t max_contacts = 24;  ///< including all others, see PeersToContact()
+  size_t max_contacts = 24;       ///< of all kinds, see PeersToContact()
   size_t max_heartbeat_bytes = 1'024;
 };
 
--- a/include/coppervalve/membership/witness_selector.h
+++ b/include/coppervalve/membership/witness_selector.h
@@ -23,7 +23,8 @@
   /// A witness in this router's failure domain is replaced when a candidate in
   /// another domain has been available for this long.
   core::Duration upgrade_after = std::chrono::seconds(10);
-  size_t max_witnessed = 8;  ///< routers per witness, while others are below it
+  /// Maximum number of routers per witness, while another candidate has fewer.
+  size_t max_witnessed = 8;
 };
 
 struct KeepWitness {};
--- a/src/budget/sizing.cc
+++ b/src/budget/sizing.cc
@@ -141,7 +141,7 @@
     const Tokens running = ExpectedSpend(view, options.keep_low_seconds);
     return view.idle ? kNoTokens : std::max(running, view.unmet);
   }
-  // While the balance is high, the average holding of the others and a few
+  // While the balance is high, the average holding of other routers and a few
   // times the largest request are kept even when idle, so that the first
   // request after a pause needs neither the log nor a peer. This costs little,
   // because tokens above the ceiling are returned after a crash.
--- a/src/ledger/fold_balance.cc
+++ b/src/ledger/fold_balance.cc
@@ -50,7 +50,7 @@
   if (&from == &to || r.tokens() <= 0) {
     return IgnoreReason::kInvalid;
   }
-  // The record of the other side may no longer be remembered. Applying the
+  // The id of the other side's record may have been removed. Applying the
   // transfer twice would remove tokens that the sender still spends.
   if (context.stale()) {
     return IgnoreReason::kStale;
--- a/src/ledger/fold_config.cc
+++ b/src/ledger/fold_config.cc
@@ -115,7 +115,7 @@
 
 // The required majority prevents two configurations from being in force at
 // once, when a minority of the routers reads a configuration that the others,
-// cut off from the log, cannot know. A configuration in force was read by more
+// cut off from the log, cannot read. A configuration in force was read by more
 // than half of the voters; routers continue without the log only in a group of
 // more than half, none of which knows of a proposal; and any two majorities
 // share a voter.
--- a/src/ledger/fold_quarantine.cc
+++ b/src/ledger/fold_quarantine.cc
@@ -115,8 +115,8 @@
     context.Ignore(IgnoreReason::kNotAllowed);
     return;
   }
-  // A budget that is not listed stays quarantined: nothing is known about its
-  // final spend.
+  // A budget that is not listed stays quarantined, because its final spend is
+  // unknown.
   for (const v1::FinalSpend& final_spend : r.budgets()) {
     ApplyFinalSpend(context, member, final_spend);
   }
--- a/src/ledger/fold_spend.cc
+++ b/src/ledger/fold_spend.cc
@@ -60,8 +60,8 @@
   EmitQuarantineChange(context, member, ref, Tokens(0) - reclaimed);
   if (delta > ref.holding().held()) {
     // Routers commit only tokens that they hold, so this is a protocol error.
-    // Applying it would let others spend tokens that are gone, so the fold
-    // stops.
+    // Applying it would let other routers spend the same tokens again, so the
+    // fold stops.
     context.Fail({core::ErrorId::kConservationBroken, budget.id.value(),
                   member.id.value() + " spent more than it held"});
     return false;
--- a/src/membership/address_list_builder.cc
+++ b/src/membership/address_list_builder.cc
@@ -34,7 +34,7 @@
 }
 
 /// Weighted rendezvous hashing: the probability that a router is first is
-/// proportional to its weight, and the order of the others is unchanged.
+/// proportional to its weight, and the order of the other routers is unchanged.
 double Score(const core::AccountId& account,
              const MemberId& id,
              double weight) {
--- a/src/membership/freshness.cc
+++ b/src/membership/freshness.cc
@@ -90,8 +90,8 @@
       })) {
     return FreshBasis::kConfirmedByPeer;
   }
-  // A peer reads the log, so the log is available, and routers that cannot read
-  // it cannot tell what is in force.
+  // A peer reads the log, so the log is available. Routers that cannot read it
+  // have no evidence of which configuration is in force.
   if (any([&](const PeerLogReport& peer) {
         return IsRecent(now, peer.claimed_read_to_end);
       })) {
--- a/tests/budget/unit-random.cc
+++ b/tests/budget/unit-random.cc
@@ -48,8 +48,8 @@
 
   /// @return the first fault found; empty when there is none
   std::string Check() const {
-    // The free balance can be granted to others at any time, so it counts as
-    // used.
+    // The free balance can be granted to other routers at any time, so it
+    // counts as used.
     int64_t claimed = m_log.Free();
     for (const FakeRouter& r : m_routers) {
       const HoldingTotals& totals = r.holdings.Totals();
--- a/tests/budget/unit-witness.cc
+++ b/tests/budget/unit-witness.cc
@@ -28,8 +28,8 @@
 // clang-format on
 
 // A router pauses for an hour and is retired, and its tokens above the ceiling
-// are granted to others. When it resumes, it has not read the log yet. Work
-// above the ceiling would then be paid with tokens of others.
+// are granted to other routers. When it resumes, it has not read the log yet.
+// Work above the ceiling would then be paid with tokens of those routers.
 TEST(Witness, a_router_resumed_after_retirement_cannot_pass_the_ceiling) {
   HoldingManagerFixture f;
   CeilingStore ceiling_store;
--- a/tests/ledger/unit-balance.cc
+++ b/tests/ledger/unit-balance.cc
@@ -86,7 +86,7 @@
 }
 
 // The reply to a top-up is lost and the tool repeats it, once soon and once
-// after its id was forgotten. The account must be paid in once; the late copy
+// after its id was removed. The account must be paid in once; the late copy
 // is refused because of its age.
 TEST(Balance, a_repeated_top_up_pays_in_once_however_late_it_comes) {
   Fleet log;
--- a/tests/ledger/unit-quarantine.cc
+++ b/tests/ledger/unit-quarantine.cc
@@ -107,8 +107,9 @@
   log.Write(log.r2, Spend(40));
 }
 
-// A copy of a transfer record is delayed past the window, so that its id is
-// forgotten. Applying it again would move tokens that r1 still spends.
+// A copy of a transfer record is delayed past the dedup window, so that its id
+// is no longer stored. Applying it again would move tokens that r1 still
+// spends.
 TEST(Quarantine, a_transfer_record_after_the_window_moves_nothing) {
   Fleet log;
   log.Write(log.r1, RequestAllotment(100));
--- a/tests/ledger/unit-quorum.cc
+++ b/tests/ledger/unit-quorum.cc
@@ -99,7 +99,7 @@
 }
 
 // A router that starts from a snapshot with a pending proposal must accept it
-// at the same offset as the others.
+// at the same offset as routers that read the whole log.
 TEST(Acceptance, a_snapshot_keeps_voters_and_the_pending_proposal) {
   Fleet log;
   log.ConfirmReadByAll();
--- a/tests/ledger/unit-spend.cc
+++ b/tests/ledger/unit-spend.cc
@@ -58,8 +58,8 @@
 }
 
 // A router that spends more than it holds violates the bound that all balances
-// depend on. The fold stops instead of letting others spend tokens that are
-// gone.
+// depend on. The fold stops instead of letting other routers spend the same
+// tokens again.
 TEST(Spending, a_spend_above_the_holding_stops_the_fold_permanently) {
   Fleet log;
   log.Write(log.r1, RequestAllotment(100));
@@ -78,7 +78,7 @@
 }
 
 // r1's claim is delayed beyond the window. Meanwhile r2 won the key, ran the
-// request, and its claim was forgotten. r1 must not win the key now.
+// request, and its claim expired. r1 must not win the key now.
 TEST(Spending, a_claim_that_arrives_after_the_window_is_lost) {
   Fleet log;
   const v1::Entry late = log.Draft(log.r1, {ClaimKey("seat")});
