--- a/include/coppervalve/router/detail/budget_manager.h
+++ b/include/coppervalve/router/detail/budget_manager.h
@@ -18,7 +18,7 @@
 namespace coppervalve::router::detail {
 
 /// @brief Connects the holdings of this router to the log and to its peers,
-/// both as a spender and as a witness of others.
+/// both as a spender and as the witness of peers.
 class BudgetManager {
  public:
   BudgetManager(const RouterSettings& settings,
--- a/include/coppervalve/router/detail/request_flow.h
+++ b/include/coppervalve/router/detail/request_flow.h
@@ -110,8 +110,8 @@
   void ExpireWaiters(core::TimePoint now);
   void Enqueue(core::TimePoint now, Work& work);
   void DrainQueue(core::TimePoint now);
-  /// @return whether any was refused, so that others may now be first in their
-  /// lanes
+  /// @return whether any was refused, so that other requests may now be first
+  /// in their lanes
   bool RefuseUnplaceable(core::TimePoint now);
   bool TryStart(core::TimePoint now, const routing::QueueEntry& entry);
   void Start(core::TimePoint now,
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -39,8 +39,8 @@
 }  // namespace
 
 // Tokens are reserved before a request is queued, so a queued request can
-// always start and an account short of tokens never blocks the queue for
-// others.
+// always start and an account short of tokens never blocks the queue for other
+// accounts.
 void RequestFlow::ReserveTokens(TimePoint now, Work& work) {
   const Tokens bound = m_dependencies.configured.CostBound(
       work.route.candidates, work.prompt_bound, work.max_output);
--- a/src/router/flow_attempts.cc
+++ b/src/router/flow_attempts.cc
@@ -223,7 +223,7 @@
   }
 }
 
-// The table knows whether an attempt may have run, so it decides the reported
+// The table records whether an attempt may have run, so it decides the reported
 // run state, not the error.
 void RequestFlow::GiveUp(TimePoint now,
                          Work& work,
--- a/tests/orders/order_fixture.h
+++ b/tests/orders/order_fixture.h
@@ -11,8 +11,8 @@
 
 namespace coppervalve::orders {
 
-/// @brief Three routers on one log. `reply` answers what they send; routers in
-/// `halted` do nothing.
+/// @brief Three routers on one log. `reply` returns the outcome of each send;
+/// routers in `halted` are skipped.
 struct OrderFleet : ledger::TestLog {
   struct Sent {
     size_t router;
--- a/tests/orders/unit-order-manager.cc
+++ b/tests/orders/unit-order-manager.cc
@@ -47,7 +47,7 @@
 }
 
 // An engine that ignores fencing numbers gets no resend, which could undo a
-// later order. The operator sees that the outcome is unknown.
+// later order. The outcome is reported to the operator as unknown.
 TEST(OrderManager, a_lost_reply_of_an_ignoring_engine_is_left_to_the_operator) {
   OrderFleet run;
   run.reply = Always(SendOutcome::kUnknown);
--- a/tests/request/unit-request-table.cc
+++ b/tests/request/unit-request-table.cc
@@ -81,9 +81,11 @@
     arrival.log_available = true;
     return arrival;
   }
+  /// A non-idempotent request, such as a seat hold.
   Arrival Hold(const KeyName& key) {
     return Make(key, true);
   }
+  /// An idempotent request, such as a model request for a draft.
   Arrival Draft(const KeyName& key) {
     return Make(key, false);
   }
