--- a/include/coppervalve/membership/freshness.h
+++ b/include/coppervalve/membership/freshness.h
@@ -13,12 +13,12 @@
 namespace coppervalve::membership {
 
 /// @brief What one contact reports about the log. One per contact, including
-/// those that were never heard.
+/// contacts from which no heartbeat was ever received.
 struct PeerLogReport {
   bool reachable = false;
   /// Whether the contact counts towards the majority. A peer that is a contact
-  /// only because it was heard does not: it could count only in favour, never
-  /// against.
+  /// only because it sends heartbeats here does not: when unreachable, it would
+  /// no longer be a contact, so it could only ever count as reachable.
   bool counts = true;
   /// Latest time, on this router's clock, at which the peer is known to have
   /// read the log to its end; empty when it never reported that.
@@ -26,7 +26,7 @@
   /// The same according to its latest heartbeat, which may have been delayed.
   std::optional<core::TimePoint> claimed_read_to_end;
   core::ConfigVersion config_version;
-  core::ConfigVersion known_version{};  ///< higher while a proposal is known
+  core::ConfigVersion known_version{};  ///< higher while a proposal is pending
 };
 
 /// @brief Why a router is fresh.
@@ -62,7 +62,7 @@
   bool sampled = false;                ///< log_reports cover a sample only
   std::vector<PeerLogReport> log_reports;
   bool self_votes = true;
-  core::ConfigVersion known_version{};  ///< higher while a proposal is known
+  core::ConfigVersion known_version{};  ///< higher while a proposal is pending
 };
 
 /// @brief Decides whether this router may accept new work under its
--- a/include/coppervalve/membership/peer_view.h
+++ b/include/coppervalve/membership/peer_view.h
@@ -20,16 +20,17 @@
 /// @brief Limits of the exchange of heartbeats.
 struct PeerLimits {
   core::Duration heartbeat_interval = std::chrono::seconds(1);
-  /// A peer is reachable if it was heard within this time.
+  /// A peer is reachable if a heartbeat from it arrived within this time.
   core::Duration suspect_after = std::chrono::milliseconds(3'000);
-  /// A suspected peer becomes reachable after being heard for this long.
+  /// A suspected peer becomes reachable after its heartbeats have arrived for
+  /// this long.
   core::Duration trust_after = std::chrono::milliseconds(1'500);
   /// How long a failed send makes a peer unreachable that exchanges no
   /// heartbeats with this router.
   core::Duration send_failure_lifetime = std::chrono::seconds(5);
   size_t full_mesh_members = 12;  ///< up to this many, a full mesh
   size_t contacts = 8;            ///< chosen by this router in a larger fleet
-  size_t max_contacts = 24;  ///< including all others, see PeersToContact()
+  size_t max_contacts = 24;       ///< of all kinds, see PeersToContact()
   size_t max_heartbeat_bytes = 1'024;
 };
 
@@ -131,8 +132,8 @@
   std::string m_name;
   std::map<MemberId, Entry> m_peers;
   std::vector<MemberId> m_chosen;
-  // Whether a peer has chosen this router. Computed when the peer is heard and
-  // valid until the members change.
+  // Whether a peer has chosen this router as a contact. Computed on a heartbeat
+  // of the peer and valid until the members change.
   mutable std::map<MemberId, bool> m_chosen_by;
   std::optional<MemberId> m_pinned;
   std::optional<core::TimePoint> m_heartbeat_sent;
--- a/include/coppervalve/membership/witness_selector.h
+++ b/include/coppervalve/membership/witness_selector.h
@@ -23,7 +23,8 @@
   /// A witness in this router's failure domain is replaced when a candidate in
   /// another domain has been available for this long.
   core::Duration upgrade_after = std::chrono::seconds(10);
-  size_t max_witnessed = 8;  ///< routers per witness, while others are below it
+  /// Maximum number of routers per witness, while another candidate has fewer.
+  size_t max_witnessed = 8;
 };
 
 struct KeepWitness {};
@@ -41,7 +42,7 @@
  public:
   explicit WitnessSelector(Member self, WitnessLimits limits = {});
 
-  /// @param current the witness that is in force or has been asked
+  /// @param current the witness in force, or the candidate chosen last
   /// @param peers all peers, with reachability; never this router itself
   /// @complexity O(n)
   WitnessVerdict Evaluate(core::TimePoint now,
