--- a/apps/coppervalve/fleet_commands.h
+++ b/apps/coppervalve/fleet_commands.h
@@ -19,7 +19,7 @@
                      const std::string& key,
                      const std::string& account);
 
-/// @brief Tells a router to drain: finish its work and leave the fleet.
+/// @brief Requests a drain: the router finishes its work and leaves the fleet.
 /// @param router its id, or "ip:port" of its operator endpoint
 ExitCode Drain(const Session& session, const std::string& router);
 
--- a/apps/coppervalve/publish.cc
+++ b/apps/coppervalve/publish.cc
@@ -227,7 +227,7 @@
   }
 
   // Without a live router no configuration is in force: reporting success would
-  // tell the operator that a dead fleet has applied it.
+  // mean that the configuration was applied although no router runs.
   std::string Unconfirmed(core::ConfigVersion version) const {
     if (m_view.fold().LiveMembers().empty()) {
       return "any router: none is live";
--- a/apps/coppervalved/daemon.h
+++ b/apps/coppervalved/daemon.h
@@ -6,8 +6,8 @@
 
 namespace coppervalve::daemon {
 
-/// @brief Runs a router until it was asked to drain and did.
-/// @return kSettingBadValue when a port can't be listened on
+/// @brief Runs a router until a requested drain is complete.
+/// @return kSettingBadValue when listening on a port fails
 core::Status RunDaemon(const Settings& settings);
 
 }  // namespace coppervalve::daemon
--- a/apps/coppervalved/main.cc
+++ b/apps/coppervalved/main.cc
@@ -22,8 +22,8 @@
   return kUsageExit;
 }
 
-// The entry router reads its settings from the platform it runs on, not from
-// flags. The policy is changed only for experiments.
+// Runs the entry router, which reads its settings from the platform and not
+// from flags. The policy flag is for experiments only.
 int RunOnPlatform(int argc, char** argv) {
   using namespace coppervalve;
   std::string_view changes;
--- a/bench/budget/report.h
+++ b/bench/budget/report.h
@@ -14,7 +14,7 @@
   double value = 0;
 };
 
-/// @brief Prints figures and remembers whether one exceeded its bound.
+/// @brief Prints figures and records whether one exceeded its bound.
 class Report {
  public:
   /// @param bound if empty, the figure is only printed for comparison
--- a/bench/budget/schedule_runner.h
+++ b/bench/budget/schedule_runner.h
@@ -32,7 +32,7 @@
   core::Duration return_time{};   ///< mean over those
 };
 
-/// @brief Runs one schedule on a fleet of 7 with its load and its audit.
+/// @brief Runs one schedule on a fleet of 7 routers with load and audit.
 class ScheduleRunner {
  public:
   ScheduleRunner(uint64_t seed,
--- a/bench/budget/schedules.cc
+++ b/bench/budget/schedules.cc
@@ -41,7 +41,7 @@
 }
 
 /// Partitions the fleet. One side also loses the log: it serves from its
-/// holdings and does not learn of the top-ups.
+/// holdings and does not receive the top-ups.
 void RunPartition(ScheduleRunner& runner, LogSide with_log) {
   runner.Run(seconds(30));
   PartitionSides(runner, true, with_log);
--- a/bench/capacity/figure.h
+++ b/bench/capacity/figure.h
@@ -6,7 +6,7 @@
 
 namespace coppervalve::bench {
 
-/// @brief Prints figures and remembers whether one exceeded its bound.
+/// @brief Prints figures and records whether one exceeded its bound.
 ///
 /// Only counts, bytes and ratios of counts have bounds, since they are the same
 /// on any machine. Bounds guard against regressions; a bound above the required
--- a/bench/routing/fleet_model.cc
+++ b/bench/routing/fleet_model.cc
@@ -136,8 +136,8 @@
   JobState& state = m_jobs.at(id);
   m_next_engine = (m_next_engine + 1) % m_engines.size();
   Send(state, m_next_engine);
-  // The caller times out and retries. The engine is not told and runs the first
-  // request too.
+  // The caller times out and retries. The engine is not notified, so it also
+  // runs the first request.
   Schedule(m_now + state.job.max_wait, [this, id] {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end() || found->second.started) {
--- a/bench/routing/fleet_model.h
+++ b/bench/routing/fleet_model.h
@@ -90,7 +90,7 @@
   void Arrive(size_t router, Job job);
   void Step();
   void SetEnginesDown(bool down) { m_down = down; }
-  /// @brief Tells one router that an engine is leaving.
+  /// @brief Marks an engine as leaving at one router.
   void SetLeaving(size_t router, size_t engine);
 
   int64_t now() const { return m_now; }
--- a/bench/routing/scenario_faults.cc
+++ b/bench/routing/scenario_faults.cc
@@ -104,7 +104,7 @@
 }
 
 struct LeavingResult {
-  double after_known = 0;    ///< steps after the sending router knew
+  double after_known = 0;    ///< steps after the router read the list
   double after_leaving = 0;  ///< steps after the VM began to leave
 };
 
--- a/include/coppervalve/logclient/reader.h
+++ b/include/coppervalve/logclient/reader.h
@@ -47,7 +47,7 @@
 /// The owner calls NextRead() on each tick and after each event, sends the
 /// returned request and calls exactly one of OnRead() or OnFailed() for it (the
 /// sender enforces the timeout). A new router starts at offset 0; the first
-/// reply tells whether that offset is still retained.
+/// reply shows whether that offset is still retained.
 class Reader {
  public:
   Reader(core::LogOffset next, ReaderOptions options, JitterHook jitter);
--- a/include/coppervalve/net/caller_server.h
+++ b/include/coppervalve/net/caller_server.h
@@ -43,7 +43,7 @@
   std::function<void(size_t thread, core::RequestId request)> answered;
   /// A request was rejected before it was received completely.
   std::function<void(const core::Error& error)> rejected;
-  /// Whether answers ask callers to close the connection and reconnect.
+  /// While true, answers carry "Connection: close", so that callers reconnect.
   std::function<bool()> draining;
 };
 
--- a/include/coppervalve/net/peer_auth.h
+++ b/include/coppervalve/net/peer_auth.h
@@ -28,7 +28,8 @@
   core::Result<std::string> Sign(std::string_view signed_text,
                                  UnixSeconds now) const;
 
-  /// @brief The proof in an answer that its sender has the secret too.
+  /// @brief Creates the proof of a reply: it shows that the replying router has
+  /// the secret too.
   /// @param proof the proof of the request that is answered
   std::string ReplyProof(std::string_view proof) const;
 
--- a/include/coppervalve/net/peer_types.h
+++ b/include/coppervalve/net/peer_types.h
@@ -45,7 +45,7 @@
   /// Also false when the peer stated that it did not process the request
   /// (REFUSED_STREAM, GOAWAY with a lower stream id, refusal by the link).
   bool sent = false;
-  /// Meaningful only when not whole.
+  /// Meaningful only when not complete.
   core::Error error{core::ErrorId::kOutcomeUnknown, {}, {}};
 };
 
--- a/include/coppervalve/net/shell.h
+++ b/include/coppervalve/net/shell.h
@@ -41,7 +41,7 @@
   /// @brief Opens the ports and starts the threads.
   /// @return kSettingBadValue for an address that cannot be listened on
   core::Status Start();
-  /// @brief Asks the core to drain. Thread-safe and idempotent.
+  /// @brief Requests a drain from the core. Thread-safe and idempotent.
   void Drain();
   /// @brief Waits until the core has completed its drain, then closes the open
   /// connections.
--- a/include/coppervalve/net/shell_settings.h
+++ b/include/coppervalve/net/shell_settings.h
@@ -29,10 +29,11 @@
   size_t max_kept_bytes = size_t{128} * 1024 * 1024;
 
   std::chrono::milliseconds connect_timeout{1'000};
-  /// Added to the wait that was requested from the log service.
+  /// Timeout of a call to the log service, in addition to the long-poll time of
+  /// a read.
   std::chrono::milliseconds log_timeout{3'000};
   std::chrono::milliseconds probe_timeout{1'000};
-  /// For an engine to acknowledge an order; after a timeout the outcome is
+  /// Time for an engine to acknowledge an order; after a timeout the outcome is
   /// unknown.
   std::chrono::milliseconds order_timeout{30'000};
   std::chrono::milliseconds vm_list_interval{2'000};
--- a/include/coppervalve/net/stream_relay.h
+++ b/include/coppervalve/net/stream_relay.h
@@ -18,7 +18,7 @@
 /// detects a truncated stream.
 class StreamRelay {
  public:
-  /// @param relay_usage the caller asked for the usage event
+  /// @param relay_usage the caller requested the usage event
   StreamRelay(std::shared_ptr<Answer> answer, HttpHead head, bool relay_usage);
 
   /// @return kUpstreamProtocol or kUpstreamFailed; the stream must not be used
--- a/include/coppervalve/routing/placement.h
+++ b/include/coppervalve/routing/placement.h
@@ -29,7 +29,7 @@
   kLastResort,   ///< no healthy candidate; this one still answers some requests
   kAllBusy,      ///< none chosen: wait for capacity
   kNoneAlive,    ///< none chosen: all are ejected or leaving
-  kNoCandidate,  ///< none chosen: nothing is configured for the work
+  kNoCandidate,  ///< none chosen: no upstream is configured for the target
 };
 
 /// @brief Stable lower_snake_case name for log lines.
@@ -51,7 +51,8 @@
   uint32_t criterion = 0;  ///< 1-based; with kCriterion only
 };
 
-/// @brief Chooses one of at least one usable candidates. @complexity linear
+/// @brief Chooses one of the usable candidates. @pre there is at least one
+/// @complexity linear
 using PlacementPolicy =
     std::function<PolicyChoice(std::span<const Candidate> candidates,
                                uint64_t affinity)>;
--- a/include/coppervalve/routing/upstream.h
+++ b/include/coppervalve/routing/upstream.h
@@ -36,7 +36,7 @@
 
 /// @brief How an attempt failed after its first byte was sent.
 enum class FailureKind : uint8_t {
-  kError,     ///< the upstream answered with a server error or closed
+  kError,     ///< the upstream server error, or connection closed
   kSilent,    ///< a timeout expired before the first or the next token
   kProtocol,  ///< the answer was malformed
 };
@@ -52,7 +52,7 @@
 enum class Usability : uint8_t {
   kUsable,
   kBusy,        ///< at its concurrency limit for this class
-  kHeldOff,     ///< declined a request; paused for the time it asked for
+  kHeldOff,     ///< declined a request; paused for the requested time
   kLastResort,  ///< ejected only for its error ratio; still answers some
                 ///< requests
   kEjected,
--- a/include/coppervalve/routing/upstream_table.h
+++ b/include/coppervalve/routing/upstream_table.h
@@ -34,7 +34,7 @@
   double report_weight = 0.5;
   /// Load reports older than this are ignored.
   core::Duration report_max_age{10'000'000};
-  /// Pause after a decline that does not name one.
+  /// Pause after a decline that states no retry time.
   core::Duration default_hold_off{200'000};
   core::Duration max_hold_off{5'000'000};
   /// Maximum probes returned per call, so that the probes of a fleet of
--- a/include/coppervalve/trial/audit.h
+++ b/include/coppervalve/trial/audit.h
@@ -42,8 +42,8 @@
   /// @brief Compares all folds that are at the same offset, and all holdings.
   /// @complexity linear in the state
   std::vector<Violation> CheckFolds();
-  /// @brief Called when a router starts an attempt. It must not use a version
-  /// that was replaced longer ago than the freshness bound.
+  /// @brief Called when a router starts an attempt. Reports a violation if the
+  /// router's configuration was replaced longer ago than the freshness bound.
   void OnDispatch(size_t node);
   TokenCount Count() const;
   /// @return whether a single exact counter has tokens for the request after
--- a/include/coppervalve/trial/chaos.h
+++ b/include/coppervalve/trial/chaos.h
@@ -34,8 +34,8 @@
   uint64_t retirements = 0;
 };
 
-/// @brief Runs a fleet of 7 under random faults and checks all invariants
-/// every 100 ms of virtual time. The same options give the same run.
+/// @brief Runs a fleet of 7 routers under random faults and checks all
+/// invariants every 100 ms of virtual time. The same options give the same run.
 ChaosResult RunChaos(const ChaosOptions& options);
 
 }  // namespace coppervalve::trial
--- a/include/coppervalve/trial/load_generator.h
+++ b/include/coppervalve/trial/load_generator.h
@@ -15,14 +15,14 @@
 
 namespace coppervalve::trial {
 
-/// @brief LoadGenerator that the callers generate.
+/// @brief Options of the load that the simulated callers generate.
 struct LoadOptions {
   size_t accounts = 3;
   int64_t prepaid = 200'000;  ///< of each account's budget
   double per_second = 20;     ///< new requests over all accounts
   double batch_share = 0.4;   ///< BATCH model work
   double gate_share = 0.2;    ///< non-idempotent GATE calls of a service
-  double keyed_share = 0.9;   ///< of idempotent work; calls always have a key
+  double keyed_share = 0.9;  ///< of idempotent work; GATE calls always have one
   double origin_bound_share = 0.7;  ///< of keyed work: origin-bound keys
   size_t max_attempts = 4;          ///< of one request
   core::Duration caller_timeout = std::chrono::seconds(15);
@@ -35,11 +35,11 @@
 struct ClassCount {
   uint64_t client_requests = 0;
   uint64_t complete = 0;
-  uint64_t refused = 0;               ///< final result: not run
-  uint64_t unknown = 0;               ///< final result: outcome unknown
-  uint64_t open = 0;                  ///< no final result yet
-  uint64_t false_refusals = 0;        ///< for lack of tokens although available
-  uint64_t false_final_refusals = 0;  ///< requests that ended in one
+  uint64_t refused = 0;         ///< final result: not run
+  uint64_t unknown = 0;         ///< final result: outcome unknown
+  uint64_t open = 0;            ///< no final result yet
+  uint64_t false_refusals = 0;  ///< for lack of tokens that were available
+  uint64_t false_final_refusals = 0;  ///< final result: a false refusal
   /// Requests that a single exact counter would have run in addition to those
   /// that ran: like false_final_refusals, but each available token counts once.
   uint64_t lost = 0;
--- a/include/coppervalve/trial/node.h
+++ b/include/coppervalve/trial/node.h
@@ -36,7 +36,7 @@
   void Start();
   /// @brief SIGKILL: open connections break, nothing more is sent.
   void Kill();
-  /// @brief SIGSTOP: what arrives waits until Resume().
+  /// @brief SIGSTOP: events that arrive are queued until Resume().
   void Pause();
   void Resume();
   void Drain();
--- a/include/coppervalve/trial/records.h
+++ b/include/coppervalve/trial/records.h
@@ -24,7 +24,7 @@
   std::string service;  ///< empty for model work
   core::Bytes body_size;
   core::Tokens prompt;      ///< what the engine will count
-  core::Tokens max_output;  ///< asked for
+  core::Tokens max_output;  ///< requested
   core::Tokens output;      ///< what the engine will generate
   core::Duration duration{};
   std::string key;  ///< empty: none
--- a/src/net/caller_routes.h
+++ b/src/net/caller_routes.h
@@ -20,7 +20,7 @@
                              router::AddressesRequested,
                              router::StatusRequested>;
   Event event;
-  bool wants_usage = false;  ///< the caller asked for the usage event
+  bool wants_usage = false;  ///< the caller requested the usage event
 };
 
 /// @brief Parses a request of a caller.
--- a/src/net/caller_session.cc
+++ b/src/net/caller_session.cc
@@ -120,7 +120,8 @@
 
 void CallerSession::OnReadable() {
   // Received bytes are the next, pipelined request. It is read after this one
-  // is answered; until then only a failed write shows that the caller is gone.
+  // is answered; until then only a failed write shows that the caller has
+  // disconnected.
   if (m_busy && m_answer && IsClosedByPeer(m_socket)) {
     HandleDisconnect();
   }
--- a/src/net/detail/peer_reply_buffer.h
+++ b/src/net/detail/peer_reply_buffer.h
@@ -15,7 +15,7 @@
 /// @brief Buffers an answer until the stream's window allows sending it.
 class PeerReplyBuffer {
  public:
-  /// Below this the writer is asked for more.
+  /// Buffered bytes below which waiting writers are notified.
   static constexpr size_t kLowWater = 64U << 10U;
 
   /// @param on_writable called once, now or when the buffer has drained
--- a/src/net/detail/peer_session.h
+++ b/src/net/detail/peer_session.h
@@ -75,8 +75,8 @@
   /// @brief Extends the stream's window by bytes that were passed on.
   void Consume(StreamId stream, size_t bytes);
   void Ping();
-  /// @brief Tells a client to open no more streams; those in transit are still
-  /// accepted.
+  /// @brief Sends a GOAWAY without a last stream: the client opens no more
+  /// streams, and those in transit are still accepted.
   void SubmitShutdownNotice();
   /// @brief Refuses later streams; those in progress continue.
   void SubmitGoaway();
--- a/src/net/model_json.cc
+++ b/src/net/model_json.cc
@@ -8,7 +8,8 @@
 
 namespace json = boost::json;
 
-// Length of the prompt's beginning, which decides which engine has it cached.
+// Length of the prompt prefix that is used for affinity: requests with the same
+// prefix go to the engine that has it cached.
 constexpr size_t kPrefixBytes = 512;
 // Deeper than any real request; limits the parser's stack.
 constexpr size_t kMaxDepth = 32;
--- a/src/net/platform_client.cc
+++ b/src/net/platform_client.cc
@@ -103,8 +103,8 @@
                 if (!self) {
                   return;
                 }
-                // Without an answer the core keeps the last list, which is
-                // outdated anyway.
+                // A failed poll is not reported: the core keeps the last
+                // list, which may lag behind in any case.
                 if (auto vms = ParseList(result)) {
                   self->report(router::VmListRead{std::move(*vms)});
                 }
--- a/src/net/socket_util.cc
+++ b/src/net/socket_util.cc
@@ -19,7 +19,8 @@
 constexpr int kKeepIdleSeconds = 5;
 constexpr int kKeepIntervalSeconds = 2;
 constexpr int kKeepCount = 3;
-// The same for a connection with unacknowledged data.
+// Keepalive does not cover a connection with unacknowledged data; this timeout
+// detects a dead one after the same time.
 constexpr int kUserTimeoutMillis = 11000;
 
 void SetInt(tcp::socket& socket, int level, int name, int value) {
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -317,8 +317,8 @@
 void TrafficWorker::Sweep() {
   // The core reports the end of a request only to waiting callers. If the
   // caller and all joined callers of a keyed request have disconnected, its
-  // body would stay here forever. If the core still dispatches it later, it is
-  // told that nothing was sent.
+  // body would stay here forever. If the core still dispatches the request
+  // later, the worker reports that nothing was sent.
   const core::TimePoint oldest = BootNow() - kAbandonedAfter;
   for (auto it = m_requests.begin(); it != m_requests.end();) {
     const Entry& entry = it->second;
--- a/src/net/traffic_worker.h
+++ b/src/net/traffic_worker.h
@@ -52,8 +52,9 @@
   /// @param account set when a peer router forwarded the request
   Exchange Accept(HttpRequest http,
                   const std::optional<core::AccountId>& account);
-  /// @brief Asks the core for this router's status.
-  /// @param readiness answer only whether the router accepts new work
+  /// @brief Requests this router's status from the core.
+  /// @param readiness the answer states only whether the router accepts new
+  /// work
   Exchange AskStatus(bool readiness);
   /// @brief Answers immediately, without the core.
   Exchange AnswerNow(HttpHead head, std::string_view body);
--- a/src/net/upstream_attempt.h
+++ b/src/net/upstream_attempt.h
@@ -28,7 +28,7 @@
   bool head_request = false;
   bool model_work = false;
   bool stream = false;
-  bool relay_usage = false;  ///< the caller asked for the usage event
+  bool relay_usage = false;  ///< the caller requested the usage event
   std::chrono::microseconds connect_timeout{};
   std::chrono::microseconds first_token_timeout{};
   std::chrono::microseconds inter_token_timeout{};
--- a/src/telemetry/router_metrics.cc
+++ b/src/telemetry/router_metrics.cc
@@ -21,7 +21,8 @@
 using prometheus::Histogram;
 using prometheus::Registry;
 
-// Ranges from the answer of a classifier to a long itinerary.
+// From 1 ms, for short answers such as a classifier's, to 60 s, for long
+// generated texts such as itineraries.
 const Histogram::BucketBoundaries kSecondsBuckets = {
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
     0.5,   1.0,    2.5,   5.0,  10.0,  30.0, 60.0};
--- a/src/trial/node.cc
+++ b/src/trial/node.cc
@@ -59,7 +59,7 @@
 }
 
 // The callers' connections break; peers that forwarded a request to this node
-// learn that the answer is incomplete.
+// get a failure for the incomplete answer.
 void Node::Kill() {
   ++m_generation;
   m_core.reset();
--- a/tests/logclient/unit-snapshot_policy.cc
+++ b/tests/logclient/unit-snapshot_policy.cc
@@ -58,8 +58,8 @@
   }
 }
 
-// The router ranked first has died but is not retired yet. The others take over
-// one after the other until a snapshot is seen.
+// The router ranked first has crashed but is not retired yet. The others take
+// over one after the other until a snapshot is seen.
 TEST(SnapshotPolicy, a_dead_writer_is_followed_by_the_next_in_rank) {
   const std::vector<core::RouterId> routers = SevenRouters();
   std::vector<SnapshotPolicy> policies = PoliciesOf(routers);
--- a/tests/logclient/unit-writer.cc
+++ b/tests/logclient/unit-writer.cc
@@ -91,9 +91,9 @@
   CHECK_EQUAL(2U, entry.sequence());
 }
 
-// The log accepts an append, but its reply is lost. The writer cannot tell this
-// from an append that never arrived and retries it. If the retry were a new
-// entry, a grant in it would be folded twice.
+// The log accepts an append, but its reply is lost. The writer cannot
+// distinguish this from an append that never arrived and retries it. If the
+// retry were a new entry, a grant in it would be folded twice.
 TEST(Writer, a_lost_reply_leads_to_the_same_bytes_and_folds_once) {
   FakeLog log;
   Writer writer = MakeWriter();
--- a/tests/net/unit-answer.cc
+++ b/tests/net/unit-answer.cc
@@ -98,7 +98,7 @@
 }
 
 TEST(Answer, usage_with_a_negative_count_is_ignored) {
-  // It would credit tokens to the budget.
+  // A negative count would credit tokens to the budget.
   const auto answer = ReadModelAnswer(
       R"({"choices":[1],"usage":{"prompt_tokens":5,"completion_tokens":-9}})");
   CHECK(core::IsOk(answer));
--- a/tests/net/unit-peer-attack.cc
+++ b/tests/net/unit-peer-attack.cc
@@ -79,8 +79,8 @@
 }
 
 // An attacker on the path changes the sender in a message. The proof covers the
-// digest of the body, so the router refuses the changed body, and the sender is
-// told.
+// digest of the body, so the router refuses the changed body, and the sender
+// gets an error.
 TEST(PeerAttack, a_body_that_is_changed_in_transit_is_refused) {
   PeerServer server(m_threads.io(), kLocalhost, 0, kSecret, m_callbacks);
   Listen(server);
@@ -109,7 +109,8 @@
   CHECK_TRUE(core::Failure(status).id == core::ErrorId::kSettingBadValue);
 }
 
-// Garbage arrives at the port. Only that connection ends; others work on.
+// Bytes that are not HTTP/2 arrive at the port. Only that connection is closed;
+// others continue to work.
 TEST(PeerAttack, a_connection_that_is_not_http2_is_closed) {
   PeerServer server(m_threads.io(), kLocalhost, 0, kSecret, m_callbacks);
   const std::string address = Listen(server);
--- a/tests/net/unit-peer-link.cc
+++ b/tests/net/unit-peer-link.cc
@@ -192,7 +192,7 @@
 }
 
 // A process without the fleet's secret sends a message and a forward. Nothing
-// reaches the router; the sender is told that it was refused.
+// reaches the router; the sender gets an error.
 TEST(PeerLink, a_wrong_secret_delivers_nothing) {
   std::atomic<int> delivered{0};
   std::atomic<int> refused{0};
@@ -331,7 +331,7 @@
 }
 
 // The caller disconnects. Its router cancels the forward, and the other router
-// is told, so that it can stop the work.
+// is notified, so that it can stop the work.
 TEST(PeerLink, a_cancelled_forward_is_reported_at_both_ends) {
   Awaited<bool> cancelled;
   Awaited<std::shared_ptr<ForwardReply>> running;
@@ -388,7 +388,7 @@
   CHECK_TRUE(failed.Get().id == core::ErrorId::kBodyTooLarge);
 }
 
-// A router is told to stop while it answers a forward of a peer. The answer in
+// A router starts to close while it answers a forward of a peer. The answer in
 // progress reaches its caller completely; later forwards are refused as not
 // sent.
 TEST(PeerLink, a_server_that_closes_finishes_the_answers_in_progress) {
--- a/tests/net/unit-peer-silence.cc
+++ b/tests/net/unit-peer-silence.cc
@@ -111,7 +111,7 @@
 
 // A forward is half answered when a middlebox drops the connection's state.
 // Both ends receive nothing more, although the peer works: the first forward
-// fails, the peer is told that its reader is gone, and the next forward is
+// fails, the peer gets a cancellation, and the next forward is
 // answered over a new connection.
 TEST(PeerSilence, a_connection_that_goes_silent_is_replaced_by_a_new_one) {
   Awaited<std::shared_ptr<ForwardReply>> running;
--- a/tests/net/unit-platform.cc
+++ b/tests/net/unit-platform.cc
@@ -32,7 +32,7 @@
   return reply.SerializeAsString();
 }
 
-// Does this once, at the first request of a caller.
+// Returns these actions once, at the first request of a caller.
 TestShell::Decide OnRequest(TestShell::Actions actions) {
   return [actions = std::move(actions)](const router::Event& event) {
     const bool arrived =
@@ -94,8 +94,8 @@
 
 TEST(Platform,
      an_append_with_a_lost_reply_is_neither_retried_nor_reported_as_done) {
-  // The service accepts the entry and its reply is lost. The core must be told
-  // that the outcome is unknown, and the shell must not append a second time.
+  // The service accepts the entry and its reply is lost. The shell must
+  // report an unknown outcome to the core and must not append a second time.
   std::atomic<int> appends{0};
   FakeServer log([&appends](RawSocket& socket, size_t) {
     socket.ReadMessage();
--- a/tests/net/unit-shell.cc
+++ b/tests/net/unit-shell.cc
@@ -37,7 +37,7 @@
   };
 }
 
-// Dispatches requests until it is asked to drain, then exits immediately.
+// Dispatches requests until a drain is requested, then exits immediately.
 TestShell::Decide ExitOnDrain(const std::string& upstream) {
   return [decide = SendTo(upstream)](
              const router::Event& event) -> TestShell::Actions {
--- a/tests/net/unit-stream.cc
+++ b/tests/net/unit-stream.cc
@@ -62,7 +62,7 @@
     CHECK_TEXT(Has(answer, "draw") && Has(answer, "bridge"), answer.c_str());
     CHECK(Has(answer, kDone));
     CHECK(answer.ends_with(kLastChunk));
-    // The caller did not ask for the usage event.
+    // The caller did not request the usage event.
     CHECK_FALSE(Has(answer, "usage"));
     const auto done = shell.WaitFor<router::AttemptDone>();
     CHECK(done.has_value());
--- a/tests/routing/unit-admission-queue.cc
+++ b/tests/routing/unit-admission-queue.cc
@@ -169,8 +169,8 @@
 TEST(AdmissionQueue,
      a_request_that_would_miss_its_deadline_is_refused_at_once) {
   // One entry starts every 100 ms and 10 wait. Without an early refusal, a
-  // caller whose deadline is too close would be refused only after the entries
-  // before it, too late to try anything else.
+  // caller with 150 ms left would be refused only at its deadline, too late to
+  // try anything else.
   AdmissionQueue queue({}, Seeded(1));
   MeasureStartRate(queue, 100, 2000);
   for (uint64_t i = 1; i <= 10; ++i) {
--- a/tests/routing/unit-retry-policy.cc
+++ b/tests/routing/unit-retry-policy.cc
@@ -57,7 +57,7 @@
      a_non_idempotent_request_is_not_retried_once_bytes_were_sent) {
   // The engine closed the connection after it received a seat hold. The hold
   // may exist, and a second one would block a party that has paid, so the
-  // caller is told that the outcome is unknown.
+  // error for the caller states that the outcome is unknown.
   const RetryDecision sent = DecideOnce(Failed(AttemptEnd::kFailed, false));
   CHECK(std::get<GiveUp>(sent).error.id == core::ErrorId::kOutcomeUnknown);
   CHECK(std::get<GiveUp>(sent).run_state == core::RunState::kUnknown);
