--- a/include/coppervalve/net/caller_server.h
+++ b/include/coppervalve/net/caller_server.h
@@ -43,7 +43,8 @@
   std::function<void(size_t thread, core::RequestId request)> answered;
   /// A request was rejected before it was received completely.
   std::function<void(const core::Error& error)> rejected;
-  /// While true, answers carry "Connection: close", so that callers reconnect.
+  /// While true, answers carry "Connection: close", so that callers connect
+  /// to another router for their next request.
   std::function<bool()> draining;
 };
 
--- a/include/coppervalve/net/peer_server.h
+++ b/include/coppervalve/net/peer_server.h
@@ -39,8 +39,8 @@
   /// @brief Completes the answer.
   void End();
 
-  /// @brief Ends with RST_STREAM, which tells the other side that the answer is
-  /// incomplete. Does nothing after End().
+  /// @brief Ends with RST_STREAM, which marks the answer as incomplete for the
+  /// other side. Does nothing after End().
   void Abort(core::Error error);
 
   /// @brief Sets the callback for a stream that ends before End() or Abort():
--- a/src/net/detail/peer_server_connection.cc
+++ b/src/net/detail/peer_server_connection.cc
@@ -264,9 +264,9 @@
 }
 
 // A GOAWAY that states the last stream immediately would refuse streams in
-// transit. So a notice without a last stream is sent first: the client opens no
-// new streams, and those in transit are still answered. The final GOAWAY
-// follows after a delay much longer than a round trip.
+// transit. So a GOAWAY with the maximum stream id is sent first: the client
+// opens no new streams, and those in transit are still answered. The final
+// GOAWAY follows after a delay much longer than a round trip.
 void PeerServerConnection::StartDrain() {
   if (m_draining || !m_connection->open()) {
     return;
--- a/src/net/detail/peer_session.h
+++ b/src/net/detail/peer_session.h
@@ -75,7 +75,7 @@
   /// @brief Extends the stream's window by bytes that were passed on.
   void Consume(StreamId stream, size_t bytes);
   void Ping();
-  /// @brief Sends a GOAWAY without a last stream: the client opens no more
+  /// @brief Sends a GOAWAY with the maximum stream id: the client opens no more
   /// streams, and those in transit are still accepted.
   void SubmitShutdownNotice();
   /// @brief Refuses later streams; those in progress continue.
--- a/src/net/platform_client.cc
+++ b/src/net/platform_client.cc
@@ -167,8 +167,9 @@
 }
 
 void PlatformClient::Probe(const router::ProbeUpstream& action) {
-  // Each probe uses a new connection: on a reused one, a broken network path
-  // could be mistaken for a failure of the upstream.
+  // Each probe uses a new connection: a reused one may have gone silent on the
+  // network while new ones work, which would be mistaken for a failure of the
+  // upstream.
   const size_t id = m_impl->next_call++;
   auto& channel = m_impl->calls[id];
   channel = std::make_unique<HttpChannel>(m_impl->context, action.address,
--- a/src/net/upstream_attempt.cc
+++ b/src/net/upstream_attempt.cc
@@ -269,8 +269,7 @@
     EndDone(stream_parser->keep_alive(), relay->usage(), relay->relayed());
   }
 
-  // ---- Completion
-  // ----------------------------------------------------------------
+  // ---- Completion ---------------------------------------------------------
 
   void EndDone(bool keep_alive,
                std::optional<router::Usage> usage,
--- a/src/net/upstream_connection.cc
+++ b/src/net/upstream_connection.cc
@@ -102,8 +102,9 @@
 void UpstreamConnection::SetTimeout(std::chrono::microseconds after) {
   m_deadline.Arm(after, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      // Other idle connections to this upstream are probably dead too, while
-      // new ones work.
+      // A middlebox may have dropped the state of this idle connection. It has
+      // then probably dropped that of the other idle connections to this
+      // upstream too, while new ones work.
       self->m_pool.CloseAll(self->m_address);
       self->CloseSocket();
     }
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -13,7 +13,8 @@
 /// @brief Pool of idle upstream connections of one traffic thread.
 class UpstreamPool {
  public:
-  /// @return an idle connection that is still open; empty when there is none
+  /// @return an idle connection that was open when checked; empty when there is
+  /// none
   std::optional<boost::asio::ip::tcp::socket> Acquire(
       const std::string& address);
   /// @brief Closes the idle connections to an upstream.
--- a/src/trial/audit.cc
+++ b/src/trial/audit.cc
@@ -221,7 +221,8 @@
   return count;
 }
 
-// Applies the gate reserve: a share of the balance is for GATE work only.
+// Applies the configured gate reserve: a share of the balance is for GATE work
+// only.
 bool Audit::HasTokensFor(const ClientRequest& client_request,
                          core::Tokens others) const {
   const ledger::Budget* budget = m_fold.FindBudget(client_request.budget);
--- a/tests/net/unit-caller-input.cc
+++ b/tests/net/unit-caller-input.cc
@@ -117,7 +117,7 @@
 
 TEST(CallerInput, json_that_is_nested_too_deeply_is_refused) {
   // A body of only opening brackets would otherwise exhaust the parser's stack
-  // and crash the process.
+  // and crash the process, which ends the requests of all callers.
   const std::string nested(2000, '[');
   CheckRefused(Ask(shell, Post("/v1/completions", nested)), "400", "CV-304");
 }
