--- a/bench/budget/schedule_runner.h
+++ b/bench/budget/schedule_runner.h
@@ -28,8 +28,8 @@
   uint64_t log_appends = 0;
   uint64_t peer_messages = 0;
   uint64_t crashes = 0;
-  uint64_t crashes_returned = 0;  ///< whose spare tokens were released
-  core::Duration return_time{};   ///< mean over those
+  uint64_t crashes_returned = 0;  ///< crashes whose tokens were released
+  core::Duration return_time{};   ///< mean time from crash to release
 };
 
 /// @brief Runs one schedule on a fleet of 7 routers with load and audit.
--- a/include/coppervalve/routing/concurrency_limit.h
+++ b/include/coppervalve/routing/concurrency_limit.h
@@ -25,7 +25,7 @@
  public:
   explicit ConcurrencyLimit(ConcurrencyLimitOptions options, uint32_t hard_cap);
 
-  /// @complexity constant, as all of this class
+  /// @complexity constant, as for all functions of this class
   void SetHardCap(uint32_t hard_cap);
   /// @brief Records an answer without a sign of overload.
   void OnSuccess(uint32_t in_progress);
--- a/include/coppervalve/routing/drain_rate.h
+++ b/include/coppervalve/routing/drain_rate.h
@@ -14,7 +14,7 @@
 /// the capacity.
 class DrainRate {
  public:
-  /// @complexity constant, as all of this class
+  /// @complexity constant, as for all functions of this class
   void OnServed(core::TimePoint now, bool backlogged);
   /// @brief Estimates the time to serve `count` entries; none without a valid
   /// measurement. While a backlog waits, time without a service lowers the
--- a/include/coppervalve/routing/health.h
+++ b/include/coppervalve/routing/health.h
@@ -31,7 +31,7 @@
  public:
   explicit Health(HealthOptions options) : m_options(options) {}
 
-  /// @complexity constant, as all of this class
+  /// @complexity constant, as for all functions of this class
   void OnSuccess(core::TimePoint now);
   void OnFailure(FailureKind kind,
                  core::TimePoint now,
--- a/include/coppervalve/routing/retry_budget.h
+++ b/include/coppervalve/routing/retry_budget.h
@@ -19,7 +19,7 @@
   explicit RetryBudget(RetryBudgetOptions options)
       : m_options(options), m_tokens(options.capacity) {}
 
-  /// @complexity constant, as all of this class
+  /// @complexity constant, as for all functions of this class
   void OnRequest();
   bool CanSpend(core::TimePoint now);
   /// @pre CanSpend(now)
--- a/src/net/detail/peer_session.cc
+++ b/src/net/detail/peer_session.cc
@@ -133,7 +133,7 @@
     return 0;
   }
 
-  // nghttp2 reports a frame as sent only when it is asked for the next bytes;
+  // nghttp2 reports a frame as sent only when the next bytes are requested;
   // a request must count as started before its first byte can leave.
   static int BeforeFrameSend(nghttp2_session* /*session*/,
                              const nghttp2_frame* frame,
--- a/tests/routing/unit-admission-queue.cc
+++ b/tests/routing/unit-admission-queue.cc
@@ -88,8 +88,8 @@
 TEST(AdmissionQueue, each_offered_request_ends_exactly_once) {
   // Random load far above capacity, with callers that disconnect, a full queue
   // and displaced BATCH entries. Each request must end exactly once: started,
-  // refused with a type, removed for its caller, or refused at the drain. None
-  // may be lost.
+  // refused with a typed error, removed because its caller disconnected, or
+  // refused at the drain. None may be lost.
   const RandomSource random = Seeded(42);
   AdmissionQueueOptions options;
   options.capacity = 40;
