--- a/tests/routing/unit-admission-queue.cc
+++ b/tests/routing/unit-admission-queue.cc
@@ -88,8 +88,8 @@
 TEST(AdmissionQueue, each_offered_request_ends_exactly_once) {
   // Random load far above capacity, with callers that disconnect, a full queue
   // and displaced BATCH entries. Each request must end exactly once: started,
-  // refused with a type, removed for its caller, or refused at the drain. None
-  // may be lost.
+  // refused with a typed error, removed because its caller disconnected, or
+  // refused at the drain. None may be lost.
   const RandomSource random = Seeded(42);
   AdmissionQueueOptions options;
   options.capacity = 40;
@@ -169,8 +169,8 @@
 TEST(AdmissionQueue,
      a_request_that_would_miss_its_deadline_is_refused_at_once) {
   // One entry starts every 100 ms and 10 wait. Without an early refusal, a
-  // caller whose deadline is too close would be refused only after the entries
-  // before it, too late to try anything else.
+  // caller with 150 ms left would be refused only at its deadline, too late to
+  // try anything else.
   AdmissionQueue queue({}, Seeded(1));
   MeasureStartRate(queue, 100, 2000);
   for (uint64_t i = 1; i <= 10; ++i) {
