--- a/include/coppervalve/standin/address.h
+++ b/include/coppervalve/standin/address.h
@@ -9,15 +9,15 @@
 
 namespace coppervalve::standin {
 
-/// @brief A TCP address of this machine.
+/// @brief A loopback TCP address.
 struct Address {
   std::string ip;
   uint16_t port = 0;
 };
 
-/// @brief Reads "ip:port".
-/// @return kSettingBadValue unless the ip is a loopback one (127.x.y.z) and the
-/// port a number above 0
+/// @brief Parses "ip:port".
+/// @return kSettingBadValue unless the IP address is a loopback address
+/// (127.x.y.z) and the port is a number above 0
 core::Result<Address> ParseAddress(std::string_view text);
 
 }  // namespace coppervalve::standin
--- a/include/coppervalve/standin/batch_scheduler.h
+++ b/include/coppervalve/standin/batch_scheduler.h
@@ -12,40 +12,40 @@
 
 namespace coppervalve::standin {
 
-/// @brief One request inside an engine.
+/// @brief Identifies a request within an engine.
 using JobId = core::NumberId<struct JobTag>;
 
-/// @brief Work for the batch.
+/// @brief A request to schedule.
 struct Job {
-  JobId id;               ///< unique, growing in order of arrival
+  JobId id;               ///< unique, increases in order of arrival
   uint32_t priority = 0;  ///< 0 is the most urgent
   uint32_t prefill_steps = 1;
   core::Tokens output;  ///< tokens to produce, at least 1
 };
 
-/// @brief What one step did to one job.
+/// @brief The effect of one step on one job.
 struct StepEvent {
   enum class Kind : uint8_t { kStarted, kToken };
   Kind kind = Kind::kStarted;
   JobId job;
-  core::Tokens index;  ///< of the token
-  bool last = false;   ///< the job has left the batch
+  core::Tokens index;  ///< position of the token in the output
+  bool last = false;   ///< last token: the job has left the batch
 };
 
-/// @brief Continuous batching: each step gives every job in the batch one token
-/// (after its prefill) and fills free places from the queue, the most urgent
-/// first, then by arrival.
+/// @brief Continuous batching: each step fills free slots from the queue, by
+/// priority and then by order of arrival, and produces one token for every job
+/// whose prefill is done.
 class BatchScheduler {
  public:
   /// @param max_batch jobs that run at once, at least 1
-  /// @param queue_capacity jobs that may wait beside them
+  /// @param queue_capacity jobs that may wait in the queue
   BatchScheduler(size_t max_batch, size_t queue_capacity);
 
-  /// @return whether the job was taken; it was not when the queue is full
+  /// @return false when the queue is full
   /// @complexity logarithmic in the queue
   bool Submit(const Job& job);
 
-  /// @brief Drops a job, waiting or running. Unknown ids are ignored.
+  /// @brief Cancels a queued or running job. Unknown ids are ignored.
   /// @complexity linear in the queue
   void Cancel(JobId id);
 
@@ -56,7 +56,7 @@
   bool IsIdle() const { return m_running.empty() && m_waiting.empty(); }
   size_t running() const { return m_running.size(); }
   size_t queued() const { return m_waiting.size(); }
-  /// @return steps made so far
+  /// @return number of steps so far
   uint64_t steps() const { return m_steps; }
 
  private:
--- a/include/coppervalve/standin/event_loop.h
+++ b/include/coppervalve/standin/event_loop.h
@@ -8,8 +8,8 @@
 
 namespace coppervalve::standin {
 
-/// @brief The one thread of a stand-in: sockets, timers and all handlers run on
-/// it, so that handlers need no locks.
+/// @brief Event loop of a stand-in. Sockets, timers and handlers all run on its
+/// single thread, so handlers need no locks.
 class EventLoop {
  public:
   EventLoop();
@@ -17,16 +17,16 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// @return the steady clock of the loop
+  /// @return the current time of the steady clock
   core::TimePoint now() const;
   /// @brief Runs the task after the delay.
   void After(core::Duration delay, std::function<void()> task);
   /// @brief Runs the loop until SIGTERM or SIGINT.
   void RunUntilTerminated();
-  /// @brief Runs the loop for this long; for tests.
+  /// @brief Runs the loop for the given time; for tests.
   void RunFor(core::Duration time);
 
-  /// The Asio context, for the sources of this library only.
+  /// The Asio context, for use within this library only.
   struct Context;
   Context& context() { return *m_context; }
 
--- a/include/coppervalve/standin/fencing_gate.h
+++ b/include/coppervalve/standin/fencing_gate.h
@@ -5,14 +5,14 @@
 
 namespace coppervalve::standin {
 
-/// @brief Decides whether an order's fencing number is current.
+/// @brief Rejects orders with an outdated fencing number.
 class FencingGate {
  public:
-  /// @param checks false: every order is taken, as some engines do
+  /// @param enabled false accepts every order, as some engines do
   explicit FencingGate(bool checks) : m_checks(checks) {}
 
-  /// @brief Takes or refuses an order. The highest number so far may come again
-  /// (a repeat).
+  /// @brief Accepts an order unless its number is below the highest so far. An
+  /// equal number is accepted because the order may be a repeat.
   bool Admit(core::FencingNumber number);
 
   core::FencingNumber highest() const { return m_highest; }
--- a/include/coppervalve/standin/http_server.h
+++ b/include/coppervalve/standin/http_server.h
@@ -16,7 +16,7 @@
 
 namespace coppervalve::standin {
 
-/// @brief A whole HTTP request.
+/// @brief A complete HTTP request.
 struct HttpRequest {
   std::string method;
   std::string path;  ///< without the query
@@ -25,10 +25,11 @@
   std::string body;
   std::string client;  ///< "ip:port"
 
-  /// @return the header's value, empty when absent; the name in lower case
+  /// @param name in lower case
+  /// @return the header's value, empty when absent
   std::string Header(const std::string& name) const;
-  /// @return the query parameter as a number, `fallback` when absent or no
-  /// number
+  /// @return the query parameter as a number, `fallback` when it is absent or
+  /// not a number
   uint64_t QueryNumber(const std::string& name, uint64_t fallback) const;
 };
 
@@ -42,24 +43,27 @@
 
 class HttpSession;
 
-/// @brief One request's way back. Copies refer to the same exchange; calls
-/// after its end, or after the client has gone, do nothing.
+/// @brief Sends the response to one request. Copies refer to the same exchange.
+/// Calls after the end of the exchange or after the client has disconnected do
+/// nothing.
 class HttpExchange {
  public:
   HttpExchange() = default;
   HttpExchange(std::weak_ptr<HttpSession> session, uint64_t serial);
 
-  /// @brief Answers whole.
+  /// @brief Sends a complete response.
   void Send(const HttpResponse& response);
-  /// @brief Begins a streamed answer; the body of `head` is ignored.
+  /// @brief Starts a streamed response; the body of `head` is ignored.
   void StartStream(const HttpResponse& head);
-  /// @brief Sends one piece of a streamed answer.
+  /// @brief Sends one chunk of a streamed response.
   void Write(std::string_view piece);
-  /// @brief Ends a streamed answer properly.
+  /// @brief Ends a streamed response with the terminating chunk.
   void Finish();
-  /// @brief Closes the connection after what was written, without a proper end.
+  /// @brief Closes the connection after the data written so far, without
+  /// completing the response.
   void Cut();
-  /// @brief Calls the hook once if the client closes before the answer's end.
+  /// @brief Calls the hook once if the client disconnects before the response
+  /// ends.
   void OnClientGone(std::function<void()> hook);
 
  private:
@@ -67,11 +71,11 @@
   uint64_t m_serial = 0;
 };
 
-/// @brief Takes a request; answers now or later through the exchange, or never
-/// (the connection then stays open and silent).
+/// @brief Handles a request. It may respond through the exchange immediately,
+/// later or never; without a response the connection stays open.
 using HttpHandler = std::function<void(const HttpRequest&, HttpExchange)>;
 
-/// @brief HTTP/1.1 server on the loop's thread.
+/// @brief HTTP/1.1 server that runs on the event loop.
 class HttpServer {
  public:
   HttpServer(EventLoop& loop, HttpHandler handler);
--- a/include/coppervalve/standin/json.h
+++ b/include/coppervalve/standin/json.h
@@ -12,21 +12,21 @@
 
 namespace coppervalve::standin {
 
-/// @brief Reads a JSON object.
-/// @return kMalformedJson when the text is no object
+/// @brief Parses a JSON object.
+/// @return kMalformedJson when the text is not a JSON object
 core::Result<boost::json::object> ParseObject(std::string_view text);
 
-/// @return the member's text, `fallback` when absent or no string
+/// @return the member's string, `fallback` when it is absent or not a string
 std::string TextMember(const boost::json::object& object,
                        std::string_view name,
                        std::string_view fallback = {});
 
-/// @return the member's number, `fallback` when absent or no integer
+/// @return the member's number, `fallback` when it is absent or not an integer
 int64_t NumberMember(const boost::json::object& object,
                      std::string_view name,
                      int64_t fallback);
 
-/// @return the member's truth value, `fallback` when absent or none
+/// @return the member's boolean, `fallback` when it is absent or not a boolean
 bool BoolMember(const boost::json::object& object,
                 std::string_view name,
                 bool fallback);
@@ -34,7 +34,7 @@
 /// @brief A JSON response.
 HttpResponse JsonResponse(unsigned status, const boost::json::value& body);
 
-/// @brief A JSON response that names an error.
+/// @brief A JSON response that describes an error.
 HttpResponse ErrorResponse(unsigned status, const core::Error& error);
 
 }  // namespace coppervalve::standin
--- a/include/coppervalve/standin/lagging.h
+++ b/include/coppervalve/standin/lagging.h
@@ -8,7 +8,7 @@
 
 namespace coppervalve::standin {
 
-/// @brief A value that readers see as it was some time ago.
+/// @brief A value whose changes become visible to readers after a delay.
 template <typename T>
 class Lagging {
  public:
@@ -20,7 +20,7 @@
     Advance(now);
   }
 
-  /// @return the value of `lag` ago
+  /// @return the value as of `delay` ago
   /// @complexity linear in the changes since the last call, amortized constant
   const T& Get(core::TimePoint now) {
     Advance(now);
--- a/include/coppervalve/standin/log_store.h
+++ b/include/coppervalve/standin/log_store.h
@@ -20,8 +20,9 @@
   /// @return the offset of the new entry
   core::LogOffset Append(std::string entry);
 
-  /// @brief Reads from an offset on, as much as fits but at least one entry if
-  /// there is one. Nothing when `from` is no longer retained.
+  /// @brief Reads entries from an offset on, up to `max_bytes` but at least one
+  /// entry if there is one. Returns no entries when `from` is no longer
+  /// retained.
   /// @complexity linear in the size of the reply
   v1::ReadReply Read(core::LogOffset from, size_t max_bytes) const;
 
--- a/include/coppervalve/standin/prefix_cache.h
+++ b/include/coppervalve/standin/prefix_cache.h
@@ -9,20 +9,20 @@
 
 namespace coppervalve::standin {
 
-/// @brief Remembers the beginnings of the prompts used last.
+/// @brief LRU cache of prompt prefixes.
 class PrefixCache {
  public:
-  /// @param capacity number of prefixes; 0 switches the cache off
+  /// @param capacity number of prefixes; 0 disables the cache
   explicit PrefixCache(size_t capacity) : m_capacity(capacity) {}
 
-  /// @brief Looks a prompt up by its first 256 bytes and remembers it.
-  /// @return whether it was remembered
+  /// @brief Looks up a prompt by its first 256 bytes and inserts it if absent.
+  /// @return whether it was in the cache
   /// @complexity constant
   bool Touch(std::string_view prompt);
 
  private:
   size_t m_capacity;
-  std::list<uint64_t> m_recent;  // newest first
+  std::list<uint64_t> m_recent;  // most recently used first
   std::unordered_map<uint64_t, std::list<uint64_t>::iterator> m_index;
 };
 
--- a/include/coppervalve/standin/program.h
+++ b/include/coppervalve/standin/program.h
@@ -8,8 +8,8 @@
 
 namespace coppervalve::standin {
 
-/// @brief Serves HTTP on "ip:port" until SIGTERM; prints one line when ready
-/// and one when it cannot start.
+/// @brief Serves HTTP on "ip:port" until SIGTERM or SIGINT. Prints one line
+/// when it is ready, or one line with the error when it cannot start.
 /// @return the exit code of the process
 int ServeUntilTerminated(EventLoop& loop,
                          const std::string& listen,
--- a/include/coppervalve/standin/rate_cap.h
+++ b/include/coppervalve/standin/rate_cap.h
@@ -8,13 +8,13 @@
 
 namespace coppervalve::standin {
 
-/// @brief Cap on events in each window of one second.
+/// @brief Limits the number of events in each window of one second.
 class RateCap {
  public:
-  /// @param per_second 0 means no cap
+  /// @param per_second 0 means no limit
   explicit RateCap(uint64_t per_second) : m_per_second(per_second) {}
 
-  /// @brief Counts an event if it is within the cap.
+  /// @brief Counts an event and returns true if it is within the limit.
   bool Admit(core::TimePoint now);
 
  private:
--- a/include/coppervalve/standin/record_file.h
+++ b/include/coppervalve/standin/record_file.h
@@ -7,13 +7,14 @@
 
 namespace coppervalve::standin {
 
-/// @brief Optional file of JSON lines for the audit.
+/// @brief Optional JSON Lines file with records for the audit.
 class RecordFile {
  public:
-  /// @param path empty: records are not written
+  /// @param path when empty, no records are written
   explicit RecordFile(const std::string& path);
 
-  /// @brief Appends one line and flushes it, so that it outlives the process.
+  /// @brief Appends one line and flushes it, so that it survives a crash of the
+  /// process.
   void Write(const boost::json::value& record);
 
  private:
--- a/include/coppervalve/standin/tcp_relay.h
+++ b/include/coppervalve/standin/tcp_relay.h
@@ -13,32 +13,33 @@
 
 namespace coppervalve::standin {
 
-/// @brief What a relay does with its connections.
+/// @brief How a relay treats its connections.
 enum class RelayMode : uint8_t {
   kPass,
-  /// Connections are accepted and kept open, nothing is forwarded; bytes wait
-  /// and flow on after kPass, as after a partition that heals.
+  /// Connections are accepted and kept open, but nothing is forwarded. Buffered
+  /// bytes are forwarded after kPass, as after a healed network partition.
   kStall,
-  /// Connections that exist at the switch are silent for good; new ones pass.
+  /// Connections that exist when the mode is set stop forwarding permanently;
+  /// new ones are forwarded.
   kStallExisting,
-  /// New connections are refused; those that exist go on.
+  /// New connections are refused; existing ones continue.
   kRefuse,
-  /// Connections that exist are reset; new ones are refused.
+  /// Existing connections are reset; new ones are refused.
   kCut,
 };
 
-/// @return the mode of a name: pass, stall, stall-existing, refuse, cut
+/// @return the mode with this name: pass, stall, stall-existing, refuse, cut
 std::optional<RelayMode> RelayModeNamed(std::string_view name);
 std::string_view RelayModeName(RelayMode mode);
 
-/// @brief What a relay has done so far.
+/// @brief Counters of a relay.
 struct RelayStats {
   uint64_t accepted = 0;
-  uint64_t bytes = 0;  ///< forwarded, both ways
+  uint64_t bytes = 0;  ///< forwarded in both directions
   size_t open = 0;     ///< connections open now
 };
 
-/// @brief Forwards TCP connections to one address, or stops to.
+/// @brief Forwards TCP connections to one address and injects network faults.
 class TcpRelay {
  public:
   TcpRelay(EventLoop& loop, Address listen, const Address& to);
@@ -50,7 +51,7 @@
   /// @return kSettingBadValue when the address cannot be bound
   core::Status Start();
 
-  /// @brief Switches the mode, for connections that exist too.
+  /// @brief Sets the mode, for existing connections as well.
   /// @return kSettingBadValue when the address cannot be bound again
   core::Status SetMode(RelayMode mode);
 
--- a/include/coppervalve/standin/token_text.h
+++ b/include/coppervalve/standin/token_text.h
@@ -9,24 +9,26 @@
 
 namespace coppervalve::standin {
 
-/// @brief Tokens of a prompt: a quarter of its bytes, rounded up, at least 1.
+/// @brief Number of tokens of a prompt: a quarter of its bytes, rounded up, at
+/// least 1.
 core::Tokens PromptTokens(size_t prompt_bytes);
 
-/// @brief Tokens of an answer, the same for each run of a request.
-/// @param max_tokens what was asked for, at least 1
-/// @param early_stop whether answers may be shorter than asked for
+/// @brief Number of tokens of an answer; the same for each run of a request.
+/// @param max_tokens requested maximum, at least 1
+/// @param early_stop whether answers may be shorter than requested
 core::Tokens OutputTokens(std::string_view request_id,
                           core::Tokens max_tokens,
                           bool early_stop);
 
 /// @brief Text of one token of an answer: "<request id>:<index> ", or
-/// "<request id>:<index>.end " for the last. A checker that knows the request's
-/// id can tell a foreign, missing, doubled or swapped token.
+/// "<request id>:<index>.end " for the last. A checker that knows the
+/// request id detects a missing, duplicate or reordered token, or one of
+/// another request.
 std::string TokenText(std::string_view request_id,
                       core::Tokens index,
                       bool last);
 
-/// @return whether the text is the whole answer of the request
+/// @return whether the text is the complete answer of the request
 /// @complexity linear in the size of the text
 bool IsWholeAnswer(std::string_view request_id, std::string_view text);
 
--- a/src/standin/address.cc
+++ b/src/standin/address.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Stand-ins take orders from anyone who can connect, so they stay on loopback.
+// Stand-ins accept commands without authentication, so they listen on loopback
+// only.
 constexpr std::string_view kLoopbackPrefix = "127.";
 
 core::Error BadAddress(std::string_view text, std::string_view detail) {
--- a/src/standin/batch_scheduler.cc
+++ b/src/standin/batch_scheduler.cc
@@ -8,8 +8,8 @@
     : m_max_batch(max_batch), m_queue_capacity(queue_capacity) {}
 
 bool BatchScheduler::Submit(const Job& job) {
-  // Waiting jobs enter the batch only at the next step, so free places in the
-  // batch count as room in the queue.
+  // Jobs enter the batch only at the next step, so free batch slots count as
+  // queue capacity.
   const size_t room = m_max_batch + m_queue_capacity;
   if (m_running.size() + m_waiting.size() >= room) {
     return false;
--- a/src/standin/boost_json.cc
+++ b/src/standin/boost_json.cc
@@ -1,11 +1,12 @@
-// The header-only Boost.JSON itself, compiled in this source alone.
+// Compiles the header-only Boost.JSON; no other source does.
 
-// With the sanitizers on, GCC 12 inlines array::insert() differently and takes
-// the shared table of empty arrays for its target: "memmove ... out of the
-// bounds [0, 0]", "into a region of size 0". An array with that table has no
-// capacity, so insert() never moves within it. Only this source, which holds
-// none of our code, and only the sanitized build leave the warnings out; the
-// sanitizer itself watches there.
+// With the sanitizers enabled, GCC 12 inlines array::insert() differently and
+// assumes that it writes to the shared table of empty arrays: "memmove ... out
+// of the bounds [0, 0]", "into a region of size 0". These warnings are false
+// positives: an array that uses this table has no capacity, so insert() never
+// moves elements within it. They are disabled only for this source, which
+// contains no code of this project, and only in sanitized builds, where the
+// sanitizer checks such accesses at run time.
 #if defined(__SANITIZE_ADDRESS__)
 #pragma GCC diagnostic ignored "-Warray-bounds"
 #pragma GCC diagnostic ignored "-Wstringop-overflow"
--- a/src/standin/http_server.cc
+++ b/src/standin/http_server.cc
@@ -91,8 +91,8 @@
 
 }  // namespace
 
-// One connection: reads a request, waits for its exchange to end, reads the
-// next.
+// One connection. Reads a request and waits for its exchange to end before it
+// reads the next one.
 class HttpSession : public std::enable_shared_from_this<HttpSession> {
  public:
   using CloseHook = std::function<void(const std::shared_ptr<HttpSession>&)>;
@@ -166,7 +166,7 @@
             HttpExchange(weak_from_this(), m_serial));
 }
 
-// Nothing is read while an exchange is open, so a closed client is noticed by
+// Nothing is read while an exchange is open, so a disconnect is detected by
 // waiting for readability and peeking.
 void HttpSession::WatchClient() {
   m_socket.async_wait(
@@ -216,7 +216,7 @@
 }
 
 void HttpSession::Write(std::string_view piece) {
-  // An empty chunk would end the stream.
+  // An empty chunk would terminate the stream.
   if (piece.empty()) {
     return;
   }
--- a/src/standin/tcp_relay.cc
+++ b/src/standin/tcp_relay.cc
@@ -52,7 +52,7 @@
   return {};
 }
 
-// A connection from a client and the one to the target made for it.
+// A client connection and the connection to the target opened for it.
 class RelayedPair : public std::enable_shared_from_this<RelayedPair> {
  public:
   struct Hooks {
@@ -66,18 +66,19 @@
         m_down{tcp::socket(io), {}, {}, 0, false} {}
 
   void Connect(const tcp::endpoint& target);
-  // A silent pair stays silent: stalled and resumed it would come back.
+  // A silenced connection must not be stalled: resuming it would forward data
+  // again.
   void Stall() { m_stalled = !m_silent; }
   void Resume();
   void SilenceForGood();
   void Reset();
 
  private:
-  // One direction's source, and what was read from it.
+  // One of the two sockets and the data read from it.
   struct Side {
     tcp::socket socket;
     std::array<char, kBufferBytes> buffer;
-    ErrorCode end;        // why reading ended
+    ErrorCode end;        // error that ended reading
     size_t held = 0;      // bytes read but not forwarded while stalled
     bool paused = false;  // no read or write is in progress
   };
@@ -130,8 +131,8 @@
   }
 }
 
-// Bytes are read on and thrown away, so that the relay notices when an end has
-// given up; it is not told to the other end, which must not notice anything.
+// Bytes are still read and discarded, so that the relay detects when one peer
+// closes. The close is not forwarded, because the other peer must not notice.
 void RelayedPair::SilenceForGood() {
   m_silent = true;
   m_stalled = false;
@@ -145,7 +146,7 @@
 
 void RelayedPair::Reset() {
   ErrorCode ignored;
-  // Linger of zero makes close send RST instead of FIN.
+  // A linger time of zero makes close() send RST instead of FIN.
   m_up.socket.set_option(asio::socket_base::linger(true, 0), ignored);
   m_down.socket.set_option(asio::socket_base::linger(true, 0), ignored);
   Close();
@@ -188,8 +189,7 @@
         if (self->m_closed) {
           return;
         }
-        // Of a silent pair one end may be closed while the other must not
-        // notice.
+        // When silenced, one peer may close while the other must not notice.
         if (error && !self->m_silent) {
           self->Close();
           return;
@@ -211,7 +211,8 @@
     Reset();
     return;
   }
-  // A half-close is passed on; the pair ends with its second one.
+  // A half-close is forwarded; the connection ends after both directions are
+  // closed.
   Other(from).socket.shutdown(tcp::socket::shutdown_send, ignored);
   if (Other(from).end) {
     Close();
--- a/standins/engine/completion_format.cc
+++ b/standins/engine/completion_format.cc
@@ -21,7 +21,8 @@
   return {text.data(), text.size()};
 }
 
-// The content of a message is a string or a list of parts with a text.
+// The content of a message is a string or a list of parts that
+// each have a text.
 std::string ContentText(const json::object& message) {
   const json::value* content = message.if_contains("content");
   if (content == nullptr || !content->is_array()) {
--- a/standins/engine/completion_format.h
+++ b/standins/engine/completion_format.h
@@ -9,7 +9,7 @@
 
 namespace coppervalve::standin {
 
-/// @brief What a completion request asks for.
+/// @brief Parameters of a completion request.
 struct CompletionRequest {
   bool chat = false;  ///< /v1/chat/completions, else /v1/completions
   bool stream = false;
@@ -24,7 +24,7 @@
   core::Tokens output;
 };
 
-/// @brief Reads the body of a completion request.
+/// @brief Parses the body of a completion request.
 /// @return kMalformedJson, or kBadRequest when max_tokens is below 1
 core::Result<CompletionRequest> ParseCompletion(std::string_view path,
                                                 std::string_view body);
@@ -40,7 +40,7 @@
                       std::string_view request_id,
                       const CompletionUsage& usage);
 
-/// @brief The body of an answer that is not streamed.
+/// @brief The body of a response that is not streamed.
 std::string WholeBody(const CompletionRequest& request,
                       std::string_view request_id,
                       std::string_view text,
--- a/standins/engine/engine_server.cc
+++ b/standins/engine/engine_server.cc
@@ -21,7 +21,7 @@
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kInternalError = 500;
 constexpr uint32_t kDefaultPriority = 1;
-// A cached prefix leaves this share of the prefill.
+// A cached prefix divides the prefill by this factor.
 constexpr int64_t kCachedPrefillDivisor = 4;
 constexpr int64_t kDefaultSlowFactor = 10;
 
@@ -48,7 +48,7 @@
   return error == std::errc() ? priority : kDefaultPriority;
 }
 
-// A refusal before anything ran, and marked so.
+// Builds an error response that is marked as sent before anything ran.
 HttpResponse NotRun(unsigned status, const core::Error& error) {
   HttpResponse response = ErrorResponse(status, error);
   response.headers.emplace_back("x-not-run", "true");
@@ -74,7 +74,7 @@
   Route(request, exchange);
 }
 
-// The audit and the switch of faults work under every fault.
+// Records for the audit and the control of faults work under every fault.
 bool EngineServer::HandleAdmin(const HttpRequest& request,
                                HttpExchange exchange) {
   if (request.path == "/control") {
@@ -88,9 +88,10 @@
   return false;
 }
 
-// silent: new requests get no answer, streams stop, connections stay open; the
-// work itself goes on. refuse: the connection is closed before anything runs.
-// error: 500 before anything runs. cut_after and slow act on the stream.
+// silent: new requests get no response and streams stop; connections stay open
+// and jobs continue to run. refuse: the connection is closed before anything
+// runs. error: 500 is sent before anything runs. cut_after and slow affect the
+// stream.
 bool EngineServer::IsFaulty(HttpExchange exchange) const {
   switch (m_fault) {
     case EngineFault::kRefuse:
@@ -227,8 +228,8 @@
   if (m_scheduler.IsIdle()) {
     return;
   }
-  // Steps keep to their grid, so that a busy machine does not slow the engine
-  // by the time of each step's own work.
+  // Steps follow a fixed schedule, so that the processing time of each step on
+  // a busy machine does not slow down the engine.
   m_stepping = true;
   m_next_step = std::max(m_next_step + StepTime(), m_loop.now());
   m_loop.After(m_next_step - m_loop.now(), [this] { StepOnce(); });
@@ -301,7 +302,7 @@
          event.index + core::Tokens(1) >= m_cut_after;
 }
 
-// A job that still waits has not run: it leaves no record.
+// A job that is still queued has not run and has no record.
 void EngineServer::Drop(JobId id, ExecutionState state) {
   const auto active = m_active.find(id);
   if (active == m_active.end()) {
--- a/standins/engine/engine_server.h
+++ b/standins/engine/engine_server.h
@@ -35,7 +35,7 @@
   std::string record_path;
 };
 
-/// @brief Faults of an engine; see docs of POST /control in the source.
+/// @brief Injected faults, described at EngineServer::HandleFault().
 enum class EngineFault : uint8_t {
   kNone,
   kSlow,
@@ -63,10 +63,10 @@
     Execution execution;
     HttpExchange exchange;
     core::Tokens output;
-    std::optional<size_t> record;  ///< set once it runs
+    std::optional<size_t> record;  ///< set when the job starts to run
     std::string text;
     bool head_sent = false;
-    bool muted = false;  ///< went silent for good
+    bool muted = false;  ///< hit by the silent fault
   };
   using ActiveMap = std::map<JobId, Active>;
 
--- a/standins/engine/execution_records.h
+++ b/standins/engine/execution_records.h
@@ -12,33 +12,33 @@
 
 namespace coppervalve::standin {
 
-/// @brief How an execution stands.
+/// @brief State of an execution.
 enum class ExecutionState : uint8_t {
   kRunning,
   kDone,       ///< all tokens were produced
-  kCancelled,  ///< the client closed
+  kCancelled,  ///< the client disconnected
   kCut,        ///< a fault closed the connection
 };
 
-/// @brief One execution of a request. It counts from its start on, whatever
-/// becomes of the answer.
+/// @brief One execution of a request. It is recorded from its start on, even if
+/// the answer is never delivered.
 struct Execution {
   std::string request_id;
   std::string key;
   std::string account;
   core::Tokens prompt;
   core::Tokens output;  ///< produced so far
-  /// The whole answer, its end included, was handed to the connection.
+  /// The complete answer, including its end, was passed to the connection.
   bool whole = false;
   uint64_t started_step = 0;
   uint64_t ended_step = 0;
   ExecutionState state = ExecutionState::kRunning;
 };
 
-/// @brief All executions since the start, for the audit.
+/// @brief All executions since the process started, for the audit.
 class ExecutionRecords {
  public:
-  /// @param path file of JSON lines; empty: none
+  /// @param path JSON Lines file; when empty, none is written
   explicit ExecutionRecords(const std::string& path) : m_file(path) {}
 
   /// @return the index of the new record
--- a/standins/log/log_server.cc
+++ b/standins/log/log_server.cc
@@ -81,10 +81,10 @@
   return m_fault;
 }
 
-// down: the connection is closed, nothing took effect. hang: it stays open,
-// nothing took effect. slow: the request takes effect at once and its answer is
-// late, so that a client that gave up has lost a reply. lose_replies: appends
-// take effect and the connection is closed.
+// down: the connection is closed without effect. hang: the connection stays
+// open without effect. slow: the request takes effect immediately and its
+// response is delayed, so that a client that times out loses it. lose_replies:
+// appends take effect and the connection is closed without a response.
 void LogServer::ServeUnderFault(const HttpRequest& request,
                                 const HttpExchange& exchange) {
   HttpExchange reply = exchange;
@@ -148,7 +148,8 @@
   exchange.Send(ProtoResponse(reply));
 }
 
-// A hash of the running number stands for chance, so that a run repeats.
+// Hashes a counter instead of drawing random numbers, so that runs are
+// reproducible.
 bool LogServer::LosesThisReply() {
   constexpr uint64_t kParts = 1'000'000;
   const uint64_t draw = core::Hash64(std::to_string(++m_lose_draws)) % kParts;
--- a/standins/log/log_server.h
+++ b/standins/log/log_server.h
@@ -24,7 +24,7 @@
   core::Duration vm_lag{};
 };
 
-/// @brief Faults of the log; see docs of POST /control in the source.
+/// @brief Injected faults, described at LogServer::ServeUnderFault().
 enum class LogFault : uint8_t { kNone, kDown, kSlow, kLoseReplies, kHang };
 
 /// @brief Stand-in of the platform's log service and VM list.
--- a/standins/relay/relay_control.h
+++ b/standins/relay/relay_control.h
@@ -6,8 +6,8 @@
 
 namespace coppervalve::standin {
 
-/// @brief Serves the control port: /<mode name> switches, /stats reports; any
-/// method will do.
+/// @brief Handles a request to the control port: /<mode name> sets the mode,
+/// /stats returns the counters. Any method is accepted.
 void ControlRelay(TcpRelay& relay,
                   const HttpRequest& request,
                   HttpExchange exchange);
--- a/standins/service/service_server.cc
+++ b/standins/service/service_server.cc
@@ -44,7 +44,7 @@
   }
 }
 
-// The audit and the switch of faults work under every fault.
+// Records for the audit and the control of faults work under every fault.
 bool ServiceServer::HandleAdmin(const HttpRequest& request,
                                 HttpExchange exchange) {
   if (request.path == "/control") {
@@ -58,9 +58,10 @@
   return false;
 }
 
-// refuse and error: no effect. All others have their effect at arrival; then
-// silent: no answer, the connection stays open; die-before-answer: it is closed
-// without an answer; cut: it is closed in the middle of the answer.
+// refuse and error: the call has no effect. Otherwise it takes effect on
+// arrival. silent: no response is sent, the connection stays open.
+// die-before-answer: the connection is closed without a response. cut: the
+// connection is closed in the middle of the response.
 void ServiceServer::Call(const HttpRequest& request,
                          const HttpExchange& exchange) {
   HttpExchange reply = exchange;
--- a/standins/service/service_server.h
+++ b/standins/service/service_server.h
@@ -20,7 +20,7 @@
   std::string record_path;
 };
 
-/// @brief Faults of a service; see docs of POST /control in the source.
+/// @brief Injected faults, described at ServiceServer::HandleCall().
 enum class ServiceFault : uint8_t {
   kNone,
   kSlow,
@@ -31,7 +31,7 @@
   kDieBeforeAnswer,
 };
 
-/// @brief Stand-in of a plain service whose calls have an effect.
+/// @brief Stand-in of a plain service whose calls have side effects.
 class ServiceServer {
  public:
   ServiceServer(EventLoop& loop, const ServiceOptions& options);
--- a/tests/standin/loopback_client.h
+++ b/tests/standin/loopback_client.h
@@ -22,8 +22,8 @@
   return address;
 }
 
-// A port that was free a moment ago and is another than `taken`; 0 when there
-// is none.
+// Returns a port that was just free and differs from `taken`; 0 when none is
+// found.
 inline uint16_t FreePort(uint16_t taken = 0) {
   const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address = LoopbackAt(0);
@@ -36,7 +36,8 @@
   return found && port == taken ? FreePort(taken) : port;
 }
 
-// A client that never waits: the test runs the server's loop in between.
+// A client that never blocks, so that the test can run the server's loop
+// between its calls.
 class LoopbackClient {
  public:
   explicit LoopbackClient(uint16_t port)
@@ -55,7 +56,7 @@
     ::send(m_fd, text.data(), text.size(), MSG_NOSIGNAL);
   }
 
-  // What has arrived since the last call.
+  // Returns the data received since the last call.
   std::string Receive() {
     std::string text;
     std::array<char, 4096> buffer{};
@@ -73,7 +74,7 @@
     }
   }
 
-  // Whether Receive() met the end of the connection, or a reset.
+  // Whether Receive() found the connection closed or reset.
   bool ended() const { return m_ended; }
 
   void Close() {
--- a/tests/standin/unit-sockets.cc
+++ b/tests/standin/unit-sockets.cc
@@ -34,7 +34,7 @@
   exchange.Send(response);
 }
 
-// A server behind a relay, and one exchange through them at a time.
+// A server behind a relay.
 struct RelayedServer {
   RelayedServer() {
     CHECK(core::IsOk(server.Listen(Loopback(server_port))));
@@ -74,9 +74,9 @@
   CHECK(!client.ended());
 }
 
-// The client closes while the answer is still being worked on. The handler is
-// told once, and what it sends later goes nowhere.
-TEST(Sockets, a_handler_learns_that_its_client_has_gone) {
+// The client disconnects before the response is sent. The handler is notified
+// once, and what it sends later is discarded.
+TEST(Sockets, a_handler_is_notified_once_when_its_client_disconnects) {
   EventLoop loop;
   const uint16_t port = FreePort();
   int gone = 0;
@@ -98,9 +98,9 @@
   CHECK_EQUAL(1, gone);
 }
 
-// The server dies in the middle of a stream. The client gets what was written
-// and then the end of the connection, without the chunk that ends a stream.
-TEST(Sockets, a_cut_stream_has_no_proper_end) {
+// The server closes the connection in the middle of a stream. The client
+// receives the data written so far without the terminating chunk.
+TEST(Sockets, an_aborted_stream_has_no_terminating_chunk) {
   EventLoop loop;
   const uint16_t port = FreePort();
   HttpServer server(loop, [](const HttpRequest&, HttpExchange exchange) {
@@ -118,8 +118,8 @@
   CHECK(client.ended());
 }
 
-// A partition that heals: while it lasts, nothing comes through on old or new
-// connections; afterwards what was sent meanwhile arrives.
+// During a network partition nothing is delivered on old or new connections.
+// After it heals, the data sent meanwhile arrives.
 TEST(Sockets, a_stalled_relay_delivers_after_it_passes_again) {
   RelayedServer relayed;
   LoopbackClient old_client(relayed.relay_port);
@@ -135,8 +135,9 @@
   CHECK(Contains(new_client.Receive(), "hello"));
 }
 
-// Something between the two ends has lost track of a connection: it stays open
-// and silent for good, even through later changes, while new ones work.
+// A network device has lost the state of a connection. The connection stays
+// open but never delivers data again, even after later mode changes, while new
+// connections work.
 TEST(Sockets, a_connection_that_went_silent_stays_so_while_new_ones_work) {
   RelayedServer relayed;
   LoopbackClient old_client(relayed.relay_port);
--- a/tools/load/address_list.cc
+++ b/tools/load/address_list.cc
@@ -18,7 +18,7 @@
 constexpr unsigned kHttpOk = 200;
 constexpr milliseconds kAskTimeout{1'000};
 constexpr milliseconds kPoll{5};
-// Callers whose whole list fails at once must not ask all at once for ever.
+// When all addresses fail, callers must not query the routers continuously.
 constexpr milliseconds kLeastAge{250};
 constexpr int64_t kDefaultLifetimeMs = 1'000;
 
--- a/tools/load/address_list.h
+++ b/tools/load/address_list.h
@@ -11,26 +11,26 @@
 
 namespace coppervalve::load {
 
-/// @brief One address of the fleet's answer.
+/// @brief One address of the fleet's address list.
 struct FleetAddress {
   std::string address;
   std::string key_prefix;
 };
 
-/// @brief The addresses that the fleet told a caller, kept for their lifetime.
-/// For one thread.
+/// @brief The address list that a caller got from the fleet, cached for its
+/// lifetime. Not thread-safe.
 class AddressList {
  public:
-  /// @param routers asked one after the other until one answers
-  /// @param first_router place of the one to ask first
+  /// @param routers queried in turn until one answers
+  /// @param first_router index of the router to query first
   AddressList(std::vector<std::string> routers,
               std::string api_key,
               size_t first_router);
 
-  /// @brief The address to use for an attempt.
-  /// @param place 0 for a request's first attempt; past the end, the list has
-  /// failed as a whole and is asked for again
-  /// @return nothing while no router answers
+  /// @brief Returns the address to use for an attempt.
+  /// @param attempt 0 for the first attempt of a request; after all addresses
+  /// have been tried, the list is requested again
+  /// @return nothing when no router answers
   boost::asio::awaitable<std::optional<FleetAddress>> At(size_t place);
 
  private:
--- a/tools/load/answer_check.cc
+++ b/tools/load/answer_check.cc
@@ -9,7 +9,7 @@
 constexpr std::string_view kFirstToken = ":0";
 constexpr std::string_view kEndMark = ".end ";
 
-// Removes an expected start. @return whether it was there
+// Removes the prefix `expected`. @return whether it was present
 bool Take(std::string_view& text, std::string_view expected) {
   if (!text.starts_with(expected)) {
     return false;
--- a/tools/load/answer_check.h
+++ b/tools/load/answer_check.h
@@ -7,10 +7,11 @@
 
 namespace coppervalve::load {
 
-/// @brief Reads the text of an engine stand-in: "R:0 R:1 ... R:n.end " for the
-/// request id R. Written apart from the stand-in, so that a fault of one is not
-/// also the check's.
-/// @return R, nothing when a token is missing, doubled, foreign or out of order
+/// @brief Checks the text of an engine stand-in: "R:0 R:1 ... R:n.end " for the
+/// request id R. Implemented independently of the stand-in, so that they do not
+/// share a bug.
+/// @return R, nothing when a token is missing, duplicate, out of order or of
+/// another request
 /// @complexity linear in the size of the text
 std::optional<std::string> WholeTextId(std::string_view text);
 
--- a/tools/load/attempt.cc
+++ b/tools/load/attempt.cc
@@ -50,7 +50,8 @@
   return end;
 }
 
-// An error that a router states, in an answer or as the last event of a stream.
+// An error reported by a router, in a response or as the last event of a
+// stream.
 AttemptEnd EndOfError(const json::object& error, bool after_tokens) {
   AttemptEnd end = EndWith(Verdict::kUnknown, TextOf(error, "id"));
   if (TextOf(error, "run_state") == kNotRun) {
@@ -96,7 +97,7 @@
   return end;
 }
 
-// The text of a completion that came in one piece.
+// The text of a completion that was not streamed.
 std::string TextOfCompletion(const json::object& document) {
   const json::array* choices = ArrayOf(document, "choices");
   if (choices == nullptr || choices->empty() || !choices->at(0).is_object()) {
--- a/tools/load/audit.cc
+++ b/tools/load/audit.cc
@@ -32,12 +32,12 @@
   bool non_idempotent = false;
 };
 
-/// How often each key was billed. Kept apart from the fold's own memory of
-/// billed keys, which is what is audited.
+/// How often each key was billed. Kept separate from the billed keys in the
+/// fold, which the audit verifies.
 using Bills = std::unordered_map<core::Hash128, size_t>;
 
-// A key is an account's own: two accounts may use the same text. The log's
-// records name it by the hash of this identity.
+// Keys are scoped to an account: two accounts may use the same key. Log records
+// identify a key by the hash of this identity.
 std::string IdentityOf(const std::string& account, const std::string& key) {
   std::string identity = account;
   identity.push_back('\0');
@@ -127,8 +127,8 @@
     ++m_findings.answered;
     m_findings.answered_unbilled +=
         bills.contains(core::HashOf(identity)) ? 0 : 1;
-    // Whole, and the answer to somebody else's request: the caller cannot tell,
-    // but the upstream wrote down whose request it was.
+    // A complete answer may belong to another request. The caller cannot detect
+    // that, but the upstream recorded whose request it was.
     const auto owner = m_owner_of.find(asked.request_id);
     if (owner == m_owner_of.end()) {
       ++m_findings.answers_unproved;
@@ -149,8 +149,8 @@
   while (!options.follow_until.empty() && Clock::now() < give_up &&
          !std::filesystem::exists(options.follow_until)) {
     core::Status read = reader.CatchUp();
-    // An outage of the log is part of some trials; a gap is not mended by
-    // waiting.
+    // Some trials include an outage of the log, so it is retried; waiting does
+    // not repair a gap.
     if (!core::IsOk(read) &&
         core::Failure(read).id != ErrorId::kLogUnavailable) {
       return read;
--- a/tools/load/audit.h
+++ b/tools/load/audit.h
@@ -15,15 +15,15 @@
 struct AuditOptions {
   std::string log;                   ///< "ip:port"
   std::string record_folder;         ///< see ReadUpstreamUse()
-  std::vector<std::string> reports;  ///< of the load
-  /// Reads the log along until this file is there, so that entries are seen
-  /// before they expire; empty: reads what is retained now.
+  std::vector<std::string> reports;  ///< reports of load runs
+  /// Follows the log until this file exists, so that entries are read before
+  /// they expire. When empty, reads only the entries retained now.
   std::string follow_until;
   std::chrono::seconds follow_limit{600};
 };
 
-/// @brief One budget by three accounts: what was paid, what the upstreams say
-/// they did, and what the log says was billed.
+/// @brief Totals of one budget: tokens paid in, tokens used according to the
+/// upstreams, and tokens billed according to the log.
 struct BudgetFinding {
   core::Tokens paid_in;
   core::Tokens used;
@@ -35,18 +35,19 @@
   }
 };
 
-/// @brief What an audit found. The first five must all be 0.
+/// @brief Result of an audit. The first five must all be 0.
 struct Findings {
   core::Tokens overspend;
   size_t billed_twice = 0;
   size_t ran_twice = 0;
   size_t wrong_answers = 0;
-  /// Told "not run" at every attempt, and yet in an upstream's records.
+  /// Reported as "not run" at every attempt, but present in an upstream's
+  /// records.
   size_t ran_after_not_run = 0;
 
   size_t answered = 0;
-  size_t answered_unbilled = 0;  ///< whole at its caller, billed to nobody
-  size_t answers_unproved = 0;   ///< whole, but in no record that was read
+  size_t answered_unbilled = 0;  ///< complete, but not billed
+  size_t answers_unproved = 0;   ///< complete, but in no record that was read
   size_t runs = 0;
   size_t begun_only = 0;             ///< see UpstreamUse
   std::vector<std::string> missing;  ///< upstreams without records
@@ -54,13 +55,13 @@
   core::LogOffset next_offset;
   std::map<std::string, BudgetFinding> budgets;
 
-  /// @return whether all was read and nothing was found
+  /// @return whether all records were read and no violation was found
   bool Clean() const;
 };
 
-/// @brief Joins the log, the upstreams' records and the reports of the load.
-/// Shares only the fold with the fleet.
-/// @error that of the log, kMalformedJson, kConfigMissingField (no
+/// @brief Compares the log, the upstreams' records and the load reports. The
+/// fold is the only code it shares with the fleet.
+/// @error those of reading the log, kMalformedJson, kConfigMissingField (no
 /// configuration in force)
 core::Result<Findings> Audit(const AuditOptions& options);
 
--- a/tools/load/caller.cc
+++ b/tools/load/caller.cc
@@ -46,7 +46,8 @@
       *end.times.first_token_ms += MillisBetween(start, sent);
     }
     ++outcome.attempts;
-    // A request whose last attempt found no router keeps what it was told.
+    // When the last attempt reaches no router, the result of the previous one
+    // is kept.
     if (end.verdict != Verdict::kNotSent || outcome.attempts == 1) {
       outcome.earlier_unknown |= outcome.last.verdict == Verdict::kUnknown ||
                                  outcome.last.verdict == Verdict::kCut;
@@ -63,7 +64,8 @@
   co_return outcome;
 }
 
-// Always under the same key, so that the fleet can tell a retry from new work.
+// Retries use the same key, so that the fleet can distinguish them from new
+// requests.
 bool Caller::MayRetry(const AttemptEnd& end) const {
   switch (end.verdict) {
     case Verdict::kWhole:
@@ -75,8 +77,9 @@
       return end.retry_after.has_value() || end.retry_elsewhere;
     case Verdict::kUnknown:
     case Verdict::kCut:
-      // Told so by a router, the caller of non-idempotent work looks up the
-      // effect. A connection that broke told it nothing.
+      // If a router reports an unknown outcome, the caller of non-idempotent
+      // work checks for the effect instead of retrying. A lost connection
+      // reports nothing, so the request is retried.
       return !m_plan.non_idempotent || end.retry_after.has_value() ||
              !end.error_id.starts_with("CV-");
   }
--- a/tools/load/caller.h
+++ b/tools/load/caller.h
@@ -13,9 +13,9 @@
 
 namespace coppervalve::load {
 
-/// @brief A client account's caller that keeps to the rules for callers: one
-/// key for all attempts of a request, the next address after a failure, and
-/// the pauses that the fleet asks for.
+/// @brief A caller of a client account that follows the rules for callers: one
+/// key for all attempts of a request, the next address after a failure, and the
+/// retry delays requested by the fleet.
 class Caller {
  public:
   /// @param plan must outlive the caller
@@ -23,7 +23,7 @@
          AddressList addresses,
          std::function<uint64_t()> random);
 
-  /// @brief Sends one request and repeats it as far as the rules allow.
+  /// @brief Sends one request and retries it as far as the rules allow.
   boost::asio::awaitable<Outcome> Send(size_t number);
 
  private:
--- a/tools/load/false_refusals.h
+++ b/tools/load/false_refusals.h
@@ -9,22 +9,22 @@
 
 namespace coppervalve::load {
 
-/// @brief Where a judge that knows the whole run finds its totals.
+/// @brief Sources of the totals that false refusals are computed from.
 struct ClairvoyantSource {
-  std::string log;            ///< "ip:port"; empty: nothing is judged
+  std::string log;  ///< "ip:port"; empty: false refusals are not counted
   std::string record_folder;  ///< see ReadUpstreamUse()
 };
 
-/// @brief Counts refusals for lack of tokens that need not have been, and adds
-/// them to the tallies.
+/// @brief Counts unnecessary refusals for lack of tokens and adds them to the
+/// statistics.
 ///
-/// Compared with a judge who knows the whole run: what was paid in less what
-/// the upstreams used by the end is tokens that nobody spent, and the refused
-/// requests, in the order of time, could have had them. Tokens that were
+/// Computed in hindsight: the tokens paid in minus the tokens that the
+/// upstreams used by the end of the run were never spent, so the refused
+/// requests could have used them, in chronological order. Tokens that were
 /// reserved at the time and used later count as used.
-/// @return upstreams whose records could not be had; the count may then be too
+/// @return upstreams whose records could not be read; the count may then be too
 /// high
-/// @error that of the log
+/// @error those of reading the log
 core::Result<std::vector<std::string>> JudgeRefusals(
     const ClairvoyantSource& source,
     std::vector<Tally>& tallies);
--- a/tools/load/findings_text.h
+++ b/tools/load/findings_text.h
@@ -8,10 +8,10 @@
 
 namespace coppervalve::load {
 
-/// @brief The findings for people; the last line sums up.
+/// @brief Formats the findings as text; the last line is a summary.
 std::string ToText(const Findings& findings);
 
-/// @brief The findings for programs.
+/// @brief Formats the findings as JSON.
 boost::json::object ToJson(const Findings& findings);
 
 }  // namespace coppervalve::load
--- a/tools/load/http_exchange.h
+++ b/tools/load/http_exchange.h
@@ -12,12 +12,12 @@
 
 namespace coppervalve::load {
 
-/// @brief How an exchange ended, as its client can tell.
+/// @brief How an exchange ended, as seen by the client.
 enum class ExchangeEnd : uint8_t {
-  kWhole,    ///< the whole message came
+  kWhole,    ///< the complete response was received
   kNotSent,  ///< no connection: nothing was sent
-  kBroken,   ///< sent at least in part, and no whole message came
-  kSilent,   ///< as kBroken, by timeout
+  kBroken,   ///< sent at least in part, no complete response
+  kSilent,   ///< like kConnectionLost, after a timeout
 };
 
 struct ExchangeCall {
@@ -28,23 +28,23 @@
   std::string target;   ///< path and query
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  /// Longest silence before and within the answer.
+  /// Maximum time without data, before and during the response.
   std::chrono::milliseconds timeout{5'000};
-  OnBytes on_bytes;  ///< sees each piece of the body as it comes
+  OnBytes on_bytes;  ///< called for each received part of the body
 };
 
 struct ExchangeReply {
   ExchangeEnd end = ExchangeEnd::kNotSent;
-  unsigned status = 0;  ///< 0: no head came
+  unsigned status = 0;  ///< 0: no response header was received
   std::string content_type;
   std::string run_state;  ///< x-coppervalve-run-state
-  std::string body;       ///< what came of it
+  std::string body;       ///< the part that was received
 };
 
-/// @brief One request on a connection of its own.
+/// @brief Sends one request on a new connection.
 boost::asio::awaitable<ExchangeReply> Exchange(ExchangeCall call);
 
-/// @brief As Exchange(), blocking.
+/// @brief Like Exchange(), but blocking.
 ExchangeReply ExchangeNow(ExchangeCall call);
 
 }  // namespace coppervalve::load
--- a/tools/load/json.h
+++ b/tools/load/json.h
@@ -12,7 +12,7 @@
 
 namespace coppervalve::load {
 
-/// @return the document, nothing when the text is no JSON
+/// @return the document, nothing when the text is not valid JSON
 std::optional<boost::json::value> ParseJson(std::string_view text);
 
 /// @brief Reads a file that holds one document.
@@ -24,13 +24,13 @@
 core::Status WriteJsonFile(const std::string& path,
                            const boost::json::value& document);
 
-/// @return the member's text, empty when absent or no string
+/// @return the member's string, empty when it is absent or not a string
 std::string TextOf(const boost::json::object& object, std::string_view name);
-/// @return the member's number, `fallback` when absent or no number
+/// @return the member's number, `fallback` when it is absent or not a number
 int64_t NumberOf(const boost::json::object& object,
                  std::string_view name,
                  int64_t fallback = 0);
-/// @return the member's truth value, false when absent
+/// @return the member's boolean, false when it is absent
 bool FlagOf(const boost::json::object& object, std::string_view name);
 /// @return the member if it is an object, else null
 const boost::json::object* ObjectOf(const boost::json::object& object,
--- a/tools/load/log_reader.cc
+++ b/tools/load/log_reader.cc
@@ -15,7 +15,7 @@
 constexpr unsigned kHttpOk = 200;
 constexpr size_t kReadBytes = size_t{4} << 20U;
 
-// Every reader folds an unreadable entry as an empty one.
+// All readers of the log treat an unparsable entry as empty.
 v1::Entry ReadEntry(const v1::LoggedEntry& logged) {
   v1::Entry entry;
   if (!entry.ParseFromString(logged.entry())) {
@@ -24,7 +24,7 @@
   return entry;
 }
 
-// @return the first snapshot of a state that misses no expired entry
+// @return the first snapshot that covers all expired entries
 std::optional<ledger::Fold> FirstSnapshot(const v1::ReadReply& reply,
                                           LogOffset first_retained) {
   for (const v1::LoggedEntry& logged : reply.entries()) {
--- a/tools/load/log_reader.h
+++ b/tools/load/log_reader.h
@@ -12,22 +12,23 @@
 
 namespace coppervalve::load {
 
-/// @brief Folds the platform's log as far as it was read.
+/// @brief Reads the platform's log and applies its entries to a fold.
 class LogReader {
  public:
   using OnEffects = std::function<void(const std::vector<ledger::Effect>&)>;
 
   /// @param address "ip:port" of the log service
-  /// @param on_effects sees the effects of each entry
+  /// @param on_effects receives the effects of each entry
   explicit LogReader(std::string address, OnEffects on_effects = {});
 
-  /// @brief Reads on to the end of the log. The first call starts at its begin,
-  /// or at the oldest retained snapshot when the begin has expired.
-  /// @error kLogUnavailable, kLogGap, kLogRecordInvalid, and the fold's own
+  /// @brief Reads up to the end of the log. The first call starts at its
+  /// beginning, or at the oldest usable snapshot when the beginning has
+  /// expired.
+  /// @error kLogUnavailable, kLogGap, kLogRecordInvalid, and those of the fold
   core::Status CatchUp();
 
   const ledger::Fold& fold() const { return m_fold; }
-  /// @return 0 when the log was read from its begin
+  /// @return 0 when the log was read from its beginning
   core::LogOffset started_at() const { return m_started_at; }
 
  private:
--- a/tools/load/outcome.h
+++ b/tools/load/outcome.h
@@ -12,38 +12,38 @@
 
 namespace coppervalve::load {
 
-/// @brief What a caller knows after one attempt, or at the end of a request.
+/// @brief Outcome of an attempt or a request, as known to its caller.
 enum class Verdict : uint8_t {
-  kWhole,    ///< its own whole answer
-  kWrong,    ///< an answer that is not whole or not its own, but looks so
-  kRefused,  ///< told "not run"
-  kUnknown,  ///< told that it may have run, or told nothing
-  kCut,      ///< a stream that ended without its end, and was said to
+  kWhole,    ///< a complete answer to this request
+  kWrong,    ///< a success whose answer is incomplete or not its own
+  kRefused,  ///< reported as "not run"
+  kUnknown,  ///< may have run, or nothing was reported
+  kCut,      ///< a stream that ended early with a reported error
   kNotSent,  ///< no router could be reached
 };
 
-/// @brief When the tokens of an answer came.
+/// @brief Arrival times of the tokens of an answer.
 struct AnswerTimes {
   std::optional<double> first_token_ms;
   std::vector<double> gaps_ms;  ///< between tokens
 };
 
-/// @brief The end of one attempt.
+/// @brief Result of one attempt.
 struct AttemptEnd {
   Verdict verdict = Verdict::kNotSent;
-  std::string error_id;    ///< "CV-...", or what the transport did
-  std::string request_id;  ///< of the answer, as the upstream knew it
+  std::string error_id;    ///< "CV-...", or a description of the failure
+  std::string request_id;  ///< as received by the upstream
   std::optional<std::chrono::milliseconds> retry_after;
-  bool retry_elsewhere = false;  ///< another address may well take it
+  bool retry_elsewhere = false;  ///< another address may accept it
   AnswerTimes times;
 };
 
-/// @brief The end of one request.
+/// @brief Result of one request.
 struct Outcome {
   AttemptEnd last;
   std::string key;
   size_t attempts = 0;
-  /// An earlier attempt may have run, whatever the last one was told.
+  /// An earlier attempt may have run, regardless of the last result.
   bool earlier_unknown = false;
   double total_ms = 0;
   Clock::time_point ended_at;
--- a/tools/load/pause.h
+++ b/tools/load/pause.h
@@ -7,10 +7,10 @@
 
 namespace coppervalve::load {
 
-/// @brief Suspends the coroutine until then.
+/// @brief Suspends the coroutine until the given time.
 boost::asio::awaitable<void> PauseUntil(Clock::time_point then);
 
-/// @brief Suspends the coroutine for so long.
+/// @brief Suspends the coroutine for the given duration.
 boost::asio::awaitable<void> PauseFor(Clock::duration time);
 
 }  // namespace coppervalve::load
--- a/tools/load/plan.h
+++ b/tools/load/plan.h
@@ -11,39 +11,40 @@
 
 namespace coppervalve::load {
 
-/// @brief One kind of work of one client account.
+/// @brief A class of requests of one client account.
 struct ClassPlan {
   std::string name;
   std::string account;
   std::string api_key;
-  std::string model;    ///< a completion; else `service` is set
-  std::string service;  ///< a call of a plain service
+  std::string model;    ///< set for completions
+  std::string service;  ///< set for calls of a plain service
   std::string method = "POST";
-  std::string path;  ///< at the service
+  std::string path;  ///< path of the call at the service
   bool stream = false;
   bool non_idempotent = false;
   core::Tokens max_tokens;
   size_t prompt_bytes = 0;
-  double rate_per_s = 1;  ///< starts, whether or not earlier ones have ended
+  double rate_per_s = 1;  ///< open loop: independent of earlier responses
   size_t requests = 0;
-  /// Callers that share the work, each with its own list of addresses.
+  /// Callers that share the requests, each with its own address list.
   size_t callers = 1;
   size_t max_attempts = 10;
-  /// No attempt starts later than this after the request.
+  /// No attempt starts later than this after the request; also the maximum time
+  /// without data from the router.
   std::chrono::milliseconds patience{30'000};
 
-  /// @return tokens that a request costs when it runs
+  /// @return tokens charged when a request runs
   core::Tokens Cost() const;
 };
 
-/// @brief One run.
+/// @brief A load run.
 struct LoadPlan {
-  std::vector<std::string> routers;  ///< any of them is asked for addresses
-  std::chrono::milliseconds max_time{60'000};  ///< no request starts later
+  std::vector<std::string> routers;  ///< any of them returns the address list
+  std::chrono::milliseconds max_time{60'000};  ///< time in which requests start
   std::vector<ClassPlan> classes;
 };
 
-/// @brief Reads a plan from a JSON file.
+/// @brief Reads a load plan from a JSON file.
 /// @error kSettingBadValue, kMalformedJson, kConfigMissingField
 core::Result<LoadPlan> ReadPlan(const std::string& path);
 
--- a/tools/load/run.cc
+++ b/tools/load/run.cc
@@ -60,8 +60,8 @@
     return callers;
   }
 
-  // Starts keep to their times, however slow the answers are: a caller at the
-  // gate does not wait for the one before.
+  // Requests start on schedule, however slow the responses are: independent
+  // callers do not wait for each other.
   asio::awaitable<void> RunClass(size_t index) {
     const ClassPlan& plan = m_tallies[index].plan();
     const std::chrono::duration<double> gap(1 / plan.rate_per_s);
@@ -89,7 +89,8 @@
   std::vector<Tally> m_tallies;
   std::vector<Callers> m_callers;
   Clock::time_point m_start;
-  // Last, so that coroutines which are still open go before what they use.
+  // Declared last, so that unfinished coroutines are destroyed before the
+  // members that they use.
   asio::io_context m_context;
 };
 
--- a/tools/load/run.h
+++ b/tools/load/run.h
@@ -9,10 +9,11 @@
 
 namespace coppervalve::load {
 
-/// @brief Sends what the plan says and waits for the end of all of it, at most
-/// for the plan's time and twice the longest patience.
+/// @brief Sends the requests of a plan and waits until all have ended, at most
+/// for the plan's maximum time and twice the longest request timeout, plus a
+/// margin.
 /// @return the report
-/// @error that of the log, when refusals are judged
+/// @error those of reading the log, when false refusals are counted
 core::Result<boost::json::object> RunLoad(const LoadPlan& plan,
                                           const ClairvoyantSource& source);
 
--- a/tools/load/stream_text.h
+++ b/tools/load/stream_text.h
@@ -11,20 +11,20 @@
 
 namespace coppervalve::load {
 
-/// @brief Reads the events of a streamed completion as they come.
+/// @brief Parses the events of a streamed completion as they arrive.
 class StreamText {
  public:
   void Feed(std::string_view bytes, Clock::time_point now);
 
-  /// @return the tokens so far
+  /// @return the text received so far
   const std::string& text() const { return m_text; }
-  /// @return when each token came
+  /// @return arrival time of each token
   const std::vector<Clock::time_point>& token_times() const {
     return m_token_times;
   }
-  /// @return whether the closing event came, with nothing after it
+  /// @return whether the final event was received, with nothing after it
   bool closed() const { return m_closed && !m_garbled; }
-  /// @return what ended the stream instead of its closing event
+  /// @return the error event that ended the stream, if any
   const std::optional<boost::json::object>& error() const { return m_error; }
 
  private:
--- a/tools/load/tally.h
+++ b/tools/load/tally.h
@@ -13,7 +13,7 @@
 
 namespace coppervalve::load {
 
-/// @brief What became of the requests of one class.
+/// @brief Statistics of the requests of one class.
 class Tally {
  public:
   explicit Tally(const ClassPlan& plan) : m_plan(plan) {}
@@ -22,16 +22,17 @@
   void Count(const Outcome& outcome);
   void CountFalseRefusal() { ++m_false_refusals; }
 
-  /// @return refusals for lack of tokens, in the order of time
+  /// @return times of the refusals for lack of tokens, in chronological order
   const std::vector<Clock::time_point>& token_refusals() const {
     return m_token_refusals;
   }
   const ClassPlan& plan() const { return m_plan; }
 
-  /// @brief The class's part of the report.
-  /// @param judged whether false refusals were looked for
+  /// @brief This class's part of the report.
+  /// @param refusals_checked whether false refusals were counted
   boost::json::object ToJson(bool judged) const;
-  /// @brief What the audit joins with the upstreams' records.
+  /// @brief Appends the requests that the audit compares with the upstreams'
+  /// records.
   void AppendKeys(boost::json::array& keys) const;
 
  private:
--- a/tools/load/upstream_use.cc
+++ b/tools/load/upstream_use.cc
@@ -39,8 +39,8 @@
   return document->get_array();
 }
 
-// An engine writes a line when a run begins and one when it ends; the later
-// line of a run replaces the earlier one. A service writes one line a call.
+// An engine writes one line when a run starts and one when it ends; the later
+// line replaces the earlier one. A service writes one line per call.
 std::optional<json::array> RecordsInFile(const v1::Upstream& upstream,
                                          const std::string& folder) {
   std::ifstream stream(folder + "/" + upstream.id() + ".jsonl");
--- a/tools/load/upstream_use.h
+++ b/tools/load/upstream_use.h
@@ -19,30 +19,30 @@
   std::string request_id;
   std::string account;
   std::string key;
-  core::Tokens work;  ///< prompt and output; none at a plain service
-  core::Tokens cost;  ///< work in tokens of the budget
+  core::Tokens work;  ///< prompt and output tokens; 0 for a plain service
+  core::Tokens cost;  ///< tokens charged to the budget
   bool whole = false;
   bool at_service = false;
-  bool changes_state = false;  ///< a call other than a lookup
+  bool changes_state = false;  ///< a call with a method other than GET or HEAD
 };
 
-/// @brief What the upstreams ran, by their own records.
+/// @brief Runs on all upstreams, according to their records.
 struct UpstreamUse {
   std::vector<Run> runs;
-  /// Upstreams whose records could not be had: their use is not counted.
+  /// Upstreams whose records could not be read; their usage is not counted.
   std::vector<std::string> missing;
-  /// Runs that their engine's death cut off: it wrote down their begin, but
-  /// not how many tokens it had made of them.
+  /// Runs interrupted by a crash of their engine: their start was recorded, but
+  /// not the number of tokens produced.
   size_t begun_only = 0;
 };
 
 /// @brief Reads the records of every upstream of a configuration.
-/// @param record_folder holds "<upstream>.jsonl" of those that have died; may
-/// be empty
+/// @param record_folder holds "<upstream>.jsonl" of upstreams that have
+/// exited; may be empty
 UpstreamUse ReadUpstreamUse(const v1::Configuration& configuration,
                             const std::string& record_folder);
 
-/// @return tokens that each budget's accounts used
+/// @return tokens used by the accounts of each budget
 std::map<std::string, core::Tokens> UseByBudget(
     const v1::Configuration& configuration,
     const UpstreamUse& use);
