--- a/include/coppervalve/standin/lagging.h
+++ b/include/coppervalve/standin/delayed_value.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_STANDIN_LAGGING_H_
-#define COPPERVALVE_STANDIN_LAGGING_H_
+#ifndef COPPERVALVE_STANDIN_DELAYED_VALUE_H_
+#define COPPERVALVE_STANDIN_DELAYED_VALUE_H_
 
 #include <deque>    // deque
 #include <utility>  // move
@@ -10,10 +10,10 @@
 
 /// @brief A value whose changes become visible to readers after a delay.
 template <typename T>
-class Lagging {
+class DelayedValue {
  public:
-  Lagging(core::Duration lag, T initial)
-      : m_lag(lag), m_seen(std::move(initial)) {}
+  DelayedValue(core::Duration delay, T initial)
+      : m_delay(delay), m_visible(std::move(initial)) {}
 
   void Set(core::TimePoint now, T value) {
     m_changes.push_back({now, std::move(value)});
@@ -24,7 +24,7 @@
   /// @complexity linear in the changes since the last call, amortized constant
   const T& Get(core::TimePoint now) {
     Advance(now);
-    return m_seen;
+    return m_visible;
   }
 
  private:
@@ -34,17 +34,17 @@
   };
 
   void Advance(core::TimePoint now) {
-    while (!m_changes.empty() && m_changes.front().at + m_lag <= now) {
-      m_seen = std::move(m_changes.front().value);
+    while (!m_changes.empty() && m_changes.front().at + m_delay <= now) {
+      m_visible = std::move(m_changes.front().value);
       m_changes.pop_front();
     }
   }
 
-  core::Duration m_lag;
-  T m_seen;
+  core::Duration m_delay;
+  T m_visible;
   std::deque<Change> m_changes;
 };
 
 }  // namespace coppervalve::standin
 
-#endif  // COPPERVALVE_STANDIN_LAGGING_H_
+#endif  // COPPERVALVE_STANDIN_DELAYED_VALUE_H_
--- a/include/coppervalve/standin/fencing_gate.h
+++ b/include/coppervalve/standin/fencing_check.h
@@ -1,15 +1,15 @@
-#ifndef COPPERVALVE_STANDIN_FENCING_GATE_H_
-#define COPPERVALVE_STANDIN_FENCING_GATE_H_
+#ifndef COPPERVALVE_STANDIN_FENCING_CHECK_H_
+#define COPPERVALVE_STANDIN_FENCING_CHECK_H_
 
 #include "coppervalve/core/ids.h"
 
 namespace coppervalve::standin {
 
 /// @brief Rejects orders with an outdated fencing number.
-class FencingGate {
+class FencingCheck {
  public:
   /// @param enabled false accepts every order, as some engines do
-  explicit FencingGate(bool checks) : m_checks(checks) {}
+  explicit FencingCheck(bool enabled) : m_enabled(enabled) {}
 
   /// @brief Accepts an order unless its number is below the highest so far. An
   /// equal number is accepted because the order may be a repeat.
@@ -18,10 +18,10 @@
   core::FencingNumber highest() const { return m_highest; }
 
  private:
-  bool m_checks;
+  bool m_enabled;
   core::FencingNumber m_highest;
 };
 
 }  // namespace coppervalve::standin
 
-#endif  // COPPERVALVE_STANDIN_FENCING_GATE_H_
+#endif  // COPPERVALVE_STANDIN_FENCING_CHECK_H_
--- a/include/coppervalve/standin/http_server.h
+++ b/include/coppervalve/standin/http_server.h
@@ -61,10 +61,10 @@
   void Finish();
   /// @brief Closes the connection after the data written so far, without
   /// completing the response.
-  void Cut();
+  void Abort();
   /// @brief Calls the hook once if the client disconnects before the response
   /// ends.
-  void OnClientGone(std::function<void()> hook);
+  void OnClientDisconnected(std::function<void()> hook);
 
  private:
   std::weak_ptr<HttpSession> m_session;
--- a/include/coppervalve/standin/json.h
+++ b/include/coppervalve/standin/json.h
@@ -17,9 +17,9 @@
 core::Result<boost::json::object> ParseObject(std::string_view text);
 
 /// @return the member's string, `fallback` when it is absent or not a string
-std::string TextMember(const boost::json::object& object,
-                       std::string_view name,
-                       std::string_view fallback = {});
+std::string StringMember(const boost::json::object& object,
+                         std::string_view name,
+                         std::string_view fallback = {});
 
 /// @return the member's number, `fallback` when it is absent or not an integer
 int64_t NumberMember(const boost::json::object& object,
--- a/include/coppervalve/standin/prefix_cache.h
+++ b/include/coppervalve/standin/prefix_cache.h
@@ -18,7 +18,7 @@
   /// @brief Looks up a prompt by its first 256 bytes and inserts it if absent.
   /// @return whether it was in the cache
   /// @complexity constant
-  bool Touch(std::string_view prompt);
+  bool FindOrInsert(std::string_view prompt);
 
  private:
   size_t m_capacity;
--- a/include/coppervalve/standin/rate_cap.h
+++ b/include/coppervalve/standin/rate_limiter.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_STANDIN_RATE_CAP_H_
-#define COPPERVALVE_STANDIN_RATE_CAP_H_
+#ifndef COPPERVALVE_STANDIN_RATE_LIMITER_H_
+#define COPPERVALVE_STANDIN_RATE_LIMITER_H_
 
 #include <cstdint>   // uint64_t
 #include <optional>  // optional
@@ -9,10 +9,10 @@
 namespace coppervalve::standin {
 
 /// @brief Limits the number of events in each window of one second.
-class RateCap {
+class RateLimiter {
  public:
   /// @param per_second 0 means no limit
-  explicit RateCap(uint64_t per_second) : m_per_second(per_second) {}
+  explicit RateLimiter(uint64_t per_second) : m_per_second(per_second) {}
 
   /// @brief Counts an event and returns true if it is within the limit.
   bool Admit(core::TimePoint now);
@@ -25,4 +25,4 @@
 
 }  // namespace coppervalve::standin
 
-#endif  // COPPERVALVE_STANDIN_RATE_CAP_H_
+#endif  // COPPERVALVE_STANDIN_RATE_LIMITER_H_
--- a/include/coppervalve/standin/tcp_relay.h
+++ b/include/coppervalve/standin/tcp_relay.h
@@ -29,7 +29,7 @@
 };
 
 /// @return the mode with this name: pass, stall, stall-existing, refuse, cut
-std::optional<RelayMode> RelayModeNamed(std::string_view name);
+std::optional<RelayMode> ParseRelayMode(std::string_view name);
 std::string_view RelayModeName(RelayMode mode);
 
 /// @brief Counters of a relay.
--- a/include/coppervalve/standin/token_text.h
+++ b/include/coppervalve/standin/token_text.h
@@ -30,7 +30,7 @@
 
 /// @return whether the text is the complete answer of the request
 /// @complexity linear in the size of the text
-bool IsWholeAnswer(std::string_view request_id, std::string_view text);
+bool IsCompleteAnswer(std::string_view request_id, std::string_view text);
 
 }  // namespace coppervalve::standin
 
--- a/src/standin/fencing_gate.cc
+++ b/src/standin/fencing_check.cc
@@ -1,11 +1,11 @@
-#include "coppervalve/standin/fencing_gate.h"
+#include "coppervalve/standin/fencing_check.h"
 
 #include <algorithm>  // max
 
 namespace coppervalve::standin {
 
-bool FencingGate::Admit(core::FencingNumber number) {
-  if (m_checks && number < m_highest) {
+bool FencingCheck::Admit(core::FencingNumber number) {
+  if (m_enabled && number < m_highest) {
     return false;
   }
   m_highest = std::max(m_highest, number);
--- a/src/standin/http_server.cc
+++ b/src/standin/http_server.cc
@@ -31,7 +31,7 @@
 
 constexpr uint64_t kMaxBodyBytes = 64ULL << 20;
 
-std::string Lowered(std::string_view text) {
+std::string ToLower(std::string_view text) {
   std::string lowered(text);
   std::transform(lowered.begin(), lowered.end(), lowered.begin(), [](char c) {
     return static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
@@ -65,7 +65,7 @@
     request.query = ParseQuery(std::string_view(target).substr(question + 1));
   }
   for (const auto& field : message) {
-    request.headers.emplace(Lowered(field.name_string()),
+    request.headers.emplace(ToLower(field.name_string()),
                             std::string(field.value()));
   }
   request.body = std::move(message.body());
@@ -80,7 +80,7 @@
   return text.str();
 }
 
-std::string ClientOf(const tcp::socket& socket) {
+std::string ClientAddress(const tcp::socket& socket) {
   ErrorCode error;
   const tcp::endpoint remote = socket.remote_endpoint(error);
   if (error) {
@@ -101,7 +101,7 @@
       : m_socket(std::move(socket)),
         m_handler(handler),
         m_close_hook(std::move(hook)),
-        m_client(ClientOf(m_socket)) {}
+        m_client(ClientAddress(m_socket)) {}
 
   void ReadNext();
   bool IsOpen(uint64_t serial) const { return m_open && m_serial == serial; }
@@ -109,20 +109,22 @@
   void StartStream(const HttpResponse& head);
   void Write(std::string_view piece);
   void Finish();
-  void Cut();
-  void OnClientGone(std::function<void()> hook) { m_on_gone = std::move(hook); }
+  void Abort();
+  void OnClientDisconnected(std::function<void()> hook) {
+    m_on_disconnect = std::move(hook);
+  }
 
  private:
-  enum class End : uint8_t { kNotYet, kProper, kCut };
+  enum class End : uint8_t { kNone, kComplete, kCut };
 
   void OnRead(const ErrorCode& error);
-  void WatchClient();
+  void WatchForDisconnect();
   bool ClientHasClosed();
   http::response<http::empty_body> MakeHead(const HttpResponse& response) const;
   void Flush();
   void OnWritten(const ErrorCode& error);
   void EndExchange();
-  void ClientGone();
+  void HandleDisconnect();
   void Close();
 
   tcp::socket m_socket;
@@ -134,8 +136,8 @@
   uint64_t m_serial = 0;
   bool m_open = false;
   bool m_keep_alive = true;
-  End m_end = End::kNotYet;
-  std::function<void()> m_on_gone;
+  End m_end = End::kNone;
+  std::function<void()> m_on_disconnect;
   std::string m_pending;
   std::string m_writing;
   bool m_write_in_progress = false;
@@ -159,21 +161,21 @@
   m_keep_alive = message.keep_alive();
   ++m_serial;
   m_open = true;
-  m_end = End::kNotYet;
-  m_on_gone = nullptr;
-  WatchClient();
+  m_end = End::kNone;
+  m_on_disconnect = nullptr;
+  WatchForDisconnect();
   m_handler(ToRequest(std::move(message), m_client),
             HttpExchange(weak_from_this(), m_serial));
 }
 
 // Nothing is read while an exchange is open, so a disconnect is detected by
 // waiting for readability and peeking.
-void HttpSession::WatchClient() {
+void HttpSession::WatchForDisconnect() {
   m_socket.async_wait(
       tcp::socket::wait_read,
       [self = shared_from_this(), serial = m_serial](const ErrorCode& error) {
         if (!error && self->IsOpen(serial) && self->ClientHasClosed()) {
-          self->ClientGone();
+          self->HandleDisconnect();
         }
       });
 }
@@ -204,7 +206,7 @@
   head.content_length(response.body.size());
   m_pending += HeadText(head);
   m_pending += response.body;
-  m_end = End::kProper;
+  m_end = End::kComplete;
   Flush();
 }
 
@@ -227,11 +229,11 @@
 
 void HttpSession::Finish() {
   m_pending += beast::buffers_to_string(http::make_chunk_last());
-  m_end = End::kProper;
+  m_end = End::kComplete;
   Flush();
 }
 
-void HttpSession::Cut() {
+void HttpSession::Abort() {
   m_end = End::kCut;
   if (!m_write_in_progress) {
     EndExchange();
@@ -255,21 +257,21 @@
 void HttpSession::OnWritten(const ErrorCode& error) {
   m_write_in_progress = false;
   if (error) {
-    ClientGone();
+    HandleDisconnect();
     return;
   }
   if (!m_pending.empty()) {
     Flush();
     return;
   }
-  if (m_end != End::kNotYet) {
+  if (m_end != End::kNone) {
     EndExchange();
   }
 }
 
 void HttpSession::EndExchange() {
   m_open = false;
-  m_on_gone = nullptr;
+  m_on_disconnect = nullptr;
   if (m_end == End::kCut || !m_keep_alive) {
     Close();
     return;
@@ -277,9 +279,9 @@
   ReadNext();
 }
 
-void HttpSession::ClientGone() {
+void HttpSession::HandleDisconnect() {
   const bool was_open = std::exchange(m_open, false);
-  const std::function<void()> hook = std::exchange(m_on_gone, nullptr);
+  const std::function<void()> hook = std::exchange(m_on_disconnect, nullptr);
   Close();
   if (was_open && hook) {
     hook();
@@ -324,17 +326,17 @@
   }
 }
 
-void HttpExchange::Cut() {
+void HttpExchange::Abort() {
   const auto session = m_session.lock();
   if (session && session->IsOpen(m_serial)) {
-    session->Cut();
+    session->Abort();
   }
 }
 
-void HttpExchange::OnClientGone(std::function<void()> hook) {
+void HttpExchange::OnClientDisconnected(std::function<void()> hook) {
   const auto session = m_session.lock();
   if (session && session->IsOpen(m_serial)) {
-    session->OnClientGone(std::move(hook));
+    session->OnClientDisconnected(std::move(hook));
   }
 }
 
--- a/src/standin/json.cc
+++ b/src/standin/json.cc
@@ -18,9 +18,9 @@
   return std::move(value.get_object());
 }
 
-std::string TextMember(const boost::json::object& object,
-                       std::string_view name,
-                       std::string_view fallback) {
+std::string StringMember(const boost::json::object& object,
+                         std::string_view name,
+                         std::string_view fallback) {
   const boost::json::value* member =
       object.if_contains({name.data(), name.size()});
   if (member == nullptr || !member->is_string()) {
--- a/src/standin/prefix_cache.cc
+++ b/src/standin/prefix_cache.cc
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-bool PrefixCache::Touch(std::string_view prompt) {
+bool PrefixCache::FindOrInsert(std::string_view prompt) {
   if (m_capacity == 0) {
     return false;
   }
--- a/src/standin/rate_cap.cc
+++ b/src/standin/rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "coppervalve/standin/rate_cap.h"
+#include "coppervalve/standin/rate_limiter.h"
 
 #include <chrono>  // seconds
 
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-bool RateCap::Admit(core::TimePoint now) {
+bool RateLimiter::Admit(core::TimePoint now) {
   if (!m_window_start || now - *m_window_start >= kWindow) {
     m_window_start = now;
     m_in_window = 0;
--- a/src/standin/tcp_relay.cc
+++ b/src/standin/tcp_relay.cc
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-std::optional<RelayMode> RelayModeNamed(std::string_view name) {
+std::optional<RelayMode> ParseRelayMode(std::string_view name) {
   for (const auto& [known, mode] : kModeNames) {
     if (known == name) {
       return mode;
@@ -53,106 +53,107 @@
 }
 
 // A client connection and the connection to the target opened for it.
-class RelayedPair : public std::enable_shared_from_this<RelayedPair> {
+class RelayedConnection
+    : public std::enable_shared_from_this<RelayedConnection> {
  public:
   struct Hooks {
-    std::function<void(const std::shared_ptr<RelayedPair>&)> on_closed;
+    std::function<void(const std::shared_ptr<RelayedConnection>&)> on_closed;
     std::function<void(size_t)> on_forwarded;
   };
 
-  RelayedPair(tcp::socket client, asio::io_context& io, Hooks hooks)
+  RelayedConnection(tcp::socket client, asio::io_context& io, Hooks hooks)
       : m_hooks(std::move(hooks)),
-        m_up{std::move(client), {}, {}, 0, false},
-        m_down{tcp::socket(io), {}, {}, 0, false} {}
+        m_client{std::move(client), {}, {}, 0, false},
+        m_target{tcp::socket(io), {}, {}, 0, false} {}
 
   void Connect(const tcp::endpoint& target);
   // A silenced connection must not be stalled: resuming it would forward data
   // again.
-  void Stall() { m_stalled = !m_silent; }
+  void Stall() { m_stalled = !m_silenced; }
   void Resume();
-  void SilenceForGood();
+  void Silence();
   void Reset();
 
  private:
   // One of the two sockets and the data read from it.
-  struct Side {
+  struct Peer {
     tcp::socket socket;
     std::array<char, kBufferBytes> buffer;
-    ErrorCode end;        // error that ended reading
-    size_t held = 0;      // bytes read but not forwarded while stalled
-    bool paused = false;  // no read or write is in progress
+    ErrorCode read_error;       // error that ended reading
+    size_t buffered_bytes = 0;  // bytes read but not forwarded while stalled
+    bool paused = false;        // no read or write is in progress
   };
 
-  Side& Other(Side& side) { return &side == &m_up ? m_down : m_up; }
-  void Pump(Side& from);
-  void OnRead(Side& from, const ErrorCode& error, size_t bytes);
-  void Forward(Side& from, size_t bytes);
-  void EndOf(Side& from);
+  Peer& Other(Peer& peer) { return &peer == &m_client ? m_target : m_client; }
+  void ReadNext(Peer& from);
+  void OnRead(Peer& from, const ErrorCode& error, size_t bytes);
+  void Forward(Peer& from, size_t bytes);
+  void OnReadEnd(Peer& from);
   void Close();
 
   Hooks m_hooks;
-  Side m_up;    // from the client
-  Side m_down;  // from the target
+  Peer m_client;  // from the client
+  Peer m_target;  // from the target
   bool m_connected = false;
   bool m_stalled = false;
-  bool m_silent = false;
+  bool m_silenced = false;
   bool m_closed = false;
 };
 
-void RelayedPair::Connect(const tcp::endpoint& target) {
+void RelayedConnection::Connect(const tcp::endpoint& target) {
   ErrorCode ignored;
-  m_up.socket.set_option(tcp::no_delay(true), ignored);
-  m_down.socket.async_connect(
+  m_client.socket.set_option(tcp::no_delay(true), ignored);
+  m_target.socket.async_connect(
       target, [self = shared_from_this()](const ErrorCode& error) {
         if (error) {
           self->Reset();
           return;
         }
         ErrorCode unused;
-        self->m_down.socket.set_option(tcp::no_delay(true), unused);
+        self->m_target.socket.set_option(tcp::no_delay(true), unused);
         self->m_connected = true;
-        self->Pump(self->m_up);
-        self->Pump(self->m_down);
+        self->ReadNext(self->m_client);
+        self->ReadNext(self->m_target);
       });
 }
 
-void RelayedPair::Resume() {
+void RelayedConnection::Resume() {
   m_stalled = false;
-  for (Side* side : {&m_up, &m_down}) {
-    if (!side->paused) {
+  for (Peer* peer : {&m_client, &m_target}) {
+    if (!peer->paused) {
       continue;
     }
-    side->paused = false;
-    if (side->held > 0) {
-      Forward(*side, std::exchange(side->held, 0));
+    peer->paused = false;
+    if (peer->buffered_bytes > 0) {
+      Forward(*peer, std::exchange(peer->buffered_bytes, 0));
     } else {
-      EndOf(*side);
+      OnReadEnd(*peer);
     }
   }
 }
 
 // Bytes are still read and discarded, so that the relay detects when one peer
 // closes. The close is not forwarded, because the other peer must not notice.
-void RelayedPair::SilenceForGood() {
-  m_silent = true;
+void RelayedConnection::Silence() {
+  m_silenced = true;
   m_stalled = false;
-  for (Side* side : {&m_up, &m_down}) {
-    if (std::exchange(side->paused, false)) {
-      side->held = 0;
-      Pump(*side);
+  for (Peer* peer : {&m_client, &m_target}) {
+    if (std::exchange(peer->paused, false)) {
+      peer->buffered_bytes = 0;
+      ReadNext(*peer);
     }
   }
 }
 
-void RelayedPair::Reset() {
+void RelayedConnection::Reset() {
   ErrorCode ignored;
   // A linger time of zero makes close() send RST instead of FIN.
-  m_up.socket.set_option(asio::socket_base::linger(true, 0), ignored);
-  m_down.socket.set_option(asio::socket_base::linger(true, 0), ignored);
+  m_client.socket.set_option(asio::socket_base::linger(true, 0), ignored);
+  m_target.socket.set_option(asio::socket_base::linger(true, 0), ignored);
   Close();
 }
 
-void RelayedPair::Pump(Side& from) {
+void RelayedConnection::ReadNext(Peer& from) {
   from.socket.async_read_some(
       asio::buffer(from.buffer),
       [self = shared_from_this(), &from](const ErrorCode& error, size_t bytes) {
@@ -160,28 +161,30 @@
       });
 }
 
-void RelayedPair::OnRead(Side& from, const ErrorCode& error, size_t bytes) {
+void RelayedConnection::OnRead(Peer& from,
+                               const ErrorCode& error,
+                               size_t bytes) {
   if (m_closed) {
     return;
   }
-  from.end = error;
+  from.read_error = error;
   if (m_stalled) {
     from.paused = true;
-    from.held = bytes;
+    from.buffered_bytes = bytes;
     return;
   }
   if (error) {
-    EndOf(from);
+    OnReadEnd(from);
     return;
   }
-  if (m_silent) {
-    Pump(from);
+  if (m_silenced) {
+    ReadNext(from);
     return;
   }
   Forward(from, bytes);
 }
 
-void RelayedPair::Forward(Side& from, size_t bytes) {
+void RelayedConnection::Forward(Peer& from, size_t bytes) {
   m_hooks.on_forwarded(bytes);
   asio::async_write(
       Other(from).socket, asio::buffer(from.buffer.data(), bytes),
@@ -190,42 +193,42 @@
           return;
         }
         // When silenced, one peer may close while the other must not notice.
-        if (error && !self->m_silent) {
+        if (error && !self->m_silenced) {
           self->Close();
           return;
         }
-        self->Pump(from);
+        self->ReadNext(from);
       });
 }
 
-void RelayedPair::EndOf(Side& from) {
+void RelayedConnection::OnReadEnd(Peer& from) {
   ErrorCode ignored;
-  if (m_silent) {
+  if (m_silenced) {
     from.socket.close(ignored);
     if (!Other(from).socket.is_open()) {
       Close();
     }
     return;
   }
-  if (from.end != asio::error::eof) {
+  if (from.read_error != asio::error::eof) {
     Reset();
     return;
   }
   // A half-close is forwarded; the connection ends after both directions are
   // closed.
   Other(from).socket.shutdown(tcp::socket::shutdown_send, ignored);
-  if (Other(from).end) {
+  if (Other(from).read_error) {
     Close();
   }
 }
 
-void RelayedPair::Close() {
+void RelayedConnection::Close() {
   if (std::exchange(m_closed, true)) {
     return;
   }
   ErrorCode ignored;
-  m_up.socket.close(ignored);
-  m_down.socket.close(ignored);
+  m_client.socket.close(ignored);
+  m_target.socket.close(ignored);
   m_hooks.on_closed(shared_from_this());
 }
 
@@ -239,15 +242,15 @@
   core::Status Open();
   void AcceptNext();
   void Accept(tcp::socket client);
-  std::vector<std::shared_ptr<RelayedPair>> Pairs() const {
-    return {pairs.begin(), pairs.end()};
+  std::vector<std::shared_ptr<RelayedConnection>> Connections() const {
+    return {connections.begin(), connections.end()};
   }
 
   asio::io_context& io;
   Address listen;
   tcp::endpoint to;
   tcp::acceptor acceptor;
-  std::unordered_set<std::shared_ptr<RelayedPair>> pairs;
+  std::unordered_set<std::shared_ptr<RelayedConnection>> connections;
   RelayMode mode = RelayMode::kPass;
   RelayStats stats;
 };
@@ -293,17 +296,18 @@
 
 void TcpRelay::Impl::Accept(tcp::socket client) {
   ++stats.accepted;
-  const auto pair = std::make_shared<RelayedPair>(
+  const auto connection = std::make_shared<RelayedConnection>(
       std::move(client), io,
-      RelayedPair::Hooks{[this](const std::shared_ptr<RelayedPair>& closed) {
-                           pairs.erase(closed);
-                         },
-                         [this](size_t bytes) { stats.bytes += bytes; }});
-  pairs.insert(pair);
+      RelayedConnection::Hooks{
+          [this](const std::shared_ptr<RelayedConnection>& closed) {
+            connections.erase(closed);
+          },
+          [this](size_t bytes) { stats.bytes += bytes; }});
+  connections.insert(connection);
   if (mode == RelayMode::kStall) {
-    pair->Stall();
+    connection->Stall();
   }
-  pair->Connect(to);
+  connection->Connect(to);
 }
 
 TcpRelay::TcpRelay(EventLoop& loop, Address listen, const Address& to)
@@ -317,20 +321,20 @@
 
 core::Status TcpRelay::SetMode(RelayMode mode) {
   m_impl->mode = mode;
-  for (const auto& pair : m_impl->Pairs()) {
+  for (const auto& connection : m_impl->Connections()) {
     switch (mode) {
       case RelayMode::kPass:
       case RelayMode::kRefuse:
-        pair->Resume();
+        connection->Resume();
         break;
       case RelayMode::kStall:
-        pair->Stall();
+        connection->Stall();
         break;
       case RelayMode::kStallExisting:
-        pair->SilenceForGood();
+        connection->Silence();
         break;
       case RelayMode::kCut:
-        pair->Reset();
+        connection->Reset();
         break;
     }
   }
@@ -348,7 +352,7 @@
 
 RelayStats TcpRelay::stats() const {
   RelayStats stats = m_impl->stats;
-  stats.open = m_impl->pairs.size();
+  stats.open = m_impl->connections.size();
   return stats;
 }
 
--- a/src/standin/token_text.cc
+++ b/src/standin/token_text.cc
@@ -24,9 +24,9 @@
   if (!early_stop) {
     return max_tokens;
   }
-  const uint64_t draw = core::Hash64(request_id);
+  const uint64_t hash = core::Hash64(request_id);
   const uint64_t range = static_cast<uint64_t>(max_tokens.value());
-  return core::Tokens(static_cast<int64_t>(draw % range) + 1);
+  return core::Tokens(static_cast<int64_t>(hash % range) + 1);
 }
 
 std::string TokenText(std::string_view request_id,
@@ -42,7 +42,7 @@
   return text;
 }
 
-bool IsWholeAnswer(std::string_view request_id, std::string_view text) {
+bool IsCompleteAnswer(std::string_view request_id, std::string_view text) {
   for (core::Tokens index;; index += core::Tokens(1)) {
     if (text == TokenText(request_id, index, true)) {
       return true;
--- a/standins/engine/completion_format.cc
+++ b/standins/engine/completion_format.cc
@@ -15,7 +15,7 @@
 
 constexpr std::string_view kChatPath = "/v1/chat/completions";
 constexpr int64_t kDefaultMaxTokens = 16;
-constexpr const char* kFinished = "length";
+constexpr const char* kFinishReason = "length";
 
 json::string_view View(std::string_view text) {
   return {text.data(), text.size()};
@@ -26,12 +26,12 @@
 std::string ContentText(const json::object& message) {
   const json::value* content = message.if_contains("content");
   if (content == nullptr || !content->is_array()) {
-    return TextMember(message, "content");
+    return StringMember(message, "content");
   }
   std::string text;
   for (const json::value& part : content->get_array()) {
     if (part.is_object()) {
-      text += TextMember(part.get_object(), "text");
+      text += StringMember(part.get_object(), "text");
     }
   }
   return text;
@@ -91,9 +91,9 @@
   CompletionRequest request;
   request.chat = path == kChatPath;
   request.stream = BoolMember(object, "stream", false);
-  request.model = TextMember(object, "model");
+  request.model = StringMember(object, "model");
   request.prompt =
-      request.chat ? ChatPrompt(object) : TextMember(object, "prompt");
+      request.chat ? ChatPrompt(object) : StringMember(object, "prompt");
   request.max_tokens = core::Tokens(MaxTokens(object));
   if (request.max_tokens < core::Tokens(1)) {
     return core::Error{core::ErrorId::kBadRequest, "max_tokens", "below 1"};
@@ -111,26 +111,26 @@
   } else {
     choice["text"] = View(text);
   }
-  choice["finish_reason"] = last ? json::value(kFinished) : json::value();
+  choice["finish_reason"] = last ? json::value(kFinishReason) : json::value();
   json::object data = Head(request, request_id, ChunkObject(request));
   data["choices"] = json::array{std::move(choice)};
   return Event(data);
 }
 
-std::string EndEvents(const CompletionRequest& request,
-                      std::string_view request_id,
-                      const CompletionUsage& usage) {
+std::string FinalEvents(const CompletionRequest& request,
+                        std::string_view request_id,
+                        const CompletionUsage& usage) {
   json::object data = Head(request, request_id, ChunkObject(request));
   data["choices"] = json::array{};
   data["usage"] = UsageObject(usage);
   return Event(data) + "data: [DONE]\n\n";
 }
 
-std::string WholeBody(const CompletionRequest& request,
-                      std::string_view request_id,
-                      std::string_view text,
-                      const CompletionUsage& usage) {
-  json::object choice{{"index", 0}, {"finish_reason", kFinished}};
+std::string CompletionBody(const CompletionRequest& request,
+                           std::string_view request_id,
+                           std::string_view text,
+                           const CompletionUsage& usage) {
+  json::object choice{{"index", 0}, {"finish_reason", kFinishReason}};
   if (request.chat) {
     choice["message"] =
         json::object{{"role", "assistant"}, {"content", View(text)}};
--- a/standins/engine/completion_format.h
+++ b/standins/engine/completion_format.h
@@ -36,15 +36,15 @@
                        bool last);
 
 /// @brief The final server-sent events: usage, then [DONE].
-std::string EndEvents(const CompletionRequest& request,
-                      std::string_view request_id,
-                      const CompletionUsage& usage);
+std::string FinalEvents(const CompletionRequest& request,
+                        std::string_view request_id,
+                        const CompletionUsage& usage);
 
 /// @brief The body of a response that is not streamed.
-std::string WholeBody(const CompletionRequest& request,
-                      std::string_view request_id,
-                      std::string_view text,
-                      const CompletionUsage& usage);
+std::string CompletionBody(const CompletionRequest& request,
+                           std::string_view request_id,
+                           std::string_view text,
+                           const CompletionUsage& usage);
 
 }  // namespace coppervalve::standin
 
--- a/standins/engine/engine_server.cc
+++ b/standins/engine/engine_server.cc
@@ -25,7 +25,7 @@
 constexpr int64_t kCachedPrefillDivisor = 4;
 constexpr int64_t kDefaultSlowFactor = 10;
 
-std::optional<EngineFault> FaultNamed(const std::string& mode) {
+std::optional<EngineFault> ParseFault(const std::string& mode) {
   static const std::map<std::string, EngineFault> modes = {
       {"ok", EngineFault::kNone},
       {"slow", EngineFault::kSlow},
@@ -68,7 +68,7 @@
 
 void EngineServer::Handle(const HttpRequest& request,
                           const HttpExchange& exchange) {
-  if (HandleAdmin(request, exchange) || IsFaulty(exchange)) {
+  if (HandleAdmin(request, exchange) || HandleFault(exchange)) {
     return;
   }
   Route(request, exchange);
@@ -78,7 +78,7 @@
 bool EngineServer::HandleAdmin(const HttpRequest& request,
                                HttpExchange exchange) {
   if (request.path == "/control") {
-    Control(request, std::move(exchange));
+    HandleControl(request, std::move(exchange));
     return true;
   }
   if (request.path == "/records") {
@@ -92,10 +92,10 @@
 // and jobs continue to run. refuse: the connection is closed before anything
 // runs. error: 500 is sent before anything runs. cut_after and slow affect the
 // stream.
-bool EngineServer::IsFaulty(HttpExchange exchange) const {
+bool EngineServer::HandleFault(HttpExchange exchange) const {
   switch (m_fault) {
     case EngineFault::kRefuse:
-      exchange.Cut();
+      exchange.Abort();
       return true;
     case EngineFault::kError:
       exchange.Send(ErrorResponse(
@@ -115,18 +115,18 @@
   const bool is_completion = request.path == "/v1/chat/completions" ||
                              request.path == "/v1/completions";
   if (is_post && is_completion) {
-    Complete(request, std::move(exchange));
+    HandleCompletion(request, std::move(exchange));
     return;
   }
   if (m_fault == EngineFault::kSilent) {
     return;
   }
   if (is_post && request.path == "/admin/order") {
-    TakeOrder(request, std::move(exchange));
+    HandleOrder(request, std::move(exchange));
     return;
   }
   if (request.path == "/health") {
-    exchange.Send(WithLoad(JsonResponse(kOk, {{"status", "ok"}})));
+    exchange.Send(AddLoadHeaders(JsonResponse(kOk, {{"status", "ok"}})));
     return;
   }
   if (request.path == "/load") {
@@ -137,7 +137,8 @@
       ErrorResponse(kNotFound, {core::ErrorId::kNotFound, request.path, {}}));
 }
 
-void EngineServer::Complete(const HttpRequest& request, HttpExchange exchange) {
+void EngineServer::HandleCompletion(const HttpRequest& request,
+                                    HttpExchange exchange) {
   auto parsed = ParseCompletion(request.path, request.body);
   if (!core::IsOk(parsed)) {
     exchange.Send(NotRun(kBadRequest, core::Failure(parsed)));
@@ -145,7 +146,7 @@
   }
   CompletionRequest completion = core::TakeValue(std::move(parsed));
   if (!Serves(completion.model)) {
-    exchange.Send(WithLoad(NotRun(
+    exchange.Send(AddLoadHeaders(NotRun(
         kNotFound, {core::ErrorId::kNotFound, completion.model, "model"})));
     return;
   }
@@ -155,7 +156,7 @@
 void EngineServer::Submit(const HttpRequest& request,
                           HttpExchange exchange,
                           CompletionRequest completion) {
-  Active active;
+  ActiveRequest active;
   active.execution.request_id = request.Header("x-request-id");
   active.execution.key = request.Header("idempotency-key");
   active.execution.account = request.Header("x-coppervalve-account");
@@ -172,22 +173,22 @@
     HttpResponse refusal = NotRun(
         kTooManyRequests, {core::ErrorId::kQueueFull, "engine", "queue full"});
     refusal.headers.emplace_back("retry-after", "1");
-    exchange.Send(WithLoad(std::move(refusal)));
+    exchange.Send(AddLoadHeaders(std::move(refusal)));
     return;
   }
-  exchange.OnClientGone(
-      [this, id = job.id] { Drop(id, ExecutionState::kCancelled); });
+  exchange.OnClientDisconnected(
+      [this, id = job.id] { RemoveJob(id, ExecutionState::kCancelled); });
   active.request = std::move(completion);
   active.exchange = std::move(exchange);
   m_active.emplace(job.id, std::move(active));
-  ReportLoad();
+  UpdateLoad();
   StartStepping();
 }
 
 uint32_t EngineServer::PrefillSteps(const CompletionRequest& completion,
                                     core::Tokens prompt) {
   int64_t tokens = prompt.value();
-  if (m_cache.Touch(completion.prompt)) {
+  if (m_cache.FindOrInsert(completion.prompt)) {
     tokens /= kCachedPrefillDivisor;
   }
   const int64_t per_step = m_options.prefill_tokens_per_step;
@@ -202,16 +203,16 @@
 }
 
 void EngineServer::StartStepping() {
-  if (m_stepping) {
+  if (m_step_scheduled) {
     return;
   }
-  m_stepping = true;
+  m_step_scheduled = true;
   m_next_step = m_loop.now() + StepTime();
-  m_loop.After(StepTime(), [this] { StepOnce(); });
+  m_loop.After(StepTime(), [this] { RunStep(); });
 }
 
-void EngineServer::StepOnce() {
-  m_stepping = false;
+void EngineServer::RunStep() {
+  m_step_scheduled = false;
   const std::vector<StepEvent> events = m_scheduler.Step();
   for (const StepEvent& event : events) {
     const auto active = m_active.find(event.job);
@@ -224,86 +225,86 @@
     }
     OnToken(active, event);
   }
-  ReportLoad();
+  UpdateLoad();
   if (m_scheduler.IsIdle()) {
     return;
   }
   // Steps follow a fixed schedule, so that the processing time of each step on
   // a busy machine does not slow down the engine.
-  m_stepping = true;
+  m_step_scheduled = true;
   m_next_step = std::max(m_next_step + StepTime(), m_loop.now());
-  m_loop.After(m_next_step - m_loop.now(), [this] { StepOnce(); });
+  m_loop.After(m_next_step - m_loop.now(), [this] { RunStep(); });
 }
 
-void EngineServer::OnStarted(Active& active) {
+void EngineServer::OnStarted(ActiveRequest& active) {
   active.execution.started_step = m_scheduler.steps();
   active.record = m_records.Start(active.execution);
 }
 
 void EngineServer::OnToken(ActiveMap::iterator active, const StepEvent& event) {
   const JobId id = active->first;
-  Active& answer = active->second;
+  ActiveRequest& answer = active->second;
   m_records.CountToken(*answer.record);
   if (m_fault == EngineFault::kSilent) {
-    answer.muted = true;
+    answer.silenced = true;
   }
   SendToken(answer, event);
-  if (CutsAfter(answer, event)) {
+  if (ShouldCutStream(answer, event)) {
     HttpExchange exchange = answer.exchange;
-    Drop(id, ExecutionState::kCut);
-    exchange.Cut();
+    RemoveJob(id, ExecutionState::kCut);
+    exchange.Abort();
     return;
   }
   if (!event.last) {
     return;
   }
-  m_records.End(*answer.record, ExecutionState::kDone, !answer.muted,
+  m_records.End(*answer.record, ExecutionState::kDone, !answer.silenced,
                 m_scheduler.steps());
   FinishAnswer(answer);
   m_active.erase(id);
 }
 
-void EngineServer::SendToken(Active& active, const StepEvent& event) {
+void EngineServer::SendToken(ActiveRequest& active, const StepEvent& event) {
   const std::string text =
       TokenText(active.execution.request_id, event.index, event.last);
   active.text += text;
-  if (active.muted || !active.request.stream) {
+  if (active.silenced || !active.request.stream) {
     return;
   }
   if (!active.head_sent) {
     HttpResponse head;
     head.content_type = "text/event-stream";
-    active.exchange.StartStream(WithLoad(std::move(head)));
+    active.exchange.StartStream(AddLoadHeaders(std::move(head)));
     active.head_sent = true;
   }
   active.exchange.Write(TokenEvent(active.request, active.execution.request_id,
                                    text, event.last));
 }
 
-void EngineServer::FinishAnswer(Active& active) {
-  if (active.muted) {
+void EngineServer::FinishAnswer(ActiveRequest& active) {
+  if (active.silenced) {
     return;
   }
   const std::string& id = active.execution.request_id;
   const CompletionUsage usage{active.execution.prompt, active.output};
   if (active.request.stream) {
-    active.exchange.Write(EndEvents(active.request, id, usage));
+    active.exchange.Write(FinalEvents(active.request, id, usage));
     active.exchange.Finish();
     return;
   }
   HttpResponse response;
-  response.body = WholeBody(active.request, id, active.text, usage);
-  active.exchange.Send(WithLoad(std::move(response)));
+  response.body = CompletionBody(active.request, id, active.text, usage);
+  active.exchange.Send(AddLoadHeaders(std::move(response)));
 }
 
-bool EngineServer::CutsAfter(const Active& active,
-                             const StepEvent& event) const {
-  return m_fault == EngineFault::kCutAfter && !active.muted &&
+bool EngineServer::ShouldCutStream(const ActiveRequest& active,
+                                   const StepEvent& event) const {
+  return m_fault == EngineFault::kCutAfter && !active.silenced &&
          event.index + core::Tokens(1) >= m_cut_after;
 }
 
 // A job that is still queued has not run and has no record.
-void EngineServer::Drop(JobId id, ExecutionState state) {
+void EngineServer::RemoveJob(JobId id, ExecutionState state) {
   const auto active = m_active.find(id);
   if (active == m_active.end()) {
     return;
@@ -313,14 +314,14 @@
   }
   m_scheduler.Cancel(id);
   m_active.erase(active);
-  ReportLoad();
+  UpdateLoad();
 }
 
 core::Duration EngineServer::StepTime() const {
   return m_fault == EngineFault::kSlow ? m_slow_step : m_options.step_time;
 }
 
-HttpResponse EngineServer::WithLoad(HttpResponse response) {
+HttpResponse EngineServer::AddLoadHeaders(HttpResponse response) {
   const Load load = m_load.Get(m_loop.now());
   response.headers.emplace_back("x-engine-running",
                                 std::to_string(load.running));
@@ -328,7 +329,7 @@
   return response;
 }
 
-void EngineServer::ReportLoad() {
+void EngineServer::UpdateLoad() {
   m_load.Set(m_loop.now(), {m_scheduler.running(), m_scheduler.queued()});
 }
 
@@ -344,8 +345,8 @@
                                    {"fencing", m_fencing.highest().value()}}));
 }
 
-void EngineServer::TakeOrder(const HttpRequest& request,
-                             HttpExchange exchange) {
+void EngineServer::HandleOrder(const HttpRequest& request,
+                               HttpExchange exchange) {
   const auto parsed = ParseObject(request.body);
   if (!core::IsOk(parsed)) {
     exchange.Send(ErrorResponse(kBadRequest, core::Failure(parsed)));
@@ -360,33 +361,34 @@
                     "highest " + std::to_string(m_fencing.highest().value())}));
     return;
   }
-  const std::string model = TextMember(order, "load_model");
+  const std::string model = StringMember(order, "load_model");
   if (!model.empty() && !m_options.models.empty() && !Serves(model)) {
     m_options.models.push_back(model);
   }
   exchange.Send(JsonResponse(kOk, {{"ok", true}}));
 }
 
-void EngineServer::Control(const HttpRequest& request, HttpExchange exchange) {
+void EngineServer::HandleControl(const HttpRequest& request,
+                                 HttpExchange exchange) {
   const auto parsed = ParseObject(request.body);
   if (!core::IsOk(parsed)) {
     exchange.Send(ErrorResponse(kBadRequest, core::Failure(parsed)));
     return;
   }
-  const boost::json::object& order = core::Value(parsed);
-  const auto fault = FaultNamed(TextMember(order, "mode"));
+  const boost::json::object& command = core::Value(parsed);
+  const auto fault = ParseFault(StringMember(command, "mode"));
   if (!fault) {
     exchange.Send(
         ErrorResponse(kBadRequest, {core::ErrorId::kBadRequest, "mode", {}}));
     return;
   }
   m_fault = *fault;
-  m_cut_after = core::Tokens(NumberMember(order, "after_tokens", 1));
-  const int64_t usual_ms =
+  m_cut_after = core::Tokens(NumberMember(command, "after_tokens", 1));
+  const int64_t normal_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(m_options.step_time)
           .count();
   m_slow_step = std::chrono::milliseconds(
-      NumberMember(order, "slow_ms", usual_ms * kDefaultSlowFactor));
+      NumberMember(command, "slow_ms", normal_ms * kDefaultSlowFactor));
   exchange.Send(JsonResponse(kOk, {{"ok", true}}));
 }
 
--- a/standins/engine/engine_server.h
+++ b/standins/engine/engine_server.h
@@ -11,10 +11,10 @@
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/standin/batch_scheduler.h"
+#include "coppervalve/standin/delayed_value.h"
 #include "coppervalve/standin/event_loop.h"
-#include "coppervalve/standin/fencing_gate.h"
+#include "coppervalve/standin/fencing_check.h"
 #include "coppervalve/standin/http_server.h"
-#include "coppervalve/standin/lagging.h"
 #include "coppervalve/standin/prefix_cache.h"
 #include "standins/engine/completion_format.h"
 #include "standins/engine/execution_records.h"
@@ -58,7 +58,7 @@
     size_t running = 0;
     size_t queued = 0;
   };
-  struct Active {
+  struct ActiveRequest {
     CompletionRequest request;
     Execution execution;
     HttpExchange exchange;
@@ -66,14 +66,14 @@
     std::optional<size_t> record;  ///< set when the job starts to run
     std::string text;
     bool head_sent = false;
-    bool muted = false;  ///< hit by the silent fault
+    bool silenced = false;  ///< hit by the silent fault
   };
-  using ActiveMap = std::map<JobId, Active>;
+  using ActiveMap = std::map<JobId, ActiveRequest>;
 
   bool HandleAdmin(const HttpRequest& request, HttpExchange exchange);
-  bool IsFaulty(HttpExchange exchange) const;
+  bool HandleFault(HttpExchange exchange) const;
   void Route(const HttpRequest& request, HttpExchange exchange);
-  void Complete(const HttpRequest& request, HttpExchange exchange);
+  void HandleCompletion(const HttpRequest& request, HttpExchange exchange);
   void Submit(const HttpRequest& request,
               HttpExchange exchange,
               CompletionRequest completion);
@@ -82,31 +82,32 @@
   bool Serves(const std::string& model) const;
 
   void StartStepping();
-  void StepOnce();
-  void OnStarted(Active& active);
+  void RunStep();
+  void OnStarted(ActiveRequest& active);
   void OnToken(ActiveMap::iterator active, const StepEvent& event);
-  void SendToken(Active& active, const StepEvent& event);
-  void FinishAnswer(Active& active);
-  bool CutsAfter(const Active& active, const StepEvent& event) const;
-  void Drop(JobId id, ExecutionState state);
+  void SendToken(ActiveRequest& active, const StepEvent& event);
+  void FinishAnswer(ActiveRequest& active);
+  bool ShouldCutStream(const ActiveRequest& active,
+                       const StepEvent& event) const;
+  void RemoveJob(JobId id, ExecutionState state);
   core::Duration StepTime() const;
 
-  HttpResponse WithLoad(HttpResponse response);
-  void ReportLoad();
+  HttpResponse AddLoadHeaders(HttpResponse response);
+  void UpdateLoad();
   void SendLoad(HttpExchange exchange);
-  void TakeOrder(const HttpRequest& request, HttpExchange exchange);
-  void Control(const HttpRequest& request, HttpExchange exchange);
+  void HandleOrder(const HttpRequest& request, HttpExchange exchange);
+  void HandleControl(const HttpRequest& request, HttpExchange exchange);
 
   EventLoop& m_loop;
   EngineOptions m_options;
   BatchScheduler m_scheduler;
   PrefixCache m_cache;
-  FencingGate m_fencing;
+  FencingCheck m_fencing;
   ExecutionRecords m_records;
-  Lagging<Load> m_load;
+  DelayedValue<Load> m_load;
   ActiveMap m_active;
   uint64_t m_last_job = 0;
-  bool m_stepping = false;
+  bool m_step_scheduled = false;
   core::TimePoint m_next_step;
 
   EngineFault m_fault = EngineFault::kNone;
--- a/standins/log/log_server.cc
+++ b/standins/log/log_server.cc
@@ -21,7 +21,7 @@
 constexpr size_t kDefaultReadBytes = 1 << 20;
 constexpr int64_t kDefaultSlowMs = 1'000;
 
-std::optional<LogFault> FaultNamed(const std::string& mode) {
+std::optional<LogFault> ParseFault(const std::string& mode) {
   static const std::map<std::string, LogFault> modes = {
       {"up", LogFault::kNone},
       {"down", LogFault::kDown},
@@ -51,13 +51,13 @@
 LogServer::LogServer(EventLoop& loop, const LogServerOptions& options)
     : m_loop(loop),
       m_store(options.retain_entries),
-      m_append_cap(options.max_appends_per_second),
+      m_append_limiter(options.max_appends_per_second),
       m_vms(options.vm_lag, {}) {}
 
 void LogServer::Handle(const HttpRequest& request,
                        const HttpExchange& exchange) {
   if (request.path == "/control") {
-    Control(request, exchange);
+    HandleControl(request, exchange);
     return;
   }
   if (request.path == "/control/vms") {
@@ -90,7 +90,7 @@
   HttpExchange reply = exchange;
   switch (FaultFor(request)) {
     case LogFault::kDown:
-      reply.Cut();
+      reply.Abort();
       return;
     case LogFault::kHang:
       return;
@@ -121,7 +121,7 @@
 }
 
 void LogServer::Append(const HttpRequest& request, HttpExchange exchange) {
-  if (!m_append_cap.Admit(m_loop.now())) {
+  if (!m_append_limiter.Admit(m_loop.now())) {
     ++m_refused_appends;
     exchange.Send(
         Refusal(kTooManyRequests, core::ErrorId::kRateLimited, request.path));
@@ -131,16 +131,16 @@
   ++m_appends;
   v1::AppendReply reply;
   reply.set_offset(m_store.Append(request.body).value());
-  AnswerAllHeld();
+  EndAllLongPolls();
 
   const LogFault fault = FaultFor(request);
-  if (fault == LogFault::kLoseReplies && LosesThisReply()) {
+  if (fault == LogFault::kLoseReplies && ShouldLoseReply()) {
     ++m_lost_replies;
-    exchange.Cut();
+    exchange.Abort();
     return;
   }
   if (fault == LogFault::kSlow) {
-    m_loop.After(m_slowness, [exchange, reply]() mutable {
+    m_loop.After(m_response_delay, [exchange, reply]() mutable {
       exchange.Send(ProtoResponse(reply));
     });
     return;
@@ -150,15 +150,17 @@
 
 // Hashes a counter instead of drawing random numbers, so that runs are
 // reproducible.
-bool LogServer::LosesThisReply() {
-  constexpr uint64_t kParts = 1'000'000;
-  const uint64_t draw = core::Hash64(std::to_string(++m_lose_draws)) % kParts;
-  return static_cast<double>(draw) < m_lose_ratio * static_cast<double>(kParts);
+bool LogServer::ShouldLoseReply() {
+  constexpr uint64_t kResolution = 1'000'000;
+  const uint64_t sample =
+      core::Hash64(std::to_string(++m_loss_counter)) % kResolution;
+  return static_cast<double>(sample) <
+         m_lose_ratio * static_cast<double>(kResolution);
 }
 
 void LogServer::Read(const HttpRequest& request, HttpExchange exchange) {
   ++m_reads;
-  WaitingRead read;
+  PendingRead read;
   read.id = ++m_next_read_id;
   read.from = core::LogOffset(request.QueryNumber("from", 0));
   read.max_bytes = request.QueryNumber("max_bytes", kDefaultReadBytes);
@@ -166,48 +168,50 @@
   const core::Duration wait =
       std::chrono::milliseconds(request.QueryNumber("wait_ms", 0));
   if (FaultFor(request) == LogFault::kSlow) {
-    m_loop.After(m_slowness,
+    m_loop.After(m_response_delay,
                  [this, read = std::move(read)] { AnswerRead(read); });
     return;
   }
   if (read.from == m_store.end() && wait.count() > 0) {
-    Hold(std::move(read), wait);
+    StartLongPoll(std::move(read), wait);
     return;
   }
   AnswerRead(read);
 }
 
-void LogServer::Hold(WaitingRead read, core::Duration wait) {
+void LogServer::StartLongPoll(PendingRead read, core::Duration wait) {
   const uint64_t id = read.id;
   HttpExchange exchange = read.exchange;
-  m_held.push_back(std::move(read));
-  exchange.OnClientGone([this, id] {
-    m_held.remove_if([id](const WaitingRead& held) { return held.id == id; });
+  m_long_polls.push_back(std::move(read));
+  exchange.OnClientDisconnected([this, id] {
+    m_long_polls.remove_if(
+        [id](const PendingRead& pending) { return pending.id == id; });
   });
-  m_loop.After(wait, [this, id] { AnswerHeld(id); });
+  m_loop.After(wait, [this, id] { EndLongPoll(id); });
 }
 
-void LogServer::AnswerHeld(uint64_t id) {
-  for (auto held = m_held.begin(); held != m_held.end(); ++held) {
-    if (held->id != id) {
+void LogServer::EndLongPoll(uint64_t id) {
+  for (auto pending = m_long_polls.begin(); pending != m_long_polls.end();
+       ++pending) {
+    if (pending->id != id) {
       continue;
     }
-    const WaitingRead read = std::move(*held);
-    m_held.erase(held);
+    const PendingRead read = std::move(*pending);
+    m_long_polls.erase(pending);
     AnswerRead(read);
     return;
   }
 }
 
-void LogServer::AnswerAllHeld() {
-  std::list<WaitingRead> held;
-  held.swap(m_held);
-  for (const WaitingRead& read : held) {
+void LogServer::EndAllLongPolls() {
+  std::list<PendingRead> pending;
+  pending.swap(m_long_polls);
+  for (const PendingRead& read : pending) {
     AnswerRead(read);
   }
 }
 
-void LogServer::AnswerRead(const WaitingRead& read) {
+void LogServer::AnswerRead(const PendingRead& read) {
   const HttpResponse response =
       ProtoResponse(m_store.Read(read.from, read.max_bytes));
   m_bytes_out += response.body.size();
@@ -240,24 +244,25 @@
   exchange.Send(JsonResponse(200, {{"ok", true}}));
 }
 
-void LogServer::Control(const HttpRequest& request, HttpExchange exchange) {
+void LogServer::HandleControl(const HttpRequest& request,
+                              HttpExchange exchange) {
   const auto parsed = ParseObject(request.body);
   if (!core::IsOk(parsed)) {
     exchange.Send(ErrorResponse(kBadRequest, core::Failure(parsed)));
     return;
   }
-  const boost::json::object& order = core::Value(parsed);
-  const auto fault = FaultNamed(TextMember(order, "mode"));
+  const boost::json::object& command = core::Value(parsed);
+  const auto fault = ParseFault(StringMember(command, "mode"));
   if (!fault) {
     exchange.Send(Refusal(kBadRequest, core::ErrorId::kBadRequest, "mode"));
     return;
   }
   m_fault = *fault;
-  m_fault_client = TextMember(order, "for_client");
-  m_fault_covers_vms = BoolMember(order, "vms", false);
-  m_slowness =
-      std::chrono::milliseconds(NumberMember(order, "slow_ms", kDefaultSlowMs));
-  const boost::json::value* ratio = order.if_contains("lose_ratio");
+  m_fault_client = StringMember(command, "for_client");
+  m_fault_covers_vms = BoolMember(command, "vms", false);
+  m_response_delay = std::chrono::milliseconds(
+      NumberMember(command, "slow_ms", kDefaultSlowMs));
+  const boost::json::value* ratio = command.if_contains("lose_ratio");
   m_lose_ratio =
       ratio != nullptr && ratio->is_number() ? ratio->to_number<double>() : 1.0;
   exchange.Send(JsonResponse(200, {{"ok", true}}));
--- a/standins/log/log_server.h
+++ b/standins/log/log_server.h
@@ -9,11 +9,11 @@
 #include "coppervalve/core/ids.h"
 #include "coppervalve/core/units.h"
 #include "coppervalve/platform.pb.h"
+#include "coppervalve/standin/delayed_value.h"
 #include "coppervalve/standin/event_loop.h"
 #include "coppervalve/standin/http_server.h"
-#include "coppervalve/standin/lagging.h"
 #include "coppervalve/standin/log_store.h"
-#include "coppervalve/standin/rate_cap.h"
+#include "coppervalve/standin/rate_limiter.h"
 
 namespace coppervalve::standin {
 
@@ -36,7 +36,7 @@
   void Handle(const HttpRequest& request, const HttpExchange& exchange);
 
  private:
-  struct WaitingRead {
+  struct PendingRead {
     uint64_t id = 0;
     core::LogOffset from;
     size_t max_bytes = 0;
@@ -48,30 +48,30 @@
                        const HttpExchange& exchange);
   void Serve(const HttpRequest& request, const HttpExchange& exchange);
   void Append(const HttpRequest& request, HttpExchange exchange);
-  bool LosesThisReply();
+  bool ShouldLoseReply();
   void Read(const HttpRequest& request, HttpExchange exchange);
-  void Hold(WaitingRead read, core::Duration wait);
-  void AnswerHeld(uint64_t id);
-  void AnswerAllHeld();
-  void AnswerRead(const WaitingRead& read);
+  void StartLongPoll(PendingRead read, core::Duration wait);
+  void EndLongPoll(uint64_t id);
+  void EndAllLongPolls();
+  void AnswerRead(const PendingRead& read);
   void SendVms(HttpExchange exchange);
   void SetVms(const HttpRequest& request, HttpExchange exchange);
-  void Control(const HttpRequest& request, HttpExchange exchange);
+  void HandleControl(const HttpRequest& request, HttpExchange exchange);
   void SendStats(HttpExchange exchange) const;
 
   EventLoop& m_loop;
   LogStore m_store;
-  RateCap m_append_cap;
-  Lagging<v1::VmList> m_vms;
-  std::list<WaitingRead> m_held;
+  RateLimiter m_append_limiter;
+  DelayedValue<v1::VmList> m_vms;
+  std::list<PendingRead> m_long_polls;
   uint64_t m_next_read_id = 0;
 
   LogFault m_fault = LogFault::kNone;
   std::string m_fault_client;
   bool m_fault_covers_vms = false;
-  core::Duration m_slowness{};
+  core::Duration m_response_delay{};
   double m_lose_ratio = 1.0;
-  uint64_t m_lose_draws = 0;
+  uint64_t m_loss_counter = 0;
 
   uint64_t m_appends = 0;
   uint64_t m_refused_appends = 0;
--- a/standins/relay/relay_control.cc
+++ b/standins/relay/relay_control.cc
@@ -35,7 +35,7 @@
   if (name.starts_with('/')) {
     name.remove_prefix(1);
   }
-  const auto mode = RelayModeNamed(name);
+  const auto mode = ParseRelayMode(name);
   if (!mode) {
     exchange.Send(ErrorResponse(
         kNotFound, {core::ErrorId::kNotFound, request.path, "mode"}));
--- a/standins/service/service_server.cc
+++ b/standins/service/service_server.cc
@@ -16,7 +16,7 @@
 constexpr unsigned kInternalError = 500;
 constexpr int64_t kDefaultSlowMs = 1'000;
 
-std::optional<ServiceFault> FaultNamed(const std::string& mode) {
+std::optional<ServiceFault> ParseFault(const std::string& mode) {
   static const std::map<std::string, ServiceFault> modes = {
       {"ok", ServiceFault::kNone},
       {"slow", ServiceFault::kSlow},
@@ -40,7 +40,7 @@
 void ServiceServer::Handle(const HttpRequest& request,
                            const HttpExchange& exchange) {
   if (!HandleAdmin(request, exchange)) {
-    Call(request, exchange);
+    HandleCall(request, exchange);
   }
 }
 
@@ -48,7 +48,7 @@
 bool ServiceServer::HandleAdmin(const HttpRequest& request,
                                 HttpExchange exchange) {
   if (request.path == "/control") {
-    Control(request, std::move(exchange));
+    HandleControl(request, std::move(exchange));
     return true;
   }
   if (request.path == "/records") {
@@ -62,11 +62,11 @@
 // arrival. silent: no response is sent, the connection stays open.
 // die-before-answer: the connection is closed without a response. cut: the
 // connection is closed in the middle of the response.
-void ServiceServer::Call(const HttpRequest& request,
-                         const HttpExchange& exchange) {
+void ServiceServer::HandleCall(const HttpRequest& request,
+                               const HttpExchange& exchange) {
   HttpExchange reply = exchange;
   if (m_fault == ServiceFault::kRefuse) {
-    reply.Cut();
+    reply.Abort();
     return;
   }
   if (m_fault == ServiceFault::kError) {
@@ -74,15 +74,16 @@
         kInternalError, {core::ErrorId::kUpstreamFailed, "service", "fault"}));
     return;
   }
-  const bool is_probe = request.path == "/health";
-  const HttpResponse response =
-      is_probe ? JsonResponse(kOk, {{"status", "ok"}}) : Run(request);
+  const bool is_health_check = request.path == "/health";
+  const HttpResponse response = is_health_check
+                                    ? JsonResponse(kOk, {{"status", "ok"}})
+                                    : RunCall(request);
   const bool is_slow = m_fault == ServiceFault::kSlow;
-  const core::Duration delay = is_slow ? m_slowness : m_options.latency;
+  const core::Duration delay = is_slow ? m_response_delay : m_options.latency;
   m_loop.After(delay, [this, reply, response] { Answer(reply, response); });
 }
 
-HttpResponse ServiceServer::Run(const HttpRequest& request) {
+HttpResponse ServiceServer::RunCall(const HttpRequest& request) {
   const std::string key = request.Header("idempotency-key");
   const std::string request_id = request.Header("x-request-id");
   const uint64_t runs = ++m_runs_by_key[key];
@@ -108,12 +109,12 @@
     case ServiceFault::kSilent:
       return;
     case ServiceFault::kDieBeforeAnswer:
-      exchange.Cut();
+      exchange.Abort();
       return;
     case ServiceFault::kCut:
       exchange.StartStream(response);
       exchange.Write(response.body.substr(0, response.body.size() / 2));
-      exchange.Cut();
+      exchange.Abort();
       return;
     case ServiceFault::kNone:
     case ServiceFault::kSlow:
@@ -124,22 +125,23 @@
   }
 }
 
-void ServiceServer::Control(const HttpRequest& request, HttpExchange exchange) {
+void ServiceServer::HandleControl(const HttpRequest& request,
+                                  HttpExchange exchange) {
   const auto parsed = ParseObject(request.body);
   if (!core::IsOk(parsed)) {
     exchange.Send(ErrorResponse(kBadRequest, core::Failure(parsed)));
     return;
   }
-  const boost::json::object& order = core::Value(parsed);
-  const auto fault = FaultNamed(TextMember(order, "mode"));
+  const boost::json::object& command = core::Value(parsed);
+  const auto fault = ParseFault(StringMember(command, "mode"));
   if (!fault) {
     exchange.Send(
         ErrorResponse(kBadRequest, {core::ErrorId::kBadRequest, "mode", {}}));
     return;
   }
   m_fault = *fault;
-  m_slowness =
-      std::chrono::milliseconds(NumberMember(order, "slow_ms", kDefaultSlowMs));
+  m_response_delay = std::chrono::milliseconds(
+      NumberMember(command, "slow_ms", kDefaultSlowMs));
   exchange.Send(JsonResponse(kOk, {{"ok", true}}));
 }
 
--- a/standins/service/service_server.h
+++ b/standins/service/service_server.h
@@ -41,10 +41,10 @@
 
  private:
   bool HandleAdmin(const HttpRequest& request, HttpExchange exchange);
-  void Call(const HttpRequest& request, const HttpExchange& exchange);
-  HttpResponse Run(const HttpRequest& request);
+  void HandleCall(const HttpRequest& request, const HttpExchange& exchange);
+  HttpResponse RunCall(const HttpRequest& request);
   void Answer(HttpExchange exchange, const HttpResponse& response) const;
-  void Control(const HttpRequest& request, HttpExchange exchange);
+  void HandleControl(const HttpRequest& request, HttpExchange exchange);
 
   EventLoop& m_loop;
   ServiceOptions m_options;
@@ -52,7 +52,7 @@
   boost::json::array m_records;
   std::unordered_map<std::string, uint64_t> m_runs_by_key;
   ServiceFault m_fault = ServiceFault::kNone;
-  core::Duration m_slowness{};
+  core::Duration m_response_delay{};
 };
 
 }  // namespace coppervalve::standin
--- a/tests/standin/unit-engine_parts.cc
+++ b/tests/standin/unit-engine_parts.cc
@@ -5,7 +5,7 @@
 #include <vector>   // vector
 
 #include "coppervalve/standin/batch_scheduler.h"
-#include "coppervalve/standin/fencing_gate.h"
+#include "coppervalve/standin/fencing_check.h"
 #include "coppervalve/standin/prefix_cache.h"
 #include "coppervalve/standin/token_text.h"
 
@@ -49,13 +49,13 @@
 }
 
 TEST(EngineParts, only_the_whole_answer_of_the_own_request_is_whole) {
-  CHECK(IsWholeAnswer("r1", AnswerOf("r1", 3)));
-  CHECK(!IsWholeAnswer("r2", AnswerOf("r1", 3)));
-  CHECK(!IsWholeAnswer("r1", "r1:0 r1:1 "));
-  CHECK(!IsWholeAnswer("r1", "r1:0 r1:0 r1:1.end "));
-  CHECK(!IsWholeAnswer("r1", "r1:0 r1:2.end "));
-  CHECK(!IsWholeAnswer("r1", "r1:0.end r1:1.end "));
-  CHECK(!IsWholeAnswer("r1", ""));
+  CHECK(IsCompleteAnswer("r1", AnswerOf("r1", 3)));
+  CHECK(!IsCompleteAnswer("r2", AnswerOf("r1", 3)));
+  CHECK(!IsCompleteAnswer("r1", "r1:0 r1:1 "));
+  CHECK(!IsCompleteAnswer("r1", "r1:0 r1:0 r1:1.end "));
+  CHECK(!IsCompleteAnswer("r1", "r1:0 r1:2.end "));
+  CHECK(!IsCompleteAnswer("r1", "r1:0.end r1:1.end "));
+  CHECK(!IsCompleteAnswer("r1", ""));
 }
 
 TEST(EngineParts, token_counts_depend_on_the_request_alone) {
@@ -104,20 +104,20 @@
 TEST(EngineParts, the_prefix_cache_forgets_the_least_recently_used) {
   const std::string long_prefix(256, 'a');
   PrefixCache cache(2);
-  CHECK(!cache.Touch(long_prefix + "one"));
-  CHECK(cache.Touch(long_prefix + "two"));
-  CHECK(!cache.Touch("b"));
-  CHECK(cache.Touch(long_prefix));
-  CHECK(!cache.Touch("c"));
-  CHECK(!cache.Touch("b"));
+  CHECK(!cache.FindOrInsert(long_prefix + "one"));
+  CHECK(cache.FindOrInsert(long_prefix + "two"));
+  CHECK(!cache.FindOrInsert("b"));
+  CHECK(cache.FindOrInsert(long_prefix));
+  CHECK(!cache.FindOrInsert("c"));
+  CHECK(!cache.FindOrInsert("b"));
 }
 
 TEST(EngineParts, an_older_fencing_number_is_refused_only_when_checked) {
-  FencingGate checking(true);
+  FencingCheck checking(true);
   CHECK(checking.Admit(core::FencingNumber(7)));
   CHECK(checking.Admit(core::FencingNumber(7)));
   CHECK(!checking.Admit(core::FencingNumber(6)));
-  FencingGate trusting(false);
+  FencingCheck trusting(false);
   CHECK(trusting.Admit(core::FencingNumber(7)));
   CHECK(trusting.Admit(core::FencingNumber(6)));
 }
--- a/tests/standin/unit-log_store.cc
+++ b/tests/standin/unit-log_store.cc
@@ -5,9 +5,9 @@
 
 #include "coppervalve/core/ids.h"
 #include "coppervalve/standin/address.h"
-#include "coppervalve/standin/lagging.h"
+#include "coppervalve/standin/delayed_value.h"
 #include "coppervalve/standin/log_store.h"
-#include "coppervalve/standin/rate_cap.h"
+#include "coppervalve/standin/rate_limiter.h"
 
 using namespace coppervalve;           // NOLINT
 using namespace coppervalve::standin;  // NOLINT
@@ -51,15 +51,15 @@
 }
 
 TEST(LogStore, appends_past_the_cap_are_refused_until_the_next_second) {
-  RateCap cap(2);
-  CHECK(cap.Admit(At(0ms)));
-  CHECK(cap.Admit(At(1ms)));
-  CHECK(!cap.Admit(At(999ms)));
-  CHECK(cap.Admit(At(1s)));
+  RateLimiter limiter(2);
+  CHECK(limiter.Admit(At(0ms)));
+  CHECK(limiter.Admit(At(1ms)));
+  CHECK(!limiter.Admit(At(999ms)));
+  CHECK(limiter.Admit(At(1s)));
 }
 
 TEST(LogStore, a_lagging_value_shows_each_change_after_the_lag) {
-  Lagging<int> value(100ms, 1);
+  DelayedValue<int> value(100ms, 1);
   value.Set(At(0ms), 2);
   value.Set(At(50ms), 3);
   CHECK_EQUAL(1, value.Get(At(99ms)));
--- a/tests/standin/unit-sockets.cc
+++ b/tests/standin/unit-sockets.cc
@@ -79,23 +79,23 @@
 TEST(Sockets, a_handler_is_notified_once_when_its_client_disconnects) {
   EventLoop loop;
   const uint16_t port = FreePort();
-  int gone = 0;
+  int disconnects = 0;
   HttpExchange open;
   HttpServer server(loop, [&](const HttpRequest&, HttpExchange exchange) {
-    exchange.OnClientGone([&gone] { ++gone; });
+    exchange.OnClientDisconnected([&disconnects] { ++disconnects; });
     open = exchange;
   });
   CHECK(core::IsOk(server.Listen(Loopback(port))));
   LoopbackClient client(port);
   client.Send(kGet);
   loop.RunFor(kSettle);
-  CHECK_EQUAL(0, gone);
+  CHECK_EQUAL(0, disconnects);
   client.Close();
   loop.RunFor(kSettle);
-  CHECK_EQUAL(1, gone);
+  CHECK_EQUAL(1, disconnects);
   open.Send(HttpResponse{});
   loop.RunFor(kSettle);
-  CHECK_EQUAL(1, gone);
+  CHECK_EQUAL(1, disconnects);
 }
 
 // The server closes the connection in the middle of a stream. The client
@@ -106,7 +106,7 @@
   HttpServer server(loop, [](const HttpRequest&, HttpExchange exchange) {
     exchange.StartStream(HttpResponse{});
     exchange.Write("token");
-    exchange.Cut();
+    exchange.Abort();
   });
   CHECK(core::IsOk(server.Listen(Loopback(port))));
   LoopbackClient client(port);
--- a/tools/load/address_list.h
+++ b/tools/load/address_list.h
@@ -31,18 +31,19 @@
   /// @param attempt 0 for the first attempt of a request; after all addresses
   /// have been tried, the list is requested again
   /// @return nothing when no router answers
-  boost::asio::awaitable<std::optional<FleetAddress>> At(size_t place);
+  boost::asio::awaitable<std::optional<FleetAddress>> AddressFor(
+      size_t attempt);
 
  private:
   boost::asio::awaitable<void> Refresh();
-  boost::asio::awaitable<bool> Ask(std::string router);
+  boost::asio::awaitable<bool> QueryRouter(std::string router);
 
   std::vector<std::string> m_routers;
   std::string m_api_key;
   std::vector<FleetAddress> m_addresses;
-  Clock::time_point m_asked_at;
+  Clock::time_point m_refreshed_at;
   Clock::time_point m_expires_at;
-  bool m_asking = false;
+  bool m_refreshing = false;
   size_t m_next_router;
 };
 
--- a/tools/load/answer_check.cc
+++ b/tools/load/answer_check.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-std::optional<std::string> WholeTextId(std::string_view text) {
+std::optional<std::string> RequestIdOfCompleteText(std::string_view text) {
   const size_t id_end = text.find(kFirstToken);
   if (id_end == std::string_view::npos || id_end == 0) {
     return std::nullopt;
--- a/tools/load/answer_check.h
+++ b/tools/load/answer_check.h
@@ -13,7 +13,7 @@
 /// @return R, nothing when a token is missing, duplicate, out of order or of
 /// another request
 /// @complexity linear in the size of the text
-std::optional<std::string> WholeTextId(std::string_view text);
+std::optional<std::string> RequestIdOfCompleteText(std::string_view text);
 
 }  // namespace coppervalve::load
 
--- a/tools/load/attempt.cc
+++ b/tools/load/attempt.cc
@@ -26,10 +26,10 @@
   return !plan.model.empty();
 }
 
-ExchangeCall CallOf(const ClassPlan& plan,
-                    std::string address,
-                    const std::string& key,
-                    std::string body) {
+ExchangeCall MakeCall(const ClassPlan& plan,
+                      std::string address,
+                      const std::string& key,
+                      std::string body) {
   ExchangeCall call;
   call.method = plan.method;
   call.address = std::move(address);
@@ -39,31 +39,32 @@
                   {"Idempotency-Key", key},
                   {"Content-Type", "application/json"}};
   call.body = std::move(body);
-  call.timeout = plan.patience;
+  call.timeout = plan.request_timeout;
   return call;
 }
 
-AttemptEnd EndWith(Verdict verdict, std::string error_id) {
-  AttemptEnd end;
-  end.verdict = verdict;
-  end.error_id = std::move(error_id);
-  return end;
+AttemptResult MakeResult(Verdict verdict, std::string error_id) {
+  AttemptResult result;
+  result.verdict = verdict;
+  result.error_id = std::move(error_id);
+  return result;
 }
 
 // An error reported by a router, in a response or as the last event of a
 // stream.
-AttemptEnd EndOfError(const json::object& error, bool after_tokens) {
-  AttemptEnd end = EndWith(Verdict::kUnknown, TextOf(error, "id"));
-  if (TextOf(error, "run_state") == kNotRun) {
-    end.verdict = Verdict::kRefused;
+AttemptResult ResultOfError(const json::object& error, bool after_tokens) {
+  AttemptResult result =
+      MakeResult(Verdict::kUnknown, StringMember(error, "id"));
+  if (StringMember(error, "run_state") == kNotRun) {
+    result.verdict = Verdict::kRefused;
   } else if (after_tokens) {
-    end.verdict = Verdict::kCut;
+    result.verdict = Verdict::kCut;
   }
-  const int64_t pause = NumberOf(error, "retry_after_ms", -1);
+  const int64_t pause = NumberMember(error, "retry_after_ms", -1);
   if (pause >= 0) {
-    end.retry_after = milliseconds(pause);
+    result.retry_after = milliseconds(pause);
   }
-  return end;
+  return result;
 }
 
 AnswerTimes TimesOf(const StreamText& stream, Clock::time_point sent) {
@@ -78,86 +79,87 @@
   return times;
 }
 
-AttemptEnd EndOfStream(const ExchangeReply& reply,
-                       const StreamText& stream,
-                       Clock::time_point sent) {
+AttemptResult ResultOfStream(const ExchangeReply& reply,
+                             const StreamText& stream,
+                             Clock::time_point sent) {
   if (stream.error()) {
-    return EndOfError(*stream.error(), true);
+    return ResultOfError(*stream.error(), true);
   }
-  if (reply.end != ExchangeEnd::kWhole) {
-    return EndWith(Verdict::kUnknown, "connection lost in the stream");
+  if (reply.result != ExchangeResult::kComplete) {
+    return MakeResult(Verdict::kUnknown, "connection lost in the stream");
   }
-  const auto id = WholeTextId(stream.text());
+  const auto id = RequestIdOfCompleteText(stream.text());
   if (!stream.closed() || !id) {
-    return EndWith(Verdict::kWrong, "stream without its whole text");
+    return MakeResult(Verdict::kWrong, "stream without its whole text");
   }
-  AttemptEnd end = EndWith(Verdict::kWhole, {});
-  end.request_id = *id;
-  end.times = TimesOf(stream, sent);
-  return end;
+  AttemptResult result = MakeResult(Verdict::kWhole, {});
+  result.request_id = *id;
+  result.times = TimesOf(stream, sent);
+  return result;
 }
 
 // The text of a completion that was not streamed.
-std::string TextOfCompletion(const json::object& document) {
-  const json::array* choices = ArrayOf(document, "choices");
+std::string CompletionText(const json::object& document) {
+  const json::array* choices = ArrayMember(document, "choices");
   if (choices == nullptr || choices->empty() || !choices->at(0).is_object()) {
     return {};
   }
   const json::object* message =
-      ObjectOf(choices->at(0).get_object(), "message");
-  return message == nullptr ? std::string() : TextOf(*message, "content");
+      ObjectMember(choices->at(0).get_object(), "message");
+  return message == nullptr ? std::string() : StringMember(*message, "content");
 }
 
-AttemptEnd EndOfCompletion(const json::object& document) {
-  const auto id = WholeTextId(TextOfCompletion(document));
-  if (!id || *id != TextOf(document, "id")) {
-    return EndWith(Verdict::kWrong, "completion without its whole text");
+AttemptResult ResultOfCompletion(const json::object& document) {
+  const auto id = RequestIdOfCompleteText(CompletionText(document));
+  if (!id || *id != StringMember(document, "id")) {
+    return MakeResult(Verdict::kWrong, "completion without its whole text");
   }
-  AttemptEnd end = EndWith(Verdict::kWhole, {});
-  end.request_id = *id;
-  return end;
+  AttemptResult result = MakeResult(Verdict::kWhole, {});
+  result.request_id = *id;
+  return result;
 }
 
 // The service stand-in answers with its record of the call.
-AttemptEnd EndOfService(const json::object& document, const std::string& key) {
-  if (TextOf(document, "key") != key) {
-    return EndWith(Verdict::kWrong, "answer to another call");
-  }
-  AttemptEnd end = EndWith(Verdict::kWhole, {});
-  end.request_id = TextOf(document, "request_id");
-  return end;
+AttemptResult ResultOfServiceCall(const json::object& document,
+                                  const std::string& key) {
+  if (StringMember(document, "key") != key) {
+    return MakeResult(Verdict::kWrong, "answer to another call");
+  }
+  AttemptResult result = MakeResult(Verdict::kWhole, {});
+  result.request_id = StringMember(document, "request_id");
+  return result;
 }
 
-AttemptEnd EndOfReply(const ClassPlan& plan,
-                      const ExchangeReply& reply,
-                      const std::string& key) {
+AttemptResult ResultOfReply(const ClassPlan& plan,
+                            const ExchangeReply& reply,
+                            const std::string& key) {
   const auto parsed = ParseJson(reply.body);
   const json::object* document = parsed ? parsed->if_object() : nullptr;
   if (reply.status != kHttpOk) {
     const json::object* error =
-        document == nullptr ? nullptr : ObjectOf(*document, "error");
+        document == nullptr ? nullptr : ObjectMember(*document, "error");
     if (error == nullptr || reply.run_state.empty()) {
-      return EndWith(Verdict::kUnknown,
-                     "HTTP status " + std::to_string(reply.status));
+      return MakeResult(Verdict::kUnknown,
+                        "HTTP status " + std::to_string(reply.status));
     }
-    AttemptEnd end = EndOfError(*error, false);
-    end.retry_elsewhere = reply.status == kUnavailable;
-    return end;
+    AttemptResult result = ResultOfError(*error, false);
+    result.retry_elsewhere = reply.status == kUnavailable;
+    return result;
   }
   if (document == nullptr) {
-    return EndWith(Verdict::kWrong, "answer is no JSON object");
+    return MakeResult(Verdict::kWrong, "answer is no JSON object");
   }
-  return IsModelWork(plan) ? EndOfCompletion(*document)
-                           : EndOfService(*document, key);
+  return IsModelWork(plan) ? ResultOfCompletion(*document)
+                           : ResultOfServiceCall(*document, key);
 }
 
 }  // namespace
 
-asio::awaitable<AttemptEnd> Attempt(const ClassPlan& plan,
-                                    std::string address,
-                                    std::string key,
-                                    std::string body) {
-  ExchangeCall call = CallOf(plan, std::move(address), key, std::move(body));
+asio::awaitable<AttemptResult> RunAttempt(const ClassPlan& plan,
+                                          std::string address,
+                                          std::string key,
+                                          std::string body) {
+  ExchangeCall call = MakeCall(plan, std::move(address), key, std::move(body));
   StreamText stream;
   if (plan.stream) {
     call.on_bytes = [&stream](std::string_view bytes) {
@@ -166,22 +168,22 @@
   }
   const Clock::time_point sent = Clock::now();
   const ExchangeReply reply = co_await Exchange(std::move(call));
-  if (reply.end == ExchangeEnd::kNotSent) {
-    co_return EndWith(Verdict::kNotSent, "no connection");
+  if (reply.result == ExchangeResult::kNotSent) {
+    co_return MakeResult(Verdict::kNotSent, "no connection");
   }
   if (plan.stream && reply.content_type.starts_with(kEventStream)) {
-    co_return EndOfStream(reply, stream, sent);
+    co_return ResultOfStream(reply, stream, sent);
   }
-  if (reply.end == ExchangeEnd::kSilent) {
-    co_return EndWith(Verdict::kUnknown, "no answer in time");
+  if (reply.result == ExchangeResult::kTimedOut) {
+    co_return MakeResult(Verdict::kUnknown, "no answer in time");
   }
-  if (reply.end == ExchangeEnd::kBroken) {
-    co_return EndWith(Verdict::kUnknown, "connection lost");
+  if (reply.result == ExchangeResult::kConnectionLost) {
+    co_return MakeResult(Verdict::kUnknown, "connection lost");
   }
-  co_return EndOfReply(plan, reply, key);
+  co_return ResultOfReply(plan, reply, key);
 }
 
-std::string BodyOf(const ClassPlan& plan, size_t number) {
+std::string MakeBody(const ClassPlan& plan, size_t number) {
   if (!IsModelWork(plan)) {
     return plan.method == "GET"
                ? std::string()
--- a/tools/load/attempt.h
+++ b/tools/load/attempt.h
@@ -11,13 +11,13 @@
 
 /// @brief Sends a request to one address and classifies the response.
 /// @param plan must outlive the attempt
-boost::asio::awaitable<AttemptEnd> Attempt(const ClassPlan& plan,
-                                           std::string address,
-                                           std::string key,
-                                           std::string body);
+boost::asio::awaitable<AttemptResult> RunAttempt(const ClassPlan& plan,
+                                                 std::string address,
+                                                 std::string key,
+                                                 std::string body);
 
 /// @return the request body for this class
-std::string BodyOf(const ClassPlan& plan, size_t number);
+std::string MakeBody(const ClassPlan& plan, size_t number);
 
 }  // namespace coppervalve::load
 
--- a/tools/load/audit.cc
+++ b/tools/load/audit.cc
@@ -12,7 +12,7 @@
 #include "tools/load/clock.h"
 #include "tools/load/json.h"
 #include "tools/load/log_reader.h"
-#include "tools/load/upstream_use.h"
+#include "tools/load/upstream_usage.h"
 
 namespace coppervalve::load {
 
@@ -25,7 +25,7 @@
 constexpr std::chrono::milliseconds kFollowPause{200};
 
 /// One request of a load report.
-struct Asked {
+struct ReportedRequest {
   std::string request_id;
   std::string verdict;
   bool earlier_unknown = false;
@@ -34,7 +34,7 @@
 
 /// How often each key was billed. Kept separate from the billed keys in the
 /// fold, which the audit verifies.
-using Bills = std::unordered_map<core::Hash128, size_t>;
+using BillCounts = std::unordered_map<core::Hash128, size_t>;
 
 // Keys are scoped to an account: two accounts may use the same key. Log records
 // identify a key by the hash of this identity.
@@ -44,34 +44,34 @@
   return identity + key;
 }
 
-class Join {
+class RecordComparison {
  public:
-  explicit Join(Findings& findings) : m_findings(findings) {}
+  explicit RecordComparison(Findings& findings) : m_findings(findings) {}
 
-  core::Status TakeReport(const std::string& path) {
+  core::Status AddReport(const std::string& path) {
     const core::Result<json::value> read = ReadJsonFile(path);
     if (!core::IsOk(read)) {
       return core::Failure(read);
     }
     const json::object* report = core::Value(read).if_object();
     const json::array* keys =
-        report == nullptr ? nullptr : ArrayOf(*report, "keys");
+        report == nullptr ? nullptr : ArrayMember(*report, "keys");
     if (keys == nullptr) {
       return core::Error{ErrorId::kMalformedJson, path, "no load report"};
     }
     for (const json::value& item : *keys) {
       if (item.is_object()) {
-        TakeAsked(item.get_object());
+        AddRequest(item.get_object());
       }
     }
     return core::Ok();
   }
 
-  void TakeRuns(const UpstreamUse& use) {
-    m_findings.runs = use.runs.size();
-    m_findings.begun_only = use.begun_only;
-    m_findings.missing = use.missing;
-    for (const Run& run : use.runs) {
+  void AddRuns(const UpstreamUsage& usage) {
+    m_findings.runs = usage.runs.size();
+    m_findings.begun_only = usage.begun_only;
+    m_findings.missing = usage.missing;
+    for (const UpstreamRun& run : usage.runs) {
       const std::string identity = IdentityOf(run.account, run.key);
       m_owner_of.emplace(run.request_id, identity);
       if (run.key.empty()) {
@@ -82,46 +82,47 @@
     }
   }
 
-  void Finish(const Bills& bills) {
+  void Finish(const BillCounts& bills) {
     for (const auto& [hash, count] : bills) {
       m_findings.billed_twice += count > 1 ? 1 : 0;
     }
     for (const auto& [identity, count] : m_runs_of) {
-      const auto asked = m_asked.find(identity);
-      const bool once =
+      const auto request = m_requests.find(identity);
+      const bool at_most_once =
           m_changes_state[identity] ||
-          (asked != m_asked.end() && asked->second.non_idempotent);
-      m_findings.ran_twice += once && count > 1 ? 1 : 0;
+          (request != m_requests.end() && request->second.non_idempotent);
+      m_findings.ran_twice += at_most_once && count > 1 ? 1 : 0;
     }
-    for (const auto& [identity, asked] : m_asked) {
-      JudgeAnswer(identity, asked, bills);
+    for (const auto& [identity, request] : m_requests) {
+      CheckAnswer(identity, request, bills);
     }
   }
 
  private:
-  void TakeAsked(const json::object& item) {
-    Asked asked;
-    asked.request_id = TextOf(item, "request_id");
-    asked.verdict = TextOf(item, "verdict");
-    asked.earlier_unknown = FlagOf(item, "earlier_unknown");
-    asked.non_idempotent = FlagOf(item, "non_idempotent");
-    const std::string key = TextOf(item, "key");
+  void AddRequest(const json::object& item) {
+    ReportedRequest request;
+    request.request_id = StringMember(item, "request_id");
+    request.verdict = StringMember(item, "verdict");
+    request.earlier_unknown = BoolMember(item, "earlier_unknown");
+    request.non_idempotent = BoolMember(item, "non_idempotent");
+    const std::string key = StringMember(item, "key");
     if (!key.empty()) {
-      m_asked[IdentityOf(TextOf(item, "account"), key)] = std::move(asked);
+      m_requests[IdentityOf(StringMember(item, "account"), key)] =
+          std::move(request);
     }
   }
 
-  void JudgeAnswer(const std::string& identity,
-                   const Asked& asked,
-                   const Bills& bills) {
-    if (asked.verdict == "wrong") {
+  void CheckAnswer(const std::string& identity,
+                   const ReportedRequest& request,
+                   const BillCounts& bills) {
+    if (request.verdict == "wrong") {
       ++m_findings.wrong_answers;
     }
-    if (asked.verdict == "not_run" && !asked.earlier_unknown &&
+    if (request.verdict == "not_run" && !request.earlier_unknown &&
         m_runs_of.contains(identity)) {
       ++m_findings.ran_after_not_run;
     }
-    if (asked.verdict != "whole") {
+    if (request.verdict != "whole") {
       return;
     }
     ++m_findings.answered;
@@ -129,7 +130,7 @@
         bills.contains(core::HashOf(identity)) ? 0 : 1;
     // A complete answer may belong to another request. The caller cannot detect
     // that, but the upstream recorded whose request it was.
-    const auto owner = m_owner_of.find(asked.request_id);
+    const auto owner = m_owner_of.find(request.request_id);
     if (owner == m_owner_of.end()) {
       ++m_findings.answers_unproved;
     } else if (owner->second != identity) {
@@ -138,15 +139,15 @@
   }
 
   Findings& m_findings;
-  std::unordered_map<std::string, Asked> m_asked;
+  std::unordered_map<std::string, ReportedRequest> m_requests;
   std::unordered_map<std::string, size_t> m_runs_of;
   std::unordered_map<std::string, bool> m_changes_state;
   std::unordered_map<std::string, std::string> m_owner_of;
 };
 
-core::Status Follow(const AuditOptions& options, LogReader& reader) {
-  const Clock::time_point give_up = Clock::now() + options.follow_limit;
-  while (!options.follow_until.empty() && Clock::now() < give_up &&
+core::Status FollowLog(const AuditOptions& options, LogReader& reader) {
+  const Clock::time_point deadline = Clock::now() + options.follow_limit;
+  while (!options.follow_until.empty() && Clock::now() < deadline &&
          !std::filesystem::exists(options.follow_until)) {
     core::Status read = reader.CatchUp();
     // Some trials include an outage of the log, so it is retried; waiting does
@@ -160,9 +161,9 @@
   return reader.CatchUp();
 }
 
-void TakeBudgets(const ledger::Fold& fold,
-                 const std::map<std::string, Tokens>& used,
-                 Findings& findings) {
+void AddBudgets(const ledger::Fold& fold,
+                const std::map<std::string, Tokens>& used,
+                Findings& findings) {
   for (const ledger::Budget* budget : fold.Budgets()) {
     BudgetFinding& finding = findings.budgets[budget->id.value()];
     finding.paid_in = budget->paid_in;
@@ -179,13 +180,13 @@
 
 }  // namespace
 
-bool Findings::Clean() const {
+bool Findings::IsClean() const {
   return overspend == Tokens(0) && billed_twice == 0 && ran_twice == 0 &&
          wrong_answers == 0 && ran_after_not_run == 0 && missing.empty();
 }
 
 core::Result<Findings> Audit(const AuditOptions& options) {
-  Bills bills;
+  BillCounts bills;
   LogReader reader(
       options.log, [&bills](const std::vector<ledger::Effect>& effects) {
         for (const ledger::Effect& effect : effects) {
@@ -194,7 +195,7 @@
           }
         }
       });
-  const core::Status read = Follow(options, reader);
+  const core::Status read = FollowLog(options, reader);
   if (!core::IsOk(read)) {
     return core::Failure(read);
   }
@@ -206,18 +207,18 @@
   Findings findings;
   findings.started_at = reader.started_at();
   findings.next_offset = reader.fold().next_offset();
-  Join join(findings);
+  RecordComparison join(findings);
   for (const std::string& path : options.reports) {
-    const core::Status taken = join.TakeReport(path);
+    const core::Status taken = join.AddReport(path);
     if (!core::IsOk(taken)) {
       return core::Failure(taken);
     }
   }
-  const UpstreamUse use =
-      ReadUpstreamUse(*configuration, options.record_folder);
-  join.TakeRuns(use);
+  const UpstreamUsage usage =
+      ReadUpstreamUsage(*configuration, options.record_folder);
+  join.AddRuns(usage);
   join.Finish(bills);
-  TakeBudgets(reader.fold(), UseByBudget(*configuration, use), findings);
+  AddBudgets(reader.fold(), UsageByBudget(*configuration, usage), findings);
   return findings;
 }
 
--- a/tools/load/audit.h
+++ b/tools/load/audit.h
@@ -14,7 +14,7 @@
 
 struct AuditOptions {
   std::string log;                   ///< "ip:port"
-  std::string record_folder;         ///< see ReadUpstreamUse()
+  std::string record_folder;         ///< see ReadUpstreamUsage()
   std::vector<std::string> reports;  ///< reports of load runs
   /// Follows the log until this file exists, so that entries are read before
   /// they expire. When empty, reads only the entries retained now.
@@ -49,14 +49,14 @@
   size_t answered_unbilled = 0;  ///< complete, but not billed
   size_t answers_unproved = 0;   ///< complete, but in no record that was read
   size_t runs = 0;
-  size_t begun_only = 0;             ///< see UpstreamUse
+  size_t begun_only = 0;             ///< see UpstreamUsage
   std::vector<std::string> missing;  ///< upstreams without records
   core::LogOffset started_at;
   core::LogOffset next_offset;
   std::map<std::string, BudgetFinding> budgets;
 
   /// @return whether all records were read and no violation was found
-  bool Clean() const;
+  bool IsClean() const;
 };
 
 /// @brief Compares the log, the upstreams' records and the load reports. The
--- a/tools/load/caller.cc
+++ b/tools/load/caller.cc
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kNoAddressPause{200};
-constexpr milliseconds kLeastPause{20};
+constexpr milliseconds kMinRetryPause{20};
 
 }  // namespace
 
@@ -27,34 +27,35 @@
 
 asio::awaitable<Outcome> Caller::Send(size_t number) {
   Outcome outcome;
-  const std::string body = BodyOf(m_plan, number);
+  const std::string body = MakeBody(m_plan, number);
   const Clock::time_point start = Clock::now();
-  const Clock::time_point give_up = start + m_plan.patience;
-  for (size_t place = 0; place < m_plan.max_attempts; ++place) {
-    const auto address = co_await m_addresses.At(place);
+  const Clock::time_point deadline = start + m_plan.request_timeout;
+  for (size_t attempt = 0; attempt < m_plan.max_attempts; ++attempt) {
+    const auto address = co_await m_addresses.AddressFor(attempt);
     if (!address) {
       co_await PauseFor(kNoAddressPause);
       continue;
     }
     if (outcome.key.empty()) {
-      outcome.key = NewKey(address->key_prefix);
+      outcome.key = MakeKey(address->key_prefix);
     }
     const Clock::time_point sent = Clock::now();
-    AttemptEnd end =
-        co_await Attempt(m_plan, address->address, outcome.key, body);
-    if (end.times.first_token_ms) {
-      *end.times.first_token_ms += MillisBetween(start, sent);
+    AttemptResult result =
+        co_await RunAttempt(m_plan, address->address, outcome.key, body);
+    if (result.times.first_token_ms) {
+      *result.times.first_token_ms += MillisBetween(start, sent);
     }
     ++outcome.attempts;
     // When the last attempt reaches no router, the result of the previous one
     // is kept.
-    if (end.verdict != Verdict::kNotSent || outcome.attempts == 1) {
+    if (result.verdict != Verdict::kNotSent || outcome.attempts == 1) {
       outcome.earlier_unknown |= outcome.last.verdict == Verdict::kUnknown ||
                                  outcome.last.verdict == Verdict::kCut;
-      outcome.last = std::move(end);
+      outcome.last = std::move(result);
     }
-    const milliseconds pause = outcome.last.retry_after.value_or(kLeastPause);
-    if (!MayRetry(outcome.last) || Clock::now() + pause >= give_up) {
+    const milliseconds pause =
+        outcome.last.retry_after.value_or(kMinRetryPause);
+    if (!MayRetry(outcome.last) || Clock::now() + pause >= deadline) {
       break;
     }
     co_await PauseFor(pause);
@@ -66,27 +67,27 @@
 
 // Retries use the same key, so that the fleet can distinguish them from new
 // requests.
-bool Caller::MayRetry(const AttemptEnd& end) const {
-  switch (end.verdict) {
+bool Caller::MayRetry(const AttemptResult& result) const {
+  switch (result.verdict) {
     case Verdict::kWhole:
     case Verdict::kWrong:
       return false;
     case Verdict::kNotSent:
       return true;
     case Verdict::kRefused:
-      return end.retry_after.has_value() || end.retry_elsewhere;
+      return result.retry_after.has_value() || result.retry_elsewhere;
     case Verdict::kUnknown:
     case Verdict::kCut:
       // If a router reports an unknown outcome, the caller of non-idempotent
       // work checks for the effect instead of retrying. A lost connection
       // reports nothing, so the request is retried.
-      return !m_plan.non_idempotent || end.retry_after.has_value() ||
-             !end.error_id.starts_with("CV-");
+      return !m_plan.non_idempotent || result.retry_after.has_value() ||
+             !result.error_id.starts_with("CV-");
   }
   return false;
 }
 
-std::string Caller::NewKey(const std::string& prefix) {
+std::string Caller::MakeKey(const std::string& prefix) {
   return prefix + m_plan.name + "-" + std::to_string(m_random());
 }
 
--- a/tools/load/caller.h
+++ b/tools/load/caller.h
@@ -27,8 +27,8 @@
   boost::asio::awaitable<Outcome> Send(size_t number);
 
  private:
-  bool MayRetry(const AttemptEnd& end) const;
-  std::string NewKey(const std::string& prefix);
+  bool MayRetry(const AttemptResult& result) const;
+  std::string MakeKey(const std::string& prefix);
 
   const ClassPlan& m_plan;
   AddressList m_addresses;
--- a/tools/load/tally.cc
+++ b/tools/load/class_stats.cc
@@ -1,4 +1,4 @@
-#include "tools/load/tally.h"
+#include "tools/load/class_stats.h"
 
 #include <algorithm>  // sort
 
@@ -12,9 +12,9 @@
 constexpr const char* kBusy = "CV-404";
 
 double Quantile(const std::vector<double>& sorted, double share) {
-  const auto place =
+  const auto index =
       static_cast<size_t>(share * static_cast<double>(sorted.size() - 1));
-  return sorted[place];
+  return sorted[index];
 }
 
 json::value Quantiles(std::vector<double> values) {
@@ -57,8 +57,8 @@
 
 }  // namespace
 
-void Tally::Count(const Outcome& outcome) {
-  const AttemptEnd& last = outcome.last;
+void ClassStats::Count(const Outcome& outcome) {
+  const AttemptResult& last = outcome.last;
   m_attempts += outcome.attempts;
   ++m_verdicts[last.verdict];
   m_ended.push_back(
@@ -82,7 +82,7 @@
   }
 }
 
-void Tally::CountTimes(const Outcome& outcome) {
+void ClassStats::CountTimes(const Outcome& outcome) {
   const AnswerTimes& times = outcome.last.times;
   if (times.first_token_ms) {
     m_first_token_ms.push_back(*times.first_token_ms);
@@ -91,7 +91,7 @@
   m_total_ms.push_back(outcome.total_ms);
 }
 
-json::object Tally::ToJson(bool judged) const {
+json::object ClassStats::ToJson(bool refusals_checked) const {
   const auto count = [this](Verdict verdict) {
     const auto found = m_verdicts.find(verdict);
     return found == m_verdicts.end() ? size_t{0} : found->second;
@@ -109,7 +109,7 @@
           {"unfinished", m_sent - m_ended.size()},
           {"other_by_id", CountsOf(m_unknown_by_id)},
           {"false_refusals",
-           judged ? json::value(m_false_refusals) : json::value()},
+           refusals_checked ? json::value(m_false_refusals) : json::value()},
           {"attempts", m_attempts},
           {"latency_ms",
            {{"first_token", Quantiles(m_first_token_ms)},
@@ -117,7 +117,7 @@
             {"total", Quantiles(m_total_ms)}}}};
 }
 
-void Tally::AppendKeys(json::array& keys) const {
+void ClassStats::AppendKeys(json::array& keys) const {
   for (const Ended& ended : m_ended) {
     keys.push_back(json::object{{"account", m_plan.account},
                                 {"key", ended.key},
--- a/tools/load/tally.h
+++ b/tools/load/class_stats.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_TOOLS_LOAD_TALLY_H_
-#define COPPERVALVE_TOOLS_LOAD_TALLY_H_
+#ifndef COPPERVALVE_TOOLS_LOAD_CLASS_STATS_H_
+#define COPPERVALVE_TOOLS_LOAD_CLASS_STATS_H_
 
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
@@ -14,9 +14,9 @@
 namespace coppervalve::load {
 
 /// @brief Statistics of the requests of one class.
-class Tally {
+class ClassStats {
  public:
-  explicit Tally(const ClassPlan& plan) : m_plan(plan) {}
+  explicit ClassStats(const ClassPlan& plan) : m_plan(plan) {}
 
   void CountSent() { ++m_sent; }
   void Count(const Outcome& outcome);
@@ -30,7 +30,7 @@
 
   /// @brief This class's part of the report.
   /// @param refusals_checked whether false refusals were counted
-  boost::json::object ToJson(bool judged) const;
+  boost::json::object ToJson(bool refusals_checked) const;
   /// @brief Appends the requests that the audit compares with the upstreams'
   /// records.
   void AppendKeys(boost::json::array& keys) const;
@@ -61,4 +61,4 @@
 
 }  // namespace coppervalve::load
 
-#endif  // COPPERVALVE_TOOLS_LOAD_TALLY_H_
+#endif  // COPPERVALVE_TOOLS_LOAD_CLASS_STATS_H_
--- a/tools/load/false_refusals.cc
+++ b/tools/load/false_refusals.cc
@@ -4,7 +4,7 @@
 #include <map>        // map
 
 #include "tools/load/log_reader.h"
-#include "tools/load/upstream_use.h"
+#include "tools/load/upstream_usage.h"
 
 namespace coppervalve::load {
 
@@ -14,14 +14,15 @@
 
 struct Refusal {
   Clock::time_point at;
-  Tally* tally;
+  ClassStats* stats;
 };
 
-std::vector<Refusal> InOrderOfTime(std::vector<Tally>& tallies) {
+std::vector<Refusal> ChronologicalRefusals(
+    std::vector<ClassStats>& class_stats) {
   std::vector<Refusal> refusals;
-  for (Tally& tally : tallies) {
-    for (const Clock::time_point at : tally.token_refusals()) {
-      refusals.push_back({at, &tally});
+  for (ClassStats& stats : class_stats) {
+    for (const Clock::time_point at : stats.token_refusals()) {
+      refusals.push_back({at, &stats});
     }
   }
   std::sort(refusals.begin(), refusals.end(),
@@ -32,44 +33,46 @@
 std::map<std::string, Tokens> UnspentByAccount(
     const ledger::Fold& fold,
     const v1::Configuration& configuration,
-    const UpstreamUse& use) {
-  const std::map<std::string, Tokens> used = UseByBudget(configuration, use);
+    const UpstreamUsage& usage) {
+  const std::map<std::string, Tokens> used =
+      UsageByBudget(configuration, usage);
   std::map<std::string, Tokens> unspent;
   for (const v1::Account& account : configuration.accounts()) {
     const ledger::Budget* budget =
         fold.FindBudget(core::BudgetId(account.budget()));
     const auto spent = used.find(account.budget());
-    const Tokens gone = spent == used.end() ? Tokens(0) : spent->second;
+    const Tokens used_tokens = spent == used.end() ? Tokens(0) : spent->second;
     unspent[account.id()] =
-        (budget == nullptr ? Tokens(0) : budget->paid_in) - gone;
+        (budget == nullptr ? Tokens(0) : budget->paid_in) - used_tokens;
   }
   return unspent;
 }
 
 }  // namespace
 
-core::Result<std::vector<std::string>> JudgeRefusals(
-    const ClairvoyantSource& source,
-    std::vector<Tally>& tallies) {
+core::Result<std::vector<std::string>> CountFalseRefusals(
+    const FalseRefusalSource& source,
+    std::vector<ClassStats>& class_stats) {
   LogReader reader(source.log);
   const core::Status read = reader.CatchUp();
   if (!core::IsOk(read)) {
     return core::Failure(read);
   }
   const auto configuration = reader.fold().configuration();
-  const UpstreamUse use = ReadUpstreamUse(*configuration, source.record_folder);
+  const UpstreamUsage usage =
+      ReadUpstreamUsage(*configuration, source.record_folder);
   std::map<std::string, Tokens> unspent =
-      UnspentByAccount(reader.fold(), *configuration, use);
-  for (const Refusal& refusal : InOrderOfTime(tallies)) {
-    const ClassPlan& plan = refusal.tally->plan();
+      UnspentByAccount(reader.fold(), *configuration, usage);
+  for (const Refusal& refusal : ChronologicalRefusals(class_stats)) {
+    const ClassPlan& plan = refusal.stats->plan();
     Tokens& left = unspent[plan.account];
     if (left < plan.Cost()) {
       continue;
     }
     left -= plan.Cost();
-    refusal.tally->CountFalseRefusal();
+    refusal.stats->CountFalseRefusal();
   }
-  return use.missing;
+  return usage.missing;
 }
 
 }  // namespace coppervalve::load
--- a/tools/load/false_refusals.h
+++ b/tools/load/false_refusals.h
@@ -5,14 +5,14 @@
 #include <vector>  // vector
 
 #include "coppervalve/core/result.h"
-#include "tools/load/tally.h"
+#include "tools/load/class_stats.h"
 
 namespace coppervalve::load {
 
 /// @brief Sources of the totals that false refusals are computed from.
-struct ClairvoyantSource {
+struct FalseRefusalSource {
   std::string log;  ///< "ip:port"; empty: false refusals are not counted
-  std::string record_folder;  ///< see ReadUpstreamUse()
+  std::string record_folder;  ///< see ReadUpstreamUsage()
 };
 
 /// @brief Counts unnecessary refusals for lack of tokens and adds them to the
@@ -25,9 +25,9 @@
 /// @return upstreams whose records could not be read; the count may then be too
 /// high
 /// @error those of reading the log
-core::Result<std::vector<std::string>> JudgeRefusals(
-    const ClairvoyantSource& source,
-    std::vector<Tally>& tallies);
+core::Result<std::vector<std::string>> CountFalseRefusals(
+    const FalseRefusalSource& source,
+    std::vector<ClassStats>& class_stats);
 
 }  // namespace coppervalve::load
 
--- a/tools/load/findings_text.cc
+++ b/tools/load/findings_text.cc
@@ -45,7 +45,7 @@
                                    {"written_off", finding.written_off.value()},
                                    {"overspend", finding.Overspend().value()}});
   }
-  return {{"clean", findings.Clean()},
+  return {{"clean", findings.IsClean()},
           {"overspend", findings.overspend.value()},
           {"billed_twice", findings.billed_twice},
           {"ran_twice", findings.ran_twice},
--- a/tools/load/http_exchange.cc
+++ b/tools/load/http_exchange.cc
@@ -64,9 +64,9 @@
   return {value.data(), value.size()};
 }
 
-ExchangeReply ReplyOf(ExchangeEnd end, Parser& parser) {
+ExchangeReply ReplyOf(ExchangeResult result, Parser& parser) {
   ExchangeReply reply;
-  reply.end = end;
+  reply.result = result;
   if (parser.is_header_done()) {
     reply.status = parser.get().result_int();
     reply.content_type = HeaderOf(parser, "content-type");
@@ -76,14 +76,14 @@
   return reply;
 }
 
-ExchangeEnd EndOf(beast::error_code error) {
-  return error == beast::error::timeout ? ExchangeEnd::kSilent
-                                        : ExchangeEnd::kBroken;
+ExchangeResult ResultOf(beast::error_code error) {
+  return error == beast::error::timeout ? ExchangeResult::kTimedOut
+                                        : ExchangeResult::kConnectionLost;
 }
 
-asio::awaitable<ExchangeEnd> ReadReply(beast::tcp_stream& stream,
-                                       const ExchangeCall& call,
-                                       Parser& parser) {
+asio::awaitable<ExchangeResult> ReadReply(beast::tcp_stream& stream,
+                                          const ExchangeCall& call,
+                                          Parser& parser) {
   beast::flat_buffer buffer;
   size_t seen = 0;
   while (!parser.is_done()) {
@@ -91,7 +91,7 @@
     const auto [error, count] =
         co_await http::async_read_some(stream, buffer, parser, kTuple);
     if (error) {
-      co_return EndOf(error);
+      co_return ResultOf(error);
     }
     const std::string& body = parser.get().body();
     if (call.on_bytes && body.size() > seen) {
@@ -99,7 +99,7 @@
       seen = body.size();
     }
   }
-  co_return ExchangeEnd::kWhole;
+  co_return ExchangeResult::kComplete;
 }
 
 }  // namespace
@@ -122,13 +122,13 @@
   const auto [unsent, written] =
       co_await http::async_write(stream, request, kTuple);
   if (unsent) {
-    co_return ReplyOf(EndOf(unsent), parser);
+    co_return ReplyOf(ResultOf(unsent), parser);
   }
-  const ExchangeEnd end = co_await ReadReply(stream, call, parser);
-  co_return ReplyOf(end, parser);
+  const ExchangeResult result = co_await ReadReply(stream, call, parser);
+  co_return ReplyOf(result, parser);
 }
 
-ExchangeReply ExchangeNow(ExchangeCall call) {
+ExchangeReply ExchangeBlocking(ExchangeCall call) {
   asio::io_context context;
   ExchangeReply reply;
   asio::co_spawn(
--- a/tools/load/http_exchange.h
+++ b/tools/load/http_exchange.h
@@ -13,11 +13,11 @@
 namespace coppervalve::load {
 
 /// @brief How an exchange ended, as seen by the client.
-enum class ExchangeEnd : uint8_t {
-  kWhole,    ///< the complete response was received
-  kNotSent,  ///< no connection: nothing was sent
-  kBroken,   ///< sent at least in part, no complete response
-  kSilent,   ///< like kConnectionLost, after a timeout
+enum class ExchangeResult : uint8_t {
+  kComplete,        ///< the complete response was received
+  kNotSent,         ///< no connection: nothing was sent
+  kConnectionLost,  ///< sent at least in part, no complete response
+  kTimedOut,        ///< like kConnectionLost, after a timeout
 };
 
 struct ExchangeCall {
@@ -34,7 +34,7 @@
 };
 
 struct ExchangeReply {
-  ExchangeEnd end = ExchangeEnd::kNotSent;
+  ExchangeResult result = ExchangeResult::kNotSent;
   unsigned status = 0;  ///< 0: no response header was received
   std::string content_type;
   std::string run_state;  ///< x-coppervalve-run-state
@@ -45,7 +45,7 @@
 boost::asio::awaitable<ExchangeReply> Exchange(ExchangeCall call);
 
 /// @brief Like Exchange(), but blocking.
-ExchangeReply ExchangeNow(ExchangeCall call);
+ExchangeReply ExchangeBlocking(ExchangeCall call);
 
 }  // namespace coppervalve::load
 
--- a/tools/load/json.cc
+++ b/tools/load/json.cc
@@ -51,7 +51,7 @@
   return core::Ok();
 }
 
-std::string TextOf(const json::object& object, std::string_view name) {
+std::string StringMember(const json::object& object, std::string_view name) {
   const json::value* member = object.if_contains(View(name));
   if (member == nullptr || !member->is_string()) {
     return {};
@@ -60,9 +60,9 @@
   return {text.data(), text.size()};
 }
 
-int64_t NumberOf(const json::object& object,
-                 std::string_view name,
-                 int64_t fallback) {
+int64_t NumberMember(const json::object& object,
+                     std::string_view name,
+                     int64_t fallback) {
   const json::value* member = object.if_contains(View(name));
   if (member == nullptr || !member->is_number()) {
     return fallback;
@@ -72,18 +72,19 @@
   return error ? fallback : number;
 }
 
-bool FlagOf(const json::object& object, std::string_view name) {
+bool BoolMember(const json::object& object, std::string_view name) {
   const json::value* member = object.if_contains(View(name));
   return member != nullptr && member->is_bool() && member->get_bool();
 }
 
-const json::object* ObjectOf(const json::object& object,
-                             std::string_view name) {
+const json::object* ObjectMember(const json::object& object,
+                                 std::string_view name) {
   const json::value* member = object.if_contains(View(name));
   return member == nullptr ? nullptr : member->if_object();
 }
 
-const json::array* ArrayOf(const json::object& object, std::string_view name) {
+const json::array* ArrayMember(const json::object& object,
+                               std::string_view name) {
   const json::value* member = object.if_contains(View(name));
   return member == nullptr ? nullptr : member->if_array();
 }
--- a/tools/load/json.h
+++ b/tools/load/json.h
@@ -25,19 +25,20 @@
                            const boost::json::value& document);
 
 /// @return the member's string, empty when it is absent or not a string
-std::string TextOf(const boost::json::object& object, std::string_view name);
+std::string StringMember(const boost::json::object& object,
+                         std::string_view name);
 /// @return the member's number, `fallback` when it is absent or not a number
-int64_t NumberOf(const boost::json::object& object,
-                 std::string_view name,
-                 int64_t fallback = 0);
+int64_t NumberMember(const boost::json::object& object,
+                     std::string_view name,
+                     int64_t fallback = 0);
 /// @return the member's boolean, false when it is absent
-bool FlagOf(const boost::json::object& object, std::string_view name);
+bool BoolMember(const boost::json::object& object, std::string_view name);
 /// @return the member if it is an object, else null
-const boost::json::object* ObjectOf(const boost::json::object& object,
-                                    std::string_view name);
+const boost::json::object* ObjectMember(const boost::json::object& object,
+                                        std::string_view name);
 /// @return the member if it is an array, else null
-const boost::json::array* ArrayOf(const boost::json::object& object,
-                                  std::string_view name);
+const boost::json::array* ArrayMember(const boost::json::object& object,
+                                      std::string_view name);
 
 }  // namespace coppervalve::load
 
--- a/tools/load/log_reader.cc
+++ b/tools/load/log_reader.cc
@@ -16,7 +16,7 @@
 constexpr size_t kReadBytes = size_t{4} << 20U;
 
 // All readers of the log treat an unparsable entry as empty.
-v1::Entry ReadEntry(const v1::LoggedEntry& logged) {
+v1::Entry ParseEntry(const v1::LoggedEntry& logged) {
   v1::Entry entry;
   if (!entry.ParseFromString(logged.entry())) {
     entry.Clear();
@@ -25,10 +25,10 @@
 }
 
 // @return the first snapshot that covers all expired entries
-std::optional<ledger::Fold> FirstSnapshot(const v1::ReadReply& reply,
-                                          LogOffset first_retained) {
+std::optional<ledger::Fold> FirstUsableSnapshot(const v1::ReadReply& reply,
+                                                LogOffset first_retained) {
   for (const v1::LoggedEntry& logged : reply.entries()) {
-    const v1::Entry entry = ReadEntry(logged);
+    const v1::Entry entry = ParseEntry(logged);
     for (const v1::Record& record : entry.records()) {
       if (!record.has_snapshot() ||
           LogOffset(record.snapshot().offset()) < first_retained) {
@@ -82,8 +82,8 @@
   call.address = m_address;
   call.target = "/log/read?from=" + std::to_string(from.value()) +
                 "&max_bytes=" + std::to_string(kReadBytes) + "&wait_ms=0";
-  const ExchangeReply reply = ExchangeNow(std::move(call));
-  if (reply.end != ExchangeEnd::kWhole || reply.status != kHttpOk) {
+  const ExchangeReply reply = ExchangeBlocking(std::move(call));
+  if (reply.result != ExchangeResult::kComplete || reply.status != kHttpOk) {
     return core::Error{ErrorId::kLogUnavailable, m_address,
                        "HTTP status " + std::to_string(reply.status)};
   }
@@ -112,7 +112,7 @@
       return core::Failure(read);
     }
     const v1::ReadReply& reply = core::Value(read);
-    if (auto fold = FirstSnapshot(reply, first_retained)) {
+    if (auto fold = FirstUsableSnapshot(reply, first_retained)) {
       m_fold = *std::move(fold);
       m_started_at = m_fold.next_offset();
       return core::Ok();
@@ -132,7 +132,7 @@
     if (offset < m_fold.next_offset()) {
       continue;
     }
-    const auto effects = m_fold.Apply(offset, ReadEntry(logged));
+    const auto effects = m_fold.Apply(offset, ParseEntry(logged));
     if (!core::IsOk(effects)) {
       return core::Failure(effects);
     }
--- a/tools/load/main.cc
+++ b/tools/load/main.cc
@@ -33,7 +33,7 @@
 struct Arguments {
   std::string plan;
   std::string report;
-  ClairvoyantSource source;
+  FalseRefusalSource source;
   AuditOptions audit;
   std::string findings;
   int64_t follow_limit_s = 600;
@@ -74,7 +74,7 @@
       return Fail(core::Failure(written));
     }
   }
-  return findings.Clean() ? EXIT_SUCCESS : EXIT_FAILURE;
+  return findings.IsClean() ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 CLI::App* AddRun(CLI::App& app, Arguments& arguments) {
--- a/tools/load/outcome.h
+++ b/tools/load/outcome.h
@@ -29,7 +29,7 @@
 };
 
 /// @brief Result of one attempt.
-struct AttemptEnd {
+struct AttemptResult {
   Verdict verdict = Verdict::kNotSent;
   std::string error_id;    ///< "CV-...", or a description of the failure
   std::string request_id;  ///< as received by the upstream
@@ -40,7 +40,7 @@
 
 /// @brief Result of one request.
 struct Outcome {
-  AttemptEnd last;
+  AttemptResult last;
   std::string key;
   size_t attempts = 0;
   /// An earlier attempt may have run, regardless of the last result.
--- a/tools/load/pause.cc
+++ b/tools/load/pause.cc
@@ -9,8 +9,8 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<void> PauseUntil(Clock::time_point then) {
-  asio::steady_timer timer(co_await asio::this_coro::executor, then);
+asio::awaitable<void> PauseUntil(Clock::time_point time) {
+  asio::steady_timer timer(co_await asio::this_coro::executor, time);
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
--- a/tools/load/pause.h
+++ b/tools/load/pause.h
@@ -8,7 +8,7 @@
 namespace coppervalve::load {
 
 /// @brief Suspends the coroutine until the given time.
-boost::asio::awaitable<void> PauseUntil(Clock::time_point then);
+boost::asio::awaitable<void> PauseUntil(Clock::time_point time);
 
 /// @brief Suspends the coroutine for the given duration.
 boost::asio::awaitable<void> PauseFor(Clock::duration time);
--- a/tools/load/plan.cc
+++ b/tools/load/plan.cc
@@ -17,7 +17,7 @@
 constexpr int64_t kBytesPerToken = 4;
 constexpr int64_t kDefaultTokens = 32;
 constexpr int64_t kDefaultPromptBytes = 400;
-constexpr int64_t kDefaultPatienceMs = 30'000;
+constexpr int64_t kDefaultRequestTimeoutMs = 30'000;
 constexpr int64_t kDefaultMaxSeconds = 60;
 constexpr int64_t kDefaultAttempts = 10;
 constexpr int64_t kDefaultCallers = 6;
@@ -25,28 +25,28 @@
 
 core::Result<ClassPlan> ReadClass(const json::object& object) {
   ClassPlan plan;
-  plan.name = TextOf(object, "name");
-  plan.account = TextOf(object, "account");
-  plan.api_key = TextOf(object, "api_key");
-  plan.model = TextOf(object, "model");
-  plan.service = TextOf(object, "service");
-  plan.path = TextOf(object, "path");
-  const std::string method = TextOf(object, "method");
+  plan.name = StringMember(object, "name");
+  plan.account = StringMember(object, "account");
+  plan.api_key = StringMember(object, "api_key");
+  plan.model = StringMember(object, "model");
+  plan.service = StringMember(object, "service");
+  plan.path = StringMember(object, "path");
+  const std::string method = StringMember(object, "method");
   if (!method.empty()) {
     plan.method = method;
   }
-  plan.stream = FlagOf(object, "stream");
-  plan.non_idempotent = FlagOf(object, "non_idempotent");
-  plan.max_tokens = Tokens(NumberOf(object, "max_tokens", kDefaultTokens));
+  plan.stream = BoolMember(object, "stream");
+  plan.non_idempotent = BoolMember(object, "non_idempotent");
+  plan.max_tokens = Tokens(NumberMember(object, "max_tokens", kDefaultTokens));
   plan.prompt_bytes = static_cast<size_t>(
-      NumberOf(object, "prompt_bytes", kDefaultPromptBytes));
-  plan.requests = static_cast<size_t>(NumberOf(object, "requests"));
-  plan.max_attempts =
-      static_cast<size_t>(NumberOf(object, "max_attempts", kDefaultAttempts));
+      NumberMember(object, "prompt_bytes", kDefaultPromptBytes));
+  plan.requests = static_cast<size_t>(NumberMember(object, "requests"));
+  plan.max_attempts = static_cast<size_t>(
+      NumberMember(object, "max_attempts", kDefaultAttempts));
   plan.callers =
-      static_cast<size_t>(NumberOf(object, "callers", kDefaultCallers));
-  plan.patience =
-      milliseconds(NumberOf(object, "patience_ms", kDefaultPatienceMs));
+      static_cast<size_t>(NumberMember(object, "callers", kDefaultCallers));
+  plan.request_timeout = milliseconds(
+      NumberMember(object, "patience_ms", kDefaultRequestTimeoutMs));
   if (const json::value* rate = object.if_contains("rate_per_s")) {
     plan.rate_per_s = rate->is_number() ? rate->to_number<double>() : 0;
   }
@@ -82,16 +82,16 @@
   }
   const json::object* document = core::Value(read).if_object();
   const json::array* routers =
-      document == nullptr ? nullptr : ArrayOf(*document, "routers");
+      document == nullptr ? nullptr : ArrayMember(*document, "routers");
   const json::array* classes =
-      document == nullptr ? nullptr : ArrayOf(*document, "classes");
+      document == nullptr ? nullptr : ArrayMember(*document, "classes");
   if (routers == nullptr || classes == nullptr) {
     return core::Error{ErrorId::kConfigMissingField, path,
                        "routers and classes are required"};
   }
   LoadPlan plan;
   plan.max_time = milliseconds(
-      NumberOf(*document, "max_seconds", kDefaultMaxSeconds) * kMillis);
+      NumberMember(*document, "max_seconds", kDefaultMaxSeconds) * kMillis);
   for (const json::value& router : *routers) {
     if (router.is_string()) {
       plan.routers.emplace_back(router.get_string().c_str());
--- a/tools/load/plan.h
+++ b/tools/load/plan.h
@@ -31,7 +31,7 @@
   size_t max_attempts = 10;
   /// No attempt starts later than this after the request; also the maximum time
   /// without data from the router.
-  std::chrono::milliseconds patience{30'000};
+  std::chrono::milliseconds request_timeout{30'000};
 
   /// @return tokens charged when a request runs
   core::Tokens Cost() const;
--- a/tools/load/run.cc
+++ b/tools/load/run.cc
@@ -11,8 +11,8 @@
 #include <vector>   // vector
 
 #include "tools/load/caller.h"
+#include "tools/load/class_stats.h"
 #include "tools/load/pause.h"
-#include "tools/load/tally.h"
 
 namespace coppervalve::load {
 
@@ -28,24 +28,25 @@
  public:
   explicit LoadRun(const LoadPlan& plan)
       : m_plan(plan), m_random(std::random_device{}()) {
-    m_tallies.reserve(plan.classes.size());
+    m_class_stats.reserve(plan.classes.size());
     for (const ClassPlan& one : plan.classes) {
-      m_tallies.emplace_back(one);
+      m_class_stats.emplace_back(one);
       m_callers.push_back(MakeCallers(one));
     }
   }
 
   void Run() {
     m_start = Clock::now();
-    milliseconds patience{0};
-    for (size_t i = 0; i < m_tallies.size(); ++i) {
-      patience = std::max(patience, m_tallies[i].plan().patience);
+    milliseconds request_timeout{0};
+    for (size_t i = 0; i < m_class_stats.size(); ++i) {
+      request_timeout =
+          std::max(request_timeout, m_class_stats[i].plan().request_timeout);
       asio::co_spawn(m_context, RunClass(i), asio::detached);
     }
-    m_context.run_for(m_plan.max_time + 2 * patience + kMargin);
+    m_context.run_for(m_plan.max_time + 2 * request_timeout + kMargin);
   }
 
-  std::vector<Tally>& tallies() { return m_tallies; }
+  std::vector<ClassStats>& class_stats() { return m_class_stats; }
 
  private:
   using Callers = std::vector<std::unique_ptr<Caller>>;
@@ -63,7 +64,7 @@
   // Requests start on schedule, however slow the responses are: independent
   // callers do not wait for each other.
   asio::awaitable<void> RunClass(size_t index) {
-    const ClassPlan& plan = m_tallies[index].plan();
+    const ClassPlan& plan = m_class_stats[index].plan();
     const std::chrono::duration<double> gap(1 / plan.rate_per_s);
     for (size_t number = 0; number < plan.requests; ++number) {
       const auto due = std::chrono::duration_cast<Clock::duration>(
@@ -72,21 +73,21 @@
         break;
       }
       co_await PauseUntil(m_start + due);
-      m_tallies[index].CountSent();
-      asio::co_spawn(m_context, RunOne(index, number), asio::detached);
+      m_class_stats[index].CountSent();
+      asio::co_spawn(m_context, RunRequest(index, number), asio::detached);
     }
   }
 
-  asio::awaitable<void> RunOne(size_t index, size_t number) {
+  asio::awaitable<void> RunRequest(size_t index, size_t number) {
     const Callers& callers = m_callers[index];
     const Outcome outcome =
         co_await callers[number % callers.size()]->Send(number);
-    m_tallies[index].Count(outcome);
+    m_class_stats[index].Count(outcome);
   }
 
   const LoadPlan& m_plan;
   std::mt19937_64 m_random;
-  std::vector<Tally> m_tallies;
+  std::vector<ClassStats> m_class_stats;
   std::vector<Callers> m_callers;
   Clock::time_point m_start;
   // Declared last, so that unfinished coroutines are destroyed before the
@@ -94,12 +95,13 @@
   asio::io_context m_context;
 };
 
-json::object ReportOf(const std::vector<Tally>& tallies, bool judged) {
+json::object ReportOf(const std::vector<ClassStats>& class_stats,
+                      bool refusals_checked) {
   json::array classes;
   json::array keys;
-  for (const Tally& tally : tallies) {
-    classes.emplace_back(tally.ToJson(judged));
-    tally.AppendKeys(keys);
+  for (const ClassStats& stats : class_stats) {
+    classes.emplace_back(stats.ToJson(refusals_checked));
+    stats.AppendKeys(keys);
   }
   return {{"classes", std::move(classes)}, {"keys", std::move(keys)}};
 }
@@ -107,17 +109,17 @@
 }  // namespace
 
 core::Result<json::object> RunLoad(const LoadPlan& plan,
-                                   const ClairvoyantSource& source) {
+                                   const FalseRefusalSource& source) {
   LoadRun run(plan);
   run.Run();
   if (source.log.empty()) {
-    return ReportOf(run.tallies(), false);
+    return ReportOf(run.class_stats(), false);
   }
-  const auto missing = JudgeRefusals(source, run.tallies());
+  const auto missing = CountFalseRefusals(source, run.class_stats());
   if (!core::IsOk(missing)) {
     return core::Failure(missing);
   }
-  json::object report = ReportOf(run.tallies(), true);
+  json::object report = ReportOf(run.class_stats(), true);
   report["clairvoyant_without_records_of"] =
       json::array(core::Value(missing).begin(), core::Value(missing).end());
   return report;
--- a/tools/load/run.h
+++ b/tools/load/run.h
@@ -15,7 +15,7 @@
 /// @return the report
 /// @error those of reading the log, when false refusals are counted
 core::Result<boost::json::object> RunLoad(const LoadPlan& plan,
-                                          const ClairvoyantSource& source);
+                                          const FalseRefusalSource& source);
 
 }  // namespace coppervalve::load
 
--- a/tools/load/stream_text.cc
+++ b/tools/load/stream_text.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view kData = "data: ";
-constexpr std::string_view kClosing = "[DONE]";
+constexpr std::string_view kDoneMarker = "[DONE]";
 
 }  // namespace
 
@@ -21,48 +21,48 @@
     if (end == std::string::npos) {
       break;
     }
-    TakeLine(std::string_view(m_partial).substr(start, end - start), now);
+    ParseLine(std::string_view(m_partial).substr(start, end - start), now);
     start = end + 1;
   }
   m_partial.erase(0, start);
 }
 
-void StreamText::TakeLine(std::string_view line, Clock::time_point now) {
+void StreamText::ParseLine(std::string_view line, Clock::time_point now) {
   if (!line.starts_with(kData)) {
     return;
   }
   line.remove_prefix(kData.size());
   if (m_closed) {
-    m_garbled = true;
+    m_malformed = true;
     return;
   }
-  if (line == kClosing) {
+  if (line == kDoneMarker) {
     m_closed = true;
     return;
   }
   const auto document = ParseJson(line);
   if (!document || !document->is_object()) {
-    m_garbled = true;
+    m_malformed = true;
     return;
   }
-  TakeDocument(document->get_object(), now);
+  ParseEvent(document->get_object(), now);
 }
 
-void StreamText::TakeDocument(const boost::json::object& document,
-                              Clock::time_point now) {
-  if (const auto* error = ObjectOf(document, "error")) {
+void StreamText::ParseEvent(const boost::json::object& document,
+                            Clock::time_point now) {
+  if (const auto* error = ObjectMember(document, "error")) {
     m_error = *error;
     return;
   }
-  const auto* choices = ArrayOf(document, "choices");
+  const auto* choices = ArrayMember(document, "choices");
   if (choices == nullptr || choices->empty() || !choices->at(0).is_object()) {
     return;
   }
-  const auto* delta = ObjectOf(choices->at(0).get_object(), "delta");
+  const auto* delta = ObjectMember(choices->at(0).get_object(), "delta");
   if (delta == nullptr) {
     return;
   }
-  m_text += TextOf(*delta, "content");
+  m_text += StringMember(*delta, "content");
   m_token_times.push_back(now);
 }
 
--- a/tools/load/stream_text.h
+++ b/tools/load/stream_text.h
@@ -23,20 +23,20 @@
     return m_token_times;
   }
   /// @return whether the final event was received, with nothing after it
-  bool closed() const { return m_closed && !m_garbled; }
+  bool closed() const { return m_closed && !m_malformed; }
   /// @return the error event that ended the stream, if any
   const std::optional<boost::json::object>& error() const { return m_error; }
 
  private:
-  void TakeLine(std::string_view line, Clock::time_point now);
-  void TakeDocument(const boost::json::object& document, Clock::time_point now);
+  void ParseLine(std::string_view line, Clock::time_point now);
+  void ParseEvent(const boost::json::object& document, Clock::time_point now);
 
   std::string m_partial;
   std::string m_text;
   std::vector<Clock::time_point> m_token_times;
   std::optional<boost::json::object> m_error;
   bool m_closed = false;
-  bool m_garbled = false;
+  bool m_malformed = false;
 };
 
 }  // namespace coppervalve::load
--- a/tools/load/upstream_use.cc
+++ b/tools/load/upstream_usage.cc
@@ -1,4 +1,4 @@
-#include "tools/load/upstream_use.h"
+#include "tools/load/upstream_usage.h"
 
 #include <boost/json/array.hpp>
 #include <fstream>   // ifstream, getline
@@ -18,7 +18,7 @@
 constexpr unsigned kHttpOk = 200;
 constexpr int64_t kPermille = 1'000;
 
-Tokens Priced(Tokens work, const v1::Upstream& upstream) {
+Tokens CostOf(Tokens work, const v1::Upstream& upstream) {
   const int64_t price =
       upstream.price_permille() == 0 ? kPermille : upstream.price_permille();
   return Tokens((work.value() * price + kPermille - 1) / kPermille);
@@ -28,8 +28,8 @@
   ExchangeCall call;
   call.address = upstream.address();
   call.target = "/records";
-  const ExchangeReply reply = ExchangeNow(std::move(call));
-  if (reply.end != ExchangeEnd::kWhole || reply.status != kHttpOk) {
+  const ExchangeReply reply = ExchangeBlocking(std::move(call));
+  if (reply.result != ExchangeResult::kComplete || reply.status != kHttpOk) {
     return std::nullopt;
   }
   const auto document = ParseJson(reply.body);
@@ -55,14 +55,14 @@
       continue;
     }
     const json::object& record = document->get_object();
-    const std::string id = TextOf(record, "request_id");
+    const std::string id = StringMember(record, "request_id");
     const auto begun = running.find(id);
     if (begun != running.end()) {
       records[begun->second] = record;
       running.erase(begun);
       continue;
     }
-    if (TextOf(record, "state") == "running") {
+    if (StringMember(record, "state") == "running") {
       running[id] = records.size();
     }
     records.emplace_back(record);
@@ -70,40 +70,40 @@
   return records;
 }
 
-Run RunOf(const v1::Upstream& upstream, const json::object& record) {
-  Run run;
+UpstreamRun RunOf(const v1::Upstream& upstream, const json::object& record) {
+  UpstreamRun run;
   run.upstream = upstream.id();
-  run.request_id = TextOf(record, "request_id");
-  run.account = TextOf(record, "account");
-  run.key = TextOf(record, "key");
+  run.request_id = StringMember(record, "request_id");
+  run.account = StringMember(record, "account");
+  run.key = StringMember(record, "key");
   run.at_service = upstream.kind() == v1::PLAIN_SERVICE;
   if (run.at_service) {
-    const std::string method = TextOf(record, "method");
+    const std::string method = StringMember(record, "method");
     run.changes_state = method != "GET" && method != "HEAD";
     run.whole = true;
     run.cost = Tokens(upstream.call_cost_tokens());
     return run;
   }
-  run.work = Tokens(NumberOf(record, "prompt_tokens") +
-                    NumberOf(record, "output_tokens"));
-  run.cost = Priced(run.work, upstream);
-  run.whole = FlagOf(record, "whole");
+  run.work = Tokens(NumberMember(record, "prompt_tokens") +
+                    NumberMember(record, "output_tokens"));
+  run.cost = CostOf(run.work, upstream);
+  run.whole = BoolMember(record, "whole");
   return run;
 }
 
 }  // namespace
 
-UpstreamUse ReadUpstreamUse(const v1::Configuration& configuration,
-                            const std::string& record_folder) {
-  UpstreamUse use;
+UpstreamUsage ReadUpstreamUsage(const v1::Configuration& configuration,
+                                const std::string& record_folder) {
+  UpstreamUsage usage;
   for (const v1::Upstream& upstream : configuration.upstreams()) {
     std::optional<json::array> records = RecordsOverHttp(upstream);
-    const bool died = !records;
-    if (died) {
+    const bool unreachable = !records;
+    if (unreachable) {
       records = RecordsInFile(upstream, record_folder);
     }
     if (!records) {
-      use.missing.push_back(upstream.id());
+      usage.missing.push_back(upstream.id());
       continue;
     }
     for (const json::value& record : *records) {
@@ -111,22 +111,23 @@
         continue;
       }
       const json::object& object = record.get_object();
-      use.begun_only += died && TextOf(object, "state") == "running" ? 1 : 0;
-      use.runs.push_back(RunOf(upstream, object));
+      usage.begun_only +=
+          unreachable && StringMember(object, "state") == "running" ? 1 : 0;
+      usage.runs.push_back(RunOf(upstream, object));
     }
   }
-  return use;
+  return usage;
 }
 
-std::map<std::string, Tokens> UseByBudget(
+std::map<std::string, Tokens> UsageByBudget(
     const v1::Configuration& configuration,
-    const UpstreamUse& use) {
+    const UpstreamUsage& usage) {
   std::map<std::string, std::string> budget_of;
   for (const v1::Account& account : configuration.accounts()) {
     budget_of[account.id()] = account.budget();
   }
   std::map<std::string, Tokens> used;
-  for (const Run& run : use.runs) {
+  for (const UpstreamRun& run : usage.runs) {
     used[budget_of[run.account]] += run.cost;
   }
   return used;
--- a/tools/load/upstream_use.h
+++ b/tools/load/upstream_usage.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_TOOLS_LOAD_UPSTREAM_USE_H_
-#define COPPERVALVE_TOOLS_LOAD_UPSTREAM_USE_H_
+#ifndef COPPERVALVE_TOOLS_LOAD_UPSTREAM_USAGE_H_
+#define COPPERVALVE_TOOLS_LOAD_UPSTREAM_USAGE_H_
 
 #include <boost/json/object.hpp>
 #include <cstdint>  // int64_t
@@ -14,7 +14,7 @@
 namespace coppervalve::load {
 
 /// @brief One run of a request, as its upstream recorded it.
-struct Run {
+struct UpstreamRun {
   std::string upstream;
   std::string request_id;
   std::string account;
@@ -27,8 +27,8 @@
 };
 
 /// @brief Runs on all upstreams, according to their records.
-struct UpstreamUse {
-  std::vector<Run> runs;
+struct UpstreamUsage {
+  std::vector<UpstreamRun> runs;
   /// Upstreams whose records could not be read; their usage is not counted.
   std::vector<std::string> missing;
   /// Runs interrupted by a crash of their engine: their start was recorded, but
@@ -39,14 +39,14 @@
 /// @brief Reads the records of every upstream of a configuration.
 /// @param record_folder holds "<upstream>.jsonl" of upstreams that have
 /// exited; may be empty
-UpstreamUse ReadUpstreamUse(const v1::Configuration& configuration,
-                            const std::string& record_folder);
+UpstreamUsage ReadUpstreamUsage(const v1::Configuration& configuration,
+                                const std::string& record_folder);
 
 /// @return tokens used by the accounts of each budget
-std::map<std::string, core::Tokens> UseByBudget(
+std::map<std::string, core::Tokens> UsageByBudget(
     const v1::Configuration& configuration,
-    const UpstreamUse& use);
+    const UpstreamUsage& usage);
 
 }  // namespace coppervalve::load
 
-#endif  // COPPERVALVE_TOOLS_LOAD_UPSTREAM_USE_H_
+#endif  // COPPERVALVE_TOOLS_LOAD_UPSTREAM_USAGE_H_
