--- a/standins/engine/main.cc
+++ b/standins/engine/main.cc
@@ -18,16 +18,17 @@
   uint64_t report_lag_ms = 200;
   EngineOptions options;
   app.add_option("--listen", listen, "ip:port to serve on");
-  app.add_option("--step-ms", step_ms, "time of one step of the batch")
+  app.add_option("--step-ms", step_ms, "duration of one batch step")
       ->check(CLI::PositiveNumber);
-  app.add_option("--report-lag-ms", report_lag_ms, "age of the load shown");
+  app.add_option("--report-lag-ms", report_lag_ms,
+                 "delay of the reported load");
   app.add_option("--max-batch", options.max_batch, "requests that run at once")
       ->check(CLI::PositiveNumber);
   app.add_option("--queue", options.queue_capacity, "requests that may wait");
   app.add_option("--cached-prefixes", options.cached_prefixes,
                  "prompt prefixes kept; 0 keeps none");
   app.add_option("--prefill-tokens-per-step", options.prefill_tokens_per_step,
-                 "prompt tokens read in one step")
+                 "prompt tokens processed per step")
       ->check(CLI::PositiveNumber);
   app.add_flag("--early-stop", options.early_stop,
                "answers may be shorter than max_tokens");
--- a/standins/log/main.cc
+++ b/standins/log/main.cc
@@ -19,8 +19,8 @@
   app.add_option("--retain-entries", options.retain_entries,
                  "entries kept; 0 keeps all");
   app.add_option("--max-appends", options.max_appends_per_second,
-                 "appends taken per second; 0 takes all");
-  app.add_option("--vm-lag-ms", vm_lag_ms, "age of the VM list shown");
+                 "appends accepted per second; 0 accepts all");
+  app.add_option("--vm-lag-ms", vm_lag_ms, "delay of the reported VM list");
   CLI11_PARSE(app, argc, argv);
   options.vm_lag = std::chrono::milliseconds(vm_lag_ms);
 
--- a/standins/relay/main.cc
+++ b/standins/relay/main.cc
@@ -23,13 +23,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("TCP relay whose connections can be made to fail");
+  CLI::App app("TCP relay with fault injection");
   std::string listen;
   std::string to;
   std::string control;
   app.add_option("--listen", listen, "ip:port to relay from")->required();
   app.add_option("--to", to, "ip:port to relay to")->required();
-  app.add_option("--control", control, "ip:port of the control over HTTP")
+  app.add_option("--control", control, "ip:port of the HTTP control interface")
       ->required();
   CLI11_PARSE(app, argc, argv);
 
--- a/standins/service/main.cc
+++ b/standins/service/main.cc
@@ -17,7 +17,7 @@
   ServiceOptions options;
   app.add_option("--listen", listen, "ip:port to serve on");
   app.add_option("--name", options.name, "name shown in answers");
-  app.add_option("--latency-ms", latency_ms, "time from effect to answer");
+  app.add_option("--latency-ms", latency_ms, "time from effect to response");
   app.add_option("--record", options.record_path, "file for call records");
   CLI11_PARSE(app, argc, argv);
   options.latency = std::chrono::milliseconds(latency_ms);
--- a/tools/load/audit.cc
+++ b/tools/load/audit.cc
@@ -57,7 +57,7 @@
     const json::array* keys =
         report == nullptr ? nullptr : ArrayMember(*report, "keys");
     if (keys == nullptr) {
-      return core::Error{ErrorId::kMalformedJson, path, "no load report"};
+      return core::Error{ErrorId::kMalformedJson, path, "not a load report"};
     }
     for (const json::value& item : *keys) {
       if (item.is_object()) {
@@ -207,17 +207,17 @@
   Findings findings;
   findings.started_at = reader.started_at();
   findings.next_offset = reader.fold().next_offset();
-  RecordComparison join(findings);
+  RecordComparison comparison(findings);
   for (const std::string& path : options.reports) {
-    const core::Status taken = join.AddReport(path);
-    if (!core::IsOk(taken)) {
-      return core::Failure(taken);
+    const core::Status added = comparison.AddReport(path);
+    if (!core::IsOk(added)) {
+      return core::Failure(added);
     }
   }
   const UpstreamUsage usage =
       ReadUpstreamUsage(*configuration, options.record_folder);
-  join.AddRuns(usage);
-  join.Finish(bills);
+  comparison.AddRuns(usage);
+  comparison.Finish(bills);
   AddBudgets(reader.fold(), UsageByBudget(*configuration, usage), findings);
   return findings;
 }
--- a/tools/load/main.cc
+++ b/tools/load/main.cc
@@ -83,26 +83,27 @@
   run->add_option("--report", arguments.report, "file for the JSON report")
       ->required();
   run->add_option("--clairvoyant", arguments.source.log,
-                  "ip:port of the log; judges at the end which refusals for "
-                  "lack of tokens need not have been");
+                  "ip:port of the log; counts unnecessary refusals for lack "
+                  "of tokens at the end of the run");
   run->add_option("--record-folder", arguments.source.record_folder,
-                  "<upstream>.jsonl of upstreams that have died");
+                  "<upstream>.jsonl of upstreams that have exited");
   run->footer(kRunFooter);
   return run;
 }
 
 CLI::App* AddAudit(CLI::App& app, Arguments& arguments) {
   CLI::App* audit = app.add_subcommand(
-      "audit", "Join the log, the upstreams' records and the load's reports");
+      "audit", "Compare the log, the upstreams' records and the load reports");
   audit->add_option("--log", arguments.audit.log, "ip:port")->required();
   audit->add_option("--record-folder", arguments.audit.record_folder,
-                    "<upstream>.jsonl of upstreams that have died");
-  audit->add_option("--report", arguments.audit.reports, "of a run; several");
+                    "<upstream>.jsonl of upstreams that have exited");
+  audit->add_option("--report", arguments.audit.reports,
+                    "report of a load run; repeatable");
   audit->add_option("--follow-until", arguments.audit.follow_until,
-                    "read the log along until this file is there");
+                    "follow the log until this file exists");
   audit
       ->add_option("--follow-limit", arguments.follow_limit_s,
-                   "seconds to wait for that file at most")
+                   "maximum seconds to wait for that file")
       ->check(CLI::Range(1, 86'400));
   audit->add_option("--findings", arguments.findings, "file for JSON");
   audit->footer(kAuditFooter);
@@ -112,7 +113,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Load and audit of a coppervalve fleet.", "coppervalve-load");
+  CLI::App app("Load generator and audit for a coppervalve fleet.",
+               "coppervalve-load");
   app.require_subcommand(1);
   Arguments arguments;
   const CLI::App* run = AddRun(app, arguments);
--- a/tools/load/plan.h
+++ b/tools/load/plan.h
@@ -40,7 +40,8 @@
 /// @brief A load run.
 struct LoadPlan {
   std::vector<std::string> routers;  ///< any of them returns the address list
-  std::chrono::milliseconds max_time{60'000};  ///< time in which requests start
+  std::chrono::milliseconds max_time{
+      60'000};  ///< requests start within this time
   std::vector<ClassPlan> classes;
 };
 
