--- a/tools/load/plan.h
+++ b/tools/load/plan.h
@@ -40,8 +40,8 @@
 /// @brief A load run.
 struct LoadPlan {
   std::vector<std::string> routers;  ///< any of them returns the address list
-  std::chrono::milliseconds max_time{
-      60'000};  ///< requests start within this time
+  /// Requests start within this time.
+  std::chrono::milliseconds max_time{60'000};
   std::vector<ClassPlan> classes;
 };
 
