--- a/tools/load/answer_check.cc
+++ b/tools/load/answer_check.cc
@@ -9,7 +9,7 @@
 constexpr std::string_view kFirstToken = ":0";
 constexpr std::string_view kEndMark = ".end ";
 
-// Removes an expected start. @return whether it was there
+// Removes the prefix `expected`. @return whether it was present
 bool Take(std::string_view& text, std::string_view expected) {
   if (!text.starts_with(expected)) {
     return false;
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-std::optional<std::string> WholeTextId(std::string_view text) {
+std::optional<std::string> RequestIdOfCompleteText(std::string_view text) {
   const size_t id_end = text.find(kFirstToken);
   if (id_end == std::string_view::npos || id_end == 0) {
     return std::nullopt;
--- a/tools/load/tally.h
+++ b/tools/load/class_stats.h
@@ -1,5 +1,5 @@
-#ifndef COPPERVALVE_TOOLS_LOAD_TALLY_H_
-#define COPPERVALVE_TOOLS_LOAD_TALLY_H_
+#ifndef COPPERVALVE_TOOLS_LOAD_CLASS_STATS_H_
+#define COPPERVALVE_TOOLS_LOAD_CLASS_STATS_H_
 
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
@@ -13,25 +13,26 @@
 
 namespace coppervalve::load {
 
-/// @brief What became of the requests of one class.
-class Tally {
+/// @brief Statistics of the requests of one class.
+class ClassStats {
  public:
-  explicit Tally(const ClassPlan& plan) : m_plan(plan) {}
+  explicit ClassStats(const ClassPlan& plan) : m_plan(plan) {}
 
   void CountSent() { ++m_sent; }
   void Count(const Outcome& outcome);
   void CountFalseRefusal() { ++m_false_refusals; }
 
-  /// @return refusals for lack of tokens, in the order of time
+  /// @return times of the refusals for lack of tokens, in chronological order
   const std::vector<Clock::time_point>& token_refusals() const {
     return m_token_refusals;
   }
   const ClassPlan& plan() const { return m_plan; }
 
-  /// @brief The class's part of the report.
-  /// @param judged whether false refusals were looked for
-  boost::json::object ToJson(bool judged) const;
-  /// @brief What the audit joins with the upstreams' records.
+  /// @brief This class's part of the report.
+  /// @param refusals_checked whether false refusals were counted
+  boost::json::object ToJson(bool refusals_checked) const;
+  /// @brief Appends the requests that the audit compares with the upstreams'
+  /// records.
   void AppendKeys(boost::json::array& keys) const;
 
  private:
@@ -60,4 +61,4 @@
 
 }  // namespace coppervalve::load
 
-#endif  // COPPERVALVE_TOOLS_LOAD_TALLY_H_
+#endif  // COPPERVALVE_TOOLS_LOAD_CLASS_STATS_H_
--- a/tools/load/stream_text.h
+++ b/tools/load/stream_text.h
@@ -11,32 +11,32 @@
 
 namespace coppervalve::load {
 
-/// @brief Reads the events of a streamed completion as they come.
+/// @brief Parses the events of a streamed completion as they arrive.
 class StreamText {
  public:
   void Feed(std::string_view bytes, Clock::time_point now);
 
-  /// @return the tokens so far
+  /// @return the text received so far
   const std::string& text() const { return m_text; }
-  /// @return when each token came
+  /// @return arrival time of each token
   const std::vector<Clock::time_point>& token_times() const {
     return m_token_times;
   }
-  /// @return whether the closing event came, with nothing after it
-  bool closed() const { return m_closed && !m_garbled; }
-  /// @return what ended the stream instead of its closing event
+  /// @return whether the final event was received, with nothing after it
+  bool closed() const { return m_closed && !m_malformed; }
+  /// @return the error event that ended the stream, if any
   const std::optional<boost::json::object>& error() const { return m_error; }
 
  private:
-  void TakeLine(std::string_view line, Clock::time_point now);
-  void TakeDocument(const boost::json::object& document, Clock::time_point now);
+  void ParseLine(std::string_view line, Clock::time_point now);
+  void ParseEvent(const boost::json::object& document, Clock::time_point now);
 
   std::string m_partial;
   std::string m_text;
   std::vector<Clock::time_point> m_token_times;
   std::optional<boost::json::object> m_error;
   bool m_closed = false;
-  bool m_garbled = false;
+  bool m_malformed = false;
 };
 
 }  // namespace coppervalve::load
