--- a/bench/budget/schedules.h
+++ b/bench/budget/schedules.h
@@ -18,9 +18,8 @@
   double batch = 0;
 };
 
-/// @brief Bounds on the figures of a schedule under the default policy. Runs in
-/// virtual time are deterministic, so a bound is the measured figure plus a
-/// margin for intended changes.
+/// @brief Bounds on the figures of a schedule under the default policy. The
+/// bench fails when a figure is outside its bound.
 struct ScheduleBounds {
   LostBounds lost;                  ///< requests
   double complete = 0;              ///< requests, at least
--- a/src/config/check.cc
+++ b/src/config/check.cc
@@ -85,8 +85,9 @@
     }
     if (after.account() != before.account()) {
       return core::Error{ErrorId::kConfigPrepaidShrinks, path + ".account",
-                         "the owner '" + before.account() +
-                             "' of a published budget may not change"};
+                         "account '" + before.account() +
+                             "' has paid for the published budget, so its "
+                             "owner may not change"};
     }
   }
   return core::Ok();
--- a/src/router/flow_admission.cc
+++ b/src/router/flow_admission.cc
@@ -112,7 +112,7 @@
       // table has the key as not run, so only this router may run a retry.
       GiveUp(now, *work,
              {ErrorId::kClaimUnavailable, work->account.value(),
-              "the claim was not confirmed within the queue time limit"},
+              "the log did not answer within the queue time limit"},
              kRetryAfterOutage);
     }
   }
--- a/src/router/session.cc
+++ b/src/router/session.cc
@@ -30,7 +30,7 @@
     case membership::StaleReason::kNotConfirmed:
       return "the log cannot be read and no peer confirms the configuration";
     case membership::StaleReason::kMinority:
-      return "no connection to the log and to most routers";
+      return "disconnected from both the log and most routers";
   }
   return "";
 }
@@ -94,7 +94,7 @@
     case Phase::kEnded:
     case Phase::kStopped:
       return Error{ErrorId::kRetiredInLog, m_settings.router.value(),
-                   "retired in the log; will join again"};
+                   "retired in the log; will join again soon"};
     case Phase::kMember:
       return std::nullopt;
   }
