--- a/include/coppervalve/budget/ceiling_store.h
+++ b/include/coppervalve/budget/ceiling_store.h
@@ -44,7 +44,7 @@
     bool closed = false;
   };
 
-  static bool LearnNames(const v1::CeilingRaise& raise, PeerEntry& entry);
+  static bool StoreBudgetNames(const v1::CeilingRaise& raise, PeerEntry& entry);
 
   std::unordered_map<core::Incarnation, PeerEntry> m_peers;
 };
--- a/include/coppervalve/budget/holding_manager.h
+++ b/include/coppervalve/budget/holding_manager.h
@@ -78,7 +78,8 @@
 /// @brief Waiting requests are retried at least this often.
 inline constexpr core::Duration kRetryInterval{500'000};  // microseconds
 /// @brief Minimum interval between transfer requests for one budget.
-inline constexpr core::Duration kTransferAskInterval{250'000};  // microseconds
+inline constexpr core::Duration kTransferRequestInterval{
+    250'000};  // microseconds
 /// @brief Minimum interval between returns of tokens of one budget.
 inline constexpr core::Duration kReturnInterval{1'000'000};  // microseconds
 /// @brief How long a retired incarnation waits for the ledger to apply its
--- a/include/coppervalve/budget/sizing.h
+++ b/include/coppervalve/budget/sizing.h
@@ -73,7 +73,8 @@
   int64_t fair_share_divisor = 2;  ///< requests are at most free / (this * N)
   int64_t bounds_ahead = 4;        ///< minimum holding, in largest requests
   int64_t floor_permille = 10;     ///< minimum holding, of the tokens left
-  int64_t low_ask_permille = 100;  ///< of paid-in; below it, requests are small
+  int64_t low_balance_permille =
+      100;                         ///< of paid-in; below it, requests are small
   int64_t low_keep_permille = 50;  ///< of paid-in; below it, return the surplus
 };
 
--- a/include/coppervalve/membership/peer_view.h
+++ b/include/coppervalve/membership/peer_view.h
@@ -24,7 +24,7 @@
   core::Duration suspect_after = std::chrono::milliseconds(3'000);
   /// A suspected peer becomes reachable after its heartbeats have arrived for
   /// this long.
-  core::Duration trust_after = std::chrono::milliseconds(1'500);
+  core::Duration recovery_delay = std::chrono::milliseconds(1'500);
   /// How long a failed send makes a peer unreachable that exchanges no
   /// heartbeats with this router.
   core::Duration send_failure_lifetime = std::chrono::seconds(5);
@@ -46,7 +46,7 @@
   bool contacted = false;  ///< heartbeats are exchanged with it
   bool reachable = false;
   bool draining = false;  ///< according to the log or its heartbeat
-  std::optional<core::TimePoint> heard;
+  std::optional<core::TimePoint> last_received;
   PeerLoad load;
   core::ConfigVersion config_version;
   std::vector<v1::Spare> spares;
@@ -107,8 +107,8 @@
   struct Entry {
     Member member;
     std::string name;  // for rendezvous hashing
-    std::optional<core::TimePoint> heard;
-    std::optional<core::TimePoint> distrusted_until;
+    std::optional<core::TimePoint> last_received;
+    std::optional<core::TimePoint> suspected_until;
     std::optional<core::TimePoint> send_failed;
     std::optional<core::TimePoint> read_to_end;  // see PeerLogReport
     std::optional<core::TimePoint> claimed_read_to_end;
@@ -122,7 +122,7 @@
   Entry* FindRouter(const core::RouterId& router);
   std::vector<MemberId> ContactsChosenBy(const Member& chooser) const;
   bool HasChosenThisRouter(const Entry& entry) const;
-  bool HeardRecently(core::TimePoint now, const Entry& entry) const;
+  bool ReceivedRecently(core::TimePoint now, const Entry& entry) const;
   bool IsContact(core::TimePoint now, const Entry& entry) const;
   bool EntryReachable(core::TimePoint now, const Entry& entry) const;
   Peer Describe(core::TimePoint now, const Entry& entry) const;
--- a/include/coppervalve/request/request_table.h
+++ b/include/coppervalve/request/request_table.h
@@ -84,7 +84,7 @@
 struct StatusLookup {
   v1::RequestStatus status;
   /// The router to query when this one has no record of the request.
-  std::optional<ForwardTo> ask;
+  std::optional<ForwardTo> forward_to;
 };
 
 /// @brief All requests known to this incarnation. Every keyed non-idempotent
--- a/src/budget/ceiling_store.cc
+++ b/src/budget/ceiling_store.cc
@@ -14,7 +14,7 @@
   // that was only paused could commit tokens that the ledger has returned to
   // the balance, and the budget would be overspent. Refusing permanently needs
   // no clock.
-  if (entry.closed || !LearnNames(raise, entry)) {
+  if (entry.closed || !StoreBudgetNames(raise, entry)) {
     ack.set_refused(true);
     return ack;
   }
@@ -32,7 +32,8 @@
 // A ceiling whose number has no known name can't be stored. If it were
 // acknowledged, the peer could commit tokens that the record written after its
 // retirement leaves out.
-bool CeilingStore::LearnNames(const v1::CeilingRaise& raise, PeerEntry& entry) {
+bool CeilingStore::StoreBudgetNames(const v1::CeilingRaise& raise,
+                                    PeerEntry& entry) {
   for (const v1::PeerCeiling& ceiling : raise.ceilings()) {
     if (!ceiling.budget().empty()) {
       entry.budgets_by_number[ceiling.number()] =
--- a/src/budget/holding_manager_outputs.cc
+++ b/src/budget/holding_manager_outputs.cc
@@ -185,7 +185,7 @@
     ask.ask.set_budget(budget.value());
     ask.ask.set_tokens(wanted.value());
     m_peer_spares.Deduct(budget, offer->peer, wanted);
-    account.next_transfer_ask_at = now + kTransferAskInterval;
+    account.next_transfer_ask_at = now + kTransferRequestInterval;
     asks.push_back(std::move(ask));
   }
   return asks;
--- a/src/budget/sizing.cc
+++ b/src/budget/sizing.cc
@@ -89,7 +89,7 @@
 
 /// Spare tokens that the holding should have.
 Tokens TargetSpare(const SizingOptions& options, const SizingView& view) {
-  const bool low = BalanceIsBelow(view, options.low_ask_permille);
+  const bool low = BalanceIsBelow(view, options.low_balance_permille);
   // Near exhaustion the free tokens must still suffice for whole requests at
   // some router. If all of them were distributed, each part would be too small
   // for any request.
--- a/src/membership/peer_view.cc
+++ b/src/membership/peer_view.cc
@@ -93,9 +93,10 @@
   Entry& entry = found->second;
   const core::Duration interval = m_limits.heartbeat_interval;
   const std::optional<core::Duration> gap =
-      entry.heard ? std::optional(now - *entry.heard) : std::nullopt;
+      entry.last_received ? std::optional(now - *entry.last_received)
+                          : std::nullopt;
   if (gap && *gap > m_limits.suspect_after) {
-    entry.distrusted_until = now + m_limits.trust_after;
+    entry.suspected_until = now + m_limits.recovery_delay;
   }
   const core::TimePoint read =
       now - std::chrono::milliseconds(heartbeat.log_age_ms());
@@ -109,7 +110,7 @@
         entry.read_to_end ? std::max(*entry.read_to_end, read) : read;
   }
   entry.claimed_read_to_end = read;
-  entry.heard = now;
+  entry.last_received = now;
   entry.config_version = core::ConfigVersion(heartbeat.config_version());
   entry.known_version = core::ConfigVersion(heartbeat.known_version());
   entry.draining = heartbeat.draining();
@@ -120,7 +121,7 @@
 void PeerView::OnSendFailed(core::TimePoint now, const core::RouterId& router) {
   if (Entry* entry = FindRouter(router)) {
     entry->send_failed = now;
-    entry->distrusted_until = now + m_limits.trust_after;
+    entry->suspected_until = now + m_limits.recovery_delay;
   }
 }
 
@@ -161,8 +162,9 @@
   return known->second;
 }
 
-bool PeerView::HeardRecently(core::TimePoint now, const Entry& entry) const {
-  return entry.heard && now - *entry.heard <= m_limits.suspect_after;
+bool PeerView::ReceivedRecently(core::TimePoint now, const Entry& entry) const {
+  return entry.last_received &&
+         now - *entry.last_received <= m_limits.suspect_after;
 }
 
 std::vector<MemberId> PeerView::PeersToContact(core::TimePoint now) const {
@@ -189,7 +191,7 @@
     return true;
   }
   return Contains(m_chosen, entry.member.id) ||
-         (HeardRecently(now, entry) && HasChosenThisRouter(entry));
+         (ReceivedRecently(now, entry) && HasChosenThisRouter(entry));
 }
 
 bool PeerView::HeartbeatDue(core::TimePoint now) {
@@ -209,11 +211,11 @@
 }
 
 bool PeerView::EntryReachable(core::TimePoint now, const Entry& entry) const {
-  if (entry.distrusted_until && now < *entry.distrusted_until) {
+  if (entry.suspected_until && now < *entry.suspected_until) {
     return false;
   }
   if (IsContact(now, entry)) {
-    return HeardRecently(now, entry);
+    return ReceivedRecently(now, entry);
   }
   // No heartbeats are exchanged with this peer, so only a failed send makes it
   // unreachable.
@@ -233,7 +235,7 @@
   peer.reachable = EntryReachable(now, entry);
   peer.draining =
       entry.draining || entry.member.phase == MemberPhase::kDraining;
-  peer.heard = entry.heard;
+  peer.last_received = entry.last_received;
   peer.load = entry.load;
   peer.config_version = entry.config_version;
   peer.spares = entry.spares;
--- a/src/membership/witness_selector.cc
+++ b/src/membership/witness_selector.cc
@@ -33,7 +33,7 @@
 /// counts as reachable until a send fails, but may be unable to acknowledge a
 /// ceiling.
 bool IsEligible(const Peer& peer) {
-  return peer.reachable && peer.heard && !peer.draining;
+  return peer.reachable && peer.last_received && !peer.draining;
 }
 
 }  // namespace
--- a/src/request/key_decision.cc
+++ b/src/request/key_decision.cc
@@ -310,7 +310,7 @@
   }
   status.set_error(core::ErrorCode(core::ErrorId::kNotFound));
   if (!forwarded) {
-    lookup.ask = FindStatusSource(key, identity);
+    lookup.forward_to = FindStatusSource(key, identity);
   }
   return lookup;
 }
--- a/src/router/flow_arrival.cc
+++ b/src/router/flow_arrival.cc
@@ -349,14 +349,14 @@
   const core::AccountId& id = core::Value(account)->id;
   const request::StatusLookup lookup = m_table.StatusOf(
       now, id, core::Value(key), event.forwarded_account.has_value());
-  if (!lookup.ask.has_value()) {
+  if (!lookup.forward_to.has_value()) {
     ReplyStatus(event.request, lookup.status);
     return;
   }
   m_status_relays.emplace(event.request, lookup.status);
-  m_dependencies.outbox.Add(Forward{event.request, lookup.ask->router,
-                                    lookup.ask->incarnation,
-                                    lookup.ask->address, id});
+  m_dependencies.outbox.Add(Forward{event.request, lookup.forward_to->router,
+                                    lookup.forward_to->incarnation,
+                                    lookup.forward_to->address, id});
 }
 
 void RequestFlow::ReplyStatus(RequestId id, const v1::RequestStatus& status) {
--- a/tests/membership/fleet.h
+++ b/tests/membership/fleet.h
@@ -35,7 +35,7 @@
     Peer peer;
     peer.member = members[i];
     peer.reachable = true;
-    peer.heard = kStart;
+    peer.last_received = kStart;
     peers.push_back(peer);
   }
   return peers;
--- a/tests/membership/unit-choices.cc
+++ b/tests/membership/unit-choices.cc
@@ -41,7 +41,7 @@
   self.member = m_members[0];
   self.member.id.incarnation = core::Incarnation(9);
   self.reachable = true;
-  self.heard = kStart;
+  self.last_received = kStart;
   self.member.failure_domain = core::FailureDomainId("other");
   m_peers.push_back(self);
   const MemberId witness = MustChoose(std::nullopt);
@@ -106,7 +106,7 @@
       Peer& peer = peers.emplace_back();
       peer.member = other;
       peer.reachable = true;
-      peer.heard = kStart;
+      peer.last_received = kStart;
     }
     WitnessSelector choice(member);
     const WitnessVerdict verdict = choice.Evaluate(m_now, std::nullopt, peers);
--- a/tests/request/unit-request-table.cc
+++ b/tests/request/unit-request-table.cc
@@ -399,8 +399,9 @@
   STRCMP_EQUAL("ran", lookup.status.run_state().c_str());
   lookup = m_b.StatusOf(m_now, kAccount, BoundTo(kA));
   STRCMP_EQUAL("unknown", lookup.status.state().c_str());
-  CHECK(lookup.ask->router == kA.router);
-  CHECK_FALSE(m_b.StatusOf(m_now, kAccount, BoundTo(kA), true).ask.has_value());
+  CHECK(lookup.forward_to->router == kA.router);
+  CHECK_FALSE(
+      m_b.StatusOf(m_now, kAccount, BoundTo(kA), true).forward_to.has_value());
 }
 
 TEST(RequestTable, another_account_sees_nothing_of_a_key) {
