--- a/bench/routing/fleet_model.cc
+++ b/bench/routing/fleet_model.cc
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr int64_t kExpireEverySteps = 10;
-constexpr uint32_t kTwice = 3;  ///< attempts of the retry-twice baseline
+constexpr uint32_t kRetryTwiceAttempts =
+    3;  ///< attempts of the retry-twice baseline
 
 const routing::WorkTarget kTarget{core::ModelId("chat"), {}};
 const core::RuleId kRule("any");
@@ -228,7 +229,7 @@
 void Fleet::FailAttempt(JobState& state,
                         size_t engine,
                         routing::AttemptEnd end) {
-  if (m_options.retries == RetryMode::kTwice) {
+  if (m_options.retries == RetryMode::kRetryTwice) {
     RetryTwice(state);
     return;
   }
@@ -267,7 +268,7 @@
 
 void Fleet::RetryTwice(JobState& state) {
   const uint64_t id = state.job.id;
-  if (state.attempts >= kTwice) {
+  if (state.attempts >= kRetryTwiceAttempts) {
     Schedule(m_now + 1, [this, id] { Refuse(id, std::nullopt); });
     return;
   }
--- a/bench/routing/fleet_model.h
+++ b/bench/routing/fleet_model.h
@@ -37,7 +37,7 @@
 };
 
 /// @brief How failed attempts are retried.
-enum class RetryMode { kPolicy, kTwice };
+enum class RetryMode { kPolicy, kRetryTwice };
 
 /// @brief Options of a simulated fleet and its engines.
 struct FleetOptions {
--- a/bench/routing/scenario_faults.cc
+++ b/bench/routing/scenario_faults.cc
@@ -32,7 +32,7 @@
   FleetOptions options;
   options.retries = retries;
   options.probes_always_succeed = probes_always_succeed;
-  if (retries == RetryMode::kTwice) {
+  if (retries == RetryMode::kRetryTwice) {
     options.management = Management::kNoQueue;
   }
   Fleet fleet(options);
@@ -75,7 +75,7 @@
 
 void MeasureOutage(Figures& figures) {
   const OutageResult ours = RunOutage(RetryMode::kPolicy, false);
-  const OutageResult twice = RunOutage(RetryMode::kTwice, false);
+  const OutageResult twice = RunOutage(RetryMode::kRetryTwice, false);
   figures.Report("outage_attempts_per_request", ours.attempts_per_request,
                  "ratio", BoundKind::kAtMost, 0.05, twice.attempts_per_request);
   figures.Report("outage_recovery", ours.recovery_steps, "steps",
@@ -104,8 +104,8 @@
 }
 
 struct LeavingResult {
-  double after_known = 0;    ///< steps after the router read the list
-  double after_leaving = 0;  ///< steps after the VM began to leave
+  double after_list_read = 0;  ///< steps after the router read the list
+  double after_leaving = 0;    ///< steps after the VM began to leave
 };
 
 LeavingResult RunLeaving(bool reads_list) {
@@ -126,8 +126,8 @@
   for (size_t router = 0; router < fleet.routers(); ++router) {
     const int64_t last = fleet.LastDispatch(router, kLeavingEngine);
     const int64_t known = last - ListReadAt(router);
-    result.after_known =
-        std::max(result.after_known, static_cast<double>(known));
+    result.after_list_read =
+        std::max(result.after_list_read, static_cast<double>(known));
     result.after_leaving =
         std::max(result.after_leaving, static_cast<double>(last - kLeavesAt));
   }
@@ -138,12 +138,12 @@
 
 void MeasureLeaving(Figures& figures) {
   const LeavingResult ours = RunLeaving(true);
-  const LeavingResult unaware = RunLeaving(false);
-  figures.Report("leaving_work_after_router_knows", ours.after_known, "steps",
-                 BoundKind::kAtMost, 0, unaware.after_known);
+  const LeavingResult without_list = RunLeaving(false);
+  figures.Report("leaving_work_after_router_knows", ours.after_list_read,
+                 "steps", BoundKind::kAtMost, 0, without_list.after_list_read);
   figures.Report("leaving_work_after_leaving", ours.after_leaving, "steps",
                  BoundKind::kAtMost, static_cast<double>(kListLag + kPollEvery),
-                 unaware.after_leaving);
+                 without_list.after_leaving);
 }
 
 }  // namespace coppervalve::bench
--- a/src/net/operator_routes.cc
+++ b/src/net/operator_routes.cc
@@ -37,7 +37,7 @@
         {ErrorId::kMethodNotAllowed, "method", status ? "GET" : "POST"});
   }
   if (status) {
-    return worker.AskStatus(false);
+    return worker.QueryStatus(false);
   }
   context.drain();
   return worker.AnswerNow(Head(kAccepted, "application/json"),
@@ -54,7 +54,7 @@
     return worker.AnswerNow(Head(kOk, "application/json"), R"({"alive":true})");
   }
   if (path == "/readyz") {
-    return worker.AskStatus(true);
+    return worker.QueryStatus(true);
   }
   if (path == "/metrics") {
     return worker.AnswerNow(Head(kOk, "text/plain; version=0.0.4"),
--- a/src/net/platform_client.cc
+++ b/src/net/platform_client.cc
@@ -96,7 +96,7 @@
         timer(a_context),
         list(a_context, a_settings.vm_list_address, kMaxListBytes) {}
 
-  void AskForList() {
+  void RequestList() {
     list.Call(Get("/vms"), settings.vm_list_interval,
               [weak = weak_from_this()](const core::Result<HttpReply>& result) {
                 const auto self = weak.lock();
@@ -118,7 +118,7 @@
         [weak = weak_from_this()](const boost::system::error_code& error) {
           const auto self = weak.lock();
           if (self && !error) {
-            self->AskForList();
+            self->RequestList();
           }
         });
   }
@@ -162,7 +162,7 @@
 
 void PlatformClient::Start() {
   if (!m_impl->settings.vm_list_address.empty()) {
-    m_impl->AskForList();
+    m_impl->RequestList();
   }
 }
 
--- a/src/net/traffic_worker.cc
+++ b/src/net/traffic_worker.cc
@@ -68,7 +68,7 @@
   return exchange;
 }
 
-Exchange TrafficWorker::AskStatus(bool readiness) {
+Exchange TrafficWorker::QueryStatus(bool readiness) {
   const core::RequestId id = NextId();
   Entry entry;
   entry.readiness = readiness;
--- a/src/net/traffic_worker.h
+++ b/src/net/traffic_worker.h
@@ -55,7 +55,7 @@
   /// @brief Requests this router's status from the core.
   /// @param readiness the answer states only whether the router accepts new
   /// work
-  Exchange AskStatus(bool readiness);
+  Exchange QueryStatus(bool readiness);
   /// @brief Answers immediately, without the core.
   Exchange AnswerNow(HttpHead head, std::string_view body);
   Exchange RefuseNow(core::Error error);
--- a/tests/net/unit-caller-input.cc
+++ b/tests/net/unit-caller-input.cc
@@ -15,13 +15,13 @@
 }
 
 // Returns everything that one connection receives for these bytes.
-std::string Ask(TestShell& shell, const std::string& bytes) {
+std::string SendRequest(TestShell& shell, const std::string& bytes) {
   RawSocket caller = shell.Caller();
   caller.Send(bytes);
   return caller.ReadMessage();
 }
 
-net::ShellSettings ImpatientSettings() {
+net::ShellSettings ShortTimeoutSettings() {
   net::ShellSettings settings = TestShell::Settings();
   settings.caller.header_timeout = std::chrono::milliseconds(200);
   settings.caller.body_timeout = std::chrono::milliseconds(200);
@@ -55,7 +55,7 @@
 // clang-format on
 
 TEST(CallerInput, a_refusal_states_its_reason_and_when_to_retry) {
-  const std::string answer = Ask(shell, ModelPost("hello"));
+  const std::string answer = SendRequest(shell, ModelPost("hello"));
   CheckRefused(answer, "503", "CV-404");
   CHECK(Has(answer, "\"retry_after_ms\":1500"));
   CHECK(Has(answer, "retry-after: 2\r\n"));
@@ -63,7 +63,8 @@
 
 TEST(CallerInput,
      a_request_reaches_the_core_with_all_fields_that_its_rules_use) {
-  Ask(shell,
+  SendRequest(
+      shell,
       Post(
           "/v1/chat/completions",
           R"({"model":"m1","max_tokens":40,"messages":[{"role":"user","content":"hi there"}]})",
@@ -85,7 +86,7 @@
 }
 
 TEST(CallerInput, a_service_request_names_its_service) {
-  Ask(shell, Post("/v1/services/seats/hold/7?gate=2", "{}"));
+  SendRequest(shell, Post("/v1/services/seats/hold/7?gate=2", "{}"));
   const auto event = shell.WaitFor<router::RequestArrived>();
   CHECK(event.has_value());
   STRCMP_EQUAL("seats", event->service.value().c_str());
@@ -95,8 +96,9 @@
 TEST(CallerInput, a_body_above_the_limit_is_refused_by_its_content_length) {
   // The caller announces a length above the limit and starts to send. It gets a
   // typed error immediately; the router never buffers the body.
-  CheckRefused(Ask(shell, Post("/v1/completions", std::string(5000, 'x'))),
-               "413", "CV-302");
+  CheckRefused(
+      SendRequest(shell, Post("/v1/completions", std::string(5000, 'x'))),
+      "413", "CV-302");
   LONGS_EQUAL(0, shell.Count<router::RequestArrived>());
 }
 
@@ -107,19 +109,20 @@
   for (int i = 0; i < 6; ++i) {
     bytes += Chunk(std::string(1000, 'x'));
   }
-  CheckRefused(Ask(shell, bytes), "413", "CV-302");
+  CheckRefused(SendRequest(shell, bytes), "413", "CV-302");
 }
 
 TEST(CallerInput, malformed_json_is_refused) {
-  CheckRefused(Ask(shell, Post("/v1/completions", R"({"model":"m1",)")), "400",
-               "CV-304");
+  CheckRefused(SendRequest(shell, Post("/v1/completions", R"({"model":"m1",)")),
+               "400", "CV-304");
 }
 
 TEST(CallerInput, json_that_is_nested_too_deeply_is_refused) {
   // A body of only opening brackets would otherwise exhaust the parser's stack
   // and crash the process, which ends the requests of all callers.
   const std::string nested(2000, '[');
-  CheckRefused(Ask(shell, Post("/v1/completions", nested)), "400", "CV-304");
+  CheckRefused(SendRequest(shell, Post("/v1/completions", nested)), "400",
+               "CV-304");
 }
 
 TEST(CallerInput, fields_that_multiply_the_output_are_refused) {
@@ -128,57 +131,62 @@
   for (const char* field : {R"("n":4)", R"("best_of":2)", R"("n":1.5)"}) {
     const std::string body =
         R"({"model":"m1","prompt":"x",)" + std::string(field) + "}";
-    CheckRefused(Ask(shell, Post("/v1/completions", body)), "400", "CV-301");
+    CheckRefused(SendRequest(shell, Post("/v1/completions", body)), "400",
+                 "CV-301");
   }
-  CheckRefused(Ask(shell, Post("/v1/completions",
-                               R"({"model":"m1","prompt":["a","b"]})")),
+  CheckRefused(SendRequest(shell, Post("/v1/completions",
+                                       R"({"model":"m1","prompt":["a","b"]})")),
                "400", "CV-301");
 }
 
 TEST(CallerInput, bad_chunking_is_refused) {
-  CheckRefused(Ask(shell,
-                   "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
-                   "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n"),
+  CheckRefused(SendRequest(shell,
+                           "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
+                           "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n"),
                "400", "CV-301");
 }
 
 TEST(CallerInput, a_message_with_two_framings_is_refused) {
   // Request smuggling: with two framings, two readers see different requests in
   // the same bytes, and the second one would run for another caller.
-  CheckRefused(Ask(shell,
-                   "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
-                   "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
-                   "0\r\n\r\n"),
-               "400", "CV-301");
+  CheckRefused(
+      SendRequest(shell,
+                  "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
+                  "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
+                  "0\r\n\r\n"),
+      "400", "CV-301");
 }
 
 TEST(CallerInput, a_header_above_the_limit_is_refused) {
-  CheckRefused(Ask(shell, "GET /v1/addresses HTTP/1.1\r\nHost: r\r\nX-Big: " +
-                              std::string(20000, 'a') + "\r\n\r\n"),
-               "431", "CV-303");
+  CheckRefused(
+      SendRequest(shell, "GET /v1/addresses HTTP/1.1\r\nHost: r\r\nX-Big: " +
+                             std::string(20000, 'a') + "\r\n\r\n"),
+      "431", "CV-303");
 }
 
 TEST(CallerInput, a_sender_that_stops_in_its_body_is_refused) {
   // The caller sends half of its body and then nothing. Without the timeout its
   // connection would stay open forever. The error may state that the request
   // was not run, because nothing was sent to an upstream.
-  TestShell impatient(RefuseAll, ImpatientSettings());
-  CheckRefused(Ask(impatient,
-                   "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
-                   "Content-Length: 100\r\n\r\nhalf"),
+  TestShell short_timeout_shell(RefuseAll, ShortTimeoutSettings());
+  CheckRefused(SendRequest(short_timeout_shell,
+                           "POST /v1/completions HTTP/1.1\r\nHost: r\r\n"
+                           "Content-Length: 100\r\n\r\nhalf"),
                "408", "CV-310");
 }
 
 TEST(CallerInput, a_sender_that_stops_in_its_header_is_refused) {
-  TestShell impatient(RefuseAll, ImpatientSettings());
-  CheckRefused(Ask(impatient, "POST /v1/completions HTTP/1.1\r\nHost:"), "408",
-               "CV-310");
+  TestShell short_timeout_shell(RefuseAll, ShortTimeoutSettings());
+  CheckRefused(SendRequest(short_timeout_shell,
+                           "POST /v1/completions HTTP/1.1\r\nHost:"),
+               "408", "CV-310");
 }
 
 TEST(CallerInput, unknown_paths_and_methods_are_refused) {
-  CheckRefused(Ask(shell, Post("/v2/unknown", "")), "404", "CV-306");
-  CheckRefused(Ask(shell, "GET /v1/completions HTTP/1.1\r\nHost: r\r\n\r\n"),
-               "405", "CV-307");
+  CheckRefused(SendRequest(shell, Post("/v2/unknown", "")), "404", "CV-306");
+  CheckRefused(
+      SendRequest(shell, "GET /v1/completions HTTP/1.1\r\nHost: r\r\n\r\n"),
+      "405", "CV-307");
 }
 
 TEST(CallerInput, a_connection_serves_one_request_after_another) {
--- a/tests/net/unit-forward.cc
+++ b/tests/net/unit-forward.cc
@@ -18,7 +18,7 @@
   return text.find(part) != std::string::npos;
 }
 
-std::string Ask(TestShell& shell, const std::string& bytes) {
+std::string SendRequest(TestShell& shell, const std::string& bytes) {
   RawSocket caller = shell.Caller();
   caller.Send(bytes);
   return caller.ReadMessage();
@@ -67,10 +67,10 @@
   {
     TestShell owner(SendTo(engine.address()), WithPeers());
     TestShell entry(ForwardTo(PeerAddress(owner)), WithPeers());
-    const std::string answer =
-        Ask(entry, ModelPost("x", false,
-                             "Idempotency-Key: k1\r\nx-deadline-ms: 9000\r\n"
-                             "X-Team: sales\r\n"));
+    const std::string answer = SendRequest(
+        entry, ModelPost("x", false,
+                         "Idempotency-Key: k1\r\nx-deadline-ms: 9000\r\n"
+                         "X-Team: sales\r\n"));
     CHECK_TEXT(Has(answer, "far"), answer.c_str());
     const auto arrived = owner.WaitFor<router::RequestArrived>();
     CHECK(arrived.has_value());
@@ -116,7 +116,7 @@
   {
     TestShell owner(SendTo(engine.address()), WithPeers());
     TestShell entry(ForwardTo(PeerAddress(owner)), WithPeers());
-    const std::string answer = Ask(entry, ModelPost("x", true));
+    const std::string answer = SendRequest(entry, ModelPost("x", true));
     CHECK_TEXT(Has(answer, "half"), answer.c_str());
     CHECK(Has(answer, "event: error"));
     CHECK(answer.find("event: error") == answer.rfind("event: error"));
@@ -141,7 +141,7 @@
       },
       WithPeers());
   TestShell entry(ForwardTo(PeerAddress(owner)), WithPeers());
-  const std::string answer = Ask(entry, ModelPost("x"));
+  const std::string answer = SendRequest(entry, ModelPost("x"));
   CHECK_TEXT(answer.starts_with("HTTP/1.1 402"), answer.c_str());
   CHECK(Has(answer, "CV-403"));
   CHECK(Has(answer, "x-coppervalve-run-state: not_run"));
@@ -150,7 +150,7 @@
 
 TEST(Forward, a_peer_that_cannot_be_reached_was_not_sent_anything) {
   TestShell entry(ForwardTo("127.0.0.1:1"), WithPeers());
-  CHECK(Has(Ask(entry, ModelPost("x")), "\"run_state\":\"not_run\""));
+  CHECK(Has(SendRequest(entry, ModelPost("x")), "\"run_state\":\"not_run\""));
 }
 
 TEST(Forward, a_forward_to_an_ended_process_does_not_run) {
@@ -168,7 +168,7 @@
     TestShell entry(
         ForwardTo("127.0.0.1:" + std::to_string(restarted.peer_port())),
         WithPeers());
-    const std::string answer = Ask(entry, ModelPost("x"));
+    const std::string answer = SendRequest(entry, ModelPost("x"));
     CHECK_TEXT(Has(answer, "CV-506"), answer.c_str());
     LONGS_EQUAL(0, engine.connections());
   }
--- a/tests/net/unit-peer-link.cc
+++ b/tests/net/unit-peer-link.cc
@@ -247,9 +247,9 @@
 TEST(PeerLink, a_full_message_queue_fails_immediately) {
   m_settings.max_queued_messages = 2;
   // No server accepts on this address for a while, so the messages stay queued.
-  boost::asio::ip::tcp::acceptor mute(
+  boost::asio::ip::tcp::acceptor unresponsive(
       m_threads.io(), {boost::asio::ip::make_address(kLocalhost), 0});
-  const std::string address = AddressOf(mute.local_endpoint().port());
+  const std::string address = AddressOf(unresponsive.local_endpoint().port());
   m_settings.connect_timeout = kPatience;
   PeerClient client = MakeClient();
   std::vector<Awaited<core::Error>> failed(3);
@@ -288,7 +288,7 @@
   m_callbacks.on_forward = [&](const ForwardHead& head, const std::string&,
                                const std::shared_ptr<ForwardReply>& reply) {
     if (head.path != "/slow") {
-      AnswerWhole(*reply, Pattern(kMebibyte, 'f'));
+      SendCompleteReply(*reply, Pattern(kMebibyte, 'f'));
       return;
     }
     reply->Head(ReplyHead{});
@@ -406,7 +406,7 @@
   server.Close([&] { closed.Set(true); });
   collector.AwaitHead();
   CHECK_TRUE(closed.Pending());
-  AnswerWhole(*reply, Pattern(kMebibyte, 'z'));
+  SendCompleteReply(*reply, Pattern(kMebibyte, 'z'));
   const Answer answer = collector.Get();
   CHECK_TRUE(answer.outcome.complete);
   CHECK_TRUE(answer.body == Pattern(kMebibyte, 'z'));
@@ -433,7 +433,7 @@
   AnswerCollector late;
   client.StartForward(address, SomeHead(), "q", late.Callbacks());
   CHECK_FALSE(late.Get().outcome.sent);
-  AnswerWhole(*reply, "done");
+  SendCompleteReply(*reply, "done");
   CHECK_TRUE(collector.Get().outcome.complete);
   CHECK_TRUE(closed.Get());
 }
--- a/tests/net/unit-peer-silence.cc
+++ b/tests/net/unit-peer-silence.cc
@@ -120,7 +120,7 @@
   callbacks.on_forward = [&](const ForwardHead& head, const std::string&,
                              std::shared_ptr<ForwardReply> reply) {
     if (head.path != "/first") {
-      AnswerWhole(*reply, "second answer");
+      SendCompleteReply(*reply, "second answer");
       return;
     }
     reply->OnCancelled([&] { cancelled.Set(true); });
@@ -169,7 +169,7 @@
   client.StartForward(address, SomeHead(), "q", collector.Callbacks());
   const std::shared_ptr<ForwardReply> reply = running.Get();
   std::this_thread::sleep_for(4 * m_settings.silence_deadline);
-  AnswerWhole(*reply, "late");
+  SendCompleteReply(*reply, "late");
   const Answer answer = collector.Get();
   CHECK_TRUE(answer.outcome.complete);
   CHECK_EQUAL(std::string("late"), answer.body);
@@ -182,7 +182,7 @@
   PeerServerCallbacks callbacks;
   callbacks.on_forward = [](const ForwardHead&, const std::string&,
                             const std::shared_ptr<ForwardReply>& reply) {
-    AnswerWhole(*reply, "back");
+    SendCompleteReply(*reply, "back");
   };
   std::string address;
   uint16_t port = 0;
--- a/tests/net/unit-peer-support.h
+++ b/tests/net/unit-peer-support.h
@@ -128,7 +128,7 @@
 }
 
 /// @brief Answers a forward immediately and completely.
-inline void AnswerWhole(ForwardReply& reply, std::string body) {
+inline void SendCompleteReply(ForwardReply& reply, std::string body) {
   reply.Head(ReplyHead{200, {{"content-type", "text/plain"}}});
   reply.Body(std::move(body), {});
   reply.End();
--- a/tests/net/unit-stream.cc
+++ b/tests/net/unit-stream.cc
@@ -21,7 +21,7 @@
   return text.find(part) != std::string::npos;
 }
 
-std::string Ask(TestShell& shell, const std::string& bytes) {
+std::string SendRequest(TestShell& shell, const std::string& bytes) {
   RawSocket caller = shell.Caller();
   caller.Send(bytes);
   return caller.ReadMessage();
@@ -58,7 +58,7 @@
   });
   {
     TestShell shell(SendTo(engine.address()));
-    const std::string answer = Ask(shell, ModelPost("x", true));
+    const std::string answer = SendRequest(shell, ModelPost("x", true));
     CHECK_TEXT(Has(answer, "draw") && Has(answer, "bridge"), answer.c_str());
     CHECK(Has(answer, kDone));
     CHECK(answer.ends_with(kLastChunk));
@@ -108,7 +108,7 @@
   });
   {
     TestShell shell(SendTo(engine.address()));
-    const std::string answer = Ask(shell, ModelPost("x", true));
+    const std::string answer = SendRequest(shell, ModelPost("x", true));
     CHECK(Has(answer, "data: {\"choices\":[{\"text\":\"one\"}]}\r\n\r\n"));
     CHECK(answer.ends_with(kLastChunk));
   }
@@ -121,7 +121,7 @@
   FakeServer engine(Stream(TokenChunk("half") + TokenChunk("draft")));
   {
     TestShell shell(SendTo(engine.address()));
-    const std::string answer = Ask(shell, ModelPost("x", true));
+    const std::string answer = SendRequest(shell, ModelPost("x", true));
     CHECK(Has(answer, "half"));
     CheckCut(answer, "CV-502");
     const auto failed = shell.WaitFor<router::AttemptFailed>();
@@ -137,7 +137,7 @@
   FakeServer engine(Stream(TokenChunk("a") + Chunk(kDone)));
   {
     TestShell shell(SendTo(engine.address()));
-    CheckCut(Ask(shell, ModelPost("x", true)), "CV-502");
+    CheckCut(SendRequest(shell, ModelPost("x", true)), "CV-502");
   }
 }
 
@@ -146,7 +146,7 @@
   FakeServer engine(Stream(TokenChunk("a") + kLastChunk));
   {
     TestShell shell(SendTo(engine.address()));
-    CheckCut(Ask(shell, ModelPost("x", true)), "CV-502");
+    CheckCut(SendRequest(shell, ModelPost("x", true)), "CV-502");
   }
 }
 
@@ -156,7 +156,7 @@
       Chunk(kDone) + kLastChunk));
   {
     TestShell shell(SendTo(engine.address()));
-    CheckCut(Ask(shell, ModelPost("x", true)), "CV-503");
+    CheckCut(SendRequest(shell, ModelPost("x", true)), "CV-503");
   }
 }
 
@@ -164,19 +164,19 @@
      a_second_attempt_after_a_failure_before_the_first_token_is_invisible) {
   // The first engine sends its head and closes. Nothing has reached the caller,
   // so it sees only the answer of another engine.
-  FakeServer dying(Stream(""));
+  FakeServer failing(Stream(""));
   FakeServer healthy(Stream(TokenChunk("rescued") + Chunk(kDone) + kLastChunk));
   {
     TestShell shell(
-        [&dying, &healthy](const router::Event& event) -> TestShell::Actions {
+        [&failing, &healthy](const router::Event& event) -> TestShell::Actions {
           if (const auto* e = std::get_if<router::AttemptFailed>(&event)) {
             router::Dispatch again = DispatchOf(e->request, healthy.address());
             again.attempt = core::AttemptId(e->attempt.value() + 1000000);
             return {again};
           }
-          return SendTo(dying.address())(event);
+          return SendTo(failing.address())(event);
         });
-    const std::string answer = Ask(shell, ModelPost("x", true));
+    const std::string answer = SendRequest(shell, ModelPost("x", true));
     CHECK(Has(answer, "rescued"));
     CHECK(answer.ends_with(kLastChunk));
     CHECK_FALSE(Has(answer, "error"));
@@ -204,7 +204,7 @@
       }
       return SendTo(address)(event);
     });
-    CheckCut(Ask(shell, ModelPost("x", true)), "CV-504");
+    CheckCut(SendRequest(shell, ModelPost("x", true)), "CV-504");
     over = true;
   }
 }
@@ -278,7 +278,7 @@
     finish = true;
     CHECK(Has(first.ReadUntil(kLastChunk), "last"));
     CHECK(Has(second.ReadUntil(kLastChunk), "last"));
-    const std::string third = Ask(shell, request);
+    const std::string third = SendRequest(shell, request);
     CHECK(Has(third, "first") && Has(third, "last"));
     CHECK(third.ends_with(kLastChunk));
     LONGS_EQUAL(1, engine.connections());
@@ -315,7 +315,7 @@
     RawSocket first = shell.Caller();
     first.Send(request);
     CHECK(shell.WaitFor<router::RequestArrived>().has_value());
-    CHECK(Has(Ask(shell, request), "CV-408"));
+    CHECK(Has(SendRequest(shell, request), "CV-408"));
     finish = true;
     CHECK(Has(first.ReadMessage(), "whole"));
   }
@@ -329,7 +329,7 @@
     return {};
   });
   const std::string answer =
-      Ask(shell, ModelPost("x", false, "Idempotency-Key: k\r\n"));
+      SendRequest(shell, ModelPost("x", false, "Idempotency-Key: k\r\n"));
   CHECK_TEXT(Has(answer, "CV-507"), answer.c_str());
   CHECK(Has(answer, "\"run_state\":\"ran\""));
 }
--- a/tests/net/unit-upstream.cc
+++ b/tests/net/unit-upstream.cc
@@ -18,7 +18,7 @@
   return text.find(part) != std::string::npos;
 }
 
-std::string Ask(TestShell& shell, const std::string& bytes) {
+std::string SendRequest(TestShell& shell, const std::string& bytes) {
   RawSocket caller = shell.Caller();
   caller.Send(bytes);
   return caller.ReadMessage();
@@ -40,7 +40,7 @@
   {
     TestShell shell(SendTo(engine.address()));
     const std::string answer =
-        Ask(shell, ModelPost("tour", false, "Idempotency-Key: k9\r\n"));
+        SendRequest(shell, ModelPost("tour", false, "Idempotency-Key: k9\r\n"));
     CHECK_TEXT(answer.starts_with("HTTP/1.1 200"), answer.c_str());
     CHECK(Has(answer, "castle"));
     const auto done = shell.WaitFor<router::AttemptDone>();
@@ -67,7 +67,7 @@
   {
     TestShell shell(SendTo(service.address(), false));
     const std::string answer =
-        Ask(shell, Post("/v1/services/seats/hold/7?gate=2", "{}"));
+        SendRequest(shell, Post("/v1/services/seats/hold/7?gate=2", "{}"));
     CHECK_TEXT(answer.starts_with("HTTP/1.1 409"), answer.c_str());
     CHECK(Has(answer, "x-seat: 7"));
     CHECK(answer.ends_with("taken"));
@@ -83,7 +83,7 @@
     port = gone.port();
   }
   TestShell shell(SendTo("127.0.0.1:" + std::to_string(port)));
-  const std::string answer = Ask(shell, ModelPost("x"));
+  const std::string answer = SendRequest(shell, ModelPost("x"));
   CHECK_TEXT(Has(answer, "\"run_state\":\"not_run\""), answer.c_str());
   CHECK(shell.WaitForCount<router::AttemptNotSent>(1));
 }
@@ -95,7 +95,7 @@
                   "Content-Length: 0\r\n\r\n"));
   {
     TestShell shell(SendTo(engine.address()));
-    CHECK(Has(Ask(shell, ModelPost("x")), "retry-after: 2"));
+    CHECK(Has(SendRequest(shell, ModelPost("x")), "retry-after: 2"));
     const auto declined = shell.WaitFor<router::AttemptDeclined>();
     CHECK(declined.has_value());
     LONGS_EQUAL(503, declined->http_status);
@@ -109,7 +109,7 @@
       AlwaysReply("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"));
   {
     TestShell shell(SendTo(engine.address()));
-    CHECK(Has(Ask(shell, ModelPost("x")), "\"run_state\":\"unknown\""));
+    CHECK(Has(SendRequest(shell, ModelPost("x")), "\"run_state\":\"unknown\""));
     CHECK(shell.WaitFor<router::AttemptFailed>()->error.id ==
           core::ErrorId::kUpstreamFailed);
   }
@@ -126,7 +126,7 @@
   });
   {
     TestShell shell(SendTo(engine.address()));
-    const std::string answer = Ask(shell, ModelPost("x"));
+    const std::string answer = SendRequest(shell, ModelPost("x"));
     CHECK_TEXT(answer.starts_with("HTTP/1.1 502"), answer.c_str());
     CHECK(Has(answer, "CV-502"));
     CHECK(Has(answer, "\"run_state\":\"unknown\""));
@@ -143,7 +143,7 @@
   });
   {
     TestShell shell(SendTo(engine.address()));
-    CHECK(Has(Ask(shell, ModelPost("x")), "CV-505"));
+    CHECK(Has(SendRequest(shell, ModelPost("x")), "CV-505"));
   }
 }
 
@@ -153,7 +153,7 @@
     net::ShellSettings settings = TestShell::Settings();
     settings.max_answer_bytes = 1000;
     TestShell shell(SendTo(engine.address()), settings);
-    CHECK(Has(Ask(shell, ModelPost("x")), "CV-505"));
+    CHECK(Has(SendRequest(shell, ModelPost("x")), "CV-505"));
   }
 }
 
@@ -173,7 +173,7 @@
     settings.traffic_threads = 1;
     TestShell shell(SendTo(engine.address()), settings);
     for (int i = 0; i < 5; ++i) {
-      const std::string answer = Ask(shell, ModelPost("x"));
+      const std::string answer = SendRequest(shell, ModelPost("x"));
       CHECK_TEXT(Has(answer, "ok"), answer.c_str());
       while (closed <= i) {
         std::this_thread::yield();
@@ -191,7 +191,7 @@
     settings.traffic_threads = 1;
     TestShell shell(SendTo(engine.address()), settings);
     for (int i = 0; i < 4; ++i) {
-      CHECK(Has(Ask(shell, ModelPost("x")), "ok"));
+      CHECK(Has(SendRequest(shell, ModelPost("x")), "ok"));
     }
     LONGS_EQUAL(1, engine.connections());
   }
@@ -215,8 +215,8 @@
     net::ShellSettings settings = TestShell::Settings();
     settings.traffic_threads = 1;
     TestShell shell(SendTo(engine.address()), settings);
-    CHECK(Has(Ask(shell, ModelPost("x")), "first"));
-    const std::string answer = Ask(shell, ModelPost("x"));
+    CHECK(Has(SendRequest(shell, ModelPost("x")), "first"));
+    const std::string answer = SendRequest(shell, ModelPost("x"));
     CHECK_TEXT(Has(answer, "\"run_state\":\"unknown\""), answer.c_str());
     CHECK(shell.WaitForCount<router::AttemptFailed>(1));
   }
@@ -236,8 +236,8 @@
     net::ShellSettings settings = TestShell::Settings();
     settings.traffic_threads = 1;
     TestShell shell(SendTo(engine.address()), settings);
-    CHECK(Has(Ask(shell, ModelPost("x")), "own0"));
-    const std::string second = Ask(shell, ModelPost("x"));
+    CHECK(Has(SendRequest(shell, ModelPost("x")), "own0"));
+    const std::string second = SendRequest(shell, ModelPost("x"));
     CHECK_TEXT(Has(second, "own1"), second.c_str());
   }
 }
@@ -295,7 +295,7 @@
       }
       return SendTo(address)(event);
     });
-    CHECK(Has(Ask(shell, Post("/v1/services/seats/x", "")), "CV-504"));
+    CHECK(Has(SendRequest(shell, Post("/v1/services/seats/x", "")), "CV-504"));
   }
 }
 
@@ -342,6 +342,6 @@
           }
           return SendTo(busy.address())(event);
         });
-    CHECK(Has(Ask(shell, ModelPost("x")), "second"));
+    CHECK(Has(SendRequest(shell, ModelPost("x")), "second"));
   }
 }
