--- a/include/coppervalve/entry/advertised_limit.h
+++ b/include/coppervalve/entry/advertised_limit.h
@@ -54,10 +54,10 @@
  public:
   /// @brief The upstream responded to this router.
   /// @param per_second none if it sent no limit
-  /// @param asked when the request was sent
+  /// @param sent_at when the request was sent
   /// @return whether a limit began, changed or ended
   bool OnAnswer(std::optional<double> per_second,
-                core::TimePoint asked,
+                core::TimePoint sent_at,
                 core::TimePoint now);
   /// @brief Another router reported the upstream's response.
   /// @param received_at when the upstream responded
--- a/include/coppervalve/entry/configuration_index.h
+++ b/include/coppervalve/entry/configuration_index.h
@@ -41,7 +41,7 @@
                              uint8_t priority) const;
 
  private:
-  void NoteObjective(const core::ServiceId& service, const Route& route);
+  void AddObjective(const core::ServiceId& service, const Route& route);
 
   Configuration m_configuration;
   /// Routes by host, longest prefix first.
--- a/include/coppervalve/entry/crash_record.h
+++ b/include/coppervalve/entry/crash_record.h
@@ -91,8 +91,8 @@
                 core::TimePoint now);
   /// @brief A start of an upstream is known to have terminated.
   /// @return the requests that the termination counts against
-  std::vector<RequestFingerprint> OnEnded(UpstreamStart start,
-                                          core::TimePoint now);
+  std::vector<RequestFingerprint> OnTerminated(UpstreamStart start,
+                                               core::TimePoint now);
   /// @brief An upstream completed the request, so the terminations had other
   /// causes.
   /// @return whether the change should be reported to other routers soon
@@ -103,8 +103,8 @@
   /// @brief Merges the heartbeat of another router. Lists beyond the maximum
   /// sizes are truncated.
   /// @return requests that are quarantined as a result
-  std::vector<RequestFingerprint> OnBeat(const v1::RouterBeat& beat,
-                                         core::TimePoint now);
+  std::vector<RequestFingerprint> OnHeartbeat(const v1::RouterBeat& beat,
+                                              core::TimePoint now);
   /// @brief Restores this router's own reports from the last heartbeat before
   /// its restart.
   void RestoreOwnReports(const v1::RouterBeat& beat, core::TimePoint now);
--- a/include/coppervalve/entry/peer_contact.h
+++ b/include/coppervalve/entry/peer_contact.h
@@ -38,11 +38,11 @@
 
  private:
   struct Peer {
-    core::TimePoint heard;
+    core::TimePoint last_received;
     bool store_up = false;
   };
-  bool IsHeard(const Peer& peer, core::TimePoint now) const;
-  bool HearsAny(core::TimePoint now) const;
+  bool ReceivedRecently(const Peer& peer, core::TimePoint now) const;
+  bool ReceivedRecentlyFromAny(core::TimePoint now) const;
 
   core::Duration m_timeout;
   core::Duration m_retention;
--- a/include/coppervalve/entry/upstream_directory.h
+++ b/include/coppervalve/entry/upstream_directory.h
@@ -22,7 +22,8 @@
 namespace coppervalve::entry {
 
 /// @brief An upstream as it announces itself. Most starts have an id of their
-/// own; an upstream that restarts under its id announces a later `born`.
+/// own; an upstream that restarts under its id announces a later
+/// `start_number`.
 struct UpstreamEntry {
   core::UpstreamId id;
   core::ServiceId service;
@@ -30,7 +31,8 @@
   core::FailureDomainId failure_domain;
   uint32_t slots = 1;
   bool leaving = false;
-  std::optional<int64_t> born;    ///< increases with each start under this id
+  std::optional<int64_t>
+      start_number;               ///< increases with each start under this id
   core::Duration warm_up_left{};  ///< as of the time the entry was written
 };
 
@@ -128,7 +130,7 @@
   /// @return whether the known limit changed
   bool OnLimitReceived(const UpstreamRef& upstream,
                        std::optional<double> per_second,
-                       core::TimePoint asked,
+                       core::TimePoint sent_at,
                        core::TimePoint now);
   /// @return whether any upstream has sent a limit to this router so far
   bool limits_received() const { return m_limits_received; }
@@ -184,7 +186,7 @@
       m_announced_leaving;
   /// Limits of starts whose entries were removed: they may be announced again.
   struct KeptLimit {
-    std::optional<int64_t> born;
+    std::optional<int64_t> start_number;
     AdvertisedLimit limit;
   };
   std::unordered_map<core::UpstreamId, KeptLimit> m_kept_limits;
--- a/include/coppervalve/gateway/crash_monitor.h
+++ b/include/coppervalve/gateway/crash_monitor.h
@@ -28,11 +28,11 @@
                 const entry::RequestFingerprint& request);
   /// @brief An instance of an upstream is known to have ended.
   /// @param by how this was detected, for the log
-  void OnEnded(const entry::UpstreamEntry& entry, std::string_view by);
+  void OnTerminated(const entry::UpstreamEntry& entry, std::string_view by);
   /// @brief An upstream ran the request to completion.
   void OnSurvived(const entry::RequestFingerprint& request);
   /// @brief Another router's heartbeat was read.
-  void OnBeat(const v1::RouterBeat& beat);
+  void OnHeartbeat(const v1::RouterBeat& beat);
 
   entry::CrashRecord& record() { return m_record; }
 
--- a/include/coppervalve/gateway/exchange.h
+++ b/include/coppervalve/gateway/exchange.h
@@ -59,7 +59,7 @@
   /// Requests tokens from other routers. @return false if no request was made
   std::function<
       bool(const core::AccountId&, core::Tokens, std::function<void()> on_done)>
-      borrow;
+      request_transfer;
   /// Time within which a request that arrives now must end, because the router
   /// drains; none: no limit.
   std::function<std::optional<core::Duration>()> time_until_shutdown;
@@ -108,8 +108,8 @@
   core::Tokens MaxTokens() const { return m_facts.prompt + m_facts.max_output; }
   void WaitForGrant();
   bool TryReserveTransferred();
-  bool TryBorrow();
-  void OnBorrowed();
+  bool TryRequestTransfer();
+  void OnTransferFinished();
   void RefuseForLackOfTokens(core::TimePoint now);
   void OnGrant();
   void Place();
@@ -177,8 +177,9 @@
   core::TimePoint m_deadline;
   core::Tokens m_reserved{};
   bool m_from_transfer = false;  ///< reserved from tokens of other routers
-  bool m_borrowing = false;
-  bool m_borrowed = false;  ///< tokens were requested from other routers
+  bool m_transfer_pending = false;
+  bool m_transfer_requested =
+      false;  ///< tokens were requested from other routers
   std::optional<core::TimePoint> m_waiting_since;
   std::optional<core::TimePoint> m_wait_until;
   std::optional<Attempt> m_attempt;
--- a/include/coppervalve/gateway/peer_messenger.h
+++ b/include/coppervalve/gateway/peer_messenger.h
@@ -27,9 +27,9 @@
     /// Fills in the current load.
     std::function<void(v1::LoadReport&)> compose;
     std::function<void(const v1::LoadReport&)> on_report;
-    std::function<void(const v1::TokenAsk&)> on_ask;
+    std::function<void(const v1::TokenAsk&)> on_token_request;
     std::function<void(const v1::TokenGift&)> on_gift;
-    std::function<void(const v1::PlaceAsk&)> on_place_ask;
+    std::function<void(const v1::PlaceAsk&)> on_placement_request;
     std::function<void(const v1::PlaceAnswer&)> on_place_answer;
   };
 
--- a/include/coppervalve/gateway/placement_client.h
+++ b/include/coppervalve/gateway/placement_client.h
@@ -39,7 +39,8 @@
   void SetEpoch(uint64_t epoch) { m_epoch = epoch; }
 
   /// @param on_placement called exactly once, never from within this call
-  void Ask(const entry::PlacementQuery& query, PlacementCallback on_placement);
+  void RequestPlacement(const entry::PlacementQuery& query,
+                        PlacementCallback on_placement);
   void OnAnswer(const v1::PlaceAnswer& answer);
 
  private:
--- a/src/entry/advertised_limit.cc
+++ b/src/entry/advertised_limit.cc
@@ -36,9 +36,9 @@
 // A late response to a request sent before the limit was received may lack it;
 // that does not end the limit.
 bool AdvertisedLimit::OnAnswer(std::optional<double> per_second,
-                               core::TimePoint asked,
+                               core::TimePoint sent_at,
                                core::TimePoint now) {
-  if (!per_second && (!m_per_second || asked <= m_received_at)) {
+  if (!per_second && (!m_per_second || sent_at <= m_received_at)) {
     return false;
   }
   m_received_at = now;
--- a/src/entry/configuration_index.cc
+++ b/src/entry/configuration_index.cc
@@ -26,13 +26,13 @@
   }
   for (const Route& route : m_configuration.routes) {
     for (const WeightedService& target : route.services) {
-      NoteObjective(target.service, route);
+      AddObjective(target.service, route);
     }
   }
 }
 
-void ConfigurationIndex::NoteObjective(const core::ServiceId& service,
-                                       const Route& route) {
+void ConfigurationIndex::AddObjective(const core::ServiceId& service,
+                                      const Route& route) {
   if (route.target_latency <= core::Duration::zero()) {
     return;
   }
--- a/src/entry/crash_record.cc
+++ b/src/entry/crash_record.cc
@@ -21,8 +21,9 @@
 }  // namespace
 
 UpstreamStart StartOf(const UpstreamEntry& entry) {
-  const std::string born = entry.born ? std::to_string(*entry.born) : "";
-  return UpstreamStart(core::Hash64(entry.id.value() + "#" + born));
+  const std::string start_number =
+      entry.start_number ? std::to_string(*entry.start_number) : "";
+  return UpstreamStart(core::Hash64(entry.id.value() + "#" + start_number));
 }
 
 size_t CrashRecord::CountedTerminations(const Case& crash_case) {
@@ -151,8 +152,8 @@
   m_broken_runs.push_back({now, start, request});
 }
 
-std::vector<RequestFingerprint> CrashRecord::OnEnded(UpstreamStart start,
-                                                     core::TimePoint now) {
+std::vector<RequestFingerprint> CrashRecord::OnTerminated(UpstreamStart start,
+                                                          core::TimePoint now) {
   std::vector<RequestFingerprint> affected;
   for (const BrokenRun& broken : m_broken_runs) {
     const bool in_time = now - broken.at <= m_options.detection_time;
@@ -296,8 +297,9 @@
   }
 }
 
-std::vector<RequestFingerprint> CrashRecord::OnBeat(const v1::RouterBeat& beat,
-                                                    core::TimePoint now) {
+std::vector<RequestFingerprint> CrashRecord::OnHeartbeat(
+    const v1::RouterBeat& beat,
+    core::TimePoint now) {
   std::vector<RequestFingerprint> quarantined;
   const int count =
       std::min(beat.crashes_size(), static_cast<int>(m_options.max_reported));
--- a/src/entry/peer_contact.cc
+++ b/src/entry/peer_contact.cc
@@ -17,13 +17,14 @@
   m_peers[router] = {now, store_up};
 }
 
-bool PeerContact::IsHeard(const Peer& peer, core::TimePoint now) const {
-  return now - peer.heard < m_timeout;
+bool PeerContact::ReceivedRecently(const Peer& peer,
+                                   core::TimePoint now) const {
+  return now - peer.last_received < m_timeout;
 }
 
-bool PeerContact::HearsAny(core::TimePoint now) const {
+bool PeerContact::ReceivedRecentlyFromAny(core::TimePoint now) const {
   for (const auto& [router, peer] : m_peers) {
-    if (IsHeard(peer, now)) {
+    if (ReceivedRecently(peer, now)) {
       return true;
     }
   }
@@ -33,10 +34,11 @@
 bool PeerContact::IsLost(const core::RouterId& router,
                          core::TimePoint now) const {
   const auto found = m_peers.find(router);
-  if (found == m_peers.end() || IsHeard(found->second, now)) {
+  if (found == m_peers.end() || ReceivedRecently(found->second, now)) {
     return false;
   }
-  return now - found->second.heard < m_retention && HearsAny(now);
+  return now - found->second.last_received < m_retention &&
+         ReceivedRecentlyFromAny(now);
 }
 
 // If all routers lose the store at once, each still has earlier reports in
@@ -46,7 +48,7 @@
 uint32_t PeerContact::CountReachingStore(core::TimePoint now) const {
   uint32_t count = 0;
   for (const auto& [router, peer] : m_peers) {
-    const bool fresh = now - peer.heard < kReportLifetime;
+    const bool fresh = now - peer.last_received < kReportLifetime;
     count += fresh && peer.store_up ? 1 : 0;
   }
   return count;
--- a/src/entry/upstream_directory.cc
+++ b/src/entry/upstream_directory.cc
@@ -18,11 +18,11 @@
 
 // Load reports of one start must not count for the next one.
 uint32_t LoadKeyOf(const UpstreamEntry& entry) {
-  if (!entry.born) {
+  if (!entry.start_number) {
     return LoadKey(entry.id);
   }
-  return LoadKey(
-      core::UpstreamId(entry.id.value() + "#" + std::to_string(*entry.born)));
+  return LoadKey(core::UpstreamId(entry.id.value() + "#" +
+                                  std::to_string(*entry.start_number)));
 }
 
 // Ids of removed upstreams are not reused for long; this covers many days.
@@ -77,21 +77,21 @@
 // ended: requests would go to a closed port or another upstream.
 bool UpstreamDirectory::IsOfEarlierStart(const UpstreamEntry& entry) const {
   const auto latest = m_latest_starts.find(entry.id);
-  return entry.born && latest != m_latest_starts.end() &&
-         *entry.born < latest->second;
+  return entry.start_number && latest != m_latest_starts.end() &&
+         *entry.start_number < latest->second;
 }
 
 void UpstreamDirectory::RememberStart(const UpstreamEntry& entry) {
-  if (!entry.born) {
+  if (!entry.start_number) {
     return;
   }
   PruneUnknown(m_latest_starts, m_by_id);
-  m_latest_starts[entry.id] = *entry.born;
+  m_latest_starts[entry.id] = *entry.start_number;
 }
 
 void UpstreamDirectory::RememberLeaving(const UpstreamEntry& entry) {
   PruneUnknown(m_announced_leaving, m_by_id);
-  m_announced_leaving[entry.id] = entry.born;
+  m_announced_leaving[entry.id] = entry.start_number;
 }
 
 // While the store is unavailable, the record still states that the upstream is
@@ -101,13 +101,14 @@
   if (announced == m_announced_leaving.end()) {
     return false;
   }
-  const std::optional<int64_t>& born = announced->second;
-  if (entry.born && born && *entry.born != *born) {
+  const std::optional<int64_t>& start_number = announced->second;
+  if (entry.start_number && start_number &&
+      *entry.start_number != *start_number) {
     m_announced_leaving.erase(announced);
     return false;
   }
-  if (!born) {
-    announced->second = entry.born;
+  if (!start_number) {
+    announced->second = entry.start_number;
   }
   return true;
 }
@@ -140,12 +141,13 @@
 
 bool UpstreamDirectory::OnLimitReceived(const UpstreamRef& upstream,
                                         std::optional<double> per_second,
-                                        core::TimePoint asked,
+                                        core::TimePoint sent_at,
                                         core::TimePoint now) {
   const UpstreamRef known = Find(upstream->entry.id);
-  const bool same_start = !known || known->entry.born == upstream->entry.born;
+  const bool same_start =
+      !known || known->entry.start_number == upstream->entry.start_number;
   Upstream& sender = known && same_start ? *known : *upstream;
-  const bool changed = sender.limit.OnAnswer(per_second, asked, now);
+  const bool changed = sender.limit.OnAnswer(per_second, sent_at, now);
   m_limits_received = m_limits_received || changed;
   if (changed && !known) {
     RememberLimit(sender);
@@ -161,7 +163,8 @@
     return;
   }
   PruneUnknown(m_kept_limits, m_by_id);
-  m_kept_limits[upstream.entry.id] = {upstream.entry.born, upstream.limit};
+  m_kept_limits[upstream.entry.id] = {upstream.entry.start_number,
+                                      upstream.limit};
 }
 
 void UpstreamDirectory::RestoreLimit(const UpstreamEntry& entry,
@@ -170,7 +173,7 @@
   if (kept == m_kept_limits.end()) {
     return;
   }
-  if (kept->second.born == entry.born) {
+  if (kept->second.start_number == entry.start_number) {
     upstream.limit = kept->second.limit;
   }
   m_kept_limits.erase(kept);
@@ -217,16 +220,18 @@
   UpstreamEntry put = entry;
   put.leaving = put.leaving || HasAnnouncedLeaving(entry);
   UpstreamRef& known = m_by_id[entry.id];
-  const bool restarted = known && entry.born && known->entry.born &&
-                         *entry.born != *known->entry.born;
+  const bool restarted = known && entry.start_number &&
+                         known->entry.start_number &&
+                         *entry.start_number != *known->entry.start_number;
   if (known) {
     UpdateWarmUp(entry, read_at, known->warm_up);
   }
   if (known && !restarted) {
-    put.born = entry.born ? entry.born : known->entry.born;
+    put.start_number =
+        entry.start_number ? entry.start_number : known->entry.start_number;
     const bool unchanged =
         !known->expired_at && SameForRouting(known->entry, put);
-    known->entry.born = put.born;
+    known->entry.start_number = put.start_number;
     if (unchanged) {
       return DirectoryChange::kNothing;
     }
--- a/src/gateway/crash_monitor.cc
+++ b/src/gateway/crash_monitor.cc
@@ -18,13 +18,13 @@
                             const entry::RequestFingerprint& request) {
   m_record.OnBroken(request, entry::StartOf(upstream->entry), net::BootNow());
   m_check.Start(upstream->entry.address,
-                [this, upstream] { OnEnded(upstream->entry, "refused"); });
+                [this, upstream] { OnTerminated(upstream->entry, "refused"); });
 }
 
-void CrashMonitor::OnEnded(const entry::UpstreamEntry& entry,
-                           std::string_view by) {
+void CrashMonitor::OnTerminated(const entry::UpstreamEntry& entry,
+                                std::string_view by) {
   const std::vector<entry::RequestFingerprint> under =
-      m_record.OnEnded(entry::StartOf(entry), net::BootNow());
+      m_record.OnTerminated(entry::StartOf(entry), net::BootNow());
   if (under.empty()) {
     return;
   }
@@ -49,9 +49,9 @@
   }
 }
 
-void CrashMonitor::OnBeat(const v1::RouterBeat& beat) {
+void CrashMonitor::OnHeartbeat(const v1::RouterBeat& beat) {
   for (const entry::RequestFingerprint& request :
-       m_record.OnBeat(beat, net::BootNow())) {
+       m_record.OnHeartbeat(beat, net::BootNow())) {
     LogQuarantined(request, "another_router");
   }
 }
--- a/src/gateway/exchange.cc
+++ b/src/gateway/exchange.cc
@@ -194,7 +194,7 @@
   if (!m_context.contact.up() || wait_expired ||
       !m_context.book.MayBecomeSpendable(m_admitted.account->name,
                                          MaxTokens())) {
-    if (!TryBorrow()) {
+    if (!TryRequestTransfer()) {
       RefuseForLackOfTokens(now);
     }
     return;
@@ -225,23 +225,23 @@
 
 // Tokens that this router can't claim may be unused in another router's
 // ceiling.
-bool Exchange::TryBorrow() {
-  if (m_borrowed) {
+bool Exchange::TryRequestTransfer() {
+  if (m_transfer_requested) {
     return false;
   }
-  m_borrowed = true;
+  m_transfer_requested = true;
   m_prepared_placement.reset();
-  m_borrowing = m_context.borrow(m_admitted.account->name, MaxTokens(),
-                                 [weak = weak_from_this()] {
-                                   if (const auto self = weak.lock()) {
-                                     self->OnBorrowed();
-                                   }
-                                 });
-  return m_borrowing;
+  m_transfer_pending = m_context.request_transfer(
+      m_admitted.account->name, MaxTokens(), [weak = weak_from_this()] {
+        if (const auto self = weak.lock()) {
+          self->OnTransferFinished();
+        }
+      });
+  return m_transfer_pending;
 }
 
-void Exchange::OnBorrowed() {
-  m_borrowing = false;
+void Exchange::OnTransferFinished() {
+  m_transfer_pending = false;
   if (m_done || m_reserved != core::Tokens(0)) {
     return;
   }
@@ -274,7 +274,7 @@
   }
   const auto covered = m_context.book.SpendableAt(account, MaxTokens(), now);
   if (covered) {
-    error.detail = "held-back tokens are not spendable yet";
+    error.detail = "tokens are held back while the store may still respond";
     Refuse(error, std::max(*covered - now, kRetryElsewhere));
     return;
   }
@@ -284,7 +284,7 @@
 
 void Exchange::OnGrant() {
   if (m_done || m_attempt || m_reserved != core::Tokens(0) ||
-      m_sent_attempts != 0 || m_borrowing) {
+      m_sent_attempts != 0 || m_transfer_pending) {
     return;
   }
   Reserve();
--- a/src/gateway/exchange_attempt.cc
+++ b/src/gateway/exchange_attempt.cc
@@ -295,8 +295,8 @@
 // run.
 void Exchange::OnDeclined() {
   if (m_attempt->answer.misdirected) {
-    m_context.crash_monitor.OnEnded(m_attempt->upstream->entry,
-                                    "address_taken");
+    m_context.crash_monitor.OnTerminated(m_attempt->upstream->entry,
+                                         "address_taken");
   }
   RecordOutcome(m_attempt->answer.misdirected ? AttemptOutcome::kMisaddressed
                                               : AttemptOutcome::kDeclined);
--- a/src/gateway/exchange_end.cc
+++ b/src/gateway/exchange_end.cc
@@ -159,7 +159,7 @@
 
 void Exchange::ArmTimer() {
   core::TimePoint next = m_deadline;
-  if (m_wait_until && !m_borrowing) {
+  if (m_wait_until && !m_transfer_pending) {
     next = std::min(next, *m_wait_until);
   }
   if (const auto timeout_at = UpstreamTimeoutAt()) {
@@ -194,7 +194,7 @@
     }
     return;
   }
-  if (m_wait_until && now >= *m_wait_until && !m_borrowing) {
+  if (m_wait_until && now >= *m_wait_until && !m_transfer_pending) {
     WaitForGrant();
     return;
   }
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -55,7 +55,7 @@
       m_log(io, STDOUT_FILENO, {}),
       m_directory({},
                   [this](const entry::UpstreamEntry& entry) {
-                    m_crashes.OnEnded(entry, "entry");
+                    m_crashes.OnTerminated(entry, "entry");
                   }),
       m_peer_loads(kLoadReportLifetime),
       m_peers(kPeerTimeout, kPeerRetention),
@@ -108,7 +108,7 @@
       [this] { return m_upstreams_known; },
       [this](const entry::PlacementQuery& query,
              std::function<void(const entry::Placement&)> on_placement) {
-        m_placement_client->Ask(query, std::move(on_placement));
+        m_placement_client->RequestPlacement(query, std::move(on_placement));
       }});
   MakeTokenRequester();
   MakePlacementClient();
--- a/src/gateway/gateway_heartbeats.cc
+++ b/src/gateway/gateway_heartbeats.cc
@@ -97,7 +97,7 @@
     m_members.OnHeartbeat(router, beat, net::BootNow());
     if (router != m_settings.router) {
       m_book.OnPeerHeartbeat(router, beat, net::BootNow());
-      m_crashes.OnBeat(beat);
+      m_crashes.OnHeartbeat(beat);
       continue;
     }
     // No grant is derived from this list: it is not a snapshot and may lack a
@@ -121,7 +121,7 @@
   m_members.OnHeartbeat(router, beat, net::BootNow());
   if (router != m_settings.router) {
     m_book.OnPeerHeartbeat(router, beat, net::BootNow());
-    m_crashes.OnBeat(beat);
+    m_crashes.OnHeartbeat(beat);
     return;
   }
   if (beat.epoch() != m_heartbeat_writer->epoch()) {
--- a/src/gateway/gateway_listeners.cc
+++ b/src/gateway/gateway_listeners.cc
@@ -63,8 +63,10 @@
     m_peers.OnReport(core::RouterId(report.router()), report.store_up(), now);
     entry::ApplyReportedLimits(report, now, m_directory);
   };
-  hooks.on_ask = [this](const v1::TokenAsk& ask) { OnTokenAsk(ask); };
-  hooks.on_place_ask = [this](const v1::PlaceAsk& ask) { OnPlaceAsk(ask); };
+  hooks.on_token_request = [this](const v1::TokenAsk& ask) { OnTokenAsk(ask); };
+  hooks.on_placement_request = [this](const v1::PlaceAsk& ask) {
+    OnPlaceAsk(ask);
+  };
   hooks.on_place_answer = [this](const v1::PlaceAnswer& answer) {
     m_placement_client->OnAnswer(answer);
   };
--- a/src/gateway/http_client.cc
+++ b/src/gateway/http_client.cc
@@ -15,7 +15,7 @@
 using boost::asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-core::Error NoAnswer(std::string detail) {
+core::Error NoResponse(std::string detail) {
   return {core::ErrorId::kLogUnavailable, "store", std::move(detail)};
 }
 
@@ -64,21 +64,21 @@
 // take long on a slow link. If readers gave up half-read responses, all of them
 // would request these again at once, and none would ever complete.
 void HttpClient::ArmTimeout() {
-  const core::TimePoint give_up = TimesOutAt();
+  const core::TimePoint deadline = TimesOutAt();
   m_timeout.expires_after(
-      std::max(give_up - net::BootNow(), core::Duration::zero()));
+      std::max(deadline - net::BootNow(), core::Duration::zero()));
   m_timeout.async_wait([self = shared_from_this(), number = m_call_number,
-                        give_up](const ErrorCode& code) {
+                        deadline](const ErrorCode& code) {
     if (code || number != self->m_call_number || !self->m_busy) {
       return;
     }
     // Bytes that arrive extend the deadline; the timer is re-armed only here
     // instead of at each arrival.
-    if (self->TimesOutAt() > give_up) {
+    if (self->TimesOutAt() > deadline) {
       self->ArmTimeout();
       return;
     }
-    self->Finish(NoAnswer("no answer in time"), false);
+    self->Finish(NoResponse("no answer in time"), false);
   });
 }
 
@@ -92,7 +92,7 @@
   const auto ip = boost::asio::ip::make_address(
       endpoint ? endpoint->ip : std::string(), bad_address);
   if (!endpoint || bad_address) {
-    Finish(NoAnswer("invalid address: " + m_address), false);
+    Finish(NoResponse("invalid address: " + m_address), false);
     return;
   }
   m_connecting = std::make_shared<tcp::socket>(m_io);
@@ -104,7 +104,7 @@
           return;
         }
         if (code) {
-          self->Finish(NoAnswer("connect failed: " + code.message()), false);
+          self->Finish(NoResponse("connect failed: " + code.message()), false);
           return;
         }
         self->m_progress.connected = true;
@@ -139,13 +139,13 @@
   m_progress.last_received = net::BootNow();
   m_received += bytes.size();
   if (m_received > m_queue.front().call.max_bytes) {
-    Finish(NoAnswer("the answer is too long"), false);
+    Finish(NoResponse("the answer is too long"), false);
     return;
   }
   m_unread.append(bytes);
   const core::Result<size_t> used = m_reader->Feed(m_unread);
   if (!core::IsOk(used)) {
-    Finish(NoAnswer(core::Failure(used).detail), false);
+    Finish(NoResponse(core::Failure(used).detail), false);
     return;
   }
   m_unread.erase(0, core::Value(used));
@@ -157,7 +157,7 @@
 
 void HttpClient::OnEnd() {
   if (m_busy) {
-    Finish(NoAnswer("the connection ended"), false);
+    Finish(NoResponse("the connection ended"), false);
     return;
   }
   if (m_stream) {
--- a/src/gateway/peer_messenger.cc
+++ b/src/gateway/peer_messenger.cc
@@ -82,14 +82,14 @@
   if (datagram.has_load() && datagram.load().router() != m_report.router()) {
     m_hooks.on_report(datagram.load());
   }
-  if (datagram.has_ask() && m_hooks.on_ask) {
-    m_hooks.on_ask(datagram.ask());
+  if (datagram.has_ask() && m_hooks.on_token_request) {
+    m_hooks.on_token_request(datagram.ask());
   }
   if (datagram.has_gift() && m_hooks.on_gift) {
     m_hooks.on_gift(datagram.gift());
   }
-  if (datagram.has_place_ask() && m_hooks.on_place_ask) {
-    m_hooks.on_place_ask(datagram.place_ask());
+  if (datagram.has_place_ask() && m_hooks.on_placement_request) {
+    m_hooks.on_placement_request(datagram.place_ask());
   }
   if (datagram.has_place_answer() && m_hooks.on_place_answer) {
     m_hooks.on_place_answer(datagram.place_answer());
--- a/src/gateway/placement_client.cc
+++ b/src/gateway/placement_client.cc
@@ -67,8 +67,8 @@
       m_hooks(std::move(hooks)),
       m_random(std::move(random)) {}
 
-void PlacementClient::Ask(const entry::PlacementQuery& query,
-                          PlacementCallback on_placement) {
+void PlacementClient::RequestPlacement(const entry::PlacementQuery& query,
+                                       PlacementCallback on_placement) {
   const uint64_t id = ++m_last_id;
   Pending pending;
   pending.ask = ToPlaceAsk(query);
--- a/tests/entry/crash_fleet.cc
+++ b/tests/entry/crash_fleet.cc
@@ -137,7 +137,7 @@
       return false;
     }
     if (!m_records[notice.router]
-             .OnEnded(UpstreamStart(notice.start), At(m_now))
+             .OnTerminated(UpstreamStart(notice.start), At(m_now))
              .empty()) {
       SendHeartbeat(notice.router);
     }
@@ -149,7 +149,7 @@
     }
     for (size_t router = 0; router < m_records.size(); ++router) {
       if (router != sent.from) {
-        m_records[router].OnBeat(sent.beat, At(m_now));
+        m_records[router].OnHeartbeat(sent.beat, At(m_now));
       }
     }
     return true;
--- a/tests/entry/unit-advertised-limit.cc
+++ b/tests/entry/unit-advertised-limit.cc
@@ -147,14 +147,14 @@
   // applies.
   store.OnAnswer(At(0));
   UpstreamEntry entry = EntryOf("engine");
-  entry.born = 7;
+  entry.start_number = 7;
   Announce(one, entry);
   one.OnLimitReceived(Engine(one), 2, At(1), At(1));
   one.OnRecord(Unreadable("engine"));
   CHECK(Engine(one) == nullptr);
   Announce(one, entry);
   CHECK(Engine(one)->limit.per_second().has_value());
-  entry.born = 8;
+  entry.start_number = 8;
   Announce(one, entry);
   CHECK_FALSE(Engine(one)->limit.per_second().has_value());
 }
--- a/tests/entry/unit-crash-record.cc
+++ b/tests/entry/unit-crash-record.cc
@@ -31,7 +31,7 @@
                     uint64_t start,
                     double seconds) {
   record.OnBroken(request, Start(start), At(seconds));
-  record.OnEnded(Start(start), At(seconds));
+  record.OnTerminated(Start(start), At(seconds));
 }
 
 v1::RouterBeat BeatOf(const CrashRecord& record, double seconds) {
@@ -50,10 +50,10 @@
   void ExchangeBeats(double seconds) {
     const v1::RouterBeat first = BeatOf(record, seconds);
     const v1::RouterBeat second = BeatOf(other, seconds);
-    record.OnBeat(second, At(seconds));
-    other.OnBeat(first, At(seconds));
-    third.OnBeat(first, At(seconds));
-    third.OnBeat(second, At(seconds));
+    record.OnHeartbeat(second, At(seconds));
+    other.OnHeartbeat(first, At(seconds));
+    third.OnHeartbeat(first, At(seconds));
+    third.OnHeartbeat(second, At(seconds));
   }
 };
 // clang-format on
@@ -101,9 +101,9 @@
 
 TEST(CrashRecord, a_termination_counts_only_if_it_is_known_in_time) {
   record.OnBroken(Fingerprint(), Start(1), At(1));
-  CHECK_EQUAL(1, record.OnEnded(Start(1), At(5)).size());
+  CHECK_EQUAL(1, record.OnTerminated(Start(1), At(5)).size());
   record.OnBroken(Fingerprint(), Start(2), At(6));
-  CHECK_EQUAL(0, record.OnEnded(Start(2), At(20)).size());
+  CHECK_EQUAL(0, record.OnTerminated(Start(2), At(20)).size());
 }
 
 TEST(CrashRecord, terminations_of_one_event_quarantine_nothing) {
@@ -163,7 +163,7 @@
   const v1::RouterBeat second = BeatOf(other, 60);
   CrashRecord started{{}};
   started.RestoreOwnReports(first, At(100));
-  started.OnBeat(second, At(100));
+  started.OnHeartbeat(second, At(100));
   CHECK(started.QuarantineStateOf(Fingerprint()) ==
         QuarantineState::kQuarantined);
   CHECK_EQUAL(1, BeatOf(started, 200).crashes_size());
@@ -243,9 +243,9 @@
     }
     const std::string cause = "cause " + std::to_string(end / 2);
     record.OnBroken(Fingerprint(cause), Start(end), At(seconds));
-    record.OnEnded(Start(end), At(seconds));
+    record.OnTerminated(Start(end), At(seconds));
   }
-  other.OnBeat(BeatOf(record, 11), At(11));
+  other.OnHeartbeat(BeatOf(record, 11), At(11));
   for (int i = 0; i < 5; ++i) {
     const RequestFingerprint cause = Fingerprint("cause " + std::to_string(i));
     CHECK(other.QuarantineStateOf(cause) == QuarantineState::kSuspect);
@@ -262,7 +262,7 @@
       told->add_ended(start);
     }
   }
-  record.OnBeat(beat, At(1));
+  record.OnHeartbeat(beat, At(1));
   CHECK(record.QuarantineStateOf(Fingerprint("false 63")) ==
         QuarantineState::kSuspect);
   CHECK(record.QuarantineStateOf(Fingerprint("false 64")) ==
@@ -282,7 +282,7 @@
     damaged.resize(1 + random() % damaged.size());
     v1::RouterBeat beat;
     if (beat.ParseFromString(damaged)) {
-      other.OnBeat(beat, At(8));
+      other.OnHeartbeat(beat, At(8));
     }
   }
   CHECK(other.quarantined() <= 2'048);
--- a/tests/entry/unit-upstream-directory.cc
+++ b/tests/entry/unit-upstream-directory.cc
@@ -96,9 +96,9 @@
 
 namespace {
 
-UpstreamEntry BornAt(int64_t born) {
+UpstreamEntry EntryWithStart(int64_t start_number) {
   UpstreamEntry entry = EntryOf("one");
-  entry.born = born;
+  entry.start_number = start_number;
   return entry;
 }
 
@@ -107,8 +107,8 @@
 TEST(UpstreamDirectory, a_restart_under_the_same_id_has_no_earlier_state) {
   // Guards against placement by the state of an earlier start: its cached
   // prefixes and its failures. The upstream crashed and restarted under its id;
-  // only `born` differs.
-  directory.OnRecord(RecordOf(BornAt(100)));
+  // only `start_number` differs.
+  directory.OnRecord(RecordOf(EntryWithStart(100)));
   const UpstreamRef before = directory.Find(one);
   before->in_flight = 7;
   before->in_prefill = 50'000;
@@ -116,7 +116,7 @@
   for (int i = 0; i < 20; ++i) {
     before->health.On(AttemptOutcome::kBroken, At(1));
   }
-  CHECK(directory.OnRecord(RecordOf(BornAt(200))) ==
+  CHECK(directory.OnRecord(RecordOf(EntryWithStart(200))) ==
         DirectoryChange::kNewStart);
   const UpstreamRef after = directory.Find(one);
   CHECK_EQUAL(0, after->in_flight);
@@ -133,8 +133,8 @@
 TEST(UpstreamDirectory, a_late_record_of_an_earlier_start_changes_nothing) {
   // Guards against sending to an unused address: the record of a start that
   // ended was read after that of its successor.
-  directory.OnRecord(RecordOf(BornAt(200)));
-  UpstreamEntry late = BornAt(100);
+  directory.OnRecord(RecordOf(EntryWithStart(200)));
+  UpstreamEntry late = EntryWithStart(100);
   late.address = "10.0.0.9:80";
   late.leaving = true;
   CHECK(directory.OnRecord(RecordOf(late)) == DirectoryChange::kNothing);
@@ -172,7 +172,7 @@
 
 TEST(UpstreamDirectory,
      an_entry_of_an_unknown_service_serves_no_other_service) {
-  directory.OnRecord(RecordOf(EntryOf("one", "nobody-knows")));
+  directory.OnRecord(RecordOf(EntryOf("one", "unknown-service")));
   CHECK(directory.Of(tickets).empty());
 }
 
@@ -221,12 +221,12 @@
 
 TEST(UpstreamDirectory, an_announced_leave_ends_with_its_start) {
   UpstreamEntry first = EntryOf("one");
-  first.born = 1;
+  first.start_number = 1;
   directory.OnRecord(RecordOf(first));
   const UpstreamRef sender = directory.Find(one);
   directory.OnLeavingAnnounced(sender);
   UpstreamEntry second = first;
-  second.born = 2;
+  second.start_number = 2;
   directory.OnRecord(RecordOf(second));
   CHECK_EQUAL(1, directory.Of(tickets).size());
   // A late response of the earlier start does not apply to this one.
--- a/tests/entry/unit-upstream-fleet.cc
+++ b/tests/entry/unit-upstream-fleet.cc
@@ -17,7 +17,7 @@
 TEST_GROUP(UpstreamFleet){};
 // clang-format on
 
-TEST(UpstreamFleet, no_cold_upstream_gets_more_than_it_bears) {
+TEST(UpstreamFleet, no_cold_upstream_gets_more_than_its_capacity) {
   // Guards against restarted engines failing again because all routers send to
   // them.
   for (const NamedScenario& one : ColdScenarios()) {
@@ -27,7 +27,7 @@
   }
 }
 
-TEST(UpstreamFleet, without_a_limit_cold_upstreams_fall_over) {
+TEST(UpstreamFleet, without_a_limit_cold_upstreams_are_overloaded) {
   FleetScenario scenario;
   scenario.warm_up.enforce = false;
   scenario.placement.cold_cost = 0;
--- a/tests/entry/upstream_fleet.cc
+++ b/tests/entry/upstream_fleet.cc
@@ -18,13 +18,13 @@
 constexpr double kWarmUpSeconds = 3;
 constexpr double kBound = 26;  // 14 x 1.5 + 5
 constexpr double kHeartbeat = 1.2;
-constexpr double kBeatPeriod = 0.6;
+constexpr double kHeartbeatPeriod = 0.6;
 constexpr double kReportPeriod = 0.3;
 constexpr double kRestart = 0.7;
 constexpr double kOverloadDownTime = 3;
 constexpr double kLimitEnds = 12;
 // The limit is checked from this time after it began.
-constexpr double kContact = 3;
+constexpr double kLimitCheckDelay = 3;
 // Span over which the limit is checked.
 constexpr double kWindow = 4;
 // A router is checked from this time after it learned the limit.
@@ -197,7 +197,7 @@
 
   void CountLimited(size_t router, size_t index) {
     Engine& engine = m_engines[index];
-    if (!Limited(index) || m_now < kContact) {
+    if (!Limited(index) || m_now < kLimitCheckDelay) {
       return;
     }
     ++engine.while_limited;
@@ -222,7 +222,7 @@
         m_outcome.limit_used = std::max(m_outcome.limit_used, most / allowed);
       }
       m_outcome.limit_utilisation += m_engines[i].while_limited /
-                                     (kLimitEnds - kContact) /
+                                     (kLimitEnds - kLimitCheckDelay) /
                                      m_scenario.per_second / m_scenario.limited;
     }
   }
@@ -321,7 +321,7 @@
       Read(vm);
       state.store.OnAnswer(Now());
       if (m_now >= vm.next_beat) {
-        vm.next_beat = m_now + kBeatPeriod;
+        vm.next_beat = m_now + kHeartbeatPeriod;
         Beat(vm);
       }
       if (m_now >= vm.next_report && state.members.SelfActive()) {
--- a/tests/gateway/fake_store.cc
+++ b/tests/gateway/fake_store.cc
@@ -89,7 +89,7 @@
   calls.newest = [this](const std::string& topic, const std::string& after,
                         auto handler) {
     ++newest_calls;
-    const bool unanswered = away || topic == unreadable;
+    const bool unanswered = unreachable || topic == unreadable;
     if (unanswered || rejected_pages > 0) {
       rejected_pages -= unanswered ? 0 : 1;
       Post<NewestPage>(handler, Unavailable());
@@ -110,7 +110,7 @@
   };
   calls.read = [this](const std::string& topic, uint64_t from,
                       const ReadBounds& bounds, auto handler) {
-    if (away || topic == unreadable) {
+    if (unreachable || topic == unreadable) {
       Post<RecordBatch>(handler, Unavailable());
       return;
     }
@@ -119,7 +119,7 @@
   calls.append = [this](const std::string& topic, const KeyedRecord& record,
                         const WriterPosition& position, auto handler) {
     ++appends;
-    if (away) {
+    if (unreachable) {
       Post<WriteReceipt>(handler, Unavailable());
       return;
     }
--- a/tests/gateway/fake_store.h
+++ b/tests/gateway/fake_store.h
@@ -27,10 +27,10 @@
   /// offsets then report a gap.
   void Compact(const std::string& topic);
 
-  bool away = false;       ///< all calls fail as if timed out
-  std::string unreadable;  ///< topic whose reads fail as if timed out
-  int lose_replies = 0;    ///< number of next appends to apply without reply
-  int rejected_pages = 0;  ///< number of the next pages to reject
+  bool unreachable = false;  ///< all calls fail as if timed out
+  std::string unreadable;    ///< topic whose reads fail as if timed out
+  int lose_replies = 0;      ///< number of next appends to apply without reply
+  int rejected_pages = 0;    ///< number of the next pages to reject
   size_t page_size = 500;
   int appends = 0;       ///< number of calls
   int newest_calls = 0;  ///< number of calls
--- a/tests/gateway/gateway_fixture.cc
+++ b/tests/gateway/gateway_fixture.cc
@@ -129,9 +129,9 @@
     if (service == kInvalidService) {
       return core::Error{core::ErrorId::kConfigSyntax, key, document};
     }
-    int64_t born = 0;
-    if (words >> born && born != 0) {
-      entry.born = born;
+    int64_t start_number = 0;
+    if (words >> start_number && start_number != 0) {
+      entry.start_number = start_number;
     }
     std::string failure_domain;
     words >> failure_domain;
@@ -338,9 +338,9 @@
          "\r\nX-Key: key\r\n" + extra_headers + "Content-Length: 0\r\n\r\n";
 }
 
-std::string Router::Ask(const std::string& path,
-                        const std::string& extra_headers,
-                        const std::string& id) {
+std::string Router::SendRequest(const std::string& path,
+                                const std::string& extra_headers,
+                                const std::string& id) {
   const auto caller = Caller();
   caller->Send(RequestText(path, extra_headers, id));
   Until([&] {
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -94,8 +94,8 @@
   std::unique_ptr<Gateway> StartPeer(const std::string& name);
   ScriptedUpstream& AddUpstream(const std::string& id,
                                 const std::string& service);
-  /// @brief Writes the record "SERVICE ADDRESS [BORN [FAILURE_DOMAIN]]" of an
-  /// upstream; 0 stands for no BORN.
+  /// @brief Writes the record "SERVICE ADDRESS [START_NUMBER [FAILURE_DOMAIN]]"
+  /// of an upstream; 0 stands for no START_NUMBER.
   void SetUpstream(const std::string& id, const std::string& document);
   std::unique_ptr<TestCaller> Caller();
   /// @brief Runs the event loop until a condition holds.
@@ -104,9 +104,9 @@
   /// @brief Sends a request and waits for a complete response or the end of the
   /// connection.
   /// @return the bytes received
-  std::string Ask(const std::string& path,
-                  const std::string& extra_headers = {},
-                  const std::string& id = "r-1");
+  std::string SendRequest(const std::string& path,
+                          const std::string& extra_headers = {},
+                          const std::string& id = "r-1");
   static std::string RequestText(const std::string& path,
                                  const std::string& extra_headers,
                                  const std::string& id);
--- a/tests/gateway/unit-evacuation.cc
+++ b/tests/gateway/unit-evacuation.cc
@@ -41,11 +41,11 @@
     router.store.unreadable.clear();
   }
   void Settle() { router.io.run_for(std::chrono::milliseconds(300)); }
-  void AskOften() {
+  void SendRequests() {
     one.requests.clear();
     two.requests.clear();
     for (int i = 0; i < 12; ++i) {
-      last = router.Ask("/lookup/x", {}, "r-" + std::to_string(i));
+      last = router.SendRequest("/lookup/x", {}, "r-" + std::to_string(i));
     }
   }
   std::string last;
@@ -55,15 +55,15 @@
 TEST(Evacuation, upstreams_of_an_evacuated_domain_get_no_request) {
   // Must hold for pooled connections too: both upstreams have one here.
   router.Start();
-  AskOften();
+  SendRequests();
   CHECK(!one.requests.empty() && !two.requests.empty());
   Evacuate("fd-x");
-  AskOften();
+  SendRequests();
   CHECK(Has(last, "HTTP/1.1 200"));
   CHECK(one.requests.empty());
   CHECK_EQUAL(12, two.requests.size());
   TakeBack("fd-x");
-  AskOften();
+  SendRequests();
   CHECK(!one.requests.empty());
 }
 
@@ -71,7 +71,7 @@
   router.Start();
   Evacuate("fd-x");
   Evacuate("fd-y");
-  AskOften();
+  SendRequests();
   CHECK(Has(last, "HTTP/1.1 503"));
   CHECK(Has(last, "Retry-After"));
   CHECK(Has(last, "evacuated"));
@@ -81,15 +81,15 @@
 TEST(Evacuation, a_router_that_starts_during_an_evacuation_applies_it) {
   router.store.Put("config", "evacuate/fd-x", "{}");
   router.Start();
-  AskOften();
+  SendRequests();
   CHECK(one.requests.empty());
 }
 
 TEST(Evacuation, a_known_evacuation_holds_while_the_store_is_away) {
   router.Start();
   Evacuate("fd-x");
-  router.store.away = true;
-  AskOften();
+  router.store.unreachable = true;
+  SendRequests();
   CHECK(one.requests.empty());
 }
 
@@ -100,13 +100,13 @@
   router.Start();
   WriteUnread("{}");
   CHECK(router.Until([&] {
-    AskOften();
+    SendRequests();
     return one.requests.empty();
   }));
   // The end of the evacuation is missed in the same way.
   WriteUnread("");
   CHECK(router.Until([&] {
-    AskOften();
+    SendRequests();
     return !one.requests.empty();
   }));
 }
@@ -117,7 +117,7 @@
   router.store.Put("config", "unrelated", "x");
   router.store.Compact("config");
   Settle();
-  AskOften();
+  SendRequests();
   CHECK(one.requests.empty());
 }
 
@@ -127,7 +127,7 @@
   Evacuate("fd-nowhere");
   router.store.Put("config", "evacuate/fd-x", "[not an object");
   Settle();
-  AskOften();
+  SendRequests();
   CHECK(Has(last, "HTTP/1.1 200"));
   CHECK(one.requests.empty());
 }
--- a/tests/gateway/unit-exchange.cc
+++ b/tests/gateway/unit-exchange.cc
@@ -34,7 +34,7 @@
     stream->Send(Signed(request, "seat 7", 201));
   });
   router.Start();
-  const std::string answer = router.Ask("/hold/x");
+  const std::string answer = router.SendRequest("/hold/x");
   CHECK(Has(answer, "HTTP/1.1 201 X\r\n"));
   CHECK(Has(answer, "X-Signed: 1\r\n"));
   CHECK(answer.ends_with("\r\n\r\nseat 7"));
@@ -48,7 +48,7 @@
     stream->Send(Signed("\r\nX-Id: r-0\r\n", "somebody's seat"));
   });
   router.Start();
-  const std::string answer = router.Ask("/hold/x");
+  const std::string answer = router.SendRequest("/hold/x");
   CHECK(Has(answer, "HTTP/1.1 502"));
   CHECK_FALSE(Has(answer, "somebody's seat"));
 }
@@ -61,8 +61,8 @@
     stream->Send(Signed(request, "first") + Signed(request, "surplus"));
   });
   router.Start();
-  CHECK(Has(router.Ask("/hold/x", {}, "r-1"), "first"));
-  CHECK(Has(router.Ask("/hold/x", {}, "r-2"), "first"));
+  CHECK(Has(router.SendRequest("/hold/x", {}, "r-1"), "first"));
+  CHECK(Has(router.SendRequest("/hold/x", {}, "r-2"), "first"));
   CHECK_EQUAL(2, one.connections);
 }
 
@@ -72,7 +72,7 @@
     stream->Send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   });
   router.Start();
-  CHECK(Has(router.Ask("/hold/x"), "HTTP/1.1 502"));
+  CHECK(Has(router.SendRequest("/hold/x"), "HTTP/1.1 502"));
 }
 
 TEST(Exchange, a_reset_response_without_length_is_not_complete) {
@@ -83,7 +83,7 @@
     (void)request;
   });
   router.Start();
-  CHECK(Has(router.Ask("/hold/x"), "HTTP/1.1 502"));
+  CHECK(Has(router.SendRequest("/hold/x"), "HTTP/1.1 502"));
 }
 
 TEST(Exchange,
@@ -98,7 +98,7 @@
   one.Answer(lose);
   two.Answer(lose);
   router.Start();
-  CHECK(Has(router.Ask("/hold/x"), "HTTP/1.1 502"));
+  CHECK(Has(router.SendRequest("/hold/x"), "HTTP/1.1 502"));
   CHECK_EQUAL(1, one.requests.size() + two.requests.size());
 }
 
@@ -117,7 +117,7 @@
   one.Answer(lose_first);
   two.Answer(lose_first);
   router.Start();
-  CHECK(Has(router.Ask("/lookup/x"), "found"));
+  CHECK(Has(router.SendRequest("/lookup/x"), "found"));
   CHECK_EQUAL(1, one.requests.size());
   CHECK_EQUAL(1, two.requests.size());
 }
@@ -130,7 +130,7 @@
         "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
   });
   router.Start();
-  const std::string answer = router.Ask("/hold/x");
+  const std::string answer = router.SendRequest("/hold/x");
   CHECK(Has(answer, "HTTP/1.1 503"));
   CHECK(Has(answer, "Retry-After"));
 }
@@ -153,7 +153,7 @@
   router.AddUpstream("one", "chat").Answer(answer);
   router.AddUpstream("two", "chat").Answer(answer);
   router.Start();
-  const std::string stream = router.Ask("/chat/x", "X-Tokens: 50\r\n");
+  const std::string stream = router.SendRequest("/chat/x", "X-Tokens: 50\r\n");
   for (int id = 1; id <= 4; ++id) {
     CHECK_EQUAL(1, CountOf(stream, Event(id)));
   }
@@ -168,7 +168,7 @@
         stream->Abort();
       });
   router.Start();
-  const std::string stream = router.Ask("/chat/x", "X-Tokens: 50\r\n");
+  const std::string stream = router.SendRequest("/chat/x", "X-Tokens: 50\r\n");
   CHECK_FALSE(stream.ends_with("0\r\n\r\n"));
 }
 
@@ -206,7 +206,7 @@
                      "0\r\n\r\n");
       });
   router.Start(10'000);
-  router.Ask("/chat/x", "X-Tokens: 50\r\n");
+  router.SendRequest("/chat/x", "X-Tokens: 50\r\n");
   // 50 tokens of the prompt and two events of ten tokens each.
   CHECK(router.Until([&] {
     v1::RouterBeat beat;
@@ -225,13 +225,13 @@
     stream->Send(SignedStreamHead(request) + Chunk(Event(1)) + "0\r\n\r\n");
   });
   router.Start(10'000);
-  router.store.away = true;
+  router.store.unreachable = true;
   router.store.Put("other", "wake", "x");
   std::string answer;
   int served = 0;
   for (int i = 0; i < 50; ++i) {
-    answer =
-        router.Ask("/chat/x", "X-Tokens: 900\r\n", "r-" + std::to_string(i));
+    answer = router.SendRequest("/chat/x", "X-Tokens: 900\r\n",
+                                "r-" + std::to_string(i));
     if (!Has(answer, "HTTP/1.1 200")) {
       break;
     }
@@ -248,7 +248,7 @@
   // the whole outage although other routers have free tokens.
   router.settings.load_address = FreeAddress(router.io);
   router.Start(10'000);
-  router.store.away = true;
+  router.store.unreachable = true;
   router.store.Put("other", "wake", "x");
   v1::PeerDatagram datagram;
   v1::LoadReport& report = *datagram.mutable_load();
@@ -260,8 +260,8 @@
     report.set_sequence(static_cast<uint64_t>(i) + 1);
     SendDatagram(router.io, router.settings.load_address,
                  datagram.SerializeAsString());
-    answer =
-        router.Ask("/chat/x", "X-Tokens: 9900\r\n", "r-" + std::to_string(i));
+    answer = router.SendRequest("/chat/x", "X-Tokens: 9900\r\n",
+                                "r-" + std::to_string(i));
   }
   CHECK(Has(answer, "Retry-After: 50000 us"));
 }
@@ -282,14 +282,14 @@
   v1::RouterBeat own;
   own.ParseFromString(router.store.Newest("routers", "router-1"));
   const int64_t ceiling = own.claims(0).ceiling();
-  router.store.away = true;
+  router.store.unreachable = true;
   router.store.Put("other", "wake", "x");
   int64_t served = 0;
   const auto serve_one = [&] {
-    return Has(
-        router.Ask("/chat/x", "X-Tokens: " + std::to_string(kEach) + "\r\n",
-                   "r-" + std::to_string(served)),
-        "HTTP/1.1 200");
+    return Has(router.SendRequest("/chat/x",
+                                  "X-Tokens: " + std::to_string(kEach) + "\r\n",
+                                  "r-" + std::to_string(served)),
+               "HTTP/1.1 200");
   };
   const auto serve_all = [&] {
     while (serve_one()) {
--- a/tests/gateway/unit-lifecycle.cc
+++ b/tests/gateway/unit-lifecycle.cc
@@ -62,10 +62,10 @@
   router.store.Put("config", "config", "3 0");
   std::string answer;
   for (int i = 0; i < 50 && !Has(answer, "HTTP/1.1 200"); ++i) {
-    answer = router.Ask("/chat/x", "X-Tokens: 50\r\n");
+    answer = router.SendRequest("/chat/x", "X-Tokens: 50\r\n");
   }
   CHECK(Has(answer, "HTTP/1.1 200"));
-  CHECK(Has(router.Ask("/chat/x", "X-Tokens: 50\r\n"), "HTTP/1.1 200"));
+  CHECK(Has(router.SendRequest("/chat/x", "X-Tokens: 50\r\n"), "HTTP/1.1 200"));
 }
 
 TEST(Lifecycle, a_compacted_topic_is_listed_again) {
@@ -81,7 +81,7 @@
   router.store.Put("upstreams", "two", "hold " + one.address());
   router.store.Compact("upstreams");
   CHECK(router.Until([&] { return router.store.newest_calls > before; }));
-  CHECK(Has(router.Ask("/hold/x"), "held"));
+  CHECK(Has(router.SendRequest("/hold/x"), "held"));
 }
 
 TEST(Lifecycle,
@@ -122,9 +122,9 @@
   });
   router.Start();
   router.gateway->Drain([] {});
-  CHECK(Has(router.Ask("/hold/x", {}, "r-1"), "held"));
+  CHECK(Has(router.SendRequest("/hold/x", {}, "r-1"), "held"));
   router.io.run_for(std::chrono::milliseconds(2'600));
-  const std::string late = router.Ask("/hold/x", {}, "r-2");
+  const std::string late = router.SendRequest("/hold/x", {}, "r-2");
   CHECK(Has(late, "HTTP/1.1 503"));
   CHECK(Has(late, "Retry-After"));
 }
@@ -144,7 +144,7 @@
   router.Start();
   std::string answer;
   for (int i = 0; i < 200 && !Has(answer, "held"); ++i) {
-    answer = router.Ask("/hold/x");
+    answer = router.SendRequest("/hold/x");
     router.io.run_for(std::chrono::milliseconds(10));
   }
   CHECK(Has(answer, "held"));
@@ -163,12 +163,12 @@
   router.Start();
   router.SetUpstream("one", "hold " + one.address() + " 100");
   CHECK(router.Until([&] { return router.store.waiting_readers() == 3; }));
-  CHECK(Has(router.Ask("/hold/x", {}, "r-1"), "held"));
-  CHECK(Has(router.Ask("/hold/x", {}, "r-2"), "held"));
+  CHECK(Has(router.SendRequest("/hold/x", {}, "r-1"), "held"));
+  CHECK(Has(router.SendRequest("/hold/x", {}, "r-2"), "held"));
   CHECK_EQUAL(1, one.connections);
   router.SetUpstream("one", "hold " + one.address() + " 200");
   CHECK(router.Until([&] { return one.closed == 1; }));
-  CHECK(Has(router.Ask("/hold/x", {}, "r-3"), "held"));
+  CHECK(Has(router.SendRequest("/hold/x", {}, "r-3"), "held"));
   CHECK_EQUAL(2, one.connections);
 }
 
@@ -199,10 +199,10 @@
     stream->Send(Signed(request, "held"));
   });
   router.Start();
-  CHECK(Has(router.Ask("/hold/x", {}, "r-1"), "held"));
+  CHECK(Has(router.SendRequest("/hold/x", {}, "r-1"), "held"));
   router.SetUpstream("one", kInvalidService);
   CHECK(router.Until([&] { return one.closed == 1; }));
-  CHECK(Has(router.Ask("/hold/x", {}, "r-2"), "HTTP/1.1 503"));
+  CHECK(Has(router.SendRequest("/hold/x", {}, "r-2"), "HTTP/1.1 503"));
 }
 
 namespace {
@@ -263,13 +263,13 @@
     stream->Send(Signed(request, "held"));
   });
   router.Start();
-  router.store.away = true;
+  router.store.unreachable = true;
   router.SetUpstream("one", "");
   router.io.run_for(std::chrono::milliseconds(1'500));
   router.store.unreadable = "upstreams";
-  router.store.away = false;
+  router.store.unreachable = false;
   router.io.run_for(std::chrono::milliseconds(3'000));
-  CHECK(Has(router.Ask("/hold/x"), "held"));
+  CHECK(Has(router.SendRequest("/hold/x"), "held"));
 }
 
 TEST(Lifecycle, claims_after_a_power_loss_depend_on_the_earlier_role) {
--- a/tests/gateway/unit-limit.cc
+++ b/tests/gateway/unit-limit.cc
@@ -31,10 +31,10 @@
     return upstream;
   }
   // @return number of the requests that upstream "one" received
-  size_t AskOften(int count) {
+  size_t SendRequests(int count) {
     one.requests.clear();
     for (int i = 0; i < count; ++i) {
-      last = router.Ask("/lookup/x", {}, "r-" + std::to_string(i));
+      last = router.SendRequest("/lookup/x", {}, "r-" + std::to_string(i));
     }
     return one.requests.size();
   }
@@ -58,21 +58,21 @@
 
 TEST(Limit, an_upstream_gets_no_more_requests_than_its_stated_limit) {
   router.Start();
-  CHECK(AskOften(30) <= 2);
+  CHECK(SendRequests(30) <= 2);
   CHECK(Has(last, "HTTP/1.1 200"));
 }
 
 TEST(Limit, removal_of_a_limit_is_detected) {
   router.Start();
-  AskOften(30);
+  SendRequests(30);
   limit_of_one.reset();
-  CHECK(router.Until([&] { return AskOften(30) > 5; }));
+  CHECK(router.Until([&] { return SendRequests(30) > 5; }));
 }
 
 TEST(Limit, with_all_upstreams_limited_requests_are_refused_at_once) {
   limit_of_two = 0.5;
   router.Start();
-  AskOften(10);
+  SendRequests(10);
   CHECK(Has(last, "HTTP/1.1 503"));
   CHECK(Has(last, "Retry-After"));
   CHECK(Has(last, "take no more for now"));
@@ -83,11 +83,11 @@
   limit_of_one.reset();
   router.settings.load_address = FreeAddress(router.io);
   router.Start();
-  CHECK(AskOften(30) > 5);
+  CHECK(SendRequests(30) > 5);
   ReportLimit(0.5, 1);
-  CHECK(AskOften(30) <= 1);
+  CHECK(SendRequests(30) <= 1);
   ReportLimit(std::nullopt, 2);
-  CHECK(AskOften(30) > 5);
+  CHECK(SendRequests(30) > 5);
 }
 
 TEST(Limit, limits_in_error_responses_apply) {
@@ -97,6 +97,6 @@
         "Content-Length: 0\r\n\r\n");
   });
   router.Start();
-  CHECK(AskOften(30) <= 2);
+  CHECK(SendRequests(30) <= 2);
   CHECK(Has(last, "HTTP/1.1 200"));
 }
--- a/tests/gateway/unit-placement-client.cc
+++ b/tests/gateway/unit-placement-client.cc
@@ -32,8 +32,8 @@
     query.prompt = core::Tokens(600);
     query.exclude = {core::UpstreamId("tried")};
   }
-  void Ask() {
-    client.Ask(query, [this](const entry::Placement& one) { result = one; });
+  void RequestPlacement() {
+    client.RequestPlacement(query, [this](const entry::Placement& one) { result = one; });
     io.restart();
     io.run_for(std::chrono::milliseconds(5));
   }
@@ -52,7 +52,7 @@
 // clang-format on
 
 TEST(PlacementClient, query_and_placement_survive_conversion_to_messages) {
-  Ask();
+  RequestPlacement();
   CHECK_EQUAL(1, sent.size());
   const entry::PlacementQuery read = ToPlacementQuery(sent[0]);
   CHECK(read.service == query.service && read.engine);
@@ -65,7 +65,7 @@
 }
 
 TEST(PlacementClient, a_request_without_a_reply_is_sent_again) {
-  Ask();
+  RequestPlacement();
   Pass(60);
   CHECK_EQUAL(2, sent.size());
   client.OnAnswer(ToPlaceAnswer(sent[0], Chosen()));
@@ -73,26 +73,26 @@
 }
 
 TEST(PlacementClient, asks_another_peer_when_one_knows_no_upstream) {
-  Ask();
+  RequestPlacement();
   client.OnAnswer(ToPlaceAnswer(sent[0], {}));
   CHECK_EQUAL(2, sent.size());
   CHECK_FALSE(result.has_value());
 }
 
 TEST(PlacementClient, without_any_reply_the_placement_is_empty) {
-  Ask();
+  RequestPlacement();
   Pass(200);
   CHECK(result && !result->upstream);
   CHECK_EQUAL(3, sent.size());
   result.reset();
   peers.clear();
-  Ask();
+  RequestPlacement();
   CHECK(result && !result->upstream);
 }
 
 TEST(PlacementClient,
      late_or_duplicated_replies_and_those_to_an_earlier_start_are_ignored) {
-  Ask();
+  RequestPlacement();
   v1::PlaceAnswer answer = ToPlaceAnswer(sent[0], Chosen());
   answer.set_ask_epoch(2);
   client.OnAnswer(answer);
--- a/tests/platform/unit-documents.cc
+++ b/tests/platform/unit-documents.cc
@@ -87,7 +87,7 @@
                    R"({"service": "s1", "address": "10.0.0.9:80", "zone": "a",
           "slots": 64, "state": "draining", "sequence": 4, "born": 1700})");
   CHECK(core::IsOk(read));
-  CHECK_EQUAL(1700, *core::Value(read).born);
+  CHECK_EQUAL(1700, *core::Value(read).start_number);
   CHECK(core::Value(read).leaving);
   CHECK_EQUAL(64, core::Value(read).slots);
   STRCMP_EQUAL("i-1", core::Value(read).id.value().c_str());
